--- a/crates/savorywood-gateway/tests/admission.rs
+++ b/crates/savorywood-gateway/tests/admission.rs
@@ -1,6 +1,6 @@
 //! Who is let in.
 
-#[path = "common/scene.rs"]
+#[path = "common/harness.rs"]
 mod scene;
 
 use savorywood_gateway::{GatewayEvent, RefusalReason, RepeatKind, RequestArrival, TeamLimit};
--- a/crates/savorywood-gateway/tests/evacuation.rs
+++ b/crates/savorywood-gateway/tests/evacuation.rs
@@ -1,6 +1,6 @@
 //! Zones that operators evacuate.
 
-#[path = "common/scene.rs"]
+#[path = "common/harness.rs"]
 mod scene;
 
 use savorywood_gateway::{
--- a/crates/savorywood-gateway/tests/together.rs
+++ b/crates/savorywood-gateway/tests/fleet_limits.rs
@@ -1,6 +1,6 @@
 //! Several daemons with one limit, one budget, one clock.
 
-#[path = "common/scene.rs"]
+#[path = "common/harness.rs"]
 mod scene;
 
 use savorywood_gateway::{
--- a/crates/savorywood-gateway/tests/quarantine.rs
+++ b/crates/savorywood-gateway/tests/quarantine.rs
@@ -1,18 +1,18 @@
 //! Requests that crash the upstreams that run them.
 
-#[path = "common/bystanders.rs"]
-mod bystanders;
 #[path = "common/callers.rs"]
 mod callers;
+#[path = "common/concurrent_requests.rs"]
+mod concurrent_requests;
 #[path = "common/crashes.rs"]
 mod crashes;
-#[path = "common/field.rs"]
+#[path = "common/cluster.rs"]
 mod field;
-#[path = "common/scene.rs"]
+#[path = "common/harness.rs"]
 mod scene;
 
-use bystanders::{Bystander, BystanderEnd};
 use callers::SeededDraws;
+use concurrent_requests::{Bystander, BystanderEnd};
 use crashes::{CRASHING_PATH, CrashField, MOST_RETRIES, RequestEnd};
 use quickcheck::quickcheck;
 use savorywood_gateway::{
--- a/crates/savorywood-gateway/tests/rate_limits.rs
+++ b/crates/savorywood-gateway/tests/rate_limits.rs
@@ -2,11 +2,11 @@
 
 #[path = "common/callers.rs"]
 mod callers;
-#[path = "common/field.rs"]
+#[path = "common/cluster.rs"]
 mod field;
 #[path = "common/limits.rs"]
 mod limits;
-#[path = "common/scene.rs"]
+#[path = "common/harness.rs"]
 mod scene;
 
 use limits::{LimitField, LimitTally};
--- a/crates/savorywood-gateway/tests/regions.rs
+++ b/crates/savorywood-gateway/tests/regions.rs
@@ -1,6 +1,6 @@
 //! Home regions of routes and teams, in a deployment of two regions.
 
-#[path = "common/scene.rs"]
+#[path = "common/harness.rs"]
 mod scene;
 
 use savorywood_gateway::{
--- a/crates/savorywood-gateway/tests/truth.rs
+++ b/crates/savorywood-gateway/tests/response_invariants.rs
@@ -1,6 +1,6 @@
 //! What callers are answered is true, whatever upstreams do.
 
-#[path = "common/scene.rs"]
+#[path = "common/harness.rs"]
 mod scene;
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
--- a/crates/savorywood-gateway/tests/rollouts.rs
+++ b/crates/savorywood-gateway/tests/rollouts.rs
@@ -1,6 +1,6 @@
 //! Roll-outs over several daemons.
 
-#[path = "common/scene.rs"]
+#[path = "common/harness.rs"]
 mod scene;
 
 use savorywood_gateway::{
--- a/crates/savorywood-gateway/tests/deciding.rs
+++ b/crates/savorywood-gateway/tests/scheduling.rs
@@ -2,7 +2,7 @@
 
 #[path = "common/load.rs"]
 mod load;
-#[path = "common/scene.rs"]
+#[path = "common/harness.rs"]
 mod scene;
 
 use load::{
--- a/crates/savorywood-gateway/tests/restoring.rs
+++ b/crates/savorywood-gateway/tests/store_restore.rs
@@ -1,6 +1,6 @@
 //! A store that is restored from a backup some seconds old.
 
-#[path = "common/scene.rs"]
+#[path = "common/harness.rs"]
 mod scene;
 
 use quickcheck::quickcheck;
--- a/crates/savorywood-gateway/tests/waiting.rs
+++ b/crates/savorywood-gateway/tests/upstream_selection.rs
@@ -1,6 +1,6 @@
 //! Who waits, who goes first, and where work goes.
 
-#[path = "common/scene.rs"]
+#[path = "common/harness.rs"]
 mod scene;
 
 use savorywood_gateway::{
