--- a/crates/savorywood-gateway/tests/admission.rs
+++ b/crates/savorywood-gateway/tests/admission.rs
@@ -1,10 +1,10 @@
 //! Who is let in.
 
 #[path = "common/harness.rs"]
-mod scene;
+mod harness;
 
+use harness::{GatewayHarness, REVOCATION, arrival, config, options, route};
 use savorywood_gateway::{GatewayEvent, RefusalReason, RepeatKind, RequestArrival, TeamLimit};
-use scene::{GatewayScene, REVOCATION, arrival, config, options, route};
 use std::{sync::Arc, time::Duration};
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -13,10 +13,10 @@
 /// for good; answered "not ready", it comes back or asks another daemon.
 #[test]
 fn a_daemon_that_knows_nothing_denies_nothing() {
-    let mut scene = GatewayScene::empty(options("host-a"));
-    let request = scene.arrive(arrival("/safe/1"));
-    assert_eq!(scene.refusal(request), Some(RefusalReason::NotReady));
-    assert!(!scene.gateway.is_ready(scene.now));
+    let mut harness = GatewayHarness::unconfigured(options("host-a"));
+    let request = harness.arrive(arrival("/safe/1"));
+    assert_eq!(harness.refusal(request), Some(RefusalReason::NotReady));
+    assert!(!harness.gateway.is_ready(harness.now));
 }
 
 #[test]
@@ -37,21 +37,21 @@
 
 #[test]
 fn unknown_routes_and_keys_are_denied_by_a_daemon_that_is_up_to_date() {
-    let mut scene = GatewayScene::ready(1);
-    let request = scene.arrive(arrival("/nowhere/"));
-    assert_eq!(scene.refusal(request), Some(RefusalReason::NoRoute));
+    let mut harness = GatewayHarness::ready(1);
+    let request = harness.arrive(arrival("/nowhere/"));
+    assert_eq!(harness.refusal(request), Some(RefusalReason::NoRoute));
     let stranger = RequestArrival {
         key: Some("stranger".to_owned()),
         ..arrival("/safe/1")
     };
-    let request = scene.arrive(stranger.clone());
-    assert_eq!(scene.refusal(request), Some(RefusalReason::UnknownKey));
+    let request = harness.arrive(stranger.clone());
+    assert_eq!(harness.refusal(request), Some(RefusalReason::UnknownKey));
     let open = RequestArrival {
         path: "/open/1".to_owned(),
         ..stranger
     };
-    let request = scene.arrive(open);
-    assert_eq!(scene.refusal(request), None);
+    let request = harness.arrive(open);
+    assert_eq!(harness.refusal(request), None);
 }
 
 /// The store can't be reached, and an operator takes a key away meanwhile. The daemon can't learn
@@ -59,15 +59,15 @@
 /// lasts.
 #[test]
 fn keys_stop_working_before_the_bound_when_nothing_confirms_them() {
-    let mut scene = GatewayScene::ready(1);
+    let mut harness = GatewayHarness::ready(1);
     let mut served_until = Duration::ZERO;
     for _ in 0..100 {
-        scene.advance(Duration::from_millis(100));
-        let request = scene.arrive(arrival("/safe/1"));
-        match scene.refusal(request) {
+        harness.advance(Duration::from_millis(100));
+        let request = harness.arrive(arrival("/safe/1"));
+        match harness.refusal(request) {
             None => {
-                served_until = scene.gateway.view(scene.now).proof_age;
-                scene.deliver(request);
+                served_until = harness.gateway.view(harness.now).proof_age;
+                harness.deliver(request);
             }
             Some(reason) => assert_eq!(reason, RefusalReason::NotReady),
         }
@@ -77,36 +77,36 @@
         served_until > REVOCATION / 2,
         "refused from {served_until:?}"
     );
-    scene.confirm();
-    let request = scene.arrive(arrival("/safe/1"));
-    assert_eq!(scene.refusal(request), None);
+    harness.confirm();
+    let request = harness.arrive(arrival("/safe/1"));
+    assert_eq!(harness.refusal(request), None);
 }
 
 /// A public route shows no key, so nothing can have been taken away.
 #[test]
 fn public_routes_go_on_without_the_store() {
-    let mut scene = GatewayScene::ready(1);
-    scene.advance(60 * SECOND);
+    let mut harness = GatewayHarness::ready(1);
+    harness.advance(60 * SECOND);
     let open = RequestArrival {
         key: None,
         ..arrival("/open/1")
     };
-    let request = scene.arrive(open);
-    assert_eq!(scene.refusal(request), None);
+    let request = harness.arrive(open);
+    assert_eq!(harness.refusal(request), None);
 }
 
 /// An answer of the store that was held up brings a version that was replaced long ago. In force
 /// again, its routes and keys would come back to life.
 #[test]
 fn an_older_configuration_never_comes_back() {
-    let mut scene = GatewayScene::ready(1);
+    let mut harness = GatewayHarness::ready(1);
     let mut newer = savorywood_gateway::DeclaredConfig::new(9);
     newer.add_route(route("/new/", RepeatKind::Safe, 1));
-    scene.step(GatewayEvent::ConfigRead(Arc::new(newer)));
-    scene.step(GatewayEvent::ConfigRead(Arc::new(config(8, None))));
-    let request = scene.arrive(arrival("/safe/1"));
-    assert_eq!(scene.refusal(request), Some(RefusalReason::NoRoute));
-    assert_eq!(scene.gateway.view(scene.now).version, 9);
+    harness.step(GatewayEvent::ConfigRead(Arc::new(newer)));
+    harness.step(GatewayEvent::ConfigRead(Arc::new(config(8, None))));
+    let request = harness.arrive(arrival("/safe/1"));
+    assert_eq!(harness.refusal(request), Some(RefusalReason::NoRoute));
+    assert_eq!(harness.gateway.view(harness.now).version, 9);
 }
 
 #[test]
@@ -117,29 +117,29 @@
         in_tokens: true,
         plain_tokens: 100,
     };
-    let mut scene = GatewayScene::ready(4);
-    scene.step(GatewayEvent::ConfigRead(Arc::new(config(2, Some(limit)))));
-    let requests: Vec<_> = (0..5).map(|_| scene.arrive(arrival("/safe/1"))).collect();
+    let mut harness = GatewayHarness::ready(4);
+    harness.step(GatewayEvent::ConfigRead(Arc::new(config(2, Some(limit)))));
+    let requests: Vec<_> = (0..5).map(|_| harness.arrive(arrival("/safe/1"))).collect();
     let refused = requests
         .iter()
-        .filter(|request| scene.refusal(**request) == Some(RefusalReason::OverLimit));
+        .filter(|request| harness.refusal(**request) == Some(RefusalReason::OverLimit));
     assert_eq!(refused.count(), 3);
-    scene.advance(3 * SECOND);
-    let request = scene.arrive(arrival("/safe/1"));
-    assert_eq!(scene.refusal(request), None);
+    harness.advance(3 * SECOND);
+    let request = harness.arrive(arrival("/safe/1"));
+    assert_eq!(harness.refusal(request), None);
 }
 
 /// An operator shortens the bound of keys while a daemon is cut off. It holds from then on: what was
 /// allowed by the longer one is refused.
 #[test]
 fn changed_bounds_hold_at_once() {
-    let mut scene = GatewayScene::ready(1);
-    scene.advance(2 * SECOND);
-    let request = scene.arrive(arrival("/safe/1"));
-    assert_eq!(scene.refusal(request), None);
+    let mut harness = GatewayHarness::ready(1);
+    harness.advance(2 * SECOND);
+    let request = harness.arrive(arrival("/safe/1"));
+    assert_eq!(harness.refusal(request), None);
     let mut bounds = options("host-a").bounds;
     bounds.revocation = Some(2 * SECOND);
-    scene.step(GatewayEvent::BoundsRead(bounds));
-    let request = scene.arrive(arrival("/safe/1"));
-    assert_eq!(scene.refusal(request), Some(RefusalReason::NotReady));
+    harness.step(GatewayEvent::BoundsRead(bounds));
+    let request = harness.arrive(arrival("/safe/1"));
+    assert_eq!(harness.refusal(request), Some(RefusalReason::NotReady));
 }
--- a/crates/savorywood-gateway/tests/common/callers.rs
+++ b/crates/savorywood-gateway/tests/common/callers.rs
@@ -3,7 +3,7 @@
 
 use crate::{
     field::{DaemonField, ZONES},
-    scene::arrival,
+    harness::arrival,
 };
 use savorywood_gateway::CallerPlace;
 use savorywood_protocol::MonotonicTime;
@@ -101,18 +101,18 @@
             self.callers[number].addresses.remove(chosen);
             return;
         }
-        let scene = &mut field.daemons[daemon];
-        scene.now = now;
-        let request = scene.arrive(arrival("/safe/1"));
-        if scene.refusal(request).is_some() {
+        let harness = &mut field.daemons[daemon];
+        harness.now = now;
+        let request = harness.arrive(arrival("/safe/1"));
+        if harness.refusal(request).is_some() {
             self.tally.refused += 1;
             self.last_trouble = Some(now);
             self.callers[number].addresses.remove(chosen);
         } else {
             self.tally.served += 1;
-            scene.deliver(request);
+            harness.deliver(request);
         }
-        scene.effects.clear();
+        harness.effects.clear();
     }
 
     /// Asks daemons of the caller's own zone first.
--- a/crates/savorywood-gateway/tests/common/cluster.rs
+++ b/crates/savorywood-gateway/tests/common/cluster.rs
@@ -3,7 +3,7 @@
 
 use crate::{
     callers::CallerGroup,
-    scene::{GatewayScene, arrival, config, options, upstream},
+    harness::{GatewayHarness, arrival, config, options, upstream},
 };
 use savorywood_gateway::{
     GatewayEvent, GatewayOptions, HostResources, LimitTolerance, PeerContact, ReportScope,
@@ -119,7 +119,7 @@
 /// Daemons and the messages on their way between them.
 pub struct DaemonField {
     pub now: MonotonicTime,
-    pub daemons: Vec<GatewayScene>,
+    pub daemons: Vec<GatewayHarness>,
     pub addresses: BTreeMap<SocketAddr, usize>,
     pub limit: TeamLimit,
     /// Units of one request.
@@ -182,19 +182,19 @@
         field
     }
 
-    pub fn begin(&self, number: usize, incarnation: u64) -> GatewayScene {
+    pub fn begin(&self, number: usize, incarnation: u64) -> GatewayHarness {
         let mut options = daemon_options(number, incarnation);
         options.capacity = self.capacities[number];
-        let mut scene = GatewayScene::empty(options);
-        scene.now = self.now;
-        scene.step(GatewayEvent::ConfigRead(Arc::new(config(
+        let mut harness = GatewayHarness::unconfigured(options);
+        harness.now = self.now;
+        harness.step(GatewayEvent::ConfigRead(Arc::new(config(
             1,
             Some(self.limit),
         ))));
         let entries = (1..=8).map(|number| upstream(number, 1_000)).collect();
-        scene.step(GatewayEvent::UpstreamsRead(entries));
-        scene.confirm();
-        scene
+        harness.step(GatewayEvent::UpstreamsRead(entries));
+        harness.confirm();
+        harness
     }
 
     pub fn add(&mut self, incarnation: u64) {
@@ -203,8 +203,8 @@
         if self.capacities.len() == number {
             self.capacities.push(HostResources::default());
         }
-        let scene = self.begin(number, incarnation);
-        self.daemons.push(scene);
+        let harness = self.begin(number, incarnation);
+        self.daemons.push(harness);
     }
 
     /// Every daemon reads where the others are.
--- a/crates/savorywood-gateway/tests/common/crashes.rs
+++ b/crates/savorywood-gateway/tests/common/crashes.rs
@@ -3,7 +3,7 @@
 
 use crate::{
     field::DaemonField,
-    scene::{arrival, upstream},
+    harness::{arrival, upstream},
 };
 use savorywood_gateway::{
     AnswerMarks, AttemptOutcome, DispatchOrder, GatewayEffect, GatewayEvent, LocalRequest,
@@ -120,11 +120,11 @@
         kind: RequestKind,
         arrival: RequestArrival,
     ) -> RequestName {
-        let scene = &mut self.field.daemons[daemon];
-        scene.now = self.field.now;
-        scene.confirm();
-        scene.effects.clear();
-        let request = scene.next_request();
+        let harness = &mut self.field.daemons[daemon];
+        harness.now = self.field.now;
+        harness.confirm();
+        harness.effects.clear();
+        let request = harness.next_request();
         let name = RequestName { daemon, request };
         self.kinds.insert(name, kind);
         let arrival = Box::new(arrival);
@@ -134,10 +134,10 @@
 
     /// One event, and all that its effects lead to.
     fn step(&mut self, daemon: usize, event: GatewayEvent) {
-        let scene = &mut self.field.daemons[daemon];
-        scene.now = self.field.now;
-        scene.step(event);
-        for effect in std::mem::take(&mut scene.effects) {
+        let harness = &mut self.field.daemons[daemon];
+        harness.now = self.field.now;
+        harness.step(event);
+        for effect in std::mem::take(&mut harness.effects) {
             match effect {
                 GatewayEffect::Dispatch(order) => self.dispatched(daemon, &order),
                 GatewayEffect::Refuse {
--- a/crates/savorywood-gateway/tests/common/harness.rs
+++ b/crates/savorywood-gateway/tests/common/harness.rs
@@ -15,7 +15,7 @@
 pub const REVOCATION: Duration = Duration::from_secs(5);
 
 /// A gateway, its time and what came out of it.
-pub struct GatewayScene {
+pub struct GatewayHarness {
     pub gateway: Gateway,
     pub now: MonotonicTime,
     pub effects: Vec<GatewayEffect>,
@@ -123,9 +123,9 @@
     }
 }
 
-impl GatewayScene {
+impl GatewayHarness {
     /// A gateway that knows nothing yet.
-    pub fn empty(options: GatewayOptions) -> Self {
+    pub fn unconfigured(options: GatewayOptions) -> Self {
         Self {
             gateway: Gateway::new(options),
             now: MonotonicTime(1_000_000),
@@ -136,12 +136,12 @@
 
     /// A gateway that is ready, with some upstreams of one slot each.
     pub fn ready(upstreams: u16) -> Self {
-        let mut scene = Self::empty(options("host-a"));
-        scene.step(GatewayEvent::ConfigRead(Arc::new(config(1, None))));
+        let mut harness = Self::unconfigured(options("host-a"));
+        harness.step(GatewayEvent::ConfigRead(Arc::new(config(1, None))));
         let entries = (1..=upstreams).map(|number| upstream(number, 1)).collect();
-        scene.step(GatewayEvent::UpstreamsRead(entries));
-        scene.confirm();
-        scene
+        harness.step(GatewayEvent::UpstreamsRead(entries));
+        harness.confirm();
+        harness
     }
 
     pub fn confirm(&mut self) {
--- a/crates/savorywood-gateway/tests/common/limits.rs
+++ b/crates/savorywood-gateway/tests/common/limits.rs
@@ -4,7 +4,7 @@
 use crate::{
     callers::SeededDraws,
     field::{DaemonField, zone},
-    scene::{arrival, upstream},
+    harness::{arrival, upstream},
 };
 use savorywood_gateway::{
     AnswerMarks, AttemptOutcome, DispatchOrder, GatewayEffect, GatewayEvent, LocalRequest,
@@ -214,10 +214,10 @@
     }
 
     fn step(&mut self, daemon: usize, event: GatewayEvent) {
-        let scene = &mut self.field.daemons[daemon];
-        scene.now = self.field.now;
-        scene.step(event);
-        for effect in std::mem::take(&mut scene.effects) {
+        let harness = &mut self.field.daemons[daemon];
+        harness.now = self.field.now;
+        harness.step(event);
+        for effect in std::mem::take(&mut harness.effects) {
             match effect {
                 GatewayEffect::Dispatch(order) => self.dispatched(daemon, &order),
                 GatewayEffect::Refuse { reason, .. } => {
--- a/crates/savorywood-gateway/tests/common/load.rs
+++ b/crates/savorywood-gateway/tests/common/load.rs
@@ -9,7 +9,7 @@
 #[path = "load/engine.rs"]
 pub mod engine;
 
-use crate::scene::{GatewayScene, config, options, route, upstream};
+use crate::harness::{GatewayHarness, config, options, route, upstream};
 use calls::{CallKind, CallTally, DrawSource, OpenCall};
 use engine::{EngineModel, EngineOutput, EngineRun};
 use savorywood_gateway::{
@@ -50,7 +50,7 @@
 /// All of it.
 pub struct LoadWorld {
     pub now: MonotonicTime,
-    pub daemons: Vec<GatewayScene>,
+    pub daemons: Vec<GatewayHarness>,
     pub engines: Vec<EngineModel>,
     pub kinds: Vec<CallKind>,
     pub tallies: Vec<CallTally>,
@@ -100,7 +100,7 @@
         world
     }
 
-    fn daemon(&self, number: usize, daemons: usize, slots: u32) -> GatewayScene {
+    fn daemon(&self, number: usize, daemons: usize, slots: u32) -> GatewayHarness {
         let address = |number: usize| {
             let text = format!("10.0.0.{}:7600", number + 1);
             text.parse().expect("an address")
@@ -110,8 +110,8 @@
         // Two daemons a zone: the directory names all of them.
         options.zone = ZoneLabel::from(format!("zone-{}", number / 2).as_str());
         options.seed = 7 + number as u64;
-        let mut scene = GatewayScene::empty(options);
-        scene.now = self.now;
+        let mut harness = GatewayHarness::unconfigured(options);
+        harness.now = self.now;
         let mut config = config(1, None);
         for kind in &self.kinds {
             let repeat = RepeatKind::Stream {
@@ -124,18 +124,18 @@
             route.timeout = Some(kind.deadline);
             config.add_route(route);
         }
-        scene.step(GatewayEvent::ConfigRead(Arc::new(config)));
+        harness.step(GatewayEvent::ConfigRead(Arc::new(config)));
         let count = u16::try_from(self.engines.len()).expect("few engines");
         let entries = (1..=count).map(|number| upstream(number, slots));
-        scene.step(GatewayEvent::UpstreamsRead(entries.collect()));
+        harness.step(GatewayEvent::UpstreamsRead(entries.collect()));
         let contacts = (0..daemons).map(|number| PeerContact {
             address: address(number),
             zone: None,
         });
-        scene.step(GatewayEvent::ContactsRead(contacts.collect()));
-        scene.confirm();
-        scene.effects.clear();
-        scene
+        harness.step(GatewayEvent::ContactsRead(contacts.collect()));
+        harness.confirm();
+        harness.effects.clear();
+        harness
     }
 
     /// Plays arrivals for a time, and then what is left.
@@ -288,7 +288,7 @@
         let number = (self.draws.next() * daemons) as usize;
         let kind = &self.kinds[call.kind];
         let left = call.deadline_at.since(self.now);
-        let mut arrival: RequestArrival = crate::scene::arrival(&format!("{}1", kind.path));
+        let mut arrival: RequestArrival = crate::harness::arrival(&format!("{}1", kind.path));
         arrival.deadline = Some(left);
         arrival.size = Some(RequestSize {
             prompt: call.prompt,
--- a/crates/savorywood-gateway/tests/entry_set.rs
+++ b/crates/savorywood-gateway/tests/entry_set.rs
@@ -5,7 +5,7 @@
 #[path = "common/cluster.rs"]
 mod field;
 #[path = "common/harness.rs"]
-mod scene;
+mod harness;
 
 use callers::CallerGroup;
 use field::{DaemonField, TeamLoad, ZONES};
--- a/crates/savorywood-gateway/tests/fleet_limits.rs
+++ b/crates/savorywood-gateway/tests/fleet_limits.rs
@@ -1,14 +1,14 @@
 //! Several daemons with one limit, one budget, one clock.
 
 #[path = "common/harness.rs"]
-mod scene;
+mod harness;
 
+use harness::{GatewayHarness, arrival, config, options, upstream};
 use savorywood_gateway::{
     BudgetOptions, FreshnessClock, GatewayEvent, GatewayOptions, LimitTolerance, RetryBudget,
     StoreExchange, TeamLimit,
 };
 use savorywood_protocol::MonotonicTime;
-use scene::{GatewayScene, arrival, config, options, upstream};
 use std::{sync::Arc, time::Duration};
 
 const DAEMONS: usize = 7;
@@ -36,14 +36,14 @@
     }
 }
 
-fn begin(number: usize, incarnation: u64, now: MonotonicTime) -> GatewayScene {
-    let mut scene = GatewayScene::empty(daemon_options(number, incarnation));
-    scene.now = now;
-    scene.step(GatewayEvent::ConfigRead(Arc::new(config(1, Some(limit())))));
+fn begin(number: usize, incarnation: u64, now: MonotonicTime) -> GatewayHarness {
+    let mut harness = GatewayHarness::unconfigured(daemon_options(number, incarnation));
+    harness.now = now;
+    harness.step(GatewayEvent::ConfigRead(Arc::new(config(1, Some(limit())))));
     let entries = (1..=8).map(|number| upstream(number, 64)).collect();
-    scene.step(GatewayEvent::UpstreamsRead(entries));
-    scene.confirm();
-    scene
+    harness.step(GatewayEvent::UpstreamsRead(entries));
+    harness.confirm();
+    harness
 }
 
 /// Times at which units were admitted, over all daemons.
@@ -74,7 +74,7 @@
     admitted
 }
 
-fn gossip_all(daemons: &mut [GatewayScene], now: MonotonicTime) {
+fn gossip_all(daemons: &mut [GatewayHarness], now: MonotonicTime) {
     for index in 0..daemons.len() {
         let summary = daemons[index].gateway.summary(now);
         for (other, daemon) in daemons.iter_mut().enumerate() {
--- a/crates/savorywood-gateway/tests/quarantine.rs
+++ b/crates/savorywood-gateway/tests/quarantine.rs
@@ -9,30 +9,30 @@
 #[path = "common/cluster.rs"]
 mod field;
 #[path = "common/harness.rs"]
-mod scene;
+mod harness;
 
 use callers::SeededDraws;
 use concurrent_requests::{Bystander, BystanderEnd};
 use crashes::{CRASHING_PATH, CrashField, MOST_RETRIES, RequestEnd};
+use harness::{GatewayHarness, arrival};
 use quickcheck::quickcheck;
 use savorywood_gateway::{
     AttemptOutcome, BrokenAttempt, ContentDigest, CrashAge, CrashReport, GatewayEffect,
     QuarantineBook, QuarantineRow, QuarantineVerdict, ReportScope, RequestFingerprint, TeamLabel,
 };
 use savorywood_protocol::MonotonicTime;
-use scene::{GatewayScene, arrival};
 use std::time::Duration;
 
 /// Guards against crashes that can't be attributed: logs named sizes, not what was asked.
 #[test]
 fn a_broken_attempt_is_logged_with_what_it_asked_and_what_ran_beside_it() {
-    let mut scene = GatewayScene::ready(1);
+    let mut harness = GatewayHarness::ready(1);
     let asked = arrival("/once/1");
     let team = TeamLabel::from("team");
     let fingerprint = RequestFingerprint::new(asked.content, Some(&team));
-    let request = scene.arrive(asked);
-    scene.end(request, AttemptOutcome::Broken { silent: false });
-    let lines = scene.effects.iter().filter_map(|effect| match effect {
+    let request = harness.arrive(asked);
+    harness.end(request, AttemptOutcome::Broken { silent: false });
+    let lines = harness.effects.iter().filter_map(|effect| match effect {
         GatewayEffect::Log(line) => Some(line.to_string()),
         _ => None,
     });
@@ -225,21 +225,21 @@
 /// Guards against taking a lost connection for the end of an upstream.
 #[test]
 fn an_upstream_that_answers_after_a_break_did_not_crash() {
-    let mut scene = GatewayScene::ready(4);
+    let mut harness = GatewayHarness::ready(4);
     for _ in 0..6 {
-        let request = scene.arrive(arrival("/once/1"));
-        assert_eq!(scene.refusal(request), None);
-        scene.end(request, AttemptOutcome::Broken { silent: false });
-        scene.advance(Duration::from_millis(300));
+        let request = harness.arrive(arrival("/once/1"));
+        assert_eq!(harness.refusal(request), None);
+        harness.end(request, AttemptOutcome::Broken { silent: false });
+        harness.advance(Duration::from_millis(300));
         // What comes next goes to each upstream, the one of the broken connection among them.
         let others: Vec<_> = (0..4)
-            .map(|number| scene.arrive(arrival(&format!("/safe/other-{number}"))))
+            .map(|number| harness.arrive(arrival(&format!("/safe/other-{number}"))))
             .collect();
         for other in others {
-            scene.deliver(other);
+            harness.deliver(other);
         }
-        scene.advance(Duration::from_secs(6));
-        scene.confirm();
+        harness.advance(Duration::from_secs(6));
+        harness.confirm();
     }
 }
 
--- a/crates/savorywood-gateway/tests/rate_limits.rs
+++ b/crates/savorywood-gateway/tests/rate_limits.rs
@@ -4,16 +4,16 @@
 mod callers;
 #[path = "common/cluster.rs"]
 mod field;
+#[path = "common/harness.rs"]
+mod harness;
 #[path = "common/limits.rs"]
 mod limits;
-#[path = "common/harness.rs"]
-mod scene;
 
+use harness::{GatewayHarness, arrival, upstream};
 use limits::{LimitField, LimitTally};
 use savorywood_gateway::{
     AnswerMarks, AttemptOutcome, GatewayEffect, GatewayEvent, RateLimit, UpstreamEntry,
 };
-use scene::{GatewayScene, arrival, upstream};
 use std::time::Duration;
 
 fn marks(per_second: Option<f64>) -> AnswerMarks {
@@ -26,20 +26,20 @@
 /// Guards against limits that upstreams name and no log shows.
 #[test]
 fn a_limit_that_is_named_changed_or_lifted_is_logged() {
-    let mut scene = GatewayScene::ready(1);
+    let mut harness = GatewayHarness::ready(1);
     for per_second in [None, Some(1.2), Some(1.2), Some(3.0), None] {
-        let request = scene.arrive(arrival("/safe/1"));
+        let request = harness.arrive(arrival("/safe/1"));
         let outcome = AttemptOutcome::Delivered {
             marks: marks(per_second),
             events: 0,
         };
-        scene.end(request, outcome);
+        harness.end(request, outcome);
         for _ in 0..60 {
-            scene.advance(Duration::from_millis(500));
-            scene.confirm();
+            harness.advance(Duration::from_millis(500));
+            harness.confirm();
         }
     }
-    let lines = scene.effects.iter().filter_map(|effect| match effect {
+    let lines = harness.effects.iter().filter_map(|effect| match effect {
         GatewayEffect::Log(line) => Some(line.to_string()),
         _ => None,
     });
@@ -57,23 +57,23 @@
 /// Guards against the head of a long stream that lifts a limit which was named after it.
 #[test]
 fn the_end_of_a_stream_says_nothing_new_of_a_limit() {
-    let mut scene = GatewayScene::ready(2);
-    let stream = scene.arrive(arrival("/stream/1"));
-    scene.step(GatewayEvent::AnswerBegan {
+    let mut harness = GatewayHarness::ready(2);
+    let stream = harness.arrive(arrival("/stream/1"));
+    harness.step(GatewayEvent::AnswerBegan {
         request: stream,
         marks: marks(Some(2.0)),
     });
-    let limited = |scene: &GatewayScene| {
-        let states = scene.gateway.fleet().iter();
+    let limited = |harness: &GatewayHarness| {
+        let states = harness.gateway.fleet().iter();
         states.filter(|state| state.limit.limit().is_some()).count()
     };
-    assert_eq!(limited(&scene), 1);
+    assert_eq!(limited(&harness), 1);
     let outcome = AttemptOutcome::Delivered {
         marks: marks(None),
         events: 3,
     };
-    scene.end(stream, outcome);
-    assert_eq!(limited(&scene), 1);
+    harness.end(stream, outcome);
+    assert_eq!(limited(&harness), 1);
 }
 
 /// Guards against daemons that each send an upstream in need what it takes from all of them.
@@ -239,21 +239,21 @@
 /// Guards against a limit of an upstream's last life that binds the next one.
 #[test]
 fn an_upstream_that_starts_anew_is_not_bound_by_what_it_said_before() {
-    let mut scene = GatewayScene::ready(1);
-    let request = scene.arrive(arrival("/safe/1"));
+    let mut harness = GatewayHarness::ready(1);
+    let request = harness.arrive(arrival("/safe/1"));
     let outcome = AttemptOutcome::Delivered {
         marks: marks(Some(0.2)),
         events: 0,
     };
-    scene.end(request, outcome);
-    let waiting = scene.arrive(arrival("/safe/2"));
-    assert!(scene.orders(waiting).is_empty());
+    harness.end(request, outcome);
+    let waiting = harness.arrive(arrival("/safe/2"));
+    assert!(harness.orders(waiting).is_empty());
     let reborn = UpstreamEntry {
         born: 2,
         ..upstream(1, 1)
     };
-    scene.step(GatewayEvent::UpstreamWritten(reborn));
-    assert_eq!(scene.orders(waiting).len(), 1);
+    harness.step(GatewayEvent::UpstreamWritten(reborn));
+    assert_eq!(harness.orders(waiting).len(), 1);
 }
 
 /// Guards against a daemon that reads late that an earlier limit ended, and passes it on as new.
--- a/crates/savorywood-gateway/tests/regions.rs
+++ b/crates/savorywood-gateway/tests/regions.rs
@@ -1,13 +1,13 @@
 //! Home regions of routes and teams, in a deployment of two regions.
 
 #[path = "common/harness.rs"]
-mod scene;
+mod harness;
 
+use harness::{GatewayHarness, arrival, config, options, route, upstream};
 use savorywood_gateway::{
     CallerPlace, DeclaredConfig, GatewayEvent, PeerContact, RefusalReason, RegionLabel, RegionMap,
     RepeatKind, TeamLabel, TeamSpec, UpstreamEntry, ZoneLabel,
 };
-use scene::{GatewayScene, arrival, config, options, route, upstream};
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -50,43 +50,43 @@
 }
 
 /// A daemon in the north; one upstream in each of three zones, with many slots.
-fn two_regions(zones: &[&str]) -> GatewayScene {
+fn two_regions(zones: &[&str]) -> GatewayHarness {
     let mut options = options("host-a");
     options.regions = regions();
-    let mut scene = GatewayScene::empty(options);
-    scene.step(GatewayEvent::ConfigRead(Arc::new(declared())));
+    let mut harness = GatewayHarness::unconfigured(options);
+    harness.step(GatewayEvent::ConfigRead(Arc::new(declared())));
     let entries = zones.iter().zip(1..).map(|(zone, number)| UpstreamEntry {
         zone: ZoneLabel::from(*zone),
         ..upstream(number, 100)
     });
-    scene.step(GatewayEvent::UpstreamsRead(entries.collect()));
-    scene.confirm();
-    scene
+    harness.step(GatewayEvent::UpstreamsRead(entries.collect()));
+    harness.confirm();
+    harness
 }
 
 /// Zone of the upstream that gets a request; `None` where it is refused.
-fn zone_of(scene: &mut GatewayScene, region: &str, key: &str) -> Option<String> {
+fn zone_of(harness: &mut GatewayHarness, region: &str, key: &str) -> Option<String> {
     let mut asked = arrival(&format!("/{region}/1"));
     asked.host = format!("{region}.example");
     asked.key = Some(key.to_owned());
-    let request = scene.arrive(asked);
-    let sent_to = scene.orders(request).first()?.upstream.clone();
-    let state = scene.gateway.fleet().get(&sent_to);
+    let request = harness.arrive(asked);
+    let sent_to = harness.orders(request).first()?.upstream.clone();
+    let state = harness.gateway.fleet().get(&sent_to);
     let zone = state.map(|state| state.entry.zone.as_str().to_owned());
-    scene.deliver(request);
+    harness.deliver(request);
     zone
 }
 
 /// Guards against a request that leaves the regions that its route may use.
 #[test]
 fn requests_reach_upstreams_of_their_home_region_alone() {
-    let mut scene = two_regions(&["zone-a", "zone-b", "zone-c"]);
+    let mut harness = two_regions(&["zone-a", "zone-b", "zone-c"]);
     for _ in 0..30 {
         assert_eq!(
-            zone_of(&mut scene, "south", "key").as_deref(),
+            zone_of(&mut harness, "south", "key").as_deref(),
             Some("zone-c")
         );
-        let north = zone_of(&mut scene, "north", "key");
+        let north = zone_of(&mut harness, "north", "key");
         assert_ne!(north.as_deref(), Some("zone-c"));
     }
 }
@@ -94,23 +94,23 @@
 /// Guards against a team's data in a region that only its route allows.
 #[test]
 fn homes_of_route_and_team_both_bind() {
-    let mut scene = two_regions(&["zone-a", "zone-b", "zone-c"]);
-    let south = zone_of(&mut scene, "south", "southern");
+    let mut harness = two_regions(&["zone-a", "zone-b", "zone-c"]);
+    let south = zone_of(&mut harness, "south", "southern");
     assert_eq!(south.as_deref(), Some("zone-c"));
-    assert_eq!(zone_of(&mut scene, "north", "southern"), None);
+    assert_eq!(zone_of(&mut harness, "north", "southern"), None);
 }
 
 /// Guards against a request that leaves its region when the region has nothing left, or waits
 /// there for ever.
 #[test]
 fn without_an_upstream_at_home_a_request_is_refused() {
-    let mut scene = two_regions(&["zone-a", "zone-b", "nowhere"]);
+    let mut harness = two_regions(&["zone-a", "zone-b", "nowhere"]);
     let mut asked = arrival("/south/1");
     asked.host = "south.example".to_owned();
-    let request = scene.arrive(asked);
-    scene.advance(SECOND / 2);
-    assert_eq!(scene.refusal(request), Some(RefusalReason::NoUpstream));
-    assert!(scene.orders(request).is_empty());
+    let request = harness.arrive(asked);
+    harness.advance(SECOND / 2);
+    assert_eq!(harness.refusal(request), Some(RefusalReason::NoUpstream));
+    assert!(harness.orders(request).is_empty());
 }
 
 fn address(text: &str) -> SocketAddr {
@@ -121,13 +121,13 @@
 /// home of what they call.
 #[test]
 fn the_directory_names_hosts_of_the_callers_region_then_of_the_homes() {
-    let mut scene = two_regions(&["zone-a", "zone-b", "zone-c"]);
+    let mut harness = two_regions(&["zone-a", "zone-b", "zone-c"]);
     let mut south = options("host-c");
     south.zone = ZoneLabel::from("zone-c");
     south.peer_address = address("10.0.0.3:7600");
     south.caller_address = address("10.0.0.3:80");
     south.regions = regions();
-    let mut peer = GatewayScene::empty(south);
+    let mut peer = GatewayHarness::unconfigured(south);
     peer.step(GatewayEvent::ConfigRead(Arc::new(declared())));
     peer.step(GatewayEvent::UpstreamsRead(vec![upstream(1, 1)]));
     peer.confirm();
@@ -135,17 +135,17 @@
         address: address("10.0.0.3:7600"),
         zone: Some(ZoneLabel::from("zone-c")),
     }];
-    scene.step(GatewayEvent::ContactsRead(contacts));
+    harness.step(GatewayEvent::ContactsRead(contacts));
     let summary = peer.gateway.summary(peer.now);
-    scene.step(GatewayEvent::SummaryReceived(Box::new(summary)));
-    scene.step(GatewayEvent::Tick);
+    harness.step(GatewayEvent::SummaryReceived(Box::new(summary)));
+    harness.step(GatewayEvent::Tick);
     let named = |region: &'static str, host: &'static str| {
         let caller = CallerPlace {
             zone: Some("elsewhere"),
             region: Some(region),
             host: Some(host),
         };
-        scene.gateway.addresses(scene.now, caller, 64)
+        harness.gateway.addresses(harness.now, caller, 64)
     };
     let north = address("10.0.0.1:80");
     let south = address("10.0.0.3:80");
--- a/crates/savorywood-gateway/tests/response_invariants.rs
+++ b/crates/savorywood-gateway/tests/response_invariants.rs
@@ -1,11 +1,11 @@
 //! What callers are answered is true, whatever upstreams do.
 
 #[path = "common/harness.rs"]
-mod scene;
+mod harness;
 
+use harness::{GatewayHarness, arrival, upstream};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use savorywood_gateway::{AnswerMarks, AttemptOutcome, GatewayEffect, GatewayEvent, StreamEnd};
-use scene::{GatewayScene, arrival, upstream};
 use std::{collections::BTreeMap, time::Duration};
 
 /// One thing that happens to the gateway.
@@ -70,7 +70,7 @@
 
 /// Replays steps and checks each effect against what an observer outside has seen.
 fn keeps_truth(steps: Vec<RandomStep>) -> Result<(), String> {
-    let mut scene = GatewayScene::ready(3);
+    let mut harness = GatewayHarness::ready(3);
     let mut seen: BTreeMap<u64, SeenRequest> = BTreeMap::new();
     let mut checked = 0;
     for step in steps {
@@ -89,8 +89,8 @@
                     ..SeenRequest::default()
                 };
                 seen.insert(request.0, known);
-                scene.confirm();
-                assert_eq!(scene.arrive(arrival(path)), request);
+                harness.confirm();
+                assert_eq!(harness.arrive(arrival(path)), request);
             }
             RandomStep::End(which, how) if !open.is_empty() => {
                 let number = open[usize::from(which) % open.len()];
@@ -105,33 +105,33 @@
                     }
                     _ => request.may_have_run += 1,
                 }
-                scene.end(savorywood_gateway::LocalRequest(number), ended);
+                harness.end(savorywood_gateway::LocalRequest(number), ended);
             }
             RandomStep::Leave(which) if !open.is_empty() => {
                 let number = open[usize::from(which) % open.len()];
                 let request = seen.get_mut(&number).expect("an open request");
                 request.left = true;
                 request.ended = true;
-                scene.step(GatewayEvent::CallerLeft(savorywood_gateway::LocalRequest(
+                harness.step(GatewayEvent::CallerLeft(savorywood_gateway::LocalRequest(
                     number,
                 )));
             }
             RandomStep::End(..) | RandomStep::Leave(_) => {}
-            RandomStep::Wait(millis) => scene.advance(Duration::from_millis(millis.into())),
+            RandomStep::Wait(millis) => harness.advance(Duration::from_millis(millis.into())),
             RandomStep::Remove(which) => {
                 let name = upstream(u16::from(which % 3) + 1, 1).name;
-                scene.step(GatewayEvent::UpstreamRemoved(name));
+                harness.step(GatewayEvent::UpstreamRemoved(name));
             }
             RandomStep::Register(which) => {
                 let entry = upstream(u16::from(which % 3) + 1, 1);
-                scene.step(GatewayEvent::UpstreamWritten(entry));
+                harness.step(GatewayEvent::UpstreamWritten(entry));
             }
-            RandomStep::StoreFails => scene.step(GatewayEvent::StoreFailed),
+            RandomStep::StoreFails => harness.step(GatewayEvent::StoreFailed),
         }
-        for effect in &scene.effects[checked..] {
+        for effect in &harness.effects[checked..] {
             check(effect, &mut seen)?;
         }
-        checked = scene.effects.len();
+        checked = harness.effects.len();
     }
     Ok(())
 }
@@ -211,11 +211,11 @@
 /// and answered "not run" the caller would send it once more itself.
 #[test]
 fn a_lost_answer_of_a_call_that_runs_once_is_unknown() {
-    let mut scene = GatewayScene::ready(2);
-    let request = scene.arrive(arrival("/once/1"));
-    scene.end(request, AttemptOutcome::Broken { silent: false });
-    assert_eq!(scene.orders(request).len(), 1);
-    let reason = scene.refusal(request).expect("a final answer");
+    let mut harness = GatewayHarness::ready(2);
+    let request = harness.arrive(arrival("/once/1"));
+    harness.end(request, AttemptOutcome::Broken { silent: false });
+    assert_eq!(harness.orders(request).len(), 1);
+    let reason = harness.refusal(request).expect("a final answer");
     assert!(!reason.promises_not_run());
 }
 
@@ -223,18 +223,18 @@
 /// and goes to one that is there, also when it may run once only.
 #[test]
 fn a_misdirected_request_goes_elsewhere() {
-    let mut scene = GatewayScene::ready(2);
-    let request = scene.arrive(arrival("/once/1"));
-    let first = scene.orders(request)[0].upstream.clone();
+    let mut harness = GatewayHarness::ready(2);
+    let request = harness.arrive(arrival("/once/1"));
+    let first = harness.orders(request)[0].upstream.clone();
     let outcome = AttemptOutcome::NotRun {
         misdirected: true,
         marks: AnswerMarks::default(),
     };
-    scene.end(request, outcome);
-    let orders = scene.orders(request);
+    harness.end(request, outcome);
+    let orders = harness.orders(request);
     assert_eq!(orders.len(), 2);
     assert_ne!(orders[1].upstream, first);
-    scene.deliver(request);
-    let next = scene.arrive(arrival("/safe/1"));
-    assert_ne!(scene.orders(next)[0].upstream, first);
+    harness.deliver(request);
+    let next = harness.arrive(arrival("/safe/1"));
+    assert_ne!(harness.orders(next)[0].upstream, first);
 }
--- a/crates/savorywood-gateway/tests/rollouts.rs
+++ b/crates/savorywood-gateway/tests/rollouts.rs
@@ -1,15 +1,15 @@
 //! Roll-outs over several daemons.
 
 #[path = "common/harness.rs"]
-mod scene;
+mod harness;
 
+use harness::{GatewayHarness, arrival, config, options, upstream};
 use savorywood_gateway::{
     AnswerMarks, AttemptOutcome, GatewayEffect, GatewayEvent, RolloutOrder, RolloutPhase,
     RolloutStatus, RolloutWrite, ServiceLabel, StorePosition, UpstreamEntry, UpstreamLabel,
     VersionLabel,
 };
 use savorywood_protocol::MonotonicTime;
-use scene::{GatewayScene, arrival, config, options, upstream};
 use std::{sync::Arc, time::Duration};
 
 const DAEMONS: usize = 4;
@@ -48,7 +48,8 @@
 
 fn play(play_options: PlayOptions) -> RolloutPlay {
     let start = MonotonicTime(1_000_000);
-    let mut daemons: Vec<GatewayScene> = (0..DAEMONS).map(|number| begin(number, start)).collect();
+    let mut daemons: Vec<GatewayHarness> =
+        (0..DAEMONS).map(|number| begin(number, start)).collect();
     let mut result = RolloutPlay::default();
     let mut stored: Option<(RolloutWrite, u64)> = None;
     for step in 0..1_300_u64 {
@@ -91,26 +92,26 @@
     result
 }
 
-fn begin(number: usize, now: MonotonicTime) -> GatewayScene {
-    let mut scene = GatewayScene::empty(options(&format!("host-{number}")));
-    scene.now = now;
-    scene.step(GatewayEvent::ConfigRead(Arc::new(config(1, None))));
+fn begin(number: usize, now: MonotonicTime) -> GatewayHarness {
+    let mut harness = GatewayHarness::unconfigured(options(&format!("host-{number}")));
+    harness.now = now;
+    harness.step(GatewayEvent::ConfigRead(Arc::new(config(1, None))));
     let mut entries: Vec<UpstreamEntry> = (1..=4).map(|number| upstream(number, 8)).collect();
     entries.extend((1..=4).map(new_upstream));
-    scene.step(GatewayEvent::UpstreamsRead(entries));
-    scene.confirm();
-    scene.step(GatewayEvent::RolloutOrdered(RolloutOrder {
+    harness.step(GatewayEvent::UpstreamsRead(entries));
+    harness.confirm();
+    harness.step(GatewayEvent::RolloutOrdered(RolloutOrder {
         service: ServiceLabel::from("engine"),
         to: VersionLabel::from("v2"),
         within: WITHIN,
         position: StorePosition::new(1, 50),
     }));
-    scene
+    harness
 }
 
 /// The store: takes a write whose condition holds.
 fn take_writes(
-    daemon: &mut GatewayScene,
+    daemon: &mut GatewayHarness,
     stored: &mut Option<(RolloutWrite, u64)>,
     result: &mut RolloutPlay,
     elapsed: Duration,
@@ -151,7 +152,7 @@
 }
 
 fn tell_all(
-    daemons: &mut [GatewayScene],
+    daemons: &mut [GatewayHarness],
     now: MonotonicTime,
     linked: bool,
     stored: Option<&(RolloutWrite, u64)>,
--- a/crates/savorywood-gateway/tests/scheduling.rs
+++ b/crates/savorywood-gateway/tests/scheduling.rs
@@ -1,9 +1,9 @@
 //! Loads on several daemons and unlike engines: what callers of each rank get.
 
+#[path = "common/harness.rs"]
+mod harness;
 #[path = "common/load.rs"]
 mod load;
-#[path = "common/harness.rs"]
-mod scene;
 
 use load::{
     LoadWorld,
--- a/crates/savorywood-gateway/tests/store_reads.rs
+++ b/crates/savorywood-gateway/tests/store_reads.rs
@@ -5,7 +5,7 @@
 #[path = "common/cluster.rs"]
 mod field;
 #[path = "common/harness.rs"]
-mod scene;
+mod harness;
 
 use field::{DAEMONS, DaemonField, ZONES};
 use savorywood_gateway::{GatewayEvent, ReadPlan, SharedTable, StorePosition, TableKnowledge};
--- a/crates/savorywood-gateway/tests/store_restore.rs
+++ b/crates/savorywood-gateway/tests/store_restore.rs
@@ -1,8 +1,9 @@
 //! A store that is restored from a backup some seconds old.
 
 #[path = "common/harness.rs"]
-mod scene;
+mod harness;
 
+use harness::{GatewayHarness, arrival, upstream};
 use quickcheck::quickcheck;
 use savorywood_gateway::{
     BrokenAttempt, ContentDigest, EvacuationOrder, GatewayEffect, GatewayEvent, QuarantineBook,
@@ -10,7 +11,6 @@
     StorePosition, UpstreamEntry, VersionLabel, ZoneLabel,
 };
 use savorywood_protocol::MonotonicTime;
-use scene::{GatewayScene, arrival, upstream};
 use std::time::Duration;
 
 const STEP: Duration = Duration::from_millis(250);
@@ -26,27 +26,31 @@
     }
 }
 
-fn pass(scene: &mut GatewayScene, time: Duration) {
-    let end = scene.now + time;
-    while scene.now < end {
-        scene.advance(STEP);
-        scene.confirm();
+fn pass(harness: &mut GatewayHarness, time: Duration) {
+    let end = harness.now + time;
+    while harness.now < end {
+        harness.advance(STEP);
+        harness.confirm();
     }
 }
 
 /// A ready daemon that has seen the first era.
-fn scene() -> GatewayScene {
-    let mut scene = GatewayScene::ready(2);
-    scene.step(GatewayEvent::StoreEraSeen(1));
-    scene
+fn harness() -> GatewayHarness {
+    let mut harness = GatewayHarness::ready(2);
+    harness.step(GatewayEvent::StoreEraSeen(1));
+    harness
 }
 
-fn is_evacuated(scene: &GatewayScene) -> bool {
-    scene.gateway.evacuated_zones().count() > 0
+fn is_evacuated(harness: &GatewayHarness) -> bool {
+    harness.gateway.evacuated_zones().count() > 0
 }
 
-fn read_evacuations(scene: &mut GatewayScene, orders: &[EvacuationOrder], revision: StorePosition) {
-    scene.step(GatewayEvent::EvacuationsRead {
+fn read_evacuations(
+    harness: &mut GatewayHarness,
+    orders: &[EvacuationOrder],
+    revision: StorePosition,
+) {
+    harness.step(GatewayEvent::EvacuationsRead {
         orders: orders.to_vec(),
         revision,
     });
@@ -55,41 +59,41 @@
 /// Guards against an evacuation that ends as the backup is older than its order.
 #[test]
 fn an_evacuation_that_the_backup_lacks_stays_in_force() {
-    let mut scene = scene();
-    scene.step(GatewayEvent::EvacuationOrdered(evacuation(1, 40)));
-    scene.step(GatewayEvent::StoreEraSeen(2));
-    read_evacuations(&mut scene, &[], position(2, 30));
-    pass(&mut scene, Duration::from_secs(3));
-    assert!(is_evacuated(&scene));
+    let mut harness = harness();
+    harness.step(GatewayEvent::EvacuationOrdered(evacuation(1, 40)));
+    harness.step(GatewayEvent::StoreEraSeen(2));
+    read_evacuations(&mut harness, &[], position(2, 30));
+    pass(&mut harness, Duration::from_secs(3));
+    assert!(is_evacuated(&harness));
     // The operator writes it again, under a version that was given out before.
-    scene.step(GatewayEvent::EvacuationOrdered(evacuation(2, 35)));
-    pass(&mut scene, Duration::from_secs(20));
-    assert!(is_evacuated(&scene));
+    harness.step(GatewayEvent::EvacuationOrdered(evacuation(2, 35)));
+    pass(&mut harness, Duration::from_secs(20));
+    assert!(is_evacuated(&harness));
 }
 
 /// Guards against an evacuation that never ends as its withdrawal was lost, or put off for good.
 #[test]
 fn an_evacuation_that_is_not_written_again_ends() {
-    let mut scene = scene();
-    scene.step(GatewayEvent::EvacuationOrdered(evacuation(1, 40)));
-    scene.step(GatewayEvent::StoreEraSeen(2));
-    read_evacuations(&mut scene, &[], position(2, 30));
-    pass(&mut scene, Duration::from_secs(8));
-    assert!(!is_evacuated(&scene));
+    let mut harness = harness();
+    harness.step(GatewayEvent::EvacuationOrdered(evacuation(1, 40)));
+    harness.step(GatewayEvent::StoreEraSeen(2));
+    read_evacuations(&mut harness, &[], position(2, 30));
+    pass(&mut harness, Duration::from_secs(8));
+    assert!(!is_evacuated(&harness));
 }
 
 /// Guards against an order that the backup brings back after it was withdrawn, for good.
 #[test]
 fn a_withdrawal_that_the_backup_lacks_is_learned_once_more() {
-    let mut scene = scene();
-    scene.step(GatewayEvent::EvacuationOrdered(evacuation(1, 20)));
-    scene.step(GatewayEvent::EvacuationWithdrawn(evacuation(1, 40)));
-    assert!(!is_evacuated(&scene));
-    scene.step(GatewayEvent::StoreEraSeen(2));
-    read_evacuations(&mut scene, &[evacuation(2, 20)], position(2, 30));
-    scene.step(GatewayEvent::EvacuationWithdrawn(evacuation(2, 31)));
-    pass(&mut scene, Duration::from_secs(8));
-    assert!(!is_evacuated(&scene));
+    let mut harness = harness();
+    harness.step(GatewayEvent::EvacuationOrdered(evacuation(1, 20)));
+    harness.step(GatewayEvent::EvacuationWithdrawn(evacuation(1, 40)));
+    assert!(!is_evacuated(&harness));
+    harness.step(GatewayEvent::StoreEraSeen(2));
+    read_evacuations(&mut harness, &[evacuation(2, 20)], position(2, 30));
+    harness.step(GatewayEvent::EvacuationWithdrawn(evacuation(2, 31)));
+    pass(&mut harness, Duration::from_secs(8));
+    assert!(!is_evacuated(&harness));
 }
 
 /// Guards against a row of the new era that is taken for an old one as its version was known.
@@ -102,47 +106,47 @@
 /// Guards against work for an upstream that is leaving, as the backup has it ready.
 #[test]
 fn a_leaving_upstream_stays_leaving() {
-    let mut scene = scene();
-    scene.step(GatewayEvent::UpstreamWritten(UpstreamEntry {
+    let mut harness = harness();
+    harness.step(GatewayEvent::UpstreamWritten(UpstreamEntry {
         draining: true,
         ..upstream(1, 1)
     }));
-    scene.step(GatewayEvent::StoreEraSeen(2));
-    scene.step(GatewayEvent::UpstreamsRead(vec![
+    harness.step(GatewayEvent::StoreEraSeen(2));
+    harness.step(GatewayEvent::UpstreamsRead(vec![
         upstream(1, 1),
         upstream(2, 1),
     ]));
-    let first = scene.arrive(arrival("/safe/1"));
-    let second = scene.arrive(arrival("/safe/2"));
-    assert_eq!(scene.orders(first)[0].upstream.as_str(), "upstream-2");
-    assert!(scene.orders(second).is_empty());
+    let first = harness.arrive(arrival("/safe/1"));
+    let second = harness.arrive(arrival("/safe/2"));
+    assert_eq!(harness.orders(first)[0].upstream.as_str(), "upstream-2");
+    assert!(harness.orders(second).is_empty());
 }
 
 /// Guards against work for an upstream that has left, as the backup brings it back.
 #[test]
 fn an_upstream_that_left_does_not_come_back() {
-    let mut scene = scene();
+    let mut harness = harness();
     let leaving = UpstreamEntry {
         draining: true,
         ..upstream(1, 1)
     };
     let name = leaving.name.clone();
-    scene.step(GatewayEvent::UpstreamWritten(leaving));
-    scene.step(GatewayEvent::UpstreamRemoved(name.clone()));
-    pass(&mut scene, Duration::from_secs(1));
-    scene.step(GatewayEvent::StoreEraSeen(2));
-    scene.step(GatewayEvent::UpstreamsRead(vec![
+    harness.step(GatewayEvent::UpstreamWritten(leaving));
+    harness.step(GatewayEvent::UpstreamRemoved(name.clone()));
+    pass(&mut harness, Duration::from_secs(1));
+    harness.step(GatewayEvent::StoreEraSeen(2));
+    harness.step(GatewayEvent::UpstreamsRead(vec![
         upstream(1, 1),
         upstream(2, 1),
     ]));
-    assert!(scene.gateway.fleet().get(&name).is_none());
+    assert!(harness.gateway.fleet().get(&name).is_none());
     // A new start under the same name is another one.
     let reborn = UpstreamEntry {
         born: 2,
         ..upstream(1, 1)
     };
-    scene.step(GatewayEvent::UpstreamWritten(reborn));
-    assert!(scene.gateway.fleet().get(&name).is_some());
+    harness.step(GatewayEvent::UpstreamWritten(reborn));
+    assert!(harness.gateway.fleet().get(&name).is_some());
 }
 
 fn rollout(era: u64, version: u64) -> RolloutOrder {
@@ -154,8 +158,8 @@
     }
 }
 
-fn rollout_writes(scene: &mut GatewayScene) -> Vec<RolloutWrite> {
-    let effects = std::mem::take(&mut scene.effects);
+fn rollout_writes(harness: &mut GatewayHarness) -> Vec<RolloutWrite> {
+    let effects = std::mem::take(&mut harness.effects);
     let writes = effects.into_iter().filter_map(|effect| match effect {
         GatewayEffect::WriteRollout(write) => Some(write),
         _ => None,
@@ -175,30 +179,30 @@
 /// Guards against a roll-out that was completed and begins anew, or whose end is lost.
 #[test]
 fn a_completed_roll_out_is_said_to_be_complete_again() {
-    let mut scene = scene();
-    scene.step(GatewayEvent::RolloutOrdered(rollout(1, 50)));
+    let mut harness = harness();
+    harness.step(GatewayEvent::RolloutOrdered(rollout(1, 50)));
     let service = ServiceLabel::from("engine");
     let mut last = None;
     for _ in 0..80 {
-        pass(&mut scene, STEP);
-        for write in rollout_writes(&mut scene) {
+        pass(&mut harness, STEP);
+        for write in rollout_writes(&mut harness) {
             last = Some(write.phase);
             let service = service.clone();
-            scene.step(GatewayEvent::RolloutWritten {
+            harness.step(GatewayEvent::RolloutWritten {
                 service,
                 accepted: true,
                 era: 1,
             });
-            scene.step(GatewayEvent::RolloutRead(status(last, position(1, 60))));
+            harness.step(GatewayEvent::RolloutRead(status(last, position(1, 60))));
         }
     }
     assert_eq!(last, Some(RolloutPhase::Completed));
-    scene.step(GatewayEvent::StoreEraSeen(2));
-    scene.step(GatewayEvent::RolloutOrdered(rollout(2, 50)));
+    harness.step(GatewayEvent::StoreEraSeen(2));
+    harness.step(GatewayEvent::RolloutOrdered(rollout(2, 50)));
     let running = Some(RolloutPhase::Running);
-    scene.step(GatewayEvent::RolloutRead(status(running, position(2, 55))));
-    pass(&mut scene, Duration::from_secs(2));
-    let writes = rollout_writes(&mut scene);
+    harness.step(GatewayEvent::RolloutRead(status(running, position(2, 55))));
+    pass(&mut harness, Duration::from_secs(2));
+    let writes = rollout_writes(&mut harness);
     let first = writes.first().expect("it is written again");
     assert_eq!(first.phase, RolloutPhase::Completed);
     assert_eq!(first.expected, position(2, 55));
@@ -212,18 +216,18 @@
 /// Guards against an end of a roll-out that is lost, as it was acknowledged just before a restore.
 #[test]
 fn a_write_that_an_earlier_era_acknowledged_is_made_again() {
-    let mut scene = scene();
-    scene.step(GatewayEvent::RolloutOrdered(rollout(1, 50)));
-    pass(&mut scene, Duration::from_secs(1));
-    assert_eq!(rollout_writes(&mut scene).len(), 1);
-    scene.step(GatewayEvent::StoreEraSeen(2));
-    scene.step(GatewayEvent::RolloutWritten {
+    let mut harness = harness();
+    harness.step(GatewayEvent::RolloutOrdered(rollout(1, 50)));
+    pass(&mut harness, Duration::from_secs(1));
+    assert_eq!(rollout_writes(&mut harness).len(), 1);
+    harness.step(GatewayEvent::StoreEraSeen(2));
+    harness.step(GatewayEvent::RolloutWritten {
         service: ServiceLabel::from("engine"),
         accepted: true,
         era: 1,
     });
-    pass(&mut scene, Duration::from_secs(1));
-    assert_eq!(rollout_writes(&mut scene).len(), 1);
+    pass(&mut harness, Duration::from_secs(1));
+    assert_eq!(rollout_writes(&mut harness).len(), 1);
 }
 
 /// Guards against a row of a request that is no longer in quarantine, brought back by the backup and
@@ -261,11 +265,11 @@
 quickcheck! {
     /// Guards against eras that fall: an answer of an earlier copy may come last.
     fn the_era_never_falls(eras: Vec<u8>) -> bool {
-        let mut scene = scene();
+        let mut harness = harness();
         eras.iter().all(|era| {
-            let before = scene.gateway.store_era();
-            scene.step(GatewayEvent::StoreEraSeen(u64::from(*era)));
-            scene.gateway.store_era() == before.max(u64::from(*era))
+            let before = harness.gateway.store_era();
+            harness.step(GatewayEvent::StoreEraSeen(u64::from(*era)));
+            harness.gateway.store_era() == before.max(u64::from(*era))
         })
     }
 }
--- a/crates/savorywood-gateway/tests/warmup.rs
+++ b/crates/savorywood-gateway/tests/warmup.rs
@@ -5,17 +5,17 @@
 #[path = "common/cluster.rs"]
 mod field;
 #[path = "common/harness.rs"]
-mod scene;
+mod harness;
 
 use callers::{CallerGroup, SeededDraws};
 use field::{DAEMONS, DaemonField, zone};
+use harness::{GatewayHarness, arrival, config, upstream};
 use quickcheck::{TestResult, quickcheck};
 use savorywood_gateway::{
     AnswerMarks, AttemptOutcome, GatewayEvent, UpstreamEntry, UpstreamLabel, WarmupSpec,
     WarmupTolerance,
 };
 use savorywood_protocol::MonotonicTime;
-use scene::{GatewayScene, arrival, config, upstream};
 use std::{sync::Arc, time::Duration};
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -208,22 +208,22 @@
 /// Guards against the head of a long stream that makes its upstream cold once more at its end.
 #[test]
 fn the_end_of_a_stream_says_nothing_new_of_how_long_its_upstream_is_cold() {
-    let mut scene = GatewayScene::ready(1);
+    let mut harness = GatewayHarness::ready(1);
     let marks = AnswerMarks {
         cold: Some(SPEC.time),
         ..AnswerMarks::default()
     };
-    let request = scene.arrive(arrival("/stream/1"));
-    scene.step(GatewayEvent::AnswerBegan { request, marks });
-    let is_cold = |scene: &GatewayScene| {
-        let mut states = scene.gateway.fleet().iter();
-        states.any(|state| state.is_cold(scene.now))
+    let request = harness.arrive(arrival("/stream/1"));
+    harness.step(GatewayEvent::AnswerBegan { request, marks });
+    let is_cold = |harness: &GatewayHarness| {
+        let mut states = harness.gateway.fleet().iter();
+        states.any(|state| state.is_cold(harness.now))
     };
-    assert!(is_cold(&scene));
-    scene.advance(SPEC.time);
-    assert!(!is_cold(&scene));
-    scene.end(request, AttemptOutcome::Delivered { marks, events: 3 });
-    assert!(!is_cold(&scene));
+    assert!(is_cold(&harness));
+    harness.advance(SPEC.time);
+    assert!(!is_cold(&harness));
+    harness.end(request, AttemptOutcome::Delivered { marks, events: 3 });
+    assert!(!is_cold(&harness));
 }
 
 quickcheck! {
--- a/crates/savorywood-gateway/tests/zones.rs
+++ b/crates/savorywood-gateway/tests/zones.rs
@@ -5,11 +5,11 @@
 #[path = "common/cluster.rs"]
 mod field;
 #[path = "common/harness.rs"]
-mod scene;
+mod harness;
 
 use field::{DAEMONS, DaemonField, TeamLoad, UNITS, WINDOW, ZONES};
+use harness::{GatewayHarness, arrival};
 use savorywood_gateway::{DaemonRole, UpstreamLabel};
-use scene::{GatewayScene, arrival};
 use std::time::Duration;
 
 /// Steps between two requests at one daemon while all callers come back.
@@ -230,7 +230,7 @@
     let mut field = DaemonField::new(DAEMONS);
     field.press(Duration::from_secs(6));
     field.now = field.now + Duration::from_secs(1);
-    let fresh: Vec<GatewayScene> = (0..DAEMONS).map(|number| field.begin(number, 2)).collect();
+    let fresh: Vec<GatewayHarness> = (0..DAEMONS).map(|number| field.begin(number, 2)).collect();
     field.daemons = fresh;
     field.read_contacts();
     field.press(Duration::from_secs(10));
