--- a/crates/savorywood-gateway/tests/common/callers.rs
+++ b/crates/savorywood-gateway/tests/common/callers.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code, reason = "each test uses a part of the callers")]
 
 use crate::{
-    field::{DaemonField, ZONES},
+    cluster::{DaemonCluster, ZONES},
     harness::arrival,
 };
 use savorywood_gateway::CallerPlace;
@@ -74,17 +74,17 @@
     }
 
     /// Every caller sends one request.
-    pub fn ask_all(&mut self, field: &mut DaemonField) {
+    pub fn ask_all(&mut self, cluster: &mut DaemonCluster) {
         for number in 0..self.callers.len() {
-            self.ask(field, number);
+            self.ask(cluster, number);
         }
     }
 
-    fn ask(&mut self, field: &mut DaemonField, number: usize) {
-        let now = field.now;
+    fn ask(&mut self, cluster: &mut DaemonCluster, number: usize) {
+        let now = cluster.now;
         let caller = &self.callers[number];
         if caller.addresses.is_empty() || now.since(caller.asked_at) >= self.keep {
-            self.look_up(field, number);
+            self.look_up(cluster, number);
         }
         self.tally.asked += 1;
         let count = self.callers[number].addresses.len();
@@ -95,13 +95,13 @@
         }
         let chosen = self.draws.below(count);
         let daemon = self.callers[number].addresses[chosen];
-        if field.down.contains(&daemon) {
+        if cluster.down.contains(&daemon) {
             self.tally.failed += 1;
             self.last_trouble = Some(now);
             self.callers[number].addresses.remove(chosen);
             return;
         }
-        let harness = &mut field.daemons[daemon];
+        let harness = &mut cluster.daemons[daemon];
         harness.now = now;
         let request = harness.arrive(arrival("/safe/1"));
         if harness.refusal(request).is_some() {
@@ -116,10 +116,10 @@
     }
 
     /// Asks daemons of the caller's own zone first.
-    fn look_up(&mut self, field: &mut DaemonField, number: usize) {
+    fn look_up(&mut self, cluster: &mut DaemonCluster, number: usize) {
         let zone = self.callers[number].zone;
-        let up = |number: &usize| !field.down.contains(number);
-        let all = 0..field.daemons.len();
+        let up = |number: &usize| !cluster.down.contains(number);
+        let all = 0..cluster.daemons.len();
         let near: Vec<usize> = all
             .clone()
             .filter(up)
@@ -135,16 +135,16 @@
         }
         for _ in 0..DIRECTORY_TRIES {
             let daemon = known[self.draws.below(known.len())];
-            let gateway = &field.daemons[daemon].gateway;
+            let gateway = &cluster.daemons[daemon].gateway;
             let name = format!("zone-{zone}");
             let addresses =
-                gateway.addresses(field.now, CallerPlace::in_zone(&name), MOST_ADDRESSES);
+                gateway.addresses(cluster.now, CallerPlace::in_zone(&name), MOST_ADDRESSES);
             if !addresses.is_empty() {
                 let numbers = addresses
                     .iter()
-                    .filter_map(|address| field.number_of(*address));
+                    .filter_map(|address| cluster.number_of(*address));
                 self.callers[number].addresses = numbers.collect();
-                self.callers[number].asked_at = field.now;
+                self.callers[number].asked_at = cluster.now;
                 return;
             }
         }
--- a/crates/savorywood-gateway/tests/common/cluster.rs
+++ b/crates/savorywood-gateway/tests/common/cluster.rs
@@ -117,7 +117,7 @@
 }
 
 /// Daemons and the messages on their way between them.
-pub struct DaemonField {
+pub struct DaemonCluster {
     pub now: MonotonicTime,
     pub daemons: Vec<GatewayHarness>,
     pub addresses: BTreeMap<SocketAddr, usize>,
@@ -149,13 +149,13 @@
     pub digests_received: BTreeMap<usize, BTreeMap<usize, usize>>,
 }
 
-impl DaemonField {
+impl DaemonCluster {
     pub fn new(count: usize) -> Self {
         Self::with_load(count, TeamLoad::small_requests(count))
     }
 
     pub fn with_load(count: usize, load: TeamLoad) -> Self {
-        let mut field = Self {
+        let mut cluster = Self {
             now: MonotonicTime(1_000_000),
             daemons: Vec::new(),
             addresses: BTreeMap::new(),
@@ -173,13 +173,13 @@
             admitted_by_joined: 0,
         };
         for _ in 0..count {
-            field.add(1);
+            cluster.add(1);
         }
-        field.read_contacts();
+        cluster.read_contacts();
         for _ in 0..WARM_UP_ROUNDS {
-            field.pass(Duration::from_millis(250));
+            cluster.pass(Duration::from_millis(250));
         }
-        field
+        cluster
     }
 
     pub fn begin(&self, number: usize, incarnation: u64) -> GatewayHarness {
--- a/crates/savorywood-gateway/tests/common/concurrent_requests.rs
+++ b/crates/savorywood-gateway/tests/common/concurrent_requests.rs
@@ -3,7 +3,7 @@
 
 use crate::{
     callers::SeededDraws,
-    crashes::{CrashField, RequestEnd, RequestName},
+    crashes::{CrashEnvironment, RequestEnd, RequestName},
 };
 use savorywood_gateway::RefusalReason;
 
@@ -29,8 +29,8 @@
 }
 
 impl Bystander {
-    pub fn new(field: &mut CrashField, draws: &mut SeededDraws, path: String) -> Self {
-        let name = field.send_sound(draws.below(8), &path);
+    pub fn new(environment: &mut CrashEnvironment, draws: &mut SeededDraws, path: String) -> Self {
+        let name = environment.send_sound(draws.below(8), &path);
         Self {
             name,
             path,
@@ -40,13 +40,17 @@
     }
 
     /// A round passes: it is answered, runs on, or comes again.
-    pub fn advance(mut self, field: &mut CrashField, draws: &mut SeededDraws) -> BystanderEnd {
-        match field.ends.get(&self.name) {
+    pub fn advance(
+        mut self,
+        environment: &mut CrashEnvironment,
+        draws: &mut SeededDraws,
+    ) -> BystanderEnd {
+        match environment.ends.get(&self.name) {
             Some(RequestEnd::Served) => BystanderEnd::Served,
             Some(RequestEnd::Refused(RefusalReason::Quarantined)) => BystanderEnd::Quarantined,
             Some(RequestEnd::Refused(_)) if self.repeats < REPEATS => {
                 let repeats = self.repeats + 1;
-                let again = Self::new(field, draws, self.path);
+                let again = Self::new(environment, draws, self.path);
                 BystanderEnd::Open(Self { repeats, ..again })
             }
             Some(RequestEnd::Refused(_)) => BystanderEnd::Failed,
@@ -55,7 +59,7 @@
                 BystanderEnd::Open(self)
             }
             None => {
-                field.deliver(self.name);
+                environment.deliver(self.name);
                 BystanderEnd::Open(self)
             }
         }
--- a/crates/savorywood-gateway/tests/common/crashes.rs
+++ b/crates/savorywood-gateway/tests/common/crashes.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code, reason = "each test file uses a part of the field")]
 
 use crate::{
-    field::DaemonField,
+    cluster::DaemonCluster,
     harness::{arrival, upstream},
 };
 use savorywood_gateway::{
@@ -64,8 +64,8 @@
 }
 
 /// Daemons, their upstreams, and what became of requests.
-pub struct CrashField {
-    pub field: DaemonField,
+pub struct CrashEnvironment {
+    pub cluster: DaemonCluster,
     alive: BTreeSet<UpstreamLabel>,
     next_upstream: u16,
     crashed: Vec<CrashedUpstream>,
@@ -84,11 +84,11 @@
     pub store_works: bool,
 }
 
-impl CrashField {
+impl CrashEnvironment {
     pub fn new(daemons: usize) -> Self {
         let numbers = 1..=8;
         Self {
-            field: DaemonField::new(daemons),
+            cluster: DaemonCluster::new(daemons),
             alive: numbers.map(|number| upstream(number, SLOTS).name).collect(),
             next_upstream: 9,
             crashed: Vec::new(),
@@ -120,8 +120,8 @@
         kind: RequestKind,
         arrival: RequestArrival,
     ) -> RequestName {
-        let harness = &mut self.field.daemons[daemon];
-        harness.now = self.field.now;
+        let harness = &mut self.cluster.daemons[daemon];
+        harness.now = self.cluster.now;
         harness.confirm();
         harness.effects.clear();
         let request = harness.next_request();
@@ -134,8 +134,8 @@
 
     /// One event, and all that its effects lead to.
     fn step(&mut self, daemon: usize, event: GatewayEvent) {
-        let harness = &mut self.field.daemons[daemon];
-        harness.now = self.field.now;
+        let harness = &mut self.cluster.daemons[daemon];
+        harness.now = self.cluster.now;
         harness.step(event);
         for effect in std::mem::take(&mut harness.effects) {
             match effect {
@@ -173,7 +173,7 @@
 
     /// All daemons start again at once; `reads`: they read what the store keeps.
     pub fn restart_all(&mut self, reads: bool) {
-        self.field.restart_all();
+        self.cluster.restart_all();
         let rows = self
             .rows
             .iter()
@@ -182,7 +182,7 @@
                 crashes: crashes.clone(),
             });
         let rows: Vec<QuarantineRow> = rows.collect();
-        for daemon in 0..self.field.daemons.len() {
+        for daemon in 0..self.cluster.daemons.len() {
             let alive = self.alive.iter();
             let entries = alive.map(|name| UpstreamEntry {
                 name: name.clone(),
@@ -212,9 +212,9 @@
         match self.kinds[&name] {
             RequestKind::Sound => self.running.push(RunningRequest { name, upstream }),
             RequestKind::Crashing => {
-                self.sends.push(self.field.now);
+                self.sends.push(self.cluster.now);
                 *self.sent.entry(name).or_default() += 1;
-                self.crashes.push(self.field.now);
+                self.crashes.push(self.cluster.now);
                 self.crash(&upstream);
                 self.end(name, AttemptOutcome::Broken { silent: false });
             }
@@ -233,7 +233,7 @@
         self.alive.remove(upstream);
         self.crashed.push(CrashedUpstream {
             upstream: upstream.clone(),
-            at: self.field.now,
+            at: self.cluster.now,
         });
         let is_there = |running: &RunningRequest| running.upstream == *upstream;
         let broken: Vec<_> = self
@@ -284,11 +284,11 @@
 
     /// A round of gossip; crashed upstreams are replaced in time.
     pub fn pass_round(&mut self) {
-        self.field.pass(ROUND);
-        for daemon in 0..self.field.daemons.len() {
+        self.cluster.pass(ROUND);
+        for daemon in 0..self.cluster.daemons.len() {
             self.step(daemon, GatewayEvent::Tick);
         }
-        let now = self.field.now;
+        let now = self.cluster.now;
         let is_due = |crashed: &CrashedUpstream| now.since(crashed.at) >= RETURN_TIME;
         let due: Vec<_> = self
             .crashed
@@ -298,7 +298,7 @@
             let entry = upstream(self.next_upstream, SLOTS);
             self.next_upstream += 1;
             self.alive.insert(entry.name.clone());
-            for daemon in 0..self.field.daemons.len() {
+            for daemon in 0..self.cluster.daemons.len() {
                 let removed = GatewayEvent::UpstreamRemoved(crashed.upstream.clone());
                 self.step(daemon, removed);
                 self.step(daemon, GatewayEvent::UpstreamWritten(entry.clone()));
@@ -314,7 +314,7 @@
 
     /// The crashing request comes once a round, each time to another daemon.
     pub fn repeat_crashing(&mut self, rounds: usize) {
-        let daemons = self.field.daemons.len();
+        let daemons = self.cluster.daemons.len();
         for round in 0..rounds {
             self.send_crashing(round * 5 % daemons);
             self.pass_round();
--- a/crates/savorywood-gateway/tests/common/limits.rs
+++ b/crates/savorywood-gateway/tests/common/limits.rs
@@ -3,7 +3,7 @@
 
 use crate::{
     callers::SeededDraws,
-    field::{DaemonField, zone},
+    cluster::{DaemonCluster, zone},
     harness::{arrival, upstream},
 };
 use savorywood_gateway::{
@@ -54,8 +54,8 @@
 }
 
 /// Daemons, upstreams with limits, and what was sent where.
-pub struct LimitField {
-    pub field: DaemonField,
+pub struct LimitEnvironment {
+    pub cluster: DaemonCluster,
     pub draws: SeededDraws,
     /// Requests that come in a step to all daemons together.
     pub arrivals: usize,
@@ -72,15 +72,15 @@
     next: u64,
 }
 
-impl LimitField {
+impl LimitEnvironment {
     pub fn new(daemons: usize, upstreams: u16, seed: u64) -> Self {
         let numbers = 1..=upstreams;
         let entries = numbers.map(|number| UpstreamEntry {
             zone: zone(usize::from(number)),
             ..upstream(number, SLOTS)
         });
-        let mut field = Self {
-            field: DaemonField::new(daemons),
+        let mut cluster = Self {
+            cluster: DaemonCluster::new(daemons),
             draws: SeededDraws(seed),
             arrivals: 2,
             tally: LimitTally::default(),
@@ -94,9 +94,9 @@
             next: 0,
         };
         for daemon in 0..daemons {
-            field.read_upstreams(daemon);
+            cluster.read_upstreams(daemon);
         }
-        field
+        cluster
     }
 
     fn read_upstreams(&mut self, daemon: usize) {
@@ -113,7 +113,7 @@
         let upstream = self.upstream(number);
         match per_second.and_then(RateLimit::of) {
             Some(limit) => {
-                let since = self.field.now;
+                let since = self.cluster.now;
                 self.limits.insert(upstream, NamedLimit { limit, since });
             }
             None => {
@@ -127,50 +127,50 @@
     pub fn restart(&mut self, daemon: usize) {
         self.running.retain(|running| running.daemon != daemon);
         self.known.retain(|(known, _), _| *known != daemon);
-        self.field.down.insert(daemon);
-        self.field.start_again();
-        self.started.insert(daemon, self.field.now);
+        self.cluster.down.insert(daemon);
+        self.cluster.start_again();
+        self.started.insert(daemon, self.cluster.now);
         self.read_upstreams(daemon);
     }
 
     /// A daemon stands still from now on.
     pub fn freeze(&mut self, daemon: usize) {
-        self.field.frozen.insert(daemon, Vec::new());
+        self.cluster.frozen.insert(daemon, Vec::new());
     }
 
     /// A daemon that stood still goes on.
     pub fn thaw(&mut self, daemon: usize) {
-        self.field.thaw(daemon);
-        self.started.insert(daemon, self.field.now);
+        self.cluster.thaw(daemon);
+        self.started.insert(daemon, self.cluster.now);
     }
 
     fn is_frozen(&self, daemon: usize) -> bool {
-        self.field.frozen.contains_key(&daemon)
+        self.cluster.frozen.contains_key(&daemon)
     }
 
     pub fn advance(&mut self, time: Duration) {
-        let end = self.field.now + time;
-        while self.field.now < end {
+        let end = self.cluster.now + time;
+        while self.cluster.now < end {
             self.advance_step();
         }
     }
 
     fn advance_step(&mut self) {
-        self.field.now = self.field.now + STEP;
+        self.cluster.now = self.cluster.now + STEP;
         self.steps += 1;
-        for daemon in 0..self.field.daemons.len() {
+        for daemon in 0..self.cluster.daemons.len() {
             if self.is_frozen(daemon) {
                 continue;
             }
-            self.field.daemons[daemon].now = self.field.now;
-            self.field.daemons[daemon].confirm();
+            self.cluster.daemons[daemon].now = self.cluster.now;
+            self.cluster.daemons[daemon].confirm();
             self.step(daemon, GatewayEvent::Tick);
         }
         if self.steps.is_multiple_of(STEPS_A_ROUND) {
-            self.field.talk();
+            self.cluster.talk();
         }
         for _ in 0..self.arrivals {
-            let daemon = self.draws.below(self.field.daemons.len());
+            let daemon = self.draws.below(self.cluster.daemons.len());
             if !self.is_frozen(daemon) {
                 self.arrive(daemon);
             }
@@ -182,13 +182,13 @@
         self.next += 1;
         self.tally.arrived += 1;
         let arrival = Box::new(arrival(&format!("/safe/{}", self.next)));
-        let request = self.field.daemons[daemon].next_request();
+        let request = self.cluster.daemons[daemon].next_request();
         self.step(daemon, GatewayEvent::Arrived { request, arrival });
     }
 
     fn answer_due(&mut self) {
-        let now = self.field.now;
-        let frozen = &self.field.frozen;
+        let now = self.cluster.now;
+        let frozen = &self.cluster.frozen;
         let is_due = |running: &mut RunningRequest| {
             running.ends_at <= now && !frozen.contains_key(&running.daemon)
         };
@@ -214,8 +214,8 @@
     }
 
     fn step(&mut self, daemon: usize, event: GatewayEvent) {
-        let harness = &mut self.field.daemons[daemon];
-        harness.now = self.field.now;
+        let harness = &mut self.cluster.daemons[daemon];
+        harness.now = self.cluster.now;
         harness.step(event);
         for effect in std::mem::take(&mut harness.effects) {
             match effect {
@@ -234,13 +234,13 @@
         self.sent.push(SentRequest {
             daemon,
             upstream: order.upstream.clone(),
-            at: self.field.now,
+            at: self.cluster.now,
         });
         self.running.push(RunningRequest {
             daemon,
             request: order.request,
             upstream: order.upstream.clone(),
-            ends_at: self.field.now + Duration::from_millis(time),
+            ends_at: self.cluster.now + Duration::from_millis(time),
         });
     }
 
@@ -249,7 +249,7 @@
         let upstream = self.upstream(number);
         let sent = self.sent.iter();
         let late =
-            sent.filter(|sent| sent.upstream == upstream && self.field.now.since(sent.at) < span);
+            sent.filter(|sent| sent.upstream == upstream && self.cluster.now.since(sent.at) < span);
         late.count()
     }
 
--- a/crates/savorywood-gateway/tests/common/load.rs
+++ b/crates/savorywood-gateway/tests/common/load.rs
@@ -48,7 +48,7 @@
 }
 
 /// All of it.
-pub struct LoadWorld {
+pub struct LoadEnvironment {
     pub now: MonotonicTime,
     pub daemons: Vec<GatewayHarness>,
     pub engines: Vec<EngineModel>,
@@ -68,10 +68,10 @@
     returns: Vec<CallerReturn>,
 }
 
-impl LoadWorld {
+impl LoadEnvironment {
     /// `slowness` names the engines: 1 is the ordinary speed, 2 takes twice the time.
     pub fn new(daemons: usize, slowness: &[f64], slots: u32, kinds: Vec<CallKind>) -> Self {
-        let mut world = Self {
+        let mut environment = Self {
             now: MonotonicTime(1_000_000),
             daemons: Vec::new(),
             engines: Vec::new(),
@@ -89,15 +89,15 @@
         };
         for (number, slowness) in slowness.iter().enumerate() {
             let name = format!("upstream-{}", number + 1);
-            world
+            environment
                 .engines
                 .push(EngineModel::new(&name, *slowness, slots));
         }
         for number in 0..daemons {
-            let daemon = world.daemon(number, daemons, slots);
-            world.daemons.push(daemon);
+            let daemon = environment.daemon(number, daemons, slots);
+            environment.daemons.push(daemon);
         }
-        world
+        environment
     }
 
     fn daemon(&self, number: usize, daemons: usize, slots: u32) -> GatewayHarness {
@@ -139,7 +139,7 @@
     }
 
     /// Plays arrivals for a time, and then what is left.
-    pub fn play(&mut self, time: Duration) {
+    pub fn run(&mut self, time: Duration) {
         self.advance(time, true);
         self.advance(AFTER_TIME, false);
     }
--- a/crates/savorywood-gateway/tests/entry_set.rs
+++ b/crates/savorywood-gateway/tests/entry_set.rs
@@ -3,12 +3,12 @@
 #[path = "common/callers.rs"]
 mod callers;
 #[path = "common/cluster.rs"]
-mod field;
+mod cluster;
 #[path = "common/harness.rs"]
 mod harness;
 
 use callers::CallerGroup;
-use field::{DaemonField, TeamLoad, ZONES};
+use cluster::{DaemonCluster, TeamLoad, ZONES};
 use savorywood_gateway::{
     CallerPlace, EntryCandidate, GatewayEvent, HostResources, LoadPeak, select_members,
 };
@@ -60,17 +60,17 @@
 }
 
 /// Members of each zone as all its daemons that are up see them.
-fn assert_agreement(field: &DaemonField) -> Vec<BTreeSet<usize>> {
+fn assert_agreement(cluster: &DaemonCluster) -> Vec<BTreeSet<usize>> {
     let mut members = vec![BTreeSet::new(); ZONES];
-    for number in (0..field.daemons.len()).filter(|number| !field.down.contains(number)) {
+    for number in (0..cluster.daemons.len()).filter(|number| !cluster.down.contains(number)) {
         let zone = format!("zone-{}", number % ZONES);
         let addresses =
-            field.daemons[number]
+            cluster.daemons[number]
                 .gateway
-                .addresses(field.now, CallerPlace::in_zone(&zone), 64);
+                .addresses(cluster.now, CallerPlace::in_zone(&zone), 64);
         let numbers = addresses
             .iter()
-            .filter_map(|address| field.number_of(*address));
+            .filter_map(|address| cluster.number_of(*address));
         let numbers: BTreeSet<usize> = numbers.collect();
         let known = &mut members[number % ZONES];
         if known.is_empty() {
@@ -82,13 +82,13 @@
 }
 
 /// Callers at a field that has settled.
-fn settled(daemons: usize, keep: Duration) -> (DaemonField, CallerGroup) {
-    let mut field = DaemonField::with_load(daemons, TeamLoad::unlimited(daemons));
+fn settled(daemons: usize, keep: Duration) -> (DaemonCluster, CallerGroup) {
+    let mut cluster = DaemonCluster::with_load(daemons, TeamLoad::unlimited(daemons));
     let mut callers = CallerGroup::new(CALLERS, keep);
-    field.advance(seconds(4), &mut callers);
+    cluster.advance(seconds(4), &mut callers);
     callers.tally = callers::CallerTally::default();
     callers.last_trouble = None;
-    (field, callers)
+    (cluster, callers)
 }
 
 fn assert_served_again(callers: &CallerGroup, since: MonotonicTime, within: Duration) {
@@ -181,9 +181,9 @@
 #[test]
 fn all_daemons_name_the_same_members() {
     for count in [1, 8, 80, 200, 350] {
-        let mut field = DaemonField::new(count);
-        field.advance(seconds(1), &mut CallerGroup::new(0, KEEP));
-        for (zone, members) in assert_agreement(&field).iter().enumerate() {
+        let mut cluster = DaemonCluster::new(count);
+        cluster.advance(seconds(1), &mut CallerGroup::new(0, KEEP));
+        for (zone, members) in assert_agreement(&cluster).iter().enumerate() {
             let here = (0..count).filter(|number| number % ZONES == zone).count();
             assert_eq!(members.len(), here.min(3), "zone {zone} of {count}");
         }
@@ -194,21 +194,21 @@
 #[test]
 fn a_set_grows_before_a_burst_fills_it() {
     for factor in [2, 3] {
-        let mut field = DaemonField::new(DAEMONS);
-        for daemon in &mut field.capacities {
+        let mut cluster = DaemonCluster::new(DAEMONS);
+        for daemon in &mut cluster.capacities {
             *daemon = small();
         }
-        field.restart_all();
+        cluster.restart_all();
         for load in [2_800, 2_800 * factor, 2_800 * factor] {
             for _ in 0..4 {
-                field.spread_load(load);
-                let members = assert_agreement(&field);
+                cluster.spread_load(load);
+                let members = assert_agreement(&cluster);
                 let each = load / members[0].len() as u32;
                 assert!(each < 4_100, "{each} descriptors at each member");
-                field.advance(Duration::from_millis(500), &mut CallerGroup::new(0, KEEP));
+                cluster.advance(Duration::from_millis(500), &mut CallerGroup::new(0, KEEP));
             }
         }
-        let members = assert_agreement(&field);
+        let members = assert_agreement(&cluster);
         assert!(
             members[0].len() as u32 * 4_100 >= 2_800 * factor * 2,
             "{members:?}"
@@ -220,14 +220,14 @@
 #[test]
 fn callers_are_served_again_after_half_of_all_hosts_are_lost() {
     for keep in [KEEP, KEEP * 3] {
-        let (mut field, mut callers) = settled(DAEMONS, keep);
+        let (mut cluster, mut callers) = settled(DAEMONS, keep);
         for half in [0, 1] {
-            let lost_at = field.now;
+            let lost_at = cluster.now;
             let lost = (0..DAEMONS).filter(|number| number / ZONES % 2 == half);
-            field.down = lost.collect();
-            field.advance(seconds(1), &mut callers);
-            field.start_again();
-            field.advance(seconds(4), &mut callers);
+            cluster.down = lost.collect();
+            cluster.advance(seconds(1), &mut callers);
+            cluster.start_again();
+            cluster.advance(seconds(4), &mut callers);
             assert_served_again(&callers, lost_at, REPLACED + keep);
         }
         assert!(
@@ -241,16 +241,16 @@
 /// Members are killed one after the other, each time the first of its zone.
 #[test]
 fn members_that_are_killed_in_turn_are_replaced() {
-    let (mut field, mut callers) = settled(DAEMONS, KEEP);
+    let (mut cluster, mut callers) = settled(DAEMONS, KEEP);
     for _ in 0..4 {
-        let members = assert_agreement(&field);
-        let lost_at = field.now;
+        let members = assert_agreement(&cluster);
+        let lost_at = cluster.now;
         for zone in &members {
-            field.down.extend(zone.first());
+            cluster.down.extend(zone.first());
         }
-        field.advance(seconds(3), &mut callers);
+        cluster.advance(seconds(3), &mut callers);
         assert_served_again(&callers, lost_at, REPLACED + KEEP);
-        let members = assert_agreement(&field);
+        let members = assert_agreement(&cluster);
         assert!(members.iter().all(|zone| zone.len() == 3), "{members:?}");
     }
 }
@@ -258,36 +258,39 @@
 /// A frozen member neither answers nor sends; after it wakes it is no member for a while.
 #[test]
 fn a_frozen_member_is_replaced_until_it_is_steady_again() {
-    let (mut field, mut callers) = settled(DAEMONS, KEEP);
-    let frozen = *assert_agreement(&field)[0].first().expect("a member");
-    let frozen_at = field.now;
-    field.down.insert(frozen);
-    field.advance(seconds(3), &mut callers);
+    let (mut cluster, mut callers) = settled(DAEMONS, KEEP);
+    let frozen = *assert_agreement(&cluster)[0].first().expect("a member");
+    let frozen_at = cluster.now;
+    cluster.down.insert(frozen);
+    cluster.advance(seconds(3), &mut callers);
     assert_served_again(&callers, frozen_at, REPLACED + KEEP);
-    field.down.clear();
-    field.advance(seconds(1), &mut callers);
-    assert!(!assert_agreement(&field)[0].contains(&frozen));
-    field.advance(seconds(4), &mut callers);
-    assert!(assert_agreement(&field)[0].contains(&frozen));
+    cluster.down.clear();
+    cluster.advance(seconds(1), &mut callers);
+    assert!(!assert_agreement(&cluster)[0].contains(&frozen));
+    cluster.advance(seconds(4), &mut callers);
+    assert!(assert_agreement(&cluster)[0].contains(&frozen));
 }
 
 /// A member that no daemon sees goes on serving the callers that know it; the others replace it.
 #[test]
 fn a_member_cut_off_from_its_peers_is_replaced() {
-    let (mut field, mut callers) = settled(DAEMONS, KEEP);
-    let cut_off = *assert_agreement(&field)[0].first().expect("a member");
-    field.cut_off.insert(cut_off);
-    field.advance(seconds(4), &mut callers);
+    let (mut cluster, mut callers) = settled(DAEMONS, KEEP);
+    let cut_off = *assert_agreement(&cluster)[0].first().expect("a member");
+    cluster.cut_off.insert(cut_off);
+    cluster.advance(seconds(4), &mut callers);
     assert_eq!(
         callers.tally.served, callers.tally.asked,
         "{:?}",
         callers.tally
     );
     let named =
-        field.daemons[ZONES]
+        cluster.daemons[ZONES]
             .gateway
-            .addresses(field.now, CallerPlace::in_zone("zone-0"), 64);
-    let named: Vec<_> = named.iter().filter_map(|at| field.number_of(*at)).collect();
+            .addresses(cluster.now, CallerPlace::in_zone("zone-0"), 64);
+    let named: Vec<_> = named
+        .iter()
+        .filter_map(|at| cluster.number_of(*at))
+        .collect();
     assert_eq!(named.len(), 3);
     assert!(!named.contains(&cut_off), "{named:?}");
 }
@@ -295,11 +298,11 @@
 /// A member that can't confirm its configuration names itself no more.
 #[test]
 fn a_member_without_the_store_is_replaced() {
-    let (mut field, mut callers) = settled(DAEMONS, KEEP);
-    let stale = *assert_agreement(&field)[0].first().expect("a member");
-    field.stale.insert(stale);
-    field.advance(seconds(6), &mut callers);
-    let members = assert_agreement(&field);
+    let (mut cluster, mut callers) = settled(DAEMONS, KEEP);
+    let stale = *assert_agreement(&cluster)[0].first().expect("a member");
+    cluster.stale.insert(stale);
+    cluster.advance(seconds(6), &mut callers);
+    let members = assert_agreement(&cluster);
     assert!(!members[0].contains(&stale));
     assert_eq!(members[0].len(), 3);
     assert_eq!(
@@ -312,14 +315,14 @@
 /// Every daemon is stopped and started in turn, members among them.
 #[test]
 fn a_rolling_stop_of_all_refuses_nobody() {
-    let (mut field, mut callers) = settled(24, KEEP);
+    let (mut cluster, mut callers) = settled(24, KEEP);
     for number in 0..24 {
-        field.stop(number);
-        field.advance(Duration::from_millis(3_300), &mut callers);
-        field.down.insert(number);
-        field.advance(Duration::from_millis(500), &mut callers);
-        field.start_again();
-        field.advance(Duration::from_millis(200), &mut callers);
+        cluster.stop(number);
+        cluster.advance(Duration::from_millis(3_300), &mut callers);
+        cluster.down.insert(number);
+        cluster.advance(Duration::from_millis(500), &mut callers);
+        cluster.start_again();
+        cluster.advance(Duration::from_millis(200), &mut callers);
     }
     assert_eq!(
         callers.tally.served, callers.tally.asked,
@@ -331,10 +334,10 @@
 /// Callers of a zone that is lost get the members of the other zones.
 #[test]
 fn callers_of_a_lost_zone_use_other_zones() {
-    let (mut field, mut callers) = settled(DAEMONS, KEEP);
-    let lost_at = field.now;
-    field.down = (0..DAEMONS).filter(|number| number % ZONES == 0).collect();
-    field.advance(seconds(5), &mut callers);
+    let (mut cluster, mut callers) = settled(DAEMONS, KEEP);
+    let lost_at = cluster.now;
+    cluster.down = (0..DAEMONS).filter(|number| number % ZONES == 0).collect();
+    cluster.advance(seconds(5), &mut callers);
     assert_served_again(&callers, lost_at, REPLACED + KEEP);
 }
 
@@ -342,13 +345,13 @@
 /// reading the tables at a start, and gossip, cost a standby host more the larger its zone is.
 #[test]
 fn work_of_standby_hosts_calls_no_members_in() {
-    let mut field = DaemonField::with_load(DAEMONS, TeamLoad::unlimited(DAEMONS));
-    field.capacities = vec![small(); DAEMONS];
-    field.restart_all();
+    let mut cluster = DaemonCluster::with_load(DAEMONS, TeamLoad::unlimited(DAEMONS));
+    cluster.capacities = vec![small(); DAEMONS];
+    cluster.restart_all();
     let mut callers = CallerGroup::new(CALLERS, KEEP);
-    field.advance(seconds(4), &mut callers);
+    cluster.advance(seconds(4), &mut callers);
     for _ in 0..4 {
-        for daemon in &mut field.daemons {
+        for daemon in &mut cluster.daemons {
             let mut load = descriptors(20);
             load.processor_millis = 40;
             load.link_kbps = 7_000;
@@ -358,9 +361,9 @@
             }
             daemon.step(GatewayEvent::LoadMeasured(load));
         }
-        field.advance(seconds(1), &mut callers);
+        cluster.advance(seconds(1), &mut callers);
     }
-    for zone in assert_agreement(&field) {
+    for zone in assert_agreement(&cluster) {
         assert!(zone.len() <= 3, "{} members", zone.len());
     }
 }
--- a/crates/savorywood-gateway/tests/fleet_limits.rs
+++ b/crates/savorywood-gateway/tests/fleet_limits.rs
@@ -47,7 +47,7 @@
 }
 
 /// Times at which units were admitted, over all daemons.
-fn play(restart_at: Option<u64>) -> Vec<MonotonicTime> {
+fn run(restart_at: Option<u64>) -> Vec<MonotonicTime> {
     let start = MonotonicTime(1_000_000);
     let mut daemons: Vec<_> = (0..DAEMONS).map(|number| begin(number, 1, start)).collect();
     let mut admitted = Vec::new();
@@ -103,7 +103,7 @@
 /// limit.
 #[test]
 fn daemons_together_keep_a_limit() {
-    let admitted = play(None);
+    let admitted = run(None);
     let most = most_in_a_window(&admitted);
     assert!(most <= allowed(), "{most} of {}", allowed());
     assert!(most >= limit().per_second * WINDOW.as_secs_f64(), "{most}");
@@ -114,7 +114,7 @@
 #[test]
 fn daemons_that_all_start_again_keep_a_limit() {
     for restart_at in [650, 800, 1_000, 1_550] {
-        let most = most_in_a_window(&play(Some(restart_at)));
+        let most = most_in_a_window(&run(Some(restart_at)));
         assert!(most <= allowed(), "{most} of {} at {restart_at}", allowed());
     }
 }
--- a/crates/savorywood-gateway/tests/quarantine.rs
+++ b/crates/savorywood-gateway/tests/quarantine.rs
@@ -2,18 +2,18 @@
 
 #[path = "common/callers.rs"]
 mod callers;
+#[path = "common/cluster.rs"]
+mod cluster;
 #[path = "common/concurrent_requests.rs"]
 mod concurrent_requests;
 #[path = "common/crashes.rs"]
 mod crashes;
-#[path = "common/cluster.rs"]
-mod field;
 #[path = "common/harness.rs"]
 mod harness;
 
 use callers::SeededDraws;
 use concurrent_requests::{Bystander, BystanderEnd};
-use crashes::{CRASHING_PATH, CrashField, MOST_RETRIES, RequestEnd};
+use crashes::{CRASHING_PATH, CrashEnvironment, MOST_RETRIES, RequestEnd};
 use harness::{GatewayHarness, arrival};
 use quickcheck::quickcheck;
 use savorywood_gateway::{
@@ -55,32 +55,32 @@
 #[test]
 fn a_request_that_crashed_three_upstreams_reaches_few_more() {
     for daemons in [1, 8, 48] {
-        let mut field = CrashField::new(daemons);
-        field.repeat_crashing(40);
-        let late = field.late_sends();
+        let mut environment = CrashEnvironment::new(daemons);
+        environment.repeat_crashing(40);
+        let late = environment.late_sends();
         assert!(late <= MOST_RETRIES, "{late} at {daemons} daemons");
     }
 }
 
 /// A field in which the crashing request is in quarantine.
-fn quarantined(daemons: usize) -> CrashField {
-    let mut field = CrashField::new(daemons);
-    field.repeat_crashing(24);
-    assert!(field.refuses(0, CRASHING_PATH), "not in quarantine");
-    field
+fn quarantined_environment(daemons: usize) -> CrashEnvironment {
+    let mut environment = CrashEnvironment::new(daemons);
+    environment.repeat_crashing(24);
+    assert!(environment.refuses(0, CRASHING_PATH), "not in quarantine");
+    environment
 }
 
 /// Guards against a daemon that starts again and sends what the others refuse.
 #[test]
 fn a_daemon_that_starts_again_learns_of_quarantines_from_its_peers() {
     for daemons in [8, 48] {
-        let mut field = quarantined(daemons);
-        let sends = field.sends.len();
-        field.field.down.insert(3);
-        field.field.start_again();
-        field.pass_rounds(12);
-        field.send_crashing(3);
-        assert_eq!(field.sends.len(), sends, "{daemons} daemons");
+        let mut environment = quarantined_environment(daemons);
+        let sends = environment.sends.len();
+        environment.cluster.down.insert(3);
+        environment.cluster.start_again();
+        environment.pass_rounds(12);
+        environment.send_crashing(3);
+        assert_eq!(environment.sends.len(), sends, "{daemons} daemons");
     }
 }
 
@@ -88,15 +88,18 @@
 #[test]
 fn a_start_of_all_daemons_does_not_end_a_quarantine() {
     for daemons in [8, 48] {
-        let mut field = quarantined(daemons);
-        assert_eq!(field.rows.len(), 1);
-        assert!(field.rows.values().all(|crashes| crashes.len() >= 3));
+        let mut environment = quarantined_environment(daemons);
+        assert_eq!(environment.rows.len(), 1);
+        assert!(environment.rows.values().all(|crashes| crashes.len() >= 3));
         // At the third crash, and at the second if there was time before it.
-        assert!((1..=2).contains(&field.writes), "one daemon writes the row");
-        let sends = field.sends.len();
-        field.restart_all(true);
-        field.repeat_crashing(20);
-        assert_eq!(field.sends.len(), sends, "{daemons} daemons");
+        assert!(
+            (1..=2).contains(&environment.writes),
+            "one daemon writes the row"
+        );
+        let sends = environment.sends.len();
+        environment.restart_all(true);
+        environment.repeat_crashing(20);
+        assert_eq!(environment.sends.len(), sends, "{daemons} daemons");
     }
 }
 
@@ -104,19 +107,19 @@
 #[test]
 fn starts_of_all_daemons_between_crashes_cost_few_upstreams() {
     for daemons in [8, 48] {
-        let mut field = CrashField::new(daemons);
+        let mut environment = CrashEnvironment::new(daemons);
         for _ in 0..4 {
-            field.pass_rounds(6);
+            environment.pass_rounds(6);
             // A few daemons send a request that breaks once more, many of them do not.
-            field.repeat_crashing(if daemons == 8 { 1 } else { 2 });
-            field.pass_rounds(6);
-            field.restart_all(true);
+            environment.repeat_crashing(if daemons == 8 { 1 } else { 2 });
+            environment.pass_rounds(6);
+            environment.restart_all(true);
         }
-        field.repeat_crashing(24);
-        let late = field.late_sends();
+        environment.repeat_crashing(24);
+        let late = environment.late_sends();
         println!(
             "{} sends, {late} late at {daemons} daemons",
-            field.sends.len()
+            environment.sends.len()
         );
         assert!(late <= MOST_RETRIES, "{late} at {daemons} daemons");
     }
@@ -125,46 +128,50 @@
 /// Guards against rows that are lost with an outage of the store.
 #[test]
 fn a_quarantine_is_written_once_the_store_is_back() {
-    let mut field = CrashField::new(8);
-    field.store_works = false;
-    field.repeat_crashing(40);
-    assert!(field.rows.is_empty());
-    assert!(field.writes < 8, "{} writes in ten seconds", field.writes);
-    field.store_works = true;
-    field.pass_rounds(40);
-    assert_eq!(field.rows.len(), 1);
+    let mut environment = CrashEnvironment::new(8);
+    environment.store_works = false;
+    environment.repeat_crashing(40);
+    assert!(environment.rows.is_empty());
+    assert!(
+        environment.writes < 8,
+        "{} writes in ten seconds",
+        environment.writes
+    );
+    environment.store_works = true;
+    environment.pass_rounds(40);
+    assert_eq!(environment.rows.len(), 1);
 }
 
 /// Guards against a daemon that comes back from a cut and does not know what the others refuse.
 #[test]
 fn a_daemon_that_was_cut_off_learns_of_quarantines_within_the_bound() {
     for daemons in [8, 48] {
-        let mut field = CrashField::new(daemons);
-        field.field.cut_off.insert(1);
+        let mut environment = CrashEnvironment::new(daemons);
+        environment.cluster.cut_off.insert(1);
         for round in 0..24 {
-            field.send_crashing(2 + round % 6);
-            field.pass_round();
+            environment.send_crashing(2 + round % 6);
+            environment.pass_round();
         }
-        let sends = field.sends.len();
-        field.field.cut_off.clear();
-        field.pass_rounds(12);
-        field.send_crashing(1);
-        assert_eq!(field.sends.len(), sends, "{daemons} daemons");
+        let sends = environment.sends.len();
+        environment.cluster.cut_off.clear();
+        environment.pass_rounds(12);
+        environment.send_crashing(1);
+        assert_eq!(environment.sends.len(), sends, "{daemons} daemons");
     }
 }
 
 /// Guards against refusing requests that merely ran beside one that crashes upstreams.
 #[test]
 fn a_request_that_was_served_between_crashes_is_not_refused() {
-    let mut field = CrashField::new(8);
+    let mut environment = CrashEnvironment::new(8);
     for round in 0..5 {
-        let request = field.send_sound(round, "/stream/bystander");
-        let beside = field.upstream_of(request).expect("it runs");
-        field.crash(&beside);
-        field.deliver_all();
-        field.pass_rounds(16);
+        let request = environment.send_sound(round, "/stream/bystander");
+        let beside = environment.upstream_of(request).expect("it runs");
+        environment.crash(&beside);
+        environment.deliver_all();
+        environment.pass_rounds(16);
     }
-    assert!(!field.refuses(0, "/stream/bystander"));
+    assert!(!environment.refuses(0, "/stream/bystander"));
 }
 
 /// Guards against refusing a read that many callers share, as a wave of crashes ends several of
@@ -172,23 +179,26 @@
 #[test]
 fn a_read_that_was_served_lately_survives_a_wave_of_crashes() {
     for daemons in [8, 48] {
-        let mut field = CrashField::new(daemons);
-        field.send_sound(0, "/safe/shared");
-        field.deliver_all();
-        field.pass_rounds(8);
+        let mut environment = CrashEnvironment::new(daemons);
+        environment.send_sound(0, "/safe/shared");
+        environment.deliver_all();
+        environment.pass_rounds(8);
         let mut crashes = 0;
         for daemon in 1..8 {
-            let request = field.send_sound(daemon, "/safe/shared");
-            if let Some(beside) = field.upstream_of(request) {
-                field.crash(&beside);
+            let request = environment.send_sound(daemon, "/safe/shared");
+            if let Some(beside) = environment.upstream_of(request) {
+                environment.crash(&beside);
                 crashes += 1;
             }
         }
         assert!(crashes >= 3, "{crashes} crashes");
-        field.deliver_all();
-        field.pass_rounds(16);
+        environment.deliver_all();
+        environment.pass_rounds(16);
         for daemon in 0..daemons {
-            assert!(!field.refuses(daemon, "/safe/shared"), "daemon {daemon}");
+            assert!(
+                !environment.refuses(daemon, "/safe/shared"),
+                "daemon {daemon}"
+            );
         }
     }
 }
@@ -196,29 +206,32 @@
 /// Guards against a request that is refused for good after upstreams ended for other reasons.
 #[test]
 fn a_request_in_quarantine_is_tried_once_and_served_by_all_if_it_succeeds() {
-    let mut field = quarantined(8);
-    field.pass_rounds(260);
+    let mut environment = quarantined_environment(8);
+    environment.pass_rounds(260);
     let mut trials = Vec::new();
     for daemon in 0..8 {
-        let name = field.send_sound(daemon, CRASHING_PATH);
-        trials.extend(field.upstream_of(name).map(|_| name));
+        let name = environment.send_sound(daemon, CRASHING_PATH);
+        trials.extend(environment.upstream_of(name).map(|_| name));
     }
     assert_eq!(trials.len(), 1, "one daemon tries it");
-    field.deliver(trials[0]);
-    field.pass_rounds(4);
+    environment.deliver(trials[0]);
+    environment.pass_rounds(4);
     for daemon in 0..8 {
-        assert!(!field.refuses(daemon, CRASHING_PATH), "daemon {daemon}");
+        assert!(
+            !environment.refuses(daemon, CRASHING_PATH),
+            "daemon {daemon}"
+        );
     }
-    field.pass_rounds(8);
-    assert!(field.rows.is_empty(), "its row is removed");
+    environment.pass_rounds(8);
+    assert!(environment.rows.is_empty(), "its row is removed");
 }
 
 /// Guards against trials that crash an upstream each minute.
 #[test]
 fn trials_that_fail_become_rarer() {
-    let mut field = CrashField::new(8);
-    field.repeat_crashing(40 * 60);
-    let late = field.late_sends();
+    let mut environment = CrashEnvironment::new(8);
+    environment.repeat_crashing(40 * 60);
+    let late = environment.late_sends();
     assert!(late <= MOST_RETRIES, "{late} in ten minutes");
 }
 
@@ -246,16 +259,16 @@
 /// Guards against a refusal that says not run for a request that was running when others crashed.
 #[test]
 fn a_request_that_ran_is_never_refused_as_not_run() {
-    let mut field = CrashField::new(8);
+    let mut environment = CrashEnvironment::new(8);
     for round in 0..24 {
-        let name = field.send_crashing(round % 8);
-        let ran = field.sends_of(name) > 0;
-        let end = field.ends[&name];
+        let name = environment.send_crashing(round % 8);
+        let ran = environment.sends_of(name) > 0;
+        let end = environment.ends[&name];
         let RequestEnd::Refused(reason) = end else {
             panic!("it can't be served");
         };
         assert_eq!(ran, !reason.promises_not_run(), "{reason}");
-        field.pass_round();
+        environment.pass_round();
     }
 }
 
@@ -272,23 +285,23 @@
 
 /// Eight daemons with twelve new requests a round, each of which runs for one to eight rounds and
 /// comes again twice if it breaks, beside a crashing one that comes every few rounds.
-fn play_bystanders(seed: u64) -> BystanderTally {
+fn run_concurrent_requests(seed: u64) -> BystanderTally {
     let mut draws = SeededDraws(seed);
-    let mut field = CrashField::new(8);
+    let mut environment = CrashEnvironment::new(8);
     let mut tally = BystanderTally::default();
     let mut open: Vec<Bystander> = Vec::new();
     for round in 0..160 {
         for number in 0..12 {
             let path = format!("/stream/bystander-{round}-{number}");
-            open.push(Bystander::new(&mut field, &mut draws, path));
+            open.push(Bystander::new(&mut environment, &mut draws, path));
             tally.sent += 1;
         }
         if draws.below(4) == 0 {
-            field.send_crashing(draws.below(8));
+            environment.send_crashing(draws.below(8));
         }
-        field.pass_round();
+        environment.pass_round();
         for bystander in std::mem::take(&mut open) {
-            match bystander.advance(&mut field, &mut draws) {
+            match bystander.advance(&mut environment, &mut draws) {
                 BystanderEnd::Open(bystander) => open.push(bystander),
                 BystanderEnd::Served => tally.served += 1,
                 BystanderEnd::Quarantined => tally.quarantined += 1,
@@ -296,10 +309,10 @@
             }
         }
     }
-    let late = field.late_sends();
+    let late = environment.late_sends();
     assert!(late <= MOST_RETRIES, "{late} with seed {seed}");
-    tally.crashes = field.crashes.len();
-    tally.writes = field.writes;
+    tally.crashes = environment.crashes.len();
+    tally.writes = environment.writes;
     tally
 }
 
@@ -307,7 +320,7 @@
 /// prints what becomes of these.
 #[test]
 fn a_crashing_request_beside_much_other_work_reaches_few_upstreams() {
-    let tallies: Vec<_> = (0..6).map(play_bystanders).collect();
+    let tallies: Vec<_> = (0..6).map(run_concurrent_requests).collect();
     let sum = |of: fn(&BystanderTally) -> usize| tallies.iter().map(of).sum::<usize>();
     let (sent, quarantined) = (sum(|tally| tally.sent), sum(|tally| tally.quarantined));
     println!(
--- a/crates/savorywood-gateway/tests/rate_limits.rs
+++ b/crates/savorywood-gateway/tests/rate_limits.rs
@@ -3,14 +3,14 @@
 #[path = "common/callers.rs"]
 mod callers;
 #[path = "common/cluster.rs"]
-mod field;
+mod cluster;
 #[path = "common/harness.rs"]
 mod harness;
 #[path = "common/limits.rs"]
 mod limits;
 
 use harness::{GatewayHarness, arrival, upstream};
-use limits::{LimitField, LimitTally};
+use limits::{LimitEnvironment, LimitTally};
 use savorywood_gateway::{
     AnswerMarks, AttemptOutcome, GatewayEffect, GatewayEvent, RateLimit, UpstreamEntry,
 };
@@ -80,35 +80,35 @@
 #[test]
 fn all_daemons_together_keep_to_the_limit_that_an_upstream_names() {
     for daemons in [1, 8, 48] {
-        let mut field = LimitField::new(daemons, 6, 1);
-        field.arrivals = 3;
-        field.advance(Duration::from_secs(3));
-        field.set_limit(0, Some(1.2));
-        field.set_limit(1, Some(1.7));
-        field.advance(Duration::from_secs(20));
-        field.assert_limits_kept(&format!("{daemons} daemons"));
+        let mut environment = LimitEnvironment::new(daemons, 6, 1);
+        environment.arrivals = 3;
+        environment.advance(Duration::from_secs(3));
+        environment.set_limit(0, Some(1.2));
+        environment.set_limit(1, Some(1.7));
+        environment.advance(Duration::from_secs(20));
+        environment.assert_limits_kept(&format!("{daemons} daemons"));
     }
 }
 
 /// Shares of what limited upstreams take and of all requests, over some time.
-fn play_limits(daemons: usize, limited: usize, per_second: f64, arrivals: usize) -> LimitShares {
-    let mut field = LimitField::new(daemons, 6, 7);
-    field.arrivals = arrivals;
-    field.advance(Duration::from_secs(3));
+fn run_limits(daemons: usize, limited: usize, per_second: f64, arrivals: usize) -> LimitShares {
+    let mut environment = LimitEnvironment::new(daemons, 6, 7);
+    environment.arrivals = arrivals;
+    environment.advance(Duration::from_secs(3));
     for number in 0..limited {
-        field.set_limit(number, Some(per_second));
+        environment.set_limit(number, Some(per_second));
     }
-    field.advance(Duration::from_secs(4));
-    field.tally = LimitTally::default();
+    environment.advance(Duration::from_secs(4));
+    environment.tally = LimitTally::default();
     let span = Duration::from_secs(20);
-    field.advance(span);
-    field.assert_limits_kept(&format!("{limited} at {per_second} with {daemons} daemons"));
+    environment.advance(span);
+    environment.assert_limits_kept(&format!("{limited} at {per_second} with {daemons} daemons"));
     let sent: usize = (0..limited)
-        .map(|number| field.sent_in_last(number, span))
+        .map(|number| environment.sent_in_last(number, span))
         .sum();
     LimitShares {
         used: sent as f64 / (per_second * limited as f64 * span.as_secs_f64()),
-        served: field.tally.served as f64 / field.tally.arrived as f64,
+        served: environment.tally.served as f64 / environment.tally.arrived as f64,
     }
 }
 
@@ -123,7 +123,7 @@
 fn what_limited_upstreams_take_is_used_while_requests_wait() {
     for daemons in [1, 8, 48] {
         for (limited, per_second) in [(2, 1.2), (2, 8.0), (6, 1.2), (6, 4.0)] {
-            let shares = play_limits(daemons, limited, per_second, 4);
+            let shares = run_limits(daemons, limited, per_second, 4);
             println!(
                 "{daemons} daemons, {limited} of 6 at {per_second}: used {:.2}, served {:.3}",
                 shares.used, shares.served
@@ -138,27 +138,27 @@
 }
 
 /// A field with two limited upstreams of six, long enough for all to know of them.
-fn limited_field(daemons: usize, seed: u64) -> LimitField {
-    let mut field = LimitField::new(daemons, 6, seed);
-    field.advance(Duration::from_secs(2));
-    field.set_limit(0, Some(1.2));
-    field.set_limit(1, Some(2.5));
-    field.advance(Duration::from_secs(4));
-    field
+fn limited_environment(daemons: usize, seed: u64) -> LimitEnvironment {
+    let mut environment = LimitEnvironment::new(daemons, 6, seed);
+    environment.advance(Duration::from_secs(2));
+    environment.set_limit(0, Some(1.2));
+    environment.set_limit(1, Some(2.5));
+    environment.advance(Duration::from_secs(4));
+    environment
 }
 
 /// Guards against parts of a limit that daemons save up while there is no work and spend at once.
 #[test]
 fn a_burst_after_a_rest_keeps_the_limit() {
     for daemons in [8, 48] {
-        let mut field = limited_field(daemons, 3);
+        let mut environment = limited_environment(daemons, 3);
         for _ in 0..2 {
-            field.arrivals = 0;
-            field.advance(Duration::from_secs(45));
-            field.arrivals = 60;
-            field.advance(Duration::from_secs(2));
+            environment.arrivals = 0;
+            environment.advance(Duration::from_secs(45));
+            environment.arrivals = 60;
+            environment.advance(Duration::from_secs(2));
         }
-        field.assert_limits_kept(&format!("{daemons} daemons"));
+        environment.assert_limits_kept(&format!("{daemons} daemons"));
     }
 }
 
@@ -166,17 +166,17 @@
 #[test]
 fn the_limit_holds_while_daemons_are_killed_and_start_again() {
     for seed in 1..=6 {
-        let mut field = limited_field(12, seed);
-        field.arrivals = 6;
+        let mut environment = limited_environment(12, seed);
+        environment.arrivals = 6;
         for _ in 0..10 {
             for _ in 0..2 {
-                let daemon = field.draws.below(12);
-                field.restart(daemon);
+                let daemon = environment.draws.below(12);
+                environment.restart(daemon);
             }
-            let millis = 300 + field.draws.below(2_500) as u64;
-            field.advance(Duration::from_millis(millis));
+            let millis = 300 + environment.draws.below(2_500) as u64;
+            environment.advance(Duration::from_millis(millis));
         }
-        field.assert_limits_kept(&format!("seed {seed}"));
+        environment.assert_limits_kept(&format!("seed {seed}"));
     }
 }
 
@@ -184,18 +184,18 @@
 #[test]
 fn the_limit_holds_while_daemons_are_cut_off_from_each_other() {
     for seed in 1..=6 {
-        let mut field = limited_field(24, seed);
-        field.arrivals = 6;
+        let mut environment = limited_environment(24, seed);
+        environment.arrivals = 6;
         for _ in 0..5 {
             for _ in 0..8 {
-                let daemon = field.draws.below(24);
-                field.field.cut_off.insert(daemon);
+                let daemon = environment.draws.below(24);
+                environment.cluster.cut_off.insert(daemon);
             }
-            field.advance(Duration::from_secs(3));
-            field.field.cut_off.clear();
-            field.advance(Duration::from_secs(2));
+            environment.advance(Duration::from_secs(3));
+            environment.cluster.cut_off.clear();
+            environment.advance(Duration::from_secs(2));
         }
-        field.assert_limits_kept(&format!("seed {seed}"));
+        environment.assert_limits_kept(&format!("seed {seed}"));
     }
 }
 
@@ -203,21 +203,21 @@
 #[test]
 fn a_limit_follows_what_the_upstream_says() {
     for daemons in [8, 48] {
-        let mut field = limited_field(daemons, 5);
-        field.arrivals = 4;
-        field.set_limit(1, Some(0.4));
-        field.advance(Duration::from_secs(12));
-        field.assert_limits_kept("a limit that fell below one a second");
-        field.set_limit(1, Some(6.0));
-        field.advance(Duration::from_secs(12));
-        field.assert_limits_kept("a limit that rose");
+        let mut environment = limited_environment(daemons, 5);
+        environment.arrivals = 4;
+        environment.set_limit(1, Some(0.4));
+        environment.advance(Duration::from_secs(12));
+        environment.assert_limits_kept("a limit that fell below one a second");
+        environment.set_limit(1, Some(6.0));
+        environment.advance(Duration::from_secs(12));
+        environment.assert_limits_kept("a limit that rose");
         let span = Duration::from_secs(4);
-        let risen = field.sent_in_last(1, span);
+        let risen = environment.sent_in_last(1, span);
         assert!(risen >= 12, "{risen} in 4 s at {daemons} daemons");
-        field.set_limit(1, None);
-        field.advance(Duration::from_secs(8));
-        let free = field.sent_in_last(1, span);
-        let other = field.sent_in_last(2, span);
+        environment.set_limit(1, None);
+        environment.advance(Duration::from_secs(8));
+        let free = environment.sent_in_last(1, span);
+        let other = environment.sent_in_last(2, span);
         assert!(free * 2 > other, "{free} of {other} at {daemons} daemons");
     }
 }
@@ -225,14 +225,14 @@
 /// Guards against work without a limit that is held against an upstream once it names one again.
 #[test]
 fn a_limit_that_is_named_again_is_used_at_once() {
-    let mut field = limited_field(8, 4);
-    field.arrivals = 4;
-    field.set_limit(0, None);
-    field.advance(Duration::from_secs(30));
-    field.set_limit(0, Some(4.0));
-    field.advance(Duration::from_secs(10));
-    field.assert_limits_kept("a limit that was named again");
-    let sent = field.sent_in_last(0, Duration::from_secs(8));
+    let mut environment = limited_environment(8, 4);
+    environment.arrivals = 4;
+    environment.set_limit(0, None);
+    environment.advance(Duration::from_secs(30));
+    environment.set_limit(0, Some(4.0));
+    environment.advance(Duration::from_secs(10));
+    environment.assert_limits_kept("a limit that was named again");
+    let sent = environment.sent_in_last(0, Duration::from_secs(8));
     assert!(sent >= 16, "{sent} in 8 s, 32 taken");
 }
 
@@ -260,22 +260,22 @@
 #[test]
 fn the_limit_holds_when_a_frozen_daemon_reads_that_an_earlier_one_ended() {
     for seed in 1..=8 {
-        let mut field = limited_field(24, seed);
-        field.arrivals = 8;
-        field.advance(Duration::from_secs(2));
-        field.set_limit(0, None);
-        field.advance(Duration::from_millis(300));
+        let mut environment = limited_environment(24, seed);
+        environment.arrivals = 8;
+        environment.advance(Duration::from_secs(2));
+        environment.set_limit(0, None);
+        environment.advance(Duration::from_millis(300));
         for daemon in 0..12 {
-            field.freeze(daemon);
+            environment.freeze(daemon);
         }
-        field.advance(Duration::from_secs(1));
-        field.set_limit(0, Some(1.2));
-        field.advance(Duration::from_secs(5));
+        environment.advance(Duration::from_secs(1));
+        environment.set_limit(0, Some(1.2));
+        environment.advance(Duration::from_secs(5));
         for daemon in 0..12 {
-            field.thaw(daemon);
-            field.advance(Duration::from_millis(400));
+            environment.thaw(daemon);
+            environment.advance(Duration::from_millis(400));
         }
-        field.advance(Duration::from_secs(4));
-        field.assert_limits_kept(&format!("seed {seed}"));
+        environment.advance(Duration::from_secs(4));
+        environment.assert_limits_kept(&format!("seed {seed}"));
     }
 }
--- a/crates/savorywood-gateway/tests/rollouts.rs
+++ b/crates/savorywood-gateway/tests/rollouts.rs
@@ -26,7 +26,7 @@
 
 /// What a deployment did with a roll-out.
 #[derive(Debug, Default)]
-struct RolloutPlay {
+struct RolloutRun {
     sent: u32,
     sent_new: u32,
     sent_new_after_verdict: u32,
@@ -37,7 +37,7 @@
 
 /// What a play varies.
 #[derive(Debug, Clone, Copy)]
-struct PlayOptions {
+struct RunOptions {
     /// Share of the new version's answers that are bad.
     bad_share: f64,
     /// Daemons learn of each other.
@@ -46,11 +46,11 @@
     lose_writes: bool,
 }
 
-fn play(play_options: PlayOptions) -> RolloutPlay {
+fn run(run_options: RunOptions) -> RolloutRun {
     let start = MonotonicTime(1_000_000);
     let mut daemons: Vec<GatewayHarness> =
         (0..DAEMONS).map(|number| begin(number, start)).collect();
-    let mut result = RolloutPlay::default();
+    let mut result = RolloutRun::default();
     let mut stored: Option<(RolloutWrite, u64)> = None;
     for step in 0..1_300_u64 {
         let now = start + Duration::from_millis(step * 10);
@@ -69,7 +69,7 @@
             .as_ref()
             .is_some_and(|(write, _)| write.phase == RolloutPhase::RolledBack);
         result.sent_new_after_verdict += u32::from(new && verdict);
-        let bad = new && (step * 7 % 100) as f64 / 100.0 < play_options.bad_share;
+        let bad = new && (step * 7 % 100) as f64 / 100.0 < run_options.bad_share;
         result.bad_seen += u32::from(bad);
         let marks = AnswerMarks::default();
         let outcome = if bad {
@@ -83,10 +83,10 @@
         }
         let elapsed = now.since(start);
         for daemon in &mut daemons {
-            take_writes(daemon, &mut stored, &mut result, elapsed, play_options);
+            take_writes(daemon, &mut stored, &mut result, elapsed, run_options);
         }
         if step % 25 == 24 {
-            tell_all(&mut daemons, now, play_options.linked, stored.as_ref());
+            tell_all(&mut daemons, now, run_options.linked, stored.as_ref());
         }
     }
     result
@@ -113,9 +113,9 @@
 fn take_writes(
     daemon: &mut GatewayHarness,
     stored: &mut Option<(RolloutWrite, u64)>,
-    result: &mut RolloutPlay,
+    result: &mut RolloutRun,
     elapsed: Duration,
-    play_options: PlayOptions,
+    run_options: RunOptions,
 ) {
     let effects = std::mem::take(&mut daemon.effects);
     for effect in effects {
@@ -132,7 +132,7 @@
             *stored = Some((write.clone(), version + 1));
         }
         let service = write.service.clone();
-        let accepted = holds && !play_options.lose_writes;
+        let accepted = holds && !run_options.lose_writes;
         daemon.step(GatewayEvent::RolloutWritten {
             service,
             accepted,
@@ -168,7 +168,7 @@
     }
 }
 
-const SOUND: PlayOptions = PlayOptions {
+const SOUND: RunOptions = RunOptions {
     bad_share: 0.0,
     linked: true,
     lose_writes: false,
@@ -176,8 +176,8 @@
 
 #[test]
 fn a_good_version_is_completed_in_time() {
-    let play = play(SOUND);
-    let (phase, after) = play.ended.expect("an end");
+    let run = run(SOUND);
+    let (phase, after) = run.ended.expect("an end");
     assert_eq!(phase, RolloutPhase::Completed);
     assert!(after < WITHIN, "{after:?}");
 }
@@ -186,51 +186,51 @@
 /// nothing reaches it afterwards.
 #[test]
 fn a_bad_version_is_met_by_few_and_taken_back() {
-    let play = play(PlayOptions {
+    let run = run(RunOptions {
         bad_share: 0.25,
         ..SOUND
     });
-    let (phase, _) = play.ended.expect("an end");
+    let (phase, _) = run.ended.expect("an end");
     assert_eq!(phase, RolloutPhase::RolledBack);
-    let allowed = f64::from(play.sent) * 0.1 + 50.0;
+    let allowed = f64::from(run.sent) * 0.1 + 50.0;
     assert!(
-        f64::from(play.sent_new) <= allowed,
+        f64::from(run.sent_new) <= allowed,
         "{} of {allowed}",
-        play.sent_new
+        run.sent_new
     );
-    assert!(play.bad_seen < 50, "{}", play.bad_seen);
-    assert_eq!(play.sent_new_after_verdict, 0);
+    assert!(run.bad_seen < 50, "{}", run.bad_seen);
+    assert_eq!(run.sent_new_after_verdict, 0);
 }
 
 /// Daemons can't reach each other, so each sees only its own answers and leads in its own eyes.
 /// Together they stay within what an unproved version may get, and the store takes one end.
 #[test]
 fn daemons_that_cannot_hear_each_other_stay_within_the_share() {
-    let play = play(PlayOptions {
+    let run = run(RunOptions {
         bad_share: 0.25,
         linked: false,
         lose_writes: false,
     });
-    let (phase, _) = play.ended.expect("an end");
+    let (phase, _) = run.ended.expect("an end");
     assert_eq!(phase, RolloutPhase::RolledBack);
-    let allowed = f64::from(play.sent) * 0.1 + 50.0;
+    let allowed = f64::from(run.sent) * 0.1 + 50.0;
     assert!(
-        f64::from(play.sent_new) <= allowed,
+        f64::from(run.sent_new) <= allowed,
         "{} of {allowed}",
-        play.sent_new
+        run.sent_new
     );
 }
 
 /// Every answer to a write is lost. The state is read back, written once, and not for ever.
 #[test]
 fn lost_answers_of_the_store_lead_to_one_end() {
-    let play = play(PlayOptions {
+    let run = run(RunOptions {
         lose_writes: true,
         ..SOUND
     });
     assert_eq!(
-        play.ended.map(|(phase, _)| phase),
+        run.ended.map(|(phase, _)| phase),
         Some(RolloutPhase::Completed)
     );
-    assert!(play.writes.len() <= 6, "{} writes", play.writes.len());
+    assert!(run.writes.len() <= 6, "{} writes", run.writes.len());
 }
--- a/crates/savorywood-gateway/tests/scheduling.rs
+++ b/crates/savorywood-gateway/tests/scheduling.rs
@@ -6,7 +6,7 @@
 mod load;
 
 use load::{
-    LoadWorld,
+    LoadEnvironment,
     calls::{CallKind, CallTally},
 };
 use std::time::Duration;
@@ -58,21 +58,21 @@
     }
 }
 
-fn world(slowness: &[f64], kinds: Vec<CallKind>) -> LoadWorld {
-    LoadWorld::new(DAEMONS, slowness, SLOTS, kinds)
+fn environment(slowness: &[f64], kinds: Vec<CallKind>) -> LoadEnvironment {
+    LoadEnvironment::new(DAEMONS, slowness, SLOTS, kinds)
 }
 
 /// Half as much again as all slots can serve.
-fn overload() -> LoadWorld {
+fn overload() -> LoadEnvironment {
     let kinds = vec![plans(20.0), chats(100.0), digests(60.0)];
-    let mut world = world(&SLOWNESS, kinds);
-    world.play(Duration::from_secs(20));
-    world
+    let mut environment = environment(&SLOWNESS, kinds);
+    environment.run(Duration::from_secs(20));
+    environment
 }
 
-fn total(world: &LoadWorld, count: impl Fn(&CallTally) -> u32) -> f64 {
-    let asked: u32 = world.tallies.iter().map(|tally| tally.asked).sum();
-    let counted: u32 = world.tallies.iter().map(count).sum();
+fn total(environment: &LoadEnvironment, count: impl Fn(&CallTally) -> u32) -> f64 {
+    let asked: u32 = environment.tallies.iter().map(|tally| tally.asked).sum();
+    let counted: u32 = environment.tallies.iter().map(count).sum();
     f64::from(counted) / f64::from(asked)
 }
 
@@ -81,8 +81,8 @@
 /// would find all of them taken for the length of an answer, and wait behind work that could wait.
 #[test]
 fn the_most_urgent_callers_are_answered_in_time_under_overload() {
-    let world = overload();
-    let plans = world.tally("/plan/");
+    let environment = overload();
+    let plans = environment.tally("/plan/");
     let in_time = plans.share(plans.in_time);
     assert!(in_time >= 0.85, "{in_time:.3}: {plans:?}");
 }
@@ -92,12 +92,12 @@
 /// would have waited for nothing.
 #[test]
 fn callers_that_can_not_be_served_hear_so_before_they_leave() {
-    let world = overload();
-    let left = total(&world, |tally| tally.left);
-    assert!(left <= 0.01, "{left:.4} left: {:?}", world.tallies);
-    let sent_back = total(&world, |tally| tally.sent_back);
+    let environment = overload();
+    let left = total(&environment, |tally| tally.left);
+    assert!(left <= 0.01, "{left:.4} left: {:?}", environment.tallies);
+    let sent_back = total(&environment, |tally| tally.sent_back);
     assert!(sent_back >= 0.1, "only {sent_back:.3} were sent back");
-    for (kind, tally) in world.kinds.iter().zip(&world.tallies) {
+    for (kind, tally) in environment.kinds.iter().zip(&environment.tallies) {
         assert!(tally.longest_return <= kind.deadline / 3, "{tally:?}");
     }
 }
@@ -108,8 +108,8 @@
 /// empty.
 #[test]
 fn short_work_of_the_lowest_rank_is_not_starved() {
-    let world = overload();
-    let digests = world.tally("/digest/");
+    let environment = overload();
+    let digests = environment.tally("/digest/");
     let served = digests.share(digests.in_time + digests.late);
     assert!(served >= 0.75, "{served:.3}: {digests:?}");
 }
@@ -146,9 +146,10 @@
 /// all the time, and every slot that is kept for it goes to short answers as soon as it is free.
 #[test]
 fn large_requests_of_the_lowest_rank_are_not_starved() {
-    let mut world = LoadWorld::new(DAEMONS, &SLOWNESS, 4, vec![briefs(20.0), notes(40.0)]);
-    world.play(Duration::from_secs(30));
-    let notes = world.tally("/note/");
+    let mut environment =
+        LoadEnvironment::new(DAEMONS, &SLOWNESS, 4, vec![briefs(20.0), notes(40.0)]);
+    environment.run(Duration::from_secs(30));
+    let notes = environment.tally("/note/");
     let (all, largest) = notes.served_by_size();
     assert!(all <= 0.95, "no overload: {all:.3}");
     assert!(
@@ -163,19 +164,19 @@
 fn answers_begin_where_they_can_end() {
     let mut long = chats(40.0);
     long.tokens = (300.0, 1.2, 2_950.0);
-    let mut world = world(&[0.55, 0.55, 2.8, 2.8], vec![long]);
-    world.play(Duration::from_secs(30));
-    let cut = total(&world, |tally| tally.cut);
-    assert!(cut <= 0.02, "{cut:.4} cut: {:?}", world.tallies);
+    let mut environment = environment(&[0.55, 0.55, 2.8, 2.8], vec![long]);
+    environment.run(Duration::from_secs(30));
+    let cut = total(&environment, |tally| tally.cut);
+    assert!(cut <= 0.02, "{cut:.4} cut: {:?}", environment.tallies);
 }
 
 /// Slow engines have free slots while the fast ones give back several a second. A long prompt that
 /// goes to a slow one is late before its first event, and makes all that runs beside it late.
 #[test]
 fn long_prompts_wait_for_an_upstream_that_reads_them_in_time() {
-    let mut world = world(&[0.55, 0.55, 4.5, 4.5], vec![plans(9.0), chats(28.0)]);
-    world.play(Duration::from_secs(30));
-    let plans = world.tally("/plan/");
+    let mut environment = environment(&[0.55, 0.55, 4.5, 4.5], vec![plans(9.0), chats(28.0)]);
+    environment.run(Duration::from_secs(30));
+    let plans = environment.tally("/plan/");
     let in_time = plans.share(plans.in_time);
     assert!(in_time >= 0.85, "{in_time:.3}: {plans:?}");
 }
@@ -190,11 +191,15 @@
     let mut short = plans(12.0);
     short.path = "/short/";
     short.prompt = (400.0, 0.5, 2_000.0);
-    let mut world = world(&[2.8, 2.8, 2.8, 2.8], vec![long, short]);
-    world.play(Duration::from_secs(30));
-    let longest = world.tallies.iter().map(|tally| tally.longest_pause).max();
+    let mut environment = environment(&[2.8, 2.8, 2.8, 2.8], vec![long, short]);
+    environment.run(Duration::from_secs(30));
+    let longest = environment
+        .tallies
+        .iter()
+        .map(|tally| tally.longest_pause)
+        .max();
     assert!(longest > Some(Duration::from_millis(500)), "{longest:?}");
-    assert_eq!(world.taken_away, 0, "{:?}", world.tallies);
+    assert_eq!(environment.taken_away, 0, "{:?}", environment.tallies);
 }
 
 /// One of six engines loses its power while a dozen answers run there. All of them fall silent at
@@ -202,12 +207,12 @@
 /// there no more.
 #[test]
 fn a_dark_upstream_is_found_by_the_silence_of_all_that_runs_there() {
-    let mut world = world(&SLOWNESS, vec![plans(16.0)]);
-    world.advance(Duration::from_secs(5), true);
-    world.engines[0].dark = true;
-    world.advance(Duration::from_secs(5), true);
-    world.play(Duration::from_secs(2));
-    let plans = world.tally("/plan/");
+    let mut environment = environment(&SLOWNESS, vec![plans(16.0)]);
+    environment.advance(Duration::from_secs(5), true);
+    environment.engines[0].dark = true;
+    environment.advance(Duration::from_secs(5), true);
+    environment.run(Duration::from_secs(2));
+    let plans = environment.tally("/plan/");
     assert!(plans.moved > 0, "{plans:?}");
     let lost = plans.share(plans.left + plans.cut + plans.refused);
     assert!(lost <= 0.02, "{lost:.4}: {plans:?}");
@@ -226,12 +231,12 @@
         to_full: 0.0,
     };
     for (urgent, other) in [(12.0, 55.0), (14.0, 70.0), (18.0, 60.0), (24.0, 40.0)] {
-        let mut world = world(&SLOWNESS, vec![plans(urgent), chats(other)]);
-        world.sends_slots = sends_slots;
-        world.play(Duration::from_secs(30));
-        let plans = world.tally("/plan/");
+        let mut environment = environment(&SLOWNESS, vec![plans(urgent), chats(other)]);
+        environment.sends_slots = sends_slots;
+        environment.run(Duration::from_secs(30));
+        let plans = environment.tally("/plan/");
         effect.not_in_time += plans.asked - plans.in_time;
-        effect.to_full += f64::from(world.sent_to_full) / f64::from(world.sent);
+        effect.to_full += f64::from(environment.sent_to_full) / f64::from(environment.sent);
     }
     effect
 }
--- a/crates/savorywood-gateway/tests/store_reads.rs
+++ b/crates/savorywood-gateway/tests/store_reads.rs
@@ -3,15 +3,15 @@
 #[path = "common/callers.rs"]
 mod callers;
 #[path = "common/cluster.rs"]
-mod field;
+mod cluster;
 #[path = "common/harness.rs"]
 mod harness;
 
-use field::{DAEMONS, DaemonField, ZONES};
+use cluster::{DAEMONS, DaemonCluster, ZONES};
 use savorywood_gateway::{GatewayEvent, ReadPlan, SharedTable, StorePosition, TableKnowledge};
 use std::{collections::BTreeSet, time::Duration};
 
-impl DaemonField {
+impl DaemonCluster {
     /// A daemon reads a table of the store itself, or is handed on what changed there.
     fn read(&mut self, number: usize, table: SharedTable, changed: u64, proved: bool) {
         let proof_at = proved.then_some(self.now);
@@ -71,45 +71,45 @@
 /// and all stay ready.
 #[test]
 fn one_daemon_of_a_zone_reads_the_store() {
-    let mut field = DaemonField::new(DAEMONS);
-    field.live(20, 7, |_| true);
-    assert_eq!(field.readers(), (0..ZONES).collect::<Vec<_>>());
-    assert!((0..DAEMONS).all(|number| field.ready(number)));
+    let mut cluster = DaemonCluster::new(DAEMONS);
+    cluster.live(20, 7, |_| true);
+    assert_eq!(cluster.readers(), (0..ZONES).collect::<Vec<_>>());
+    assert!((0..DAEMONS).all(|number| cluster.ready(number)));
 }
 
 /// The daemon that reads for its zone learns of a change; the others must get no proof before
 /// they hold it as well, or a key that was taken away would work on at them.
 #[test]
 fn a_daemon_that_lacks_a_change_gets_no_proof() {
-    let mut field = DaemonField::new(DAEMONS);
-    field.live(20, 7, |_| true);
+    let mut cluster = DaemonCluster::new(DAEMONS);
+    cluster.live(20, 7, |_| true);
     for number in 0..ZONES {
-        field.read(number, SharedTable::Declared, 8, true);
+        cluster.read(number, SharedTable::Declared, 8, true);
     }
-    field.talk();
-    let plan = field.plan(ZONES, SharedTable::Declared);
+    cluster.talk();
+    let plan = cluster.plan(ZONES, SharedTable::Declared);
     assert_eq!(plan, ReadPlan::CatchUp);
     // It can't read the store, and nobody hands on the change.
-    field.live(12, 8, |number| number < ZONES);
-    assert!(!field.ready(ZONES));
-    assert!(field.ready(0));
-    field.read(ZONES, SharedTable::Declared, 8, false);
-    field.live(4, 8, |number| number < ZONES);
-    assert!(field.ready(ZONES));
+    cluster.live(12, 8, |number| number < ZONES);
+    assert!(!cluster.ready(ZONES));
+    assert!(cluster.ready(0));
+    cluster.read(ZONES, SharedTable::Declared, 8, false);
+    cluster.live(4, 8, |number| number < ZONES);
+    assert!(cluster.ready(ZONES));
 }
 
 /// The daemon that reads for its zone dies, or the store turns it away. Another one reads, and
 /// nobody becomes unready meanwhile.
 #[test]
 fn another_daemon_reads_when_the_first_can_not() {
-    let mut field = DaemonField::new(DAEMONS);
-    field.live(20, 7, |_| true);
+    let mut cluster = DaemonCluster::new(DAEMONS);
+    cluster.live(20, 7, |_| true);
     for _ in 0..24 {
-        field.live(1, 7, |number| number >= ZONES);
-        let unready: Vec<usize> = (ZONES..DAEMONS).filter(|n| !field.ready(*n)).collect();
+        cluster.live(1, 7, |number| number >= ZONES);
+        let unready: Vec<usize> = (ZONES..DAEMONS).filter(|n| !cluster.ready(*n)).collect();
         assert!(unready.is_empty(), "{unready:?}");
     }
-    let readers = field.readers();
+    let readers = cluster.readers();
     assert!(readers.contains(&ZONES), "{readers:?}");
     assert!(readers.len() <= 2 * ZONES, "{readers:?}");
 }
@@ -118,13 +118,13 @@
 /// message that it echoes was sent, and not a moment of its coming.
 #[test]
 fn an_attestation_that_was_held_up_proves_nothing_new() {
-    let mut field = DaemonField::new(DAEMONS);
-    field.live(20, 7, |_| true);
-    let now = field.now;
-    let attestation = field.daemons[0].gateway.summary(now);
-    field.cut_off = BTreeSet::from([ZONES]);
-    field.live(16, 7, |number| number != ZONES);
-    assert!(!field.ready(ZONES));
-    field.daemons[ZONES].step(GatewayEvent::SummaryReceived(Box::new(attestation)));
-    assert!(!field.ready(ZONES));
+    let mut cluster = DaemonCluster::new(DAEMONS);
+    cluster.live(20, 7, |_| true);
+    let now = cluster.now;
+    let attestation = cluster.daemons[0].gateway.summary(now);
+    cluster.cut_off = BTreeSet::from([ZONES]);
+    cluster.live(16, 7, |number| number != ZONES);
+    assert!(!cluster.ready(ZONES));
+    cluster.daemons[ZONES].step(GatewayEvent::SummaryReceived(Box::new(attestation)));
+    assert!(!cluster.ready(ZONES));
 }
--- a/crates/savorywood-gateway/tests/warmup.rs
+++ b/crates/savorywood-gateway/tests/warmup.rs
@@ -3,12 +3,12 @@
 #[path = "common/callers.rs"]
 mod callers;
 #[path = "common/cluster.rs"]
-mod field;
+mod cluster;
 #[path = "common/harness.rs"]
 mod harness;
 
 use callers::{CallerGroup, SeededDraws};
-use field::{DAEMONS, DaemonField, zone};
+use cluster::{DAEMONS, DaemonCluster, zone};
 use harness::{GatewayHarness, arrival, config, upstream};
 use quickcheck::{TestResult, quickcheck};
 use savorywood_gateway::{
@@ -34,8 +34,8 @@
 const LIFE: Duration = Duration::from_secs(4);
 
 /// Daemons with requests for one upstream that starts again and again.
-struct ColdStart {
-    field: DaemonField,
+struct ColdStartRun {
+    cluster: DaemonCluster,
     callers: CallerGroup,
     sent_at: Vec<MonotonicTime>,
     born: u64,
@@ -53,22 +53,22 @@
     }
 }
 
-impl ColdStart {
+impl ColdStartRun {
     fn new(daemons: usize, seed: u64) -> Self {
-        let field = DaemonField::new(daemons);
-        let mut play = Self {
+        let cluster = DaemonCluster::new(daemons);
+        let mut run = Self {
             callers: CallerGroup::new(0, SECOND),
             sent_at: Vec::new(),
             born: 1,
-            born_at: field.now,
+            born_at: cluster.now,
             draws: SeededDraws(seed),
-            field,
+            cluster,
         };
         for number in 0..daemons {
-            play.declare(number);
+            run.declare(number);
         }
-        play.start_upstream();
-        play
+        run.start_upstream();
+        run
     }
 
     /// A daemon knows how upstreams start, and the cold one alone.
@@ -77,9 +77,9 @@
         for service in declared.services.values_mut() {
             service.warmup = Some(SPEC);
         }
-        let daemon = &mut self.field.daemons[number];
-        daemon.now = self.field.now;
-        let mut bounds = field::daemon_options(number, 1).bounds;
+        let daemon = &mut self.cluster.daemons[number];
+        daemon.now = self.cluster.now;
+        let mut bounds = cluster::daemon_options(number, 1).bounds;
         bounds.warmup = Some(TOLERANCE);
         daemon.step(GatewayEvent::BoundsRead(bounds));
         daemon.step(GatewayEvent::ConfigRead(Arc::new(declared)));
@@ -89,23 +89,23 @@
 
     fn start_upstream(&mut self) {
         self.born += 1;
-        self.born_at = self.field.now;
-        for daemon in &mut self.field.daemons {
-            daemon.now = self.field.now;
+        self.born_at = self.cluster.now;
+        for daemon in &mut self.cluster.daemons {
+            daemon.now = self.cluster.now;
             daemon.step(GatewayEvent::UpstreamWritten(cold_entry(self.born)));
         }
     }
 
     /// Every daemon has a request for the upstream in each step.
     fn advance(&mut self, time: Duration) {
-        let end = self.field.now + time;
-        while self.field.now < end {
-            self.field.advance(STEP, &mut self.callers);
-            if self.field.now.since(self.born_at) >= LIFE {
+        let end = self.cluster.now + time;
+        while self.cluster.now < end {
+            self.cluster.advance(STEP, &mut self.callers);
+            if self.cluster.now.since(self.born_at) >= LIFE {
                 self.start_upstream();
             }
-            for number in 0..self.field.daemons.len() {
-                if !self.field.down.contains(&number) {
+            for number in 0..self.cluster.daemons.len() {
+                if !self.cluster.down.contains(&number) {
                     self.ask(number);
                 }
             }
@@ -113,27 +113,27 @@
     }
 
     fn ask(&mut self, number: usize) {
-        let is_cold = self.field.now.since(self.born_at) < SPEC.time;
-        let daemon = &mut self.field.daemons[number];
-        daemon.now = self.field.now;
+        let is_cold = self.cluster.now.since(self.born_at) < SPEC.time;
+        let daemon = &mut self.cluster.daemons[number];
+        daemon.now = self.cluster.now;
         let request = daemon.arrive(arrival("/safe/1"));
         if daemon.orders(request).is_empty() {
             daemon.step(GatewayEvent::CallerLeft(request));
             return;
         }
         if is_cold {
-            self.sent_at.push(self.field.now);
+            self.sent_at.push(self.cluster.now);
         }
         daemon.deliver(request);
     }
 
     fn kill(&mut self, number: usize) {
-        self.field.down.insert(number);
+        self.cluster.down.insert(number);
     }
 
     fn restart_killed(&mut self) {
-        let killed: Vec<usize> = self.field.down.iter().copied().collect();
-        self.field.start_again();
+        let killed: Vec<usize> = self.cluster.down.iter().copied().collect();
+        self.cluster.start_again();
         for number in killed {
             self.declare(number);
         }
@@ -157,12 +157,12 @@
 #[test]
 fn all_daemons_together_keep_to_the_bound_of_a_cold_upstream() {
     for daemons in [8, DAEMONS] {
-        let mut play = ColdStart::new(daemons, 1);
-        play.advance(12 * SECOND);
-        play.assert_bound_kept(&format!("{daemons} daemons"));
+        let mut run = ColdStartRun::new(daemons, 1);
+        run.advance(12 * SECOND);
+        run.assert_bound_kept(&format!("{daemons} daemons"));
         let cold_s = SPEC.time.as_secs_f64() * 3.0;
         let least = SPEC.per_second * cold_s * 0.7;
-        let sent = play.sent_at.len() as f64;
+        let sent = run.sent_at.len() as f64;
         assert!(sent >= least, "{sent} of {least} at {daemons} daemons");
     }
 }
@@ -171,19 +171,19 @@
 #[test]
 fn the_bound_holds_while_daemons_are_killed_and_start_again() {
     for seed in 1..=12 {
-        let mut play = ColdStart::new(24, seed);
+        let mut run = ColdStartRun::new(24, seed);
         for _ in 0..12 {
             for _ in 0..3 {
-                let number = play.draws.below(24);
-                play.kill(number);
+                let number = run.draws.below(24);
+                run.kill(number);
             }
-            let pause = 200 + play.draws.below(900) as u64;
-            play.advance(Duration::from_millis(pause));
-            play.restart_killed();
-            let pause = 100 + play.draws.below(1_500) as u64;
-            play.advance(Duration::from_millis(pause));
+            let pause = 200 + run.draws.below(900) as u64;
+            run.advance(Duration::from_millis(pause));
+            run.restart_killed();
+            let pause = 100 + run.draws.below(1_500) as u64;
+            run.advance(Duration::from_millis(pause));
         }
-        play.assert_bound_kept(&format!("seed {seed}"));
+        run.assert_bound_kept(&format!("seed {seed}"));
     }
 }
 
@@ -191,17 +191,17 @@
 #[test]
 fn daemons_that_are_cut_off_send_nothing_to_cold_upstreams() {
     for seed in 1..=8 {
-        let mut play = ColdStart::new(24, seed);
+        let mut run = ColdStartRun::new(24, seed);
         for _ in 0..6 {
             for _ in 0..8 {
-                let number = play.draws.below(24);
-                play.field.cut_off.insert(number);
+                let number = run.draws.below(24);
+                run.cluster.cut_off.insert(number);
             }
-            play.advance(3 * SECOND);
-            play.field.cut_off.clear();
-            play.advance(2 * SECOND);
+            run.advance(3 * SECOND);
+            run.cluster.cut_off.clear();
+            run.advance(2 * SECOND);
         }
-        play.assert_bound_kept(&format!("seed {seed}"));
+        run.assert_bound_kept(&format!("seed {seed}"));
     }
 }
 
--- a/crates/savorywood-gateway/tests/zones.rs
+++ b/crates/savorywood-gateway/tests/zones.rs
@@ -3,11 +3,11 @@
 #[path = "common/callers.rs"]
 mod callers;
 #[path = "common/cluster.rs"]
-mod field;
+mod cluster;
 #[path = "common/harness.rs"]
 mod harness;
 
-use field::{DAEMONS, DaemonField, TeamLoad, UNITS, WINDOW, ZONES};
+use cluster::{DAEMONS, DaemonCluster, TeamLoad, UNITS, WINDOW, ZONES};
 use harness::{GatewayHarness, arrival};
 use savorywood_gateway::{DaemonRole, UpstreamLabel};
 use std::time::Duration;
@@ -24,8 +24,8 @@
 #[test]
 fn messages_of_a_daemon_do_not_grow_with_other_zones() {
     for count in [59, 82, 160] {
-        let mut field = DaemonField::new(count);
-        let round = field.pass(Duration::from_millis(250));
+        let mut cluster = DaemonCluster::new(count);
+        let round = cluster.pass(Duration::from_millis(250));
         let most = round.sent.iter().max().copied().unwrap_or_default();
         let near = count.div_ceil(ZONES);
         assert!(most <= near + 24, "{most} messages at {count} daemons");
@@ -44,8 +44,8 @@
 /// Few daemons send each other summaries: each is seen at once and exactly.
 #[test]
 fn few_daemons_exchange_summaries() {
-    let mut field = DaemonField::new(8);
-    let round = field.pass(Duration::from_millis(250));
+    let mut cluster = DaemonCluster::new(8);
+    let round = cluster.pass(Duration::from_millis(250));
     assert!(round.sent.iter().all(|sent| *sent == 7), "{:?}", round.sent);
     assert!(round.digests_received.is_empty());
 }
@@ -54,20 +54,20 @@
 /// each daemon that places requests.
 #[test]
 fn slots_in_other_zones_are_counted_once() {
-    let mut field = DaemonField::new(DAEMONS);
+    let mut cluster = DaemonCluster::new(DAEMONS);
     let upstream = UpstreamLabel::from("upstream-1");
     let mut running = 0;
     for number in 0..DAEMONS {
-        let daemon = &mut field.daemons[number];
+        let daemon = &mut cluster.daemons[number];
         let request = daemon.arrive(arrival("/safe/1"));
         let order = daemon.orders(request)[0].clone();
         running += u32::from(order.upstream == upstream);
     }
     assert!(running > 0, "nothing went there");
     for _ in 0..3 {
-        field.pass(Duration::from_millis(250));
+        cluster.pass(Duration::from_millis(250));
     }
-    for daemon in &field.daemons {
+    for daemon in &cluster.daemons {
         assert_ne!(daemon.gateway.role(), DaemonRole::Standby);
         let state = daemon.gateway.fleet().get(&upstream).expect("an upstream");
         let seen = state.running + daemon.gateway.peers().slots_at(&upstream).running;
@@ -78,27 +78,27 @@
 /// Guards against slots gossiped to daemons that place nothing: they get digests without them.
 #[test]
 fn standby_daemons_get_no_slots_of_other_zones() {
-    let mut field = DaemonField::new(DAEMONS);
+    let mut cluster = DaemonCluster::new(DAEMONS);
     for _ in 0..4 {
-        field.pass(Duration::from_millis(250));
+        cluster.pass(Duration::from_millis(250));
     }
     let members: Vec<usize> = (0..DAEMONS)
-        .filter(|number| field.daemons[*number].gateway.is_member())
+        .filter(|number| cluster.daemons[*number].gateway.is_member())
         .collect();
     assert_eq!(members.len(), ZONES * 3, "{members:?}");
     for number in &members {
-        field.daemons[*number].arrive(arrival("/safe/1"));
+        cluster.daemons[*number].arrive(arrival("/safe/1"));
     }
-    let counts = |field: &DaemonField, number: usize| -> u32 {
-        let peers = field.daemons[number].gateway.peers();
-        let digests = peers.zones(field.now);
+    let counts = |cluster: &DaemonCluster, number: usize| -> u32 {
+        let peers = cluster.daemons[number].gateway.peers();
+        let digests = peers.zones(cluster.now);
         digests
             .flat_map(|digest| &digest.slots)
             .map(|slot| u32::from(slot.running))
             .sum()
     };
     for _ in 0..3 {
-        field.pass(Duration::from_millis(250));
+        cluster.pass(Duration::from_millis(250));
     }
     for number in 0..DAEMONS {
         let expected = if members.contains(&number) {
@@ -106,7 +106,7 @@
         } else {
             0
         };
-        assert_eq!(counts(&field, number), expected, "daemon {number}");
+        assert_eq!(counts(&cluster, number), expected, "daemon {number}");
     }
 }
 
@@ -114,14 +114,14 @@
 /// zone are still sent to those that live.
 #[test]
 fn another_daemon_reports_a_zone_when_the_first_dies() {
-    let mut field = DaemonField::new(DAEMONS);
-    field.cut_off = (0..DAEMONS).filter(|number| number % 8 == 0).collect();
+    let mut cluster = DaemonCluster::new(DAEMONS);
+    cluster.cut_off = (0..DAEMONS).filter(|number| number % 8 == 0).collect();
     for _ in 0..9 {
-        field.pass(Duration::from_millis(250));
+        cluster.pass(Duration::from_millis(250));
     }
-    for number in (0..DAEMONS).filter(|number| !field.cut_off.contains(number)) {
-        let peers = field.daemons[number].gateway.peers();
-        let zones = peers.zones(field.now).count();
+    for number in (0..DAEMONS).filter(|number| !cluster.cut_off.contains(number)) {
+        let peers = cluster.daemons[number].gateway.peers();
+        let zones = peers.zones(cluster.now).count();
         assert_eq!(zones, ZONES - 1, "zones that {number} knows");
     }
 }
@@ -130,79 +130,79 @@
 /// them in turn, more than a second old, they let through more than operators tolerate.
 #[test]
 fn many_daemons_together_keep_a_limit() {
-    let mut field = DaemonField::new(DAEMONS);
-    field.press(Duration::from_secs(12));
-    field.assert_limit_kept();
-    let least = field.limit.per_second * WINDOW.as_secs_f64();
-    assert!(field.most_in_a_window() >= least);
+    let mut cluster = DaemonCluster::new(DAEMONS);
+    cluster.press(Duration::from_secs(12));
+    cluster.assert_limit_kept();
+    let least = cluster.limit.per_second * WINDOW.as_secs_f64();
+    assert!(cluster.most_in_a_window() >= least);
 }
 
 /// A third of the daemons are cut off from the others for longer than one waits for a peer, and
 /// the team goes on at all of them. Each that is cut off holds a copy of the whole burst.
 #[test]
 fn daemons_that_are_cut_off_keep_to_their_part_of_a_limit() {
-    let mut field = DaemonField::new(DAEMONS);
-    field.press(Duration::from_secs(3));
-    field.cut_off = (0..DAEMONS).filter(|number| number % 3 == 0).collect();
-    field.press(Duration::from_secs(14));
-    field.cut_off.clear();
-    field.press(Duration::from_secs(5));
-    field.assert_limit_kept();
+    let mut cluster = DaemonCluster::new(DAEMONS);
+    cluster.press(Duration::from_secs(3));
+    cluster.cut_off = (0..DAEMONS).filter(|number| number % 3 == 0).collect();
+    cluster.press(Duration::from_secs(14));
+    cluster.cut_off.clear();
+    cluster.press(Duration::from_secs(5));
+    cluster.assert_limit_kept();
 }
 
 /// They are cut off while the team is quiet, with full buckets, and then it sends.
 #[test]
 fn daemons_that_were_cut_off_before_keep_to_their_part_of_a_limit() {
-    let mut field = DaemonField::new(DAEMONS);
-    field.cut_off = (0..DAEMONS).filter(|number| number % 3 == 0).collect();
+    let mut cluster = DaemonCluster::new(DAEMONS);
+    cluster.cut_off = (0..DAEMONS).filter(|number| number % 3 == 0).collect();
     for _ in 0..8 {
-        field.pass(Duration::from_millis(250));
+        cluster.pass(Duration::from_millis(250));
     }
-    field.press(Duration::from_secs(12));
-    field.assert_limit_kept();
+    cluster.press(Duration::from_secs(12));
+    cluster.assert_limit_kept();
 }
 
 /// While a team is at its limit, daemons are added. Each beginning with a part of the burst would
 /// let it through once more.
 #[test]
 fn daemons_that_join_take_over_what_a_team_has_used() {
-    let mut field = DaemonField::new(DAEMONS);
-    field.press(Duration::from_secs(6));
+    let mut cluster = DaemonCluster::new(DAEMONS);
+    cluster.press(Duration::from_secs(6));
     for _ in 0..12 {
-        field.add(2);
+        cluster.add(2);
     }
-    field.read_contacts();
+    cluster.read_contacts();
     let time = Duration::from_secs(3);
-    field.press(time);
+    cluster.press(time);
     let part = 12.0 / (DAEMONS + 12) as f64;
-    let share = field.limit.per_second * time.as_secs_f64() * part;
-    let used = field.admitted_by_joined as f64 * UNITS;
+    let share = cluster.limit.per_second * time.as_secs_f64() * part;
+    let used = cluster.admitted_by_joined as f64 * UNITS;
     assert!(used <= share * 1.4, "{used} of {share}");
-    field.press(Duration::from_secs(7));
-    field.assert_limit_kept();
+    cluster.press(Duration::from_secs(7));
+    cluster.assert_limit_kept();
 }
 
 /// Guards against an overdraft that is written off: many daemons that each admit one large request
 /// between two digests take several bursts at once.
 #[test]
 fn large_requests_at_many_daemons_keep_a_limit() {
-    let mut field = DaemonField::with_load(MANY, TeamLoad::large_requests(MANY));
-    field.press(Duration::from_secs(17));
-    field.assert_limit_kept();
-    let least = field.limit.per_second * WINDOW.as_secs_f64();
-    assert!(field.admitted_in_last(WINDOW) >= least * 0.9);
+    let mut cluster = DaemonCluster::with_load(MANY, TeamLoad::large_requests(MANY));
+    cluster.press(Duration::from_secs(17));
+    cluster.assert_limit_kept();
+    let least = cluster.limit.per_second * WINDOW.as_secs_f64();
+    assert!(cluster.admitted_in_last(WINDOW) >= least * 0.9);
 }
 
 /// Guards against a storm of digests after a kill of all daemons: each that knows no neighbours yet
 /// would send its zone's digest to every daemon.
 #[test]
 fn daemons_that_all_start_again_send_no_digests_before_they_know_their_zone() {
-    let mut field = DaemonField::new(MANY);
-    field.now = field.now + Duration::from_secs(1);
-    field.daemons = (0..MANY).map(|number| field.begin(number, 2)).collect();
-    field.read_contacts();
+    let mut cluster = DaemonCluster::new(MANY);
+    cluster.now = cluster.now + Duration::from_secs(1);
+    cluster.daemons = (0..MANY).map(|number| cluster.begin(number, 2)).collect();
+    cluster.read_contacts();
     for _ in 0..8 {
-        let round = field.pass(Duration::from_millis(100));
+        let round = cluster.pass(Duration::from_millis(100));
         let most = round.sent.iter().max().copied().unwrap_or_default();
         assert!(most <= MANY.div_ceil(ZONES) + 24, "{most} messages");
     }
@@ -212,47 +212,49 @@
 /// many others there are, while all callers of the team come back at once.
 #[test]
 fn large_requests_at_many_restarted_daemons_keep_a_limit() {
-    let mut field = DaemonField::with_load(MANY, TeamLoad::large_requests(MANY));
-    field.press(Duration::from_secs(6));
-    field.now = field.now + Duration::from_secs(1);
-    field.daemons = (0..MANY).map(|number| field.begin(number, 2)).collect();
-    let hot_steps = std::mem::replace(&mut field.hot_steps, RETURN_STEPS);
-    field.press(MEMBERS_DELAY);
-    field.read_contacts();
-    field.hot_steps = hot_steps;
-    field.press(Duration::from_secs(9));
-    field.assert_limit_kept();
+    let mut cluster = DaemonCluster::with_load(MANY, TeamLoad::large_requests(MANY));
+    cluster.press(Duration::from_secs(6));
+    cluster.now = cluster.now + Duration::from_secs(1);
+    cluster.daemons = (0..MANY).map(|number| cluster.begin(number, 2)).collect();
+    let hot_steps = std::mem::replace(&mut cluster.hot_steps, RETURN_STEPS);
+    cluster.press(MEMBERS_DELAY);
+    cluster.read_contacts();
+    cluster.hot_steps = hot_steps;
+    cluster.press(Duration::from_secs(9));
+    cluster.assert_limit_kept();
 }
 
 /// All are killed at once while a team is at its limit, and begin again a second later.
 #[test]
 fn many_daemons_that_all_start_again_keep_a_limit() {
-    let mut field = DaemonField::new(DAEMONS);
-    field.press(Duration::from_secs(6));
-    field.now = field.now + Duration::from_secs(1);
-    let fresh: Vec<GatewayHarness> = (0..DAEMONS).map(|number| field.begin(number, 2)).collect();
-    field.daemons = fresh;
-    field.read_contacts();
-    field.press(Duration::from_secs(10));
-    field.assert_limit_kept();
+    let mut cluster = DaemonCluster::new(DAEMONS);
+    cluster.press(Duration::from_secs(6));
+    cluster.now = cluster.now + Duration::from_secs(1);
+    let fresh: Vec<GatewayHarness> = (0..DAEMONS)
+        .map(|number| cluster.begin(number, 2))
+        .collect();
+    cluster.daemons = fresh;
+    cluster.read_contacts();
+    cluster.press(Duration::from_secs(10));
+    cluster.assert_limit_kept();
 }
 
 /// Guards against a team whose urgent work is refused at its limit while its other work passes.
 #[test]
 fn within_a_limit_urgent_work_goes_first() {
-    let mut field = DaemonField::new(DAEMONS);
-    field.press(Duration::from_secs(6));
+    let mut cluster = DaemonCluster::new(DAEMONS);
+    cluster.press(Duration::from_secs(6));
     let mut passed = [0; 2];
     for step in 0..400 {
-        field.now = field.now + Duration::from_millis(10);
+        cluster.now = cluster.now + Duration::from_millis(10);
         for number in 0..DAEMONS {
-            field.ask(number);
+            cluster.ask(number);
             let urgent = step % 2 == 0;
             let path = if urgent { "/urgent/1" } else { "/safe/1" };
-            passed[usize::from(!urgent)] += usize::from(field.passes(number, path));
+            passed[usize::from(!urgent)] += usize::from(cluster.passes(number, path));
         }
         if step % 25 == 0 {
-            field.talk();
+            cluster.talk();
         }
     }
     let [urgent, other] = passed;
