--- a/crates/savorywood-gateway/tests/common/callers.rs
+++ b/crates/savorywood-gateway/tests/common/callers.rs
@@ -142,7 +142,7 @@
             if !addresses.is_empty() {
                 let numbers = addresses
                     .iter()
-                    .filter_map(|address| cluster.number_of(*address));
+                    .filter_map(|address| cluster.daemon_at(*address));
                 self.callers[number].addresses = numbers.collect();
                 self.callers[number].asked_at = cluster.now;
                 return;
--- a/crates/savorywood-gateway/tests/common/cluster.rs
+++ b/crates/savorywood-gateway/tests/common/cluster.rs
@@ -26,10 +26,10 @@
 /// Step of callers that follow the directory.
 const CALLER_STEP: Duration = Duration::from_millis(40);
 const HEARTBEAT_STEPS: u64 = 4;
-pub const UNITS: f64 = 1_100.0;
-const OUTPUT: u32 = 100;
+pub const UNITS_PER_REQUEST: f64 = 1_100.0;
+const OUTPUT_TOKENS: u32 = 100;
 /// Steps between two requests of the pressing team at one daemon: three times what it may.
-pub const HOT_STEPS: u64 = 4;
+pub const REQUEST_INTERVAL_STEPS: u64 = 4;
 
 pub fn peer_address(number: usize) -> SocketAddr {
     let text = format!("10.0.{}.{}:7600", number / 200, number % 200 + 1);
@@ -56,7 +56,7 @@
     }
 }
 
-pub fn allowed(limit: TeamLimit) -> f64 {
+pub fn allowed_units(limit: TeamLimit) -> f64 {
     (limit.per_second * WINDOW.as_secs_f64() + limit.burst) * 1.1 + 190_000.0
 }
 
@@ -82,15 +82,15 @@
     /// Units of one request.
     pub units: f64,
     /// Steps between two requests at one daemon.
-    pub hot_steps: u64,
+    pub request_interval_steps: u64,
 }
 
 impl TeamLoad {
     pub fn small_requests(daemons: usize) -> Self {
         Self {
             limit: limit(daemons),
-            units: UNITS,
-            hot_steps: HOT_STEPS,
+            units: UNITS_PER_REQUEST,
+            request_interval_steps: REQUEST_INTERVAL_STEPS,
         }
     }
 
@@ -111,7 +111,7 @@
         Self {
             limit,
             units: 2_800.0,
-            hot_steps: 22,
+            request_interval_steps: 22,
         }
     }
 }
@@ -125,7 +125,7 @@
     /// Units of one request.
     pub units: f64,
     /// Steps between two requests of the pressing team at one daemon.
-    pub hot_steps: u64,
+    pub request_interval_steps: u64,
     pub cut_off: BTreeSet<usize>,
     /// Hosts without power, or frozen.
     pub down: BTreeSet<usize>,
@@ -136,7 +136,7 @@
     /// What the hosts have.
     pub capacities: Vec<HostResources>,
     steps: u64,
-    lives: u64,
+    last_incarnation: u64,
     pub admitted: Vec<MonotonicTime>,
     /// Those of daemons that joined later.
     pub admitted_by_joined: usize,
@@ -144,7 +144,7 @@
 
 /// Messages of one round.
 #[derive(Debug, Default)]
-pub struct RoundCount {
+pub struct RoundTraffic {
     pub sent: Vec<usize>,
     pub digests_received: BTreeMap<usize, BTreeMap<usize, usize>>,
 }
@@ -161,14 +161,14 @@
             addresses: BTreeMap::new(),
             limit: load.limit,
             units: load.units,
-            hot_steps: load.hot_steps,
+            request_interval_steps: load.request_interval_steps,
             cut_off: BTreeSet::new(),
             down: BTreeSet::new(),
             frozen: BTreeMap::new(),
             stale: BTreeSet::new(),
             capacities: Vec::new(),
             steps: 0,
-            lives: 1,
+            last_incarnation: 1,
             admitted: Vec::new(),
             admitted_by_joined: 0,
         };
@@ -177,12 +177,12 @@
         }
         cluster.read_contacts();
         for _ in 0..WARM_UP_ROUNDS {
-            cluster.pass(Duration::from_millis(250));
+            cluster.gossip_round(Duration::from_millis(250));
         }
         cluster
     }
 
-    pub fn begin(&self, number: usize, incarnation: u64) -> GatewayHarness {
+    pub fn start_daemon(&self, number: usize, incarnation: u64) -> GatewayHarness {
         let mut options = daemon_options(number, incarnation);
         options.capacity = self.capacities[number];
         let mut harness = GatewayHarness::unconfigured(options);
@@ -203,7 +203,7 @@
         if self.capacities.len() == number {
             self.capacities.push(HostResources::default());
         }
-        let harness = self.begin(number, incarnation);
+        let harness = self.start_daemon(number, incarnation);
         self.daemons.push(harness);
     }
 
@@ -221,19 +221,19 @@
         }
     }
 
-    pub fn pass(&mut self, time: Duration) -> RoundCount {
+    pub fn gossip_round(&mut self, time: Duration) -> RoundTraffic {
         self.now = self.now + time;
         for daemon in &mut self.daemons {
             daemon.now = self.now;
             daemon.confirm();
             daemon.step(GatewayEvent::Tick);
         }
-        self.talk()
+        self.exchange_gossip()
     }
 
     /// All gossip once; those that are cut off neither send nor receive.
-    pub fn talk(&mut self) -> RoundCount {
-        let mut count = RoundCount::default();
+    pub fn exchange_gossip(&mut self) -> RoundTraffic {
+        let mut count = RoundTraffic::default();
         let mut messages: Vec<(usize, usize, GatewayEvent)> = Vec::new();
         for (number, daemon) in self.daemons.iter_mut().enumerate() {
             if self.frozen.contains_key(&number) {
@@ -245,40 +245,40 @@
                 .sent
                 .push(plan.summary_to.len() + plan.digest_to.len() + plan.brief_to.len());
             let summary = daemon.gateway.summary(self.now);
-            let received = |address| self.addresses.get(address).copied();
-            for receiver in plan.summary_to.iter().filter_map(received) {
+            let receiver_index = |address| self.addresses.get(address).copied();
+            for receiver in plan.summary_to.iter().filter_map(receiver_index) {
                 let event = GatewayEvent::SummaryReceived(Box::new(summary.clone()));
                 messages.push((number, receiver, event));
             }
-            let far: Vec<SocketAddr> = [&plan.digest_to[..], &plan.brief_to[..]].concat();
+            let remote: Vec<SocketAddr> = [&plan.digest_to[..], &plan.brief_to[..]].concat();
             for (scope, receivers) in [
                 (ReportScope::Daemon, &plan.summary_to),
-                (ReportScope::Zone, &far),
+                (ReportScope::Zone, &remote),
             ] {
                 let gossip = daemon.gateway.crash_gossip(self.now, scope);
-                for receiver in receivers.iter().filter_map(received) {
+                for receiver in receivers.iter().filter_map(receiver_index) {
                     let event = gossip.clone().map(GatewayEvent::CrashesReported);
                     messages.extend(event.map(|event| (number, receiver, event)));
                 }
                 let gossip = daemon.gateway.limit_gossip(self.now, scope);
-                for receiver in receivers.iter().filter_map(received) {
+                for receiver in receivers.iter().filter_map(receiver_index) {
                     let event = gossip.clone().map(GatewayEvent::LimitsReported);
                     messages.extend(event.map(|event| (number, receiver, event)));
                 }
             }
-            for (slots, receivers) in [(true, &plan.digest_to), (false, &plan.brief_to)] {
+            for (with_slots, receivers) in [(true, &plan.digest_to), (false, &plan.brief_to)] {
                 if receivers.is_empty() {
                     continue;
                 }
-                let digest = daemon.gateway.digest(self.now, slots);
-                for receiver in receivers.iter().filter_map(received) {
+                let digest = daemon.gateway.digest(self.now, with_slots);
+                for receiver in receivers.iter().filter_map(receiver_index) {
                     let event = GatewayEvent::DigestReceived(Box::new(digest.clone()));
                     messages.push((number, receiver, event));
                 }
             }
         }
         for (sender, receiver, event) in messages {
-            if self.is_apart(sender) || self.is_apart(receiver) {
+            if self.is_isolated(sender) || self.is_isolated(receiver) {
                 continue;
             }
             if matches!(event, GatewayEvent::DigestReceived(_)) {
@@ -301,12 +301,12 @@
         }
     }
 
-    fn is_apart(&self, number: usize) -> bool {
+    fn is_isolated(&self, number: usize) -> bool {
         self.cut_off.contains(&number) || self.down.contains(&number)
     }
 
     /// Daemon that callers reach at an address.
-    pub fn number_of(&self, caller_address: SocketAddr) -> Option<usize> {
+    pub fn daemon_at(&self, caller_address: SocketAddr) -> Option<usize> {
         let mut address = caller_address;
         address.set_port(7600);
         self.addresses.get(&address).copied()
@@ -329,7 +329,7 @@
             let pause = self.daemons[0].gateway.gossip_pause(self.now).as_millis();
             let pause = pause / CALLER_STEP.as_millis();
             if u128::from(self.steps).is_multiple_of(pause) {
-                self.talk();
+                self.exchange_gossip();
             }
             if self.steps.is_multiple_of(HEARTBEAT_STEPS) {
                 self.send_heartbeats();
@@ -340,41 +340,41 @@
 
     fn send_heartbeats(&mut self) {
         for sender in 0..self.daemons.len() {
-            let Some((beat, receivers)) = self.daemons[sender].gateway.heartbeat() else {
+            let Some((heartbeat, receivers)) = self.daemons[sender].gateway.heartbeat() else {
                 continue;
             };
             let numbers = receivers
                 .iter()
                 .filter_map(|at| self.addresses.get(at).copied());
             for receiver in numbers.collect::<Vec<_>>() {
-                if !self.is_apart(sender) && !self.is_apart(receiver) {
-                    self.daemons[receiver].step(GatewayEvent::HeartbeatReceived(beat));
+                if !self.is_isolated(sender) && !self.is_isolated(receiver) {
+                    self.daemons[receiver].step(GatewayEvent::HeartbeatReceived(heartbeat));
                 }
             }
         }
     }
 
     /// Hosts that are down start again and read the list of daemons.
-    pub fn start_again(&mut self) {
+    pub fn restart_down(&mut self) {
         for number in std::mem::take(&mut self.down) {
-            self.lives += 1;
-            self.daemons[number] = self.begin(number, self.lives);
+            self.last_incarnation += 1;
+            self.daemons[number] = self.start_daemon(number, self.last_incarnation);
         }
         self.read_contacts();
-        self.talk();
+        self.exchange_gossip();
     }
 
     /// All start again, for hosts with other capacities.
     pub fn restart_all(&mut self) {
         self.down = (0..self.daemons.len()).collect();
-        self.start_again();
+        self.restart_down();
     }
 
     /// A daemon is ordered to stop, and says so.
     pub fn stop(&mut self, number: usize) {
         let grace = Duration::from_secs(8);
         self.daemons[number].step(GatewayEvent::StopRequested { grace });
-        self.talk();
+        self.exchange_gossip();
     }
 
     /// Callers of each zone use some descriptors, spread over the members.
@@ -388,53 +388,53 @@
                 ..HostResources::default()
             }));
         }
-        self.talk();
+        self.exchange_gossip();
     }
 
     /// A team sends several times what it may to all daemons for some time.
-    pub fn press(&mut self, time: Duration) {
+    pub fn overload(&mut self, time: Duration) {
         let steps = time.as_millis() / STEP.as_millis();
         for step in 0..u64::try_from(steps).expect("few steps") {
             self.now = self.now + STEP;
             for number in 0..self.daemons.len() {
-                if (step + number as u64).is_multiple_of(self.hot_steps) {
-                    self.ask(number);
+                if (step + number as u64).is_multiple_of(self.request_interval_steps) {
+                    self.send_request(number);
                 }
             }
             let pause =
                 self.daemons[0].gateway.gossip_pause(self.now).as_millis() / STEP.as_millis();
             if (u128::from(step) + 1).is_multiple_of(pause) {
-                self.talk();
+                self.exchange_gossip();
             }
         }
     }
 
-    pub fn ask(&mut self, number: usize) {
-        self.passes(number, "/safe/1");
+    pub fn send_request(&mut self, number: usize) {
+        self.admits(number, "/safe/1");
     }
 
     /// The pressing team sends a request to a daemon; whether it is let in.
-    pub fn passes(&mut self, number: usize, path: &str) -> bool {
+    pub fn admits(&mut self, number: usize, path: &str) -> bool {
         let daemon = &mut self.daemons[number];
         daemon.now = self.now;
         daemon.confirm();
-        let mut hot = arrival(path);
-        hot.size = Some(RequestSize {
-            prompt: self.units as u32 - OUTPUT,
-            output: OUTPUT,
+        let mut request_arrival = arrival(path);
+        request_arrival.size = Some(RequestSize {
+            prompt: self.units as u32 - OUTPUT_TOKENS,
+            output: OUTPUT_TOKENS,
         });
-        let request = daemon.arrive(hot);
-        let passes = daemon.refusal(request).is_none();
-        if passes {
+        let request = daemon.arrive(request_arrival);
+        let is_admitted = daemon.refusal(request).is_none();
+        if is_admitted {
             self.admitted.push(self.now);
             self.admitted_by_joined += usize::from(number >= DAEMONS);
             daemon.deliver(request);
         }
         daemon.effects.clear();
-        passes
+        is_admitted
     }
 
-    pub fn most_in_a_window(&self) -> f64 {
+    pub fn max_units_in_window(&self) -> f64 {
         let counts = self.admitted.iter().enumerate().map(|(index, from)| {
             let later = self.admitted[index..].iter();
             later.take_while(|at| at.since(*from) < WINDOW).count()
@@ -445,13 +445,13 @@
     /// Units admitted within the last span.
     pub fn admitted_in_last(&self, span: Duration) -> f64 {
         let admitted = self.admitted.iter();
-        let late = admitted.filter(|at| self.now.since(**at) < span);
-        late.count() as f64 * self.units
+        let recent = admitted.filter(|at| self.now.since(**at) < span);
+        recent.count() as f64 * self.units
     }
 
     pub fn assert_limit_kept(&self) {
-        let most = self.most_in_a_window();
-        let allowed = allowed(self.limit);
-        assert!(most <= allowed, "{most} of {allowed}");
+        let most = self.max_units_in_window();
+        let allowed_units = allowed_units(self.limit);
+        assert!(most <= allowed_units, "{most} of {allowed_units}");
     }
 }
--- a/crates/savorywood-gateway/tests/common/crashes.rs
+++ b/crates/savorywood-gateway/tests/common/crashes.rs
@@ -284,7 +284,7 @@
 
     /// A round of gossip; crashed upstreams are replaced in time.
     pub fn pass_round(&mut self) {
-        self.cluster.pass(ROUND);
+        self.cluster.gossip_round(ROUND);
         for daemon in 0..self.cluster.daemons.len() {
             self.step(daemon, GatewayEvent::Tick);
         }
--- a/crates/savorywood-gateway/tests/common/limits.rs
+++ b/crates/savorywood-gateway/tests/common/limits.rs
@@ -128,7 +128,7 @@
         self.running.retain(|running| running.daemon != daemon);
         self.known.retain(|(known, _), _| *known != daemon);
         self.cluster.down.insert(daemon);
-        self.cluster.start_again();
+        self.cluster.restart_down();
         self.started.insert(daemon, self.cluster.now);
         self.read_upstreams(daemon);
     }
@@ -167,7 +167,7 @@
             self.step(daemon, GatewayEvent::Tick);
         }
         if self.steps.is_multiple_of(STEPS_A_ROUND) {
-            self.cluster.talk();
+            self.cluster.exchange_gossip();
         }
         for _ in 0..self.arrivals {
             let daemon = self.draws.below(self.cluster.daemons.len());
--- a/crates/savorywood-gateway/tests/entry_set.rs
+++ b/crates/savorywood-gateway/tests/entry_set.rs
@@ -70,7 +70,7 @@
                 .addresses(cluster.now, CallerPlace::in_zone(&zone), 64);
         let numbers = addresses
             .iter()
-            .filter_map(|address| cluster.number_of(*address));
+            .filter_map(|address| cluster.daemon_at(*address));
         let numbers: BTreeSet<usize> = numbers.collect();
         let known = &mut members[number % ZONES];
         if known.is_empty() {
@@ -226,7 +226,7 @@
             let lost = (0..DAEMONS).filter(|number| number / ZONES % 2 == half);
             cluster.down = lost.collect();
             cluster.advance(seconds(1), &mut callers);
-            cluster.start_again();
+            cluster.restart_down();
             cluster.advance(seconds(4), &mut callers);
             assert_served_again(&callers, lost_at, REPLACED + keep);
         }
@@ -289,7 +289,7 @@
             .addresses(cluster.now, CallerPlace::in_zone("zone-0"), 64);
     let named: Vec<_> = named
         .iter()
-        .filter_map(|at| cluster.number_of(*at))
+        .filter_map(|at| cluster.daemon_at(*at))
         .collect();
     assert_eq!(named.len(), 3);
     assert!(!named.contains(&cut_off), "{named:?}");
@@ -321,7 +321,7 @@
         cluster.advance(Duration::from_millis(3_300), &mut callers);
         cluster.down.insert(number);
         cluster.advance(Duration::from_millis(500), &mut callers);
-        cluster.start_again();
+        cluster.restart_down();
         cluster.advance(Duration::from_millis(200), &mut callers);
     }
     assert_eq!(
--- a/crates/savorywood-gateway/tests/fleet_limits.rs
+++ b/crates/savorywood-gateway/tests/fleet_limits.rs
@@ -13,7 +13,7 @@
 
 const DAEMONS: usize = 7;
 const WINDOW: Duration = Duration::from_secs(8);
-const UNITS: f64 = 1_100.0;
+const UNITS_PER_REQUEST: f64 = 1_100.0;
 
 fn daemon_options(number: usize, incarnation: u64) -> GatewayOptions {
     let mut options = options(&format!("host-{number}"));
@@ -36,7 +36,7 @@
     }
 }
 
-fn begin(number: usize, incarnation: u64, now: MonotonicTime) -> GatewayHarness {
+fn start_daemon(number: usize, incarnation: u64, now: MonotonicTime) -> GatewayHarness {
     let mut harness = GatewayHarness::unconfigured(daemon_options(number, incarnation));
     harness.now = now;
     harness.step(GatewayEvent::ConfigRead(Arc::new(config(1, Some(limit())))));
@@ -49,12 +49,16 @@
 /// Times at which units were admitted, over all daemons.
 fn run(restart_at: Option<u64>) -> Vec<MonotonicTime> {
     let start = MonotonicTime(1_000_000);
-    let mut daemons: Vec<_> = (0..DAEMONS).map(|number| begin(number, 1, start)).collect();
+    let mut daemons: Vec<_> = (0..DAEMONS)
+        .map(|number| start_daemon(number, 1, start))
+        .collect();
     let mut admitted = Vec::new();
     for step in 0..2_400_u64 {
         let now = start + Duration::from_millis(step * 10);
         if restart_at == Some(step) {
-            daemons = (0..DAEMONS).map(|number| begin(number, 2, now)).collect();
+            daemons = (0..DAEMONS)
+                .map(|number| start_daemon(number, 2, now))
+                .collect();
         }
         // A team that sends several times what it may, spread over all daemons.
         let daemon = &mut daemons[(step % DAEMONS as u64) as usize];
@@ -86,15 +90,15 @@
     }
 }
 
-fn most_in_a_window(admitted: &[MonotonicTime]) -> f64 {
+fn max_units_in_window(admitted: &[MonotonicTime]) -> f64 {
     let counts = admitted.iter().enumerate().map(|(index, from)| {
         let later = admitted[index..].iter();
         later.take_while(|at| at.since(*from) < WINDOW).count()
     });
-    counts.max().unwrap_or_default() as f64 * UNITS
+    counts.max().unwrap_or_default() as f64 * UNITS_PER_REQUEST
 }
 
-fn allowed() -> f64 {
+fn allowed_units() -> f64 {
     (limit().per_second * WINDOW.as_secs_f64() + limit().burst) * 1.1 + 190_000.0
 }
 
@@ -104,8 +108,8 @@
 #[test]
 fn daemons_together_keep_a_limit() {
     let admitted = run(None);
-    let most = most_in_a_window(&admitted);
-    assert!(most <= allowed(), "{most} of {}", allowed());
+    let most = max_units_in_window(&admitted);
+    assert!(most <= allowed_units(), "{most} of {}", allowed_units());
     assert!(most >= limit().per_second * WINDOW.as_secs_f64(), "{most}");
 }
 
@@ -114,8 +118,12 @@
 #[test]
 fn daemons_that_all_start_again_keep_a_limit() {
     for restart_at in [650, 800, 1_000, 1_550] {
-        let most = most_in_a_window(&run(Some(restart_at)));
-        assert!(most <= allowed(), "{most} of {} at {restart_at}", allowed());
+        let most = max_units_in_window(&run(Some(restart_at)));
+        assert!(
+            most <= allowed_units(),
+            "{most} of {} at {restart_at}",
+            allowed_units()
+        );
     }
 }
 
--- a/crates/savorywood-gateway/tests/quarantine.rs
+++ b/crates/savorywood-gateway/tests/quarantine.rs
@@ -77,7 +77,7 @@
         let mut environment = quarantined_environment(daemons);
         let sends = environment.sends.len();
         environment.cluster.down.insert(3);
-        environment.cluster.start_again();
+        environment.cluster.restart_down();
         environment.pass_rounds(12);
         environment.send_crashing(3);
         assert_eq!(environment.sends.len(), sends, "{daemons} daemons");
--- a/crates/savorywood-gateway/tests/rollouts.rs
+++ b/crates/savorywood-gateway/tests/rollouts.rs
@@ -48,8 +48,9 @@
 
 fn run(run_options: RunOptions) -> RolloutRun {
     let start = MonotonicTime(1_000_000);
-    let mut daemons: Vec<GatewayHarness> =
-        (0..DAEMONS).map(|number| begin(number, start)).collect();
+    let mut daemons: Vec<GatewayHarness> = (0..DAEMONS)
+        .map(|number| start_daemon(number, start))
+        .collect();
     let mut result = RolloutRun::default();
     let mut stored: Option<(RolloutWrite, u64)> = None;
     for step in 0..1_300_u64 {
@@ -92,7 +93,7 @@
     result
 }
 
-fn begin(number: usize, now: MonotonicTime) -> GatewayHarness {
+fn start_daemon(number: usize, now: MonotonicTime) -> GatewayHarness {
     let mut harness = GatewayHarness::unconfigured(options(&format!("host-{number}")));
     harness.now = now;
     harness.step(GatewayEvent::ConfigRead(Arc::new(config(1, None))));
--- a/crates/savorywood-gateway/tests/store_reads.rs
+++ b/crates/savorywood-gateway/tests/store_reads.rs
@@ -58,7 +58,7 @@
                 daemon.step(GatewayEvent::Tick);
             }
             self.read_all(changed, reaches_store);
-            self.talk();
+            self.exchange_gossip();
         }
     }
 
@@ -86,7 +86,7 @@
     for number in 0..ZONES {
         cluster.read(number, SharedTable::Declared, 8, true);
     }
-    cluster.talk();
+    cluster.exchange_gossip();
     let plan = cluster.plan(ZONES, SharedTable::Declared);
     assert_eq!(plan, ReadPlan::CatchUp);
     // It can't read the store, and nobody hands on the change.
--- a/crates/savorywood-gateway/tests/warmup.rs
+++ b/crates/savorywood-gateway/tests/warmup.rs
@@ -133,7 +133,7 @@
 
     fn restart_killed(&mut self) {
         let killed: Vec<usize> = self.cluster.down.iter().copied().collect();
-        self.cluster.start_again();
+        self.cluster.restart_down();
         for number in killed {
             self.declare(number);
         }
--- a/crates/savorywood-gateway/tests/zones.rs
+++ b/crates/savorywood-gateway/tests/zones.rs
@@ -7,28 +7,28 @@
 #[path = "common/harness.rs"]
 mod harness;
 
-use cluster::{DAEMONS, DaemonCluster, TeamLoad, UNITS, WINDOW, ZONES};
+use cluster::{DAEMONS, DaemonCluster, TeamLoad, UNITS_PER_REQUEST, WINDOW, ZONES};
 use harness::{GatewayHarness, arrival};
 use savorywood_gateway::{DaemonRole, UpstreamLabel};
 use std::time::Duration;
 
 /// Steps between two requests at one daemon while all callers come back.
-const RETURN_STEPS: u64 = 2;
+const RECONNECT_INTERVAL_STEPS: u64 = 2;
 /// Daemons of a large fleet.
-const MANY: usize = 128;
+const LARGE_FLEET: usize = 128;
 
 /// Time from the first read of the configuration to the first read of the list of daemons.
-const MEMBERS_DELAY: Duration = Duration::from_millis(150);
+const MEMBER_LIST_DELAY: Duration = Duration::from_millis(150);
 
 /// Sent by each daemon to each, state would cost a daemon more with every other daemon.
 #[test]
 fn messages_of_a_daemon_do_not_grow_with_other_zones() {
     for count in [59, 82, 160] {
         let mut cluster = DaemonCluster::new(count);
-        let round = cluster.pass(Duration::from_millis(250));
+        let round = cluster.gossip_round(Duration::from_millis(250));
         let most = round.sent.iter().max().copied().unwrap_or_default();
-        let near = count.div_ceil(ZONES);
-        assert!(most <= near + 24, "{most} messages at {count} daemons");
+        let zone_size = count.div_ceil(ZONES);
+        assert!(most <= zone_size + 24, "{most} messages at {count} daemons");
         for receiver in 0..count {
             let received = &round.digests_received[&receiver];
             assert_eq!(
@@ -45,7 +45,7 @@
 #[test]
 fn few_daemons_exchange_summaries() {
     let mut cluster = DaemonCluster::new(8);
-    let round = cluster.pass(Duration::from_millis(250));
+    let round = cluster.gossip_round(Duration::from_millis(250));
     assert!(round.sent.iter().all(|sent| *sent == 7), "{:?}", round.sent);
     assert!(round.digests_received.is_empty());
 }
@@ -65,7 +65,7 @@
     }
     assert!(running > 0, "nothing went there");
     for _ in 0..3 {
-        cluster.pass(Duration::from_millis(250));
+        cluster.gossip_round(Duration::from_millis(250));
     }
     for daemon in &cluster.daemons {
         assert_ne!(daemon.gateway.role(), DaemonRole::Standby);
@@ -80,7 +80,7 @@
 fn standby_daemons_get_no_slots_of_other_zones() {
     let mut cluster = DaemonCluster::new(DAEMONS);
     for _ in 0..4 {
-        cluster.pass(Duration::from_millis(250));
+        cluster.gossip_round(Duration::from_millis(250));
     }
     let members: Vec<usize> = (0..DAEMONS)
         .filter(|number| cluster.daemons[*number].gateway.is_member())
@@ -98,7 +98,7 @@
             .sum()
     };
     for _ in 0..3 {
-        cluster.pass(Duration::from_millis(250));
+        cluster.gossip_round(Duration::from_millis(250));
     }
     for number in 0..DAEMONS {
         let expected = if members.contains(&number) {
@@ -117,7 +117,7 @@
     let mut cluster = DaemonCluster::new(DAEMONS);
     cluster.cut_off = (0..DAEMONS).filter(|number| number % 8 == 0).collect();
     for _ in 0..9 {
-        cluster.pass(Duration::from_millis(250));
+        cluster.gossip_round(Duration::from_millis(250));
     }
     for number in (0..DAEMONS).filter(|number| !cluster.cut_off.contains(number)) {
         let peers = cluster.daemons[number].gateway.peers();
@@ -131,10 +131,10 @@
 #[test]
 fn many_daemons_together_keep_a_limit() {
     let mut cluster = DaemonCluster::new(DAEMONS);
-    cluster.press(Duration::from_secs(12));
+    cluster.overload(Duration::from_secs(12));
     cluster.assert_limit_kept();
     let least = cluster.limit.per_second * WINDOW.as_secs_f64();
-    assert!(cluster.most_in_a_window() >= least);
+    assert!(cluster.max_units_in_window() >= least);
 }
 
 /// A third of the daemons are cut off from the others for longer than one waits for a peer, and
@@ -142,11 +142,11 @@
 #[test]
 fn daemons_that_are_cut_off_keep_to_their_part_of_a_limit() {
     let mut cluster = DaemonCluster::new(DAEMONS);
-    cluster.press(Duration::from_secs(3));
+    cluster.overload(Duration::from_secs(3));
     cluster.cut_off = (0..DAEMONS).filter(|number| number % 3 == 0).collect();
-    cluster.press(Duration::from_secs(14));
+    cluster.overload(Duration::from_secs(14));
     cluster.cut_off.clear();
-    cluster.press(Duration::from_secs(5));
+    cluster.overload(Duration::from_secs(5));
     cluster.assert_limit_kept();
 }
 
@@ -156,9 +156,9 @@
     let mut cluster = DaemonCluster::new(DAEMONS);
     cluster.cut_off = (0..DAEMONS).filter(|number| number % 3 == 0).collect();
     for _ in 0..8 {
-        cluster.pass(Duration::from_millis(250));
+        cluster.gossip_round(Duration::from_millis(250));
     }
-    cluster.press(Duration::from_secs(12));
+    cluster.overload(Duration::from_secs(12));
     cluster.assert_limit_kept();
 }
 
@@ -167,18 +167,18 @@
 #[test]
 fn daemons_that_join_take_over_what_a_team_has_used() {
     let mut cluster = DaemonCluster::new(DAEMONS);
-    cluster.press(Duration::from_secs(6));
+    cluster.overload(Duration::from_secs(6));
     for _ in 0..12 {
         cluster.add(2);
     }
     cluster.read_contacts();
     let time = Duration::from_secs(3);
-    cluster.press(time);
-    let part = 12.0 / (DAEMONS + 12) as f64;
-    let share = cluster.limit.per_second * time.as_secs_f64() * part;
-    let used = cluster.admitted_by_joined as f64 * UNITS;
+    cluster.overload(time);
+    let joined_fraction = 12.0 / (DAEMONS + 12) as f64;
+    let share = cluster.limit.per_second * time.as_secs_f64() * joined_fraction;
+    let used = cluster.admitted_by_joined as f64 * UNITS_PER_REQUEST;
     assert!(used <= share * 1.4, "{used} of {share}");
-    cluster.press(Duration::from_secs(7));
+    cluster.overload(Duration::from_secs(7));
     cluster.assert_limit_kept();
 }
 
@@ -186,8 +186,8 @@
 /// between two digests take several bursts at once.
 #[test]
 fn large_requests_at_many_daemons_keep_a_limit() {
-    let mut cluster = DaemonCluster::with_load(MANY, TeamLoad::large_requests(MANY));
-    cluster.press(Duration::from_secs(17));
+    let mut cluster = DaemonCluster::with_load(LARGE_FLEET, TeamLoad::large_requests(LARGE_FLEET));
+    cluster.overload(Duration::from_secs(17));
     cluster.assert_limit_kept();
     let least = cluster.limit.per_second * WINDOW.as_secs_f64();
     assert!(cluster.admitted_in_last(WINDOW) >= least * 0.9);
@@ -197,14 +197,16 @@
 /// would send its zone's digest to every daemon.
 #[test]
 fn daemons_that_all_start_again_send_no_digests_before_they_know_their_zone() {
-    let mut cluster = DaemonCluster::new(MANY);
+    let mut cluster = DaemonCluster::new(LARGE_FLEET);
     cluster.now = cluster.now + Duration::from_secs(1);
-    cluster.daemons = (0..MANY).map(|number| cluster.begin(number, 2)).collect();
+    cluster.daemons = (0..LARGE_FLEET)
+        .map(|number| cluster.start_daemon(number, 2))
+        .collect();
     cluster.read_contacts();
     for _ in 0..8 {
-        let round = cluster.pass(Duration::from_millis(100));
+        let round = cluster.gossip_round(Duration::from_millis(100));
         let most = round.sent.iter().max().copied().unwrap_or_default();
-        assert!(most <= MANY.div_ceil(ZONES) + 24, "{most} messages");
+        assert!(most <= LARGE_FLEET.div_ceil(ZONES) + 24, "{most} messages");
     }
 }
 
@@ -212,15 +214,20 @@
 /// many others there are, while all callers of the team come back at once.
 #[test]
 fn large_requests_at_many_restarted_daemons_keep_a_limit() {
-    let mut cluster = DaemonCluster::with_load(MANY, TeamLoad::large_requests(MANY));
-    cluster.press(Duration::from_secs(6));
+    let mut cluster = DaemonCluster::with_load(LARGE_FLEET, TeamLoad::large_requests(LARGE_FLEET));
+    cluster.overload(Duration::from_secs(6));
     cluster.now = cluster.now + Duration::from_secs(1);
-    cluster.daemons = (0..MANY).map(|number| cluster.begin(number, 2)).collect();
-    let hot_steps = std::mem::replace(&mut cluster.hot_steps, RETURN_STEPS);
-    cluster.press(MEMBERS_DELAY);
+    cluster.daemons = (0..LARGE_FLEET)
+        .map(|number| cluster.start_daemon(number, 2))
+        .collect();
+    let request_interval_steps = std::mem::replace(
+        &mut cluster.request_interval_steps,
+        RECONNECT_INTERVAL_STEPS,
+    );
+    cluster.overload(MEMBER_LIST_DELAY);
     cluster.read_contacts();
-    cluster.hot_steps = hot_steps;
-    cluster.press(Duration::from_secs(9));
+    cluster.request_interval_steps = request_interval_steps;
+    cluster.overload(Duration::from_secs(9));
     cluster.assert_limit_kept();
 }
 
@@ -228,14 +235,14 @@
 #[test]
 fn many_daemons_that_all_start_again_keep_a_limit() {
     let mut cluster = DaemonCluster::new(DAEMONS);
-    cluster.press(Duration::from_secs(6));
+    cluster.overload(Duration::from_secs(6));
     cluster.now = cluster.now + Duration::from_secs(1);
-    let fresh: Vec<GatewayHarness> = (0..DAEMONS)
-        .map(|number| cluster.begin(number, 2))
+    let restarted: Vec<GatewayHarness> = (0..DAEMONS)
+        .map(|number| cluster.start_daemon(number, 2))
         .collect();
-    cluster.daemons = fresh;
+    cluster.daemons = restarted;
     cluster.read_contacts();
-    cluster.press(Duration::from_secs(10));
+    cluster.overload(Duration::from_secs(10));
     cluster.assert_limit_kept();
 }
 
@@ -243,20 +250,20 @@
 #[test]
 fn within_a_limit_urgent_work_goes_first() {
     let mut cluster = DaemonCluster::new(DAEMONS);
-    cluster.press(Duration::from_secs(6));
-    let mut passed = [0; 2];
+    cluster.overload(Duration::from_secs(6));
+    let mut admitted = [0; 2];
     for step in 0..400 {
         cluster.now = cluster.now + Duration::from_millis(10);
         for number in 0..DAEMONS {
-            cluster.ask(number);
+            cluster.send_request(number);
             let urgent = step % 2 == 0;
             let path = if urgent { "/urgent/1" } else { "/safe/1" };
-            passed[usize::from(!urgent)] += usize::from(cluster.passes(number, path));
+            admitted[usize::from(!urgent)] += usize::from(cluster.admits(number, path));
         }
         if step % 25 == 0 {
-            cluster.talk();
+            cluster.exchange_gossip();
         }
     }
-    let [urgent, other] = passed;
+    let [urgent, other] = admitted;
     assert!(urgent > other * 2, "{urgent} urgent, {other} others");
 }
