--- a/crates/savorywood-gateway/tests/common/callers.rs
+++ b/crates/savorywood-gateway/tests/common/callers.rs
@@ -15,9 +15,9 @@
 
 /// Numbers that follow from a seed.
 #[derive(Debug, Clone)]
-pub struct SeededDraws(pub u64);
+pub struct SeededRandom(pub u64);
 
-impl SeededDraws {
+impl SeededRandom {
     /// A number below a bound.
     pub fn below(&mut self, bound: usize) -> usize {
         let Self(state) = self;
@@ -52,7 +52,7 @@
     callers: Vec<ZoneCaller>,
     /// Time for which they keep an answer.
     keep: Duration,
-    draws: SeededDraws,
+    random: SeededRandom,
     pub tally: CallerTally,
     /// When a request last went wrong.
     pub last_trouble: Option<MonotonicTime>,
@@ -67,7 +67,7 @@
         Self {
             callers: callers.collect(),
             keep,
-            draws: SeededDraws(1),
+            random: SeededRandom(1),
             tally: CallerTally::default(),
             last_trouble: None,
         }
@@ -93,7 +93,7 @@
             self.last_trouble = Some(now);
             return;
         }
-        let chosen = self.draws.below(count);
+        let chosen = self.random.below(count);
         let daemon = self.callers[number].addresses[chosen];
         if cluster.down.contains(&daemon) {
             self.tally.failed += 1;
@@ -134,7 +134,7 @@
             return;
         }
         for _ in 0..DIRECTORY_TRIES {
-            let daemon = known[self.draws.below(known.len())];
+            let daemon = known[self.random.below(known.len())];
             let gateway = &cluster.daemons[daemon].gateway;
             let name = format!("zone-{zone}");
             let addresses =
--- a/crates/savorywood-gateway/tests/common/concurrent_requests.rs
+++ b/crates/savorywood-gateway/tests/common/concurrent_requests.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use crate::{
-    callers::SeededDraws,
+    callers::SeededRandom,
     crashes::{CrashEnvironment, RequestEnd, RequestName},
 };
 use savorywood_gateway::RefusalReason;
@@ -29,12 +29,16 @@
 }
 
 impl Bystander {
-    pub fn new(environment: &mut CrashEnvironment, draws: &mut SeededDraws, path: String) -> Self {
-        let name = environment.send_sound(draws.below(8), &path);
+    pub fn new(
+        environment: &mut CrashEnvironment,
+        random: &mut SeededRandom,
+        path: String,
+    ) -> Self {
+        let name = environment.send_sound(random.below(8), &path);
         Self {
             name,
             path,
-            rounds: 1 + draws.below(MOST_ROUNDS),
+            rounds: 1 + random.below(MOST_ROUNDS),
             repeats: 0,
         }
     }
@@ -43,14 +47,14 @@
     pub fn advance(
         mut self,
         environment: &mut CrashEnvironment,
-        draws: &mut SeededDraws,
+        random: &mut SeededRandom,
     ) -> BystanderEnd {
         match environment.ends.get(&self.name) {
             Some(RequestEnd::Served) => BystanderEnd::Served,
             Some(RequestEnd::Refused(RefusalReason::Quarantined)) => BystanderEnd::Quarantined,
             Some(RequestEnd::Refused(_)) if self.repeats < REPEATS => {
                 let repeats = self.repeats + 1;
-                let again = Self::new(environment, draws, self.path);
+                let again = Self::new(environment, random, self.path);
                 BystanderEnd::Open(Self { repeats, ..again })
             }
             Some(RequestEnd::Refused(_)) => BystanderEnd::Failed,
--- a/crates/savorywood-gateway/tests/common/limits.rs
+++ b/crates/savorywood-gateway/tests/common/limits.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code, reason = "each test file uses a part of the field")]
 
 use crate::{
-    callers::SeededDraws,
+    callers::SeededRandom,
     cluster::{DaemonCluster, zone},
     harness::{arrival, upstream},
 };
@@ -56,7 +56,7 @@
 /// Daemons, upstreams with limits, and what was sent where.
 pub struct LimitEnvironment {
     pub cluster: DaemonCluster,
-    pub draws: SeededDraws,
+    pub random: SeededRandom,
     /// Requests that come in a step to all daemons together.
     pub arrivals: usize,
     pub tally: LimitTally,
@@ -81,7 +81,7 @@
         });
         let mut cluster = Self {
             cluster: DaemonCluster::new(daemons),
-            draws: SeededDraws(seed),
+            random: SeededRandom(seed),
             arrivals: 2,
             tally: LimitTally::default(),
             entries: entries.collect(),
@@ -170,7 +170,7 @@
             self.cluster.exchange_gossip();
         }
         for _ in 0..self.arrivals {
-            let daemon = self.draws.below(self.cluster.daemons.len());
+            let daemon = self.random.below(self.cluster.daemons.len());
             if !self.is_frozen(daemon) {
                 self.arrive(daemon);
             }
@@ -230,7 +230,7 @@
     }
 
     fn dispatched(&mut self, daemon: usize, order: &DispatchOrder) {
-        let time = 150 + self.draws.below(300) as u64;
+        let time = 150 + self.random.below(300) as u64;
         self.sent.push(SentRequest {
             daemon,
             upstream: order.upstream.clone(),
--- a/crates/savorywood-gateway/tests/common/load.rs
+++ b/crates/savorywood-gateway/tests/common/load.rs
@@ -10,7 +10,7 @@
 pub mod engine;
 
 use crate::harness::{GatewayHarness, config, options, route, upstream};
-use calls::{CallKind, CallTally, DrawSource, OpenCall};
+use calls::{CallKind, CallTally, OpenCall, RandomSource};
 use engine::{EngineModel, EngineOutput, EngineRun};
 use savorywood_gateway::{
     AnswerMarks, AttemptOutcome, DispatchOrder, GatewayEffect, GatewayEvent, LocalRequest,
@@ -62,7 +62,7 @@
     /// Daemons send slots alone as well.
     pub sends_slots: bool,
     steps: u64,
-    draws: DrawSource,
+    random: RandomSource,
     calls: BTreeMap<(usize, LocalRequest), OpenCall>,
     messages: VecDeque<MessageOnWay>,
     returns: Vec<CallerReturn>,
@@ -82,7 +82,7 @@
             taken_away: 0,
             sends_slots: true,
             steps: 0,
-            draws: DrawSource(42),
+            random: RandomSource(42),
             calls: BTreeMap::new(),
             messages: VecDeque::new(),
             returns: Vec::new(),
@@ -274,18 +274,18 @@
     fn arrivals(&mut self) {
         for kind in 0..self.kinds.len() {
             let per_step = self.kinds[kind].per_second * STEP.as_secs_f64();
-            if self.draws.next() >= per_step {
+            if self.random.next() >= per_step {
                 continue;
             }
             self.tallies[kind].asked += 1;
-            let call = self.kinds[kind].draw(kind, self.now, &mut self.draws);
+            let call = self.kinds[kind].sample(kind, self.now, &mut self.random);
             self.ask(call);
         }
     }
 
     fn ask(&mut self, mut call: OpenCall) {
         let daemons = self.daemons.len() as f64;
-        let number = (self.draws.next() * daemons) as usize;
+        let number = (self.random.next() * daemons) as usize;
         let kind = &self.kinds[call.kind];
         let left = call.deadline_at.since(self.now);
         let mut arrival: RequestArrival = crate::harness::arrival(&format!("{}1", kind.path));
--- a/crates/savorywood-gateway/tests/common/load/calls.rs
+++ b/crates/savorywood-gateway/tests/common/load/calls.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 /// Evenly drawn numbers (SplitMix64).
-pub struct DrawSource(pub u64);
+pub struct RandomSource(pub u64);
 
-impl DrawSource {
+impl RandomSource {
     pub fn next(&mut self) -> f64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.0;
@@ -18,7 +18,7 @@
     }
 
     /// Lognormally drawn around a median.
-    fn around(&mut self, median: f64, spread: f64) -> f64 {
+    fn sample_lognormal(&mut self, median: f64, spread: f64) -> f64 {
         let radius = (-2.0 * (1.0 - self.next()).ln()).sqrt();
         let normal = radius * (std::f64::consts::TAU * self.next()).cos();
         median * (spread * normal).exp()
@@ -47,16 +47,18 @@
 
 impl CallKind {
     /// A request of this kind.
-    pub fn draw(&self, kind: usize, now: MonotonicTime, draws: &mut DrawSource) -> OpenCall {
+    pub fn sample(&self, kind: usize, now: MonotonicTime, random: &mut RandomSource) -> OpenCall {
         let mut size = |(median, spread, most): (f64, f64, f64)| {
-            draws.around(median, spread).clamp(1.0, most) as u32
+            random.sample_lognormal(median, spread).clamp(1.0, most) as u32
         };
         let prompt = size(self.prompt);
         let tokens = size(self.tokens);
         OpenCall {
             kind,
             prompt,
-            guess: draws.around(f64::from(tokens), GUESS_SPREAD).max(1.0) as u32,
+            guess: random
+                .sample_lognormal(f64::from(tokens), GUESS_SPREAD)
+                .max(1.0) as u32,
             tokens_left: tokens,
             began_at: now,
             deadline_at: now + self.deadline,
--- a/crates/savorywood-gateway/tests/quarantine.rs
+++ b/crates/savorywood-gateway/tests/quarantine.rs
@@ -11,7 +11,7 @@
 #[path = "common/harness.rs"]
 mod harness;
 
-use callers::SeededDraws;
+use callers::SeededRandom;
 use concurrent_requests::{Bystander, BystanderEnd};
 use crashes::{CRASHING_PATH, CrashEnvironment, MOST_RETRIES, RequestEnd};
 use harness::{GatewayHarness, arrival};
@@ -286,22 +286,22 @@
 /// Eight daemons with twelve new requests a round, each of which runs for one to eight rounds and
 /// comes again twice if it breaks, beside a crashing one that comes every few rounds.
 fn run_concurrent_requests(seed: u64) -> BystanderTally {
-    let mut draws = SeededDraws(seed);
+    let mut random = SeededRandom(seed);
     let mut environment = CrashEnvironment::new(8);
     let mut tally = BystanderTally::default();
     let mut open: Vec<Bystander> = Vec::new();
     for round in 0..160 {
         for number in 0..12 {
             let path = format!("/stream/bystander-{round}-{number}");
-            open.push(Bystander::new(&mut environment, &mut draws, path));
+            open.push(Bystander::new(&mut environment, &mut random, path));
             tally.sent += 1;
         }
-        if draws.below(4) == 0 {
-            environment.send_crashing(draws.below(8));
+        if random.below(4) == 0 {
+            environment.send_crashing(random.below(8));
         }
         environment.pass_round();
         for bystander in std::mem::take(&mut open) {
-            match bystander.advance(&mut environment, &mut draws) {
+            match bystander.advance(&mut environment, &mut random) {
                 BystanderEnd::Open(bystander) => open.push(bystander),
                 BystanderEnd::Served => tally.served += 1,
                 BystanderEnd::Quarantined => tally.quarantined += 1,
--- a/crates/savorywood-gateway/tests/rate_limits.rs
+++ b/crates/savorywood-gateway/tests/rate_limits.rs
@@ -170,10 +170,10 @@
         environment.arrivals = 6;
         for _ in 0..10 {
             for _ in 0..2 {
-                let daemon = environment.draws.below(12);
+                let daemon = environment.random.below(12);
                 environment.restart(daemon);
             }
-            let millis = 300 + environment.draws.below(2_500) as u64;
+            let millis = 300 + environment.random.below(2_500) as u64;
             environment.advance(Duration::from_millis(millis));
         }
         environment.assert_limits_kept(&format!("seed {seed}"));
@@ -188,7 +188,7 @@
         environment.arrivals = 6;
         for _ in 0..5 {
             for _ in 0..8 {
-                let daemon = environment.draws.below(24);
+                let daemon = environment.random.below(24);
                 environment.cluster.cut_off.insert(daemon);
             }
             environment.advance(Duration::from_secs(3));
--- a/crates/savorywood-gateway/tests/warmup.rs
+++ b/crates/savorywood-gateway/tests/warmup.rs
@@ -7,7 +7,7 @@
 #[path = "common/harness.rs"]
 mod harness;
 
-use callers::{CallerGroup, SeededDraws};
+use callers::{CallerGroup, SeededRandom};
 use cluster::{DAEMONS, DaemonCluster, zone};
 use harness::{GatewayHarness, arrival, config, upstream};
 use quickcheck::{TestResult, quickcheck};
@@ -40,7 +40,7 @@
     sent_at: Vec<MonotonicTime>,
     born: u64,
     born_at: MonotonicTime,
-    draws: SeededDraws,
+    random: SeededRandom,
 }
 
 fn cold_entry(born: u64) -> UpstreamEntry {
@@ -61,7 +61,7 @@
             sent_at: Vec::new(),
             born: 1,
             born_at: cluster.now,
-            draws: SeededDraws(seed),
+            random: SeededRandom(seed),
             cluster,
         };
         for number in 0..daemons {
@@ -174,13 +174,13 @@
         let mut run = ColdStartRun::new(24, seed);
         for _ in 0..12 {
             for _ in 0..3 {
-                let number = run.draws.below(24);
+                let number = run.random.below(24);
                 run.kill(number);
             }
-            let pause = 200 + run.draws.below(900) as u64;
+            let pause = 200 + run.random.below(900) as u64;
             run.advance(Duration::from_millis(pause));
             run.restart_killed();
-            let pause = 100 + run.draws.below(1_500) as u64;
+            let pause = 100 + run.random.below(1_500) as u64;
             run.advance(Duration::from_millis(pause));
         }
         run.assert_bound_kept(&format!("seed {seed}"));
@@ -194,7 +194,7 @@
         let mut run = ColdStartRun::new(24, seed);
         for _ in 0..6 {
             for _ in 0..8 {
-                let number = run.draws.below(24);
+                let number = run.random.below(24);
                 run.cluster.cut_off.insert(number);
             }
             run.advance(3 * SECOND);
