--- a/crates/savorywood-gateway/tests/common/callers.rs
+++ b/crates/savorywood-gateway/tests/common/callers.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 
 /// Daemons that a caller asks in turn for addresses.
-const DIRECTORY_TRIES: usize = 3;
-const MOST_ADDRESSES: usize = 64;
+const DIRECTORY_ATTEMPTS: usize = 3;
+const MAX_ADDRESSES: usize = 64;
 
 /// Numbers that follow from a seed.
 #[derive(Debug, Clone)]
@@ -31,7 +31,7 @@
 /// What became of requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct CallerTally {
-    pub asked: usize,
+    pub requests: usize,
     pub served: usize,
     /// Answered that the daemon can't serve now.
     pub refused: usize,
@@ -43,7 +43,7 @@
 struct ZoneCaller {
     zone: usize,
     addresses: Vec<usize>,
-    asked_at: MonotonicTime,
+    resolved_at: MonotonicTime,
 }
 
 /// Callers of all zones.
@@ -51,53 +51,53 @@
 pub struct CallerGroup {
     callers: Vec<ZoneCaller>,
     /// Time for which they keep an answer.
-    keep: Duration,
+    address_ttl: Duration,
     random: SeededRandom,
     pub tally: CallerTally,
     /// When a request last went wrong.
-    pub last_trouble: Option<MonotonicTime>,
+    pub last_failure: Option<MonotonicTime>,
 }
 
 impl CallerGroup {
-    pub fn new(count: usize, keep: Duration) -> Self {
+    pub fn new(count: usize, address_ttl: Duration) -> Self {
         let callers = (0..count).map(|number| ZoneCaller {
             zone: number % ZONES,
             ..ZoneCaller::default()
         });
         Self {
             callers: callers.collect(),
-            keep,
+            address_ttl,
             random: SeededRandom(1),
             tally: CallerTally::default(),
-            last_trouble: None,
+            last_failure: None,
         }
     }
 
     /// Every caller sends one request.
-    pub fn ask_all(&mut self, cluster: &mut DaemonCluster) {
+    pub fn send_all(&mut self, cluster: &mut DaemonCluster) {
         for number in 0..self.callers.len() {
-            self.ask(cluster, number);
+            self.send_request(cluster, number);
         }
     }
 
-    fn ask(&mut self, cluster: &mut DaemonCluster, number: usize) {
+    fn send_request(&mut self, cluster: &mut DaemonCluster, number: usize) {
         let now = cluster.now;
         let caller = &self.callers[number];
-        if caller.addresses.is_empty() || now.since(caller.asked_at) >= self.keep {
-            self.look_up(cluster, number);
+        if caller.addresses.is_empty() || now.since(caller.resolved_at) >= self.address_ttl {
+            self.resolve(cluster, number);
         }
-        self.tally.asked += 1;
+        self.tally.requests += 1;
         let count = self.callers[number].addresses.len();
         if count == 0 {
             self.tally.refused += 1;
-            self.last_trouble = Some(now);
+            self.last_failure = Some(now);
             return;
         }
         let chosen = self.random.below(count);
         let daemon = self.callers[number].addresses[chosen];
         if cluster.down.contains(&daemon) {
             self.tally.failed += 1;
-            self.last_trouble = Some(now);
+            self.last_failure = Some(now);
             self.callers[number].addresses.remove(chosen);
             return;
         }
@@ -106,7 +106,7 @@
         let request = harness.arrive(arrival("/safe/1"));
         if harness.refusal(request).is_some() {
             self.tally.refused += 1;
-            self.last_trouble = Some(now);
+            self.last_failure = Some(now);
             self.callers[number].addresses.remove(chosen);
         } else {
             self.tally.served += 1;
@@ -116,35 +116,35 @@
     }
 
     /// Asks daemons of the caller's own zone first.
-    fn look_up(&mut self, cluster: &mut DaemonCluster, number: usize) {
+    fn resolve(&mut self, cluster: &mut DaemonCluster, number: usize) {
         let zone = self.callers[number].zone;
         let up = |number: &usize| !cluster.down.contains(number);
         let all = 0..cluster.daemons.len();
-        let near: Vec<usize> = all
+        let same_zone: Vec<usize> = all
             .clone()
             .filter(up)
             .filter(|n| n % ZONES == zone)
             .collect();
-        let known = if near.is_empty() {
+        let candidates = if same_zone.is_empty() {
             all.filter(up).collect()
         } else {
-            near
+            same_zone
         };
-        if known.is_empty() {
+        if candidates.is_empty() {
             return;
         }
-        for _ in 0..DIRECTORY_TRIES {
-            let daemon = known[self.random.below(known.len())];
+        for _ in 0..DIRECTORY_ATTEMPTS {
+            let daemon = candidates[self.random.below(candidates.len())];
             let gateway = &cluster.daemons[daemon].gateway;
             let name = format!("zone-{zone}");
             let addresses =
-                gateway.addresses(cluster.now, CallerPlace::in_zone(&name), MOST_ADDRESSES);
+                gateway.addresses(cluster.now, CallerPlace::in_zone(&name), MAX_ADDRESSES);
             if !addresses.is_empty() {
                 let numbers = addresses
                     .iter()
                     .filter_map(|address| cluster.daemon_at(*address));
                 self.callers[number].addresses = numbers.collect();
-                self.callers[number].asked_at = cluster.now;
+                self.callers[number].resolved_at = cluster.now;
                 return;
             }
         }
--- a/crates/savorywood-gateway/tests/common/cluster.rs
+++ b/crates/savorywood-gateway/tests/common/cluster.rs
@@ -334,7 +334,7 @@
             if self.steps.is_multiple_of(HEARTBEAT_STEPS) {
                 self.send_heartbeats();
             }
-            callers.ask_all(self);
+            callers.send_all(self);
         }
     }
 
--- a/crates/savorywood-gateway/tests/entry_set.rs
+++ b/crates/savorywood-gateway/tests/entry_set.rs
@@ -18,9 +18,9 @@
 const DAEMONS: usize = 80;
 const CALLERS: usize = 80;
 /// Time for which callers keep an answer of the directory.
-const KEEP: Duration = Duration::from_secs(1);
+const ADDRESS_TTL: Duration = Duration::from_secs(1);
 /// Time after which a failed member is named no more.
-const REPLACED: Duration = Duration::from_secs(1);
+const REPLACEMENT_BOUND: Duration = Duration::from_secs(1);
 
 fn small() -> HostResources {
     HostResources {
@@ -72,32 +72,32 @@
             .iter()
             .filter_map(|address| cluster.daemon_at(*address));
         let numbers: BTreeSet<usize> = numbers.collect();
-        let known = &mut members[number % ZONES];
-        if known.is_empty() {
-            known.clone_from(&numbers);
+        let expected = &mut members[number % ZONES];
+        if expected.is_empty() {
+            expected.clone_from(&numbers);
         }
-        assert_eq!(*known, numbers, "as daemon {number} sees it");
+        assert_eq!(*expected, numbers, "as daemon {number} sees it");
     }
     members
 }
 
 /// Callers at a field that has settled.
-fn settled(daemons: usize, keep: Duration) -> (DaemonCluster, CallerGroup) {
+fn settled_cluster(daemons: usize, address_ttl: Duration) -> (DaemonCluster, CallerGroup) {
     let mut cluster = DaemonCluster::with_load(daemons, TeamLoad::unlimited(daemons));
-    let mut callers = CallerGroup::new(CALLERS, keep);
+    let mut callers = CallerGroup::new(CALLERS, address_ttl);
     cluster.advance(seconds(4), &mut callers);
     callers.tally = callers::CallerTally::default();
-    callers.last_trouble = None;
+    callers.last_failure = None;
     (cluster, callers)
 }
 
-fn assert_served_again(callers: &CallerGroup, since: MonotonicTime, within: Duration) {
-    let trouble = callers
-        .last_trouble
+fn assert_recovered(callers: &CallerGroup, since: MonotonicTime, within: Duration) {
+    let failing_for = callers
+        .last_failure
         .map_or(Duration::ZERO, |at| at.since(since));
     assert!(
-        trouble <= within,
-        "trouble for {trouble:?}: {:?}",
+        failing_for <= within,
+        "trouble for {failing_for:?}: {:?}",
         callers.tally
     );
 }
@@ -146,9 +146,9 @@
 #[test]
 fn a_daemon_that_just_started_is_no_member() {
     let mut all: Vec<EntryCandidate> = (0..6).map(|host| candidate(host, small())).collect();
-    let mut young = candidate(9, large());
-    young.steady = Duration::from_millis(500);
-    all.push(young);
+    let mut recently_started = candidate(9, large());
+    recently_started.steady = Duration::from_millis(500);
+    all.push(recently_started);
     assert!(!select_members(all, &descriptors(10)).contains(&9));
 }
 
@@ -182,10 +182,10 @@
 fn all_daemons_name_the_same_members() {
     for count in [1, 8, 80, 200, 350] {
         let mut cluster = DaemonCluster::new(count);
-        cluster.advance(seconds(1), &mut CallerGroup::new(0, KEEP));
+        cluster.advance(seconds(1), &mut CallerGroup::new(0, ADDRESS_TTL));
         for (zone, members) in assert_agreement(&cluster).iter().enumerate() {
-            let here = (0..count).filter(|number| number % ZONES == zone).count();
-            assert_eq!(members.len(), here.min(3), "zone {zone} of {count}");
+            let zone_size = (0..count).filter(|number| number % ZONES == zone).count();
+            assert_eq!(members.len(), zone_size.min(3), "zone {zone} of {count}");
         }
     }
 }
@@ -205,7 +205,10 @@
                 let members = assert_agreement(&cluster);
                 let each = load / members[0].len() as u32;
                 assert!(each < 4_100, "{each} descriptors at each member");
-                cluster.advance(Duration::from_millis(500), &mut CallerGroup::new(0, KEEP));
+                cluster.advance(
+                    Duration::from_millis(500),
+                    &mut CallerGroup::new(0, ADDRESS_TTL),
+                );
             }
         }
         let members = assert_agreement(&cluster);
@@ -219,8 +222,8 @@
 /// Half of all hosts lose power at once, twice within five seconds, and come back after a second.
 #[test]
 fn callers_are_served_again_after_half_of_all_hosts_are_lost() {
-    for keep in [KEEP, KEEP * 3] {
-        let (mut cluster, mut callers) = settled(DAEMONS, keep);
+    for address_ttl in [ADDRESS_TTL, ADDRESS_TTL * 3] {
+        let (mut cluster, mut callers) = settled_cluster(DAEMONS, address_ttl);
         for half in [0, 1] {
             let lost_at = cluster.now;
             let lost = (0..DAEMONS).filter(|number| number / ZONES % 2 == half);
@@ -228,7 +231,7 @@
             cluster.advance(seconds(1), &mut callers);
             cluster.restart_down();
             cluster.advance(seconds(4), &mut callers);
-            assert_served_again(&callers, lost_at, REPLACED + keep);
+            assert_recovered(&callers, lost_at, REPLACEMENT_BOUND + address_ttl);
         }
         assert!(
             callers.tally.failed + callers.tally.refused <= CALLERS * 4,
@@ -241,7 +244,7 @@
 /// Members are killed one after the other, each time the first of its zone.
 #[test]
 fn members_that_are_killed_in_turn_are_replaced() {
-    let (mut cluster, mut callers) = settled(DAEMONS, KEEP);
+    let (mut cluster, mut callers) = settled_cluster(DAEMONS, ADDRESS_TTL);
     for _ in 0..4 {
         let members = assert_agreement(&cluster);
         let lost_at = cluster.now;
@@ -249,7 +252,7 @@
             cluster.down.extend(zone.first());
         }
         cluster.advance(seconds(3), &mut callers);
-        assert_served_again(&callers, lost_at, REPLACED + KEEP);
+        assert_recovered(&callers, lost_at, REPLACEMENT_BOUND + ADDRESS_TTL);
         let members = assert_agreement(&cluster);
         assert!(members.iter().all(|zone| zone.len() == 3), "{members:?}");
     }
@@ -258,12 +261,12 @@
 /// A frozen member neither answers nor sends; after it wakes it is no member for a while.
 #[test]
 fn a_frozen_member_is_replaced_until_it_is_steady_again() {
-    let (mut cluster, mut callers) = settled(DAEMONS, KEEP);
+    let (mut cluster, mut callers) = settled_cluster(DAEMONS, ADDRESS_TTL);
     let frozen = *assert_agreement(&cluster)[0].first().expect("a member");
     let frozen_at = cluster.now;
     cluster.down.insert(frozen);
     cluster.advance(seconds(3), &mut callers);
-    assert_served_again(&callers, frozen_at, REPLACED + KEEP);
+    assert_recovered(&callers, frozen_at, REPLACEMENT_BOUND + ADDRESS_TTL);
     cluster.down.clear();
     cluster.advance(seconds(1), &mut callers);
     assert!(!assert_agreement(&cluster)[0].contains(&frozen));
@@ -274,12 +277,12 @@
 /// A member that no daemon sees goes on serving the callers that know it; the others replace it.
 #[test]
 fn a_member_cut_off_from_its_peers_is_replaced() {
-    let (mut cluster, mut callers) = settled(DAEMONS, KEEP);
+    let (mut cluster, mut callers) = settled_cluster(DAEMONS, ADDRESS_TTL);
     let cut_off = *assert_agreement(&cluster)[0].first().expect("a member");
     cluster.cut_off.insert(cut_off);
     cluster.advance(seconds(4), &mut callers);
     assert_eq!(
-        callers.tally.served, callers.tally.asked,
+        callers.tally.served, callers.tally.requests,
         "{:?}",
         callers.tally
     );
@@ -298,7 +301,7 @@
 /// A member that can't confirm its configuration names itself no more.
 #[test]
 fn a_member_without_the_store_is_replaced() {
-    let (mut cluster, mut callers) = settled(DAEMONS, KEEP);
+    let (mut cluster, mut callers) = settled_cluster(DAEMONS, ADDRESS_TTL);
     let stale = *assert_agreement(&cluster)[0].first().expect("a member");
     cluster.stale.insert(stale);
     cluster.advance(seconds(6), &mut callers);
@@ -306,7 +309,7 @@
     assert!(!members[0].contains(&stale));
     assert_eq!(members[0].len(), 3);
     assert_eq!(
-        callers.tally.served, callers.tally.asked,
+        callers.tally.served, callers.tally.requests,
         "{:?}",
         callers.tally
     );
@@ -315,7 +318,7 @@
 /// Every daemon is stopped and started in turn, members among them.
 #[test]
 fn a_rolling_stop_of_all_refuses_nobody() {
-    let (mut cluster, mut callers) = settled(24, KEEP);
+    let (mut cluster, mut callers) = settled_cluster(24, ADDRESS_TTL);
     for number in 0..24 {
         cluster.stop(number);
         cluster.advance(Duration::from_millis(3_300), &mut callers);
@@ -325,7 +328,7 @@
         cluster.advance(Duration::from_millis(200), &mut callers);
     }
     assert_eq!(
-        callers.tally.served, callers.tally.asked,
+        callers.tally.served, callers.tally.requests,
         "{:?}",
         callers.tally
     );
@@ -334,11 +337,11 @@
 /// Callers of a zone that is lost get the members of the other zones.
 #[test]
 fn callers_of_a_lost_zone_use_other_zones() {
-    let (mut cluster, mut callers) = settled(DAEMONS, KEEP);
+    let (mut cluster, mut callers) = settled_cluster(DAEMONS, ADDRESS_TTL);
     let lost_at = cluster.now;
     cluster.down = (0..DAEMONS).filter(|number| number % ZONES == 0).collect();
     cluster.advance(seconds(5), &mut callers);
-    assert_served_again(&callers, lost_at, REPLACED + KEEP);
+    assert_recovered(&callers, lost_at, REPLACEMENT_BOUND + ADDRESS_TTL);
 }
 
 /// Guards against a set that takes in the whole zone since its hosts are busy with each other:
@@ -348,7 +351,7 @@
     let mut cluster = DaemonCluster::with_load(DAEMONS, TeamLoad::unlimited(DAEMONS));
     cluster.capacities = vec![small(); DAEMONS];
     cluster.restart_all();
-    let mut callers = CallerGroup::new(CALLERS, KEEP);
+    let mut callers = CallerGroup::new(CALLERS, ADDRESS_TTL);
     cluster.advance(seconds(4), &mut callers);
     for _ in 0..4 {
         for daemon in &mut cluster.daemons {
