--- a/crates/savorywood-gateway/tests/common/concurrent_requests.rs
+++ b/crates/savorywood-gateway/tests/common/concurrent_requests.rs
@@ -3,43 +3,43 @@
 
 use crate::{
     callers::SeededRandom,
-    crashes::{CrashEnvironment, RequestEnd, RequestName},
+    crashes::{CrashEnvironment, RequestEnd, RequestId},
 };
 use savorywood_gateway::RefusalReason;
 
 /// Repeats of a request that broke.
-const REPEATS: u32 = 2;
+const MAX_RETRIES: u32 = 2;
 /// Rounds for which a request runs at most.
-const MOST_ROUNDS: usize = 8;
+const MAX_ROUNDS: usize = 8;
 
 /// A request that harms nobody.
-pub struct Bystander {
-    name: RequestName,
+pub struct ConcurrentRequest {
+    name: RequestId,
     path: String,
     rounds: usize,
-    repeats: u32,
+    retries: u32,
 }
 
 /// What became of it.
-pub enum BystanderEnd {
-    Open(Bystander),
+pub enum ConcurrentRequestEnd {
+    Open(ConcurrentRequest),
     Served,
     Quarantined,
     Failed,
 }
 
-impl Bystander {
+impl ConcurrentRequest {
     pub fn new(
         environment: &mut CrashEnvironment,
         random: &mut SeededRandom,
         path: String,
     ) -> Self {
-        let name = environment.send_sound(random.below(8), &path);
+        let name = environment.send_harmless(random.below(8), &path);
         Self {
             name,
             path,
-            rounds: 1 + random.below(MOST_ROUNDS),
-            repeats: 0,
+            rounds: 1 + random.below(MAX_ROUNDS),
+            retries: 0,
         }
     }
 
@@ -48,23 +48,25 @@
         mut self,
         environment: &mut CrashEnvironment,
         random: &mut SeededRandom,
-    ) -> BystanderEnd {
+    ) -> ConcurrentRequestEnd {
         match environment.ends.get(&self.name) {
-            Some(RequestEnd::Served) => BystanderEnd::Served,
-            Some(RequestEnd::Refused(RefusalReason::Quarantined)) => BystanderEnd::Quarantined,
-            Some(RequestEnd::Refused(_)) if self.repeats < REPEATS => {
-                let repeats = self.repeats + 1;
-                let again = Self::new(environment, random, self.path);
-                BystanderEnd::Open(Self { repeats, ..again })
+            Some(RequestEnd::Served) => ConcurrentRequestEnd::Served,
+            Some(RequestEnd::Refused(RefusalReason::Quarantined)) => {
+                ConcurrentRequestEnd::Quarantined
             }
-            Some(RequestEnd::Refused(_)) => BystanderEnd::Failed,
+            Some(RequestEnd::Refused(_)) if self.retries < MAX_RETRIES => {
+                let retries = self.retries + 1;
+                let retry = Self::new(environment, random, self.path);
+                ConcurrentRequestEnd::Open(Self { retries, ..retry })
+            }
+            Some(RequestEnd::Refused(_)) => ConcurrentRequestEnd::Failed,
             None if self.rounds > 1 => {
                 self.rounds -= 1;
-                BystanderEnd::Open(self)
+                ConcurrentRequestEnd::Open(self)
             }
             None => {
                 environment.deliver(self.name);
-                BystanderEnd::Open(self)
+                ConcurrentRequestEnd::Open(self)
             }
         }
     }
--- a/crates/savorywood-gateway/tests/common/crashes.rs
+++ b/crates/savorywood-gateway/tests/common/crashes.rs
@@ -17,13 +17,13 @@
 };
 
 /// Time within which daemons in touch must know of a crash.
-pub const CONTACT: Duration = Duration::from_secs(3);
+pub const PROPAGATION_BOUND: Duration = Duration::from_secs(3);
 /// Retries that may reach upstreams after that.
-pub const MOST_RETRIES: usize = 3;
+pub const MAX_LATE_DISPATCHES: usize = 3;
 /// Time after which a crashed upstream has a successor.
-const RETURN_TIME: Duration = Duration::from_secs(3);
+const REPLACEMENT_DELAY: Duration = Duration::from_secs(3);
 /// Time between two rounds of gossip.
-pub const ROUND: Duration = Duration::from_millis(250);
+pub const GOSSIP_INTERVAL: Duration = Duration::from_millis(250);
 /// Slots of a successor.
 const SLOTS: u32 = 1_000;
 pub const CRASHING_PATH: &str = "/stream/crashing";
@@ -32,7 +32,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestKind {
     Crashing,
-    Sound,
+    Harmless,
 }
 
 /// How a request ended for its caller.
@@ -44,7 +44,7 @@
 
 /// A request of one daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct RequestName {
+pub struct RequestId {
     pub daemon: usize,
     pub request: LocalRequest,
 }
@@ -52,7 +52,7 @@
 /// A sound request at an upstream.
 #[derive(Debug, Clone)]
 struct RunningRequest {
-    name: RequestName,
+    name: RequestId,
     upstream: UpstreamLabel,
 }
 
@@ -66,22 +66,22 @@
 /// Daemons, their upstreams, and what became of requests.
 pub struct CrashEnvironment {
     pub cluster: DaemonCluster,
-    alive: BTreeSet<UpstreamLabel>,
+    live_upstreams: BTreeSet<UpstreamLabel>,
     next_upstream: u16,
     crashed: Vec<CrashedUpstream>,
     running: Vec<RunningRequest>,
-    kinds: BTreeMap<RequestName, RequestKind>,
-    pub ends: BTreeMap<RequestName, RequestEnd>,
+    kinds: BTreeMap<RequestId, RequestKind>,
+    pub ends: BTreeMap<RequestId, RequestEnd>,
     /// When upstreams crashed under the crashing request.
     pub crashes: Vec<MonotonicTime>,
     /// Arrivals of the crashing request at upstreams.
-    pub sends: Vec<MonotonicTime>,
-    sent: BTreeMap<RequestName, usize>,
+    pub dispatches: Vec<MonotonicTime>,
+    dispatch_counts: BTreeMap<RequestId, usize>,
     /// Rows of the store, and how often they were written.
     pub rows: BTreeMap<RequestFingerprint, Vec<StoredCrash>>,
     pub writes: usize,
     /// The store takes writes.
-    pub store_works: bool,
+    pub store_accepts_writes: bool,
 }
 
 impl CrashEnvironment {
@@ -89,43 +89,38 @@
         let numbers = 1..=8;
         Self {
             cluster: DaemonCluster::new(daemons),
-            alive: numbers.map(|number| upstream(number, SLOTS).name).collect(),
+            live_upstreams: numbers.map(|number| upstream(number, SLOTS).name).collect(),
             next_upstream: 9,
             crashed: Vec::new(),
             running: Vec::new(),
             kinds: BTreeMap::new(),
             ends: BTreeMap::new(),
             crashes: Vec::new(),
-            sends: Vec::new(),
-            sent: BTreeMap::new(),
+            dispatches: Vec::new(),
+            dispatch_counts: BTreeMap::new(),
             rows: BTreeMap::new(),
             writes: 0,
-            store_works: true,
+            store_accepts_writes: true,
         }
     }
 
     /// The crashing request comes to a daemon once more.
-    pub fn send_crashing(&mut self, daemon: usize) -> RequestName {
+    pub fn send_crashing(&mut self, daemon: usize) -> RequestId {
         self.send(daemon, RequestKind::Crashing, arrival(CRASHING_PATH))
     }
 
     /// A request that harms nobody comes to a daemon.
-    pub fn send_sound(&mut self, daemon: usize, path: &str) -> RequestName {
-        self.send(daemon, RequestKind::Sound, arrival(path))
+    pub fn send_harmless(&mut self, daemon: usize, path: &str) -> RequestId {
+        self.send(daemon, RequestKind::Harmless, arrival(path))
     }
 
-    pub fn send(
-        &mut self,
-        daemon: usize,
-        kind: RequestKind,
-        arrival: RequestArrival,
-    ) -> RequestName {
+    pub fn send(&mut self, daemon: usize, kind: RequestKind, arrival: RequestArrival) -> RequestId {
         let harness = &mut self.cluster.daemons[daemon];
         harness.now = self.cluster.now;
         harness.confirm();
         harness.effects.clear();
         let request = harness.next_request();
-        let name = RequestName { daemon, request };
+        let name = RequestId { daemon, request };
         self.kinds.insert(name, kind);
         let arrival = Box::new(arrival);
         self.step(daemon, GatewayEvent::Arrived { request, arrival });
@@ -139,11 +134,11 @@
         harness.step(event);
         for effect in std::mem::take(&mut harness.effects) {
             match effect {
-                GatewayEffect::Dispatch(order) => self.dispatched(daemon, &order),
+                GatewayEffect::Dispatch(order) => self.on_dispatch(daemon, &order),
                 GatewayEffect::Refuse {
                     request, reason, ..
                 } => {
-                    let name = RequestName { daemon, request };
+                    let name = RequestId { daemon, request };
                     self.ends.insert(name, RequestEnd::Refused(reason));
                 }
                 GatewayEffect::WriteQuarantine(write) => self.write_row(daemon, write),
@@ -154,7 +149,7 @@
 
     fn write_row(&mut self, daemon: usize, write: QuarantineWrite) {
         self.writes += 1;
-        let accepted = self.store_works;
+        let accepted = self.store_accepts_writes;
         if accepted {
             match write.crashes.clone() {
                 Some(crashes) => self.rows.insert(write.fingerprint, crashes),
@@ -172,7 +167,7 @@
     }
 
     /// All daemons start again at once; `reads`: they read what the store keeps.
-    pub fn restart_all(&mut self, reads: bool) {
+    pub fn restart_all(&mut self, reads_rows: bool) {
         self.cluster.restart_all();
         let rows = self
             .rows
@@ -183,46 +178,46 @@
             });
         let rows: Vec<QuarantineRow> = rows.collect();
         for daemon in 0..self.cluster.daemons.len() {
-            let alive = self.alive.iter();
-            let entries = alive.map(|name| UpstreamEntry {
+            let live_upstreams = self.live_upstreams.iter();
+            let entries = live_upstreams.map(|name| UpstreamEntry {
                 name: name.clone(),
                 ..upstream(1, SLOTS)
             });
             self.step(daemon, GatewayEvent::UpstreamsRead(entries.collect()));
-            if reads {
+            if reads_rows {
                 self.step(daemon, GatewayEvent::QuarantineRead(rows.clone()));
             }
         }
     }
 
-    fn end(&mut self, name: RequestName, outcome: AttemptOutcome) {
+    fn end_attempt(&mut self, name: RequestId, outcome: AttemptOutcome) {
         let request = name.request;
         self.step(name.daemon, GatewayEvent::AttemptEnded { request, outcome });
     }
 
-    fn dispatched(&mut self, daemon: usize, order: &DispatchOrder) {
-        let name = RequestName {
+    fn on_dispatch(&mut self, daemon: usize, order: &DispatchOrder) {
+        let name = RequestId {
             daemon,
             request: order.request,
         };
         let upstream = order.upstream.clone();
-        if !self.alive.contains(&upstream) {
-            return self.end(name, AttemptOutcome::NotSent);
+        if !self.live_upstreams.contains(&upstream) {
+            return self.end_attempt(name, AttemptOutcome::NotSent);
         }
         match self.kinds[&name] {
-            RequestKind::Sound => self.running.push(RunningRequest { name, upstream }),
+            RequestKind::Harmless => self.running.push(RunningRequest { name, upstream }),
             RequestKind::Crashing => {
-                self.sends.push(self.cluster.now);
-                *self.sent.entry(name).or_default() += 1;
+                self.dispatches.push(self.cluster.now);
+                *self.dispatch_counts.entry(name).or_default() += 1;
                 self.crashes.push(self.cluster.now);
                 self.crash(&upstream);
-                self.end(name, AttemptOutcome::Broken { silent: false });
+                self.end_attempt(name, AttemptOutcome::Broken { silent: false });
             }
         }
     }
 
     /// Upstreams at which a request runs.
-    pub fn upstream_of(&self, name: RequestName) -> Option<UpstreamLabel> {
+    pub fn upstream_of(&self, name: RequestId) -> Option<UpstreamLabel> {
         let mut running = self.running.iter();
         let found = running.find(|running| running.name == name);
         found.map(|running| running.upstream.clone())
@@ -230,37 +225,37 @@
 
     /// An upstream ends, and all that runs there breaks.
     pub fn crash(&mut self, upstream: &UpstreamLabel) {
-        self.alive.remove(upstream);
+        self.live_upstreams.remove(upstream);
         self.crashed.push(CrashedUpstream {
             upstream: upstream.clone(),
             at: self.cluster.now,
         });
-        let is_there = |running: &RunningRequest| running.upstream == *upstream;
+        let runs_there = |running: &RunningRequest| running.upstream == *upstream;
         let broken: Vec<_> = self
             .running
-            .extract_if(.., |there| is_there(there))
+            .extract_if(.., |there| runs_there(there))
             .collect();
         for running in broken {
-            self.end(running.name, AttemptOutcome::Broken { silent: false });
+            self.end_attempt(running.name, AttemptOutcome::Broken { silent: false });
         }
     }
 
     /// A daemon refuses a path as in quarantine.
-    pub fn refuses(&mut self, daemon: usize, path: &str) -> bool {
-        let name = self.send_sound(daemon, path);
+    pub fn is_quarantined(&mut self, daemon: usize, path: &str) -> bool {
+        let name = self.send_harmless(daemon, path);
         self.deliver(name);
         let refused = RequestEnd::Refused(RefusalReason::Quarantined);
         self.ends.get(&name) == Some(&refused)
     }
 
     /// Times that a crashing request reached an upstream.
-    pub fn sends_of(&self, name: RequestName) -> usize {
-        self.sent.get(&name).copied().unwrap_or_default()
+    pub fn dispatch_count(&self, name: RequestId) -> usize {
+        self.dispatch_counts.get(&name).copied().unwrap_or_default()
     }
 
     /// Upstreams that run.
     pub fn upstreams(&self) -> Vec<UpstreamLabel> {
-        self.alive.iter().cloned().collect()
+        self.live_upstreams.iter().cloned().collect()
     }
 
     /// All sound requests that run are answered.
@@ -268,28 +263,28 @@
         for running in std::mem::take(&mut self.running) {
             let marks = AnswerMarks::default();
             self.ends.insert(running.name, RequestEnd::Served);
-            self.end(running.name, AttemptOutcome::Delivered { marks, events: 1 });
+            self.end_attempt(running.name, AttemptOutcome::Delivered { marks, events: 1 });
         }
     }
 
     /// One sound request is answered.
-    pub fn deliver(&mut self, name: RequestName) {
-        let is_it = |running: &mut RunningRequest| running.name == name;
-        if self.running.extract_if(.., is_it).count() > 0 {
+    pub fn deliver(&mut self, name: RequestId) {
+        let has_id = |running: &mut RunningRequest| running.name == name;
+        if self.running.extract_if(.., has_id).count() > 0 {
             let marks = AnswerMarks::default();
             self.ends.insert(name, RequestEnd::Served);
-            self.end(name, AttemptOutcome::Delivered { marks, events: 1 });
+            self.end_attempt(name, AttemptOutcome::Delivered { marks, events: 1 });
         }
     }
 
     /// A round of gossip; crashed upstreams are replaced in time.
-    pub fn pass_round(&mut self) {
-        self.cluster.gossip_round(ROUND);
+    pub fn advance_round(&mut self) {
+        self.cluster.gossip_round(GOSSIP_INTERVAL);
         for daemon in 0..self.cluster.daemons.len() {
             self.step(daemon, GatewayEvent::Tick);
         }
         let now = self.cluster.now;
-        let is_due = |crashed: &CrashedUpstream| now.since(crashed.at) >= RETURN_TIME;
+        let is_due = |crashed: &CrashedUpstream| now.since(crashed.at) >= REPLACEMENT_DELAY;
         let due: Vec<_> = self
             .crashed
             .extract_if(.., |crashed| is_due(crashed))
@@ -297,7 +292,7 @@
         for crashed in due {
             let entry = upstream(self.next_upstream, SLOTS);
             self.next_upstream += 1;
-            self.alive.insert(entry.name.clone());
+            self.live_upstreams.insert(entry.name.clone());
             for daemon in 0..self.cluster.daemons.len() {
                 let removed = GatewayEvent::UpstreamRemoved(crashed.upstream.clone());
                 self.step(daemon, removed);
@@ -306,9 +301,9 @@
         }
     }
 
-    pub fn pass_rounds(&mut self, rounds: usize) {
+    pub fn advance_rounds(&mut self, rounds: usize) {
         for _ in 0..rounds {
-            self.pass_round();
+            self.advance_round();
         }
     }
 
@@ -317,16 +312,19 @@
         let daemons = self.cluster.daemons.len();
         for round in 0..rounds {
             self.send_crashing(round * 5 % daemons);
-            self.pass_round();
+            self.advance_round();
         }
     }
 
     /// Arrivals at upstreams later than the bound after the third crash.
-    pub fn late_sends(&self) -> usize {
+    pub fn late_dispatches(&self) -> usize {
         let Some(third) = self.crashes.get(2) else {
             return 0;
         };
-        let late = self.sends.iter().filter(|at| **at > *third + CONTACT);
+        let late = self
+            .dispatches
+            .iter()
+            .filter(|at| **at > *third + PROPAGATION_BOUND);
         late.count()
     }
 }
--- a/crates/savorywood-gateway/tests/quarantine.rs
+++ b/crates/savorywood-gateway/tests/quarantine.rs
@@ -12,8 +12,8 @@
 mod harness;
 
 use callers::SeededRandom;
-use concurrent_requests::{Bystander, BystanderEnd};
-use crashes::{CRASHING_PATH, CrashEnvironment, MOST_RETRIES, RequestEnd};
+use concurrent_requests::{ConcurrentRequest, ConcurrentRequestEnd};
+use crashes::{CRASHING_PATH, CrashEnvironment, MAX_LATE_DISPATCHES, RequestEnd};
 use harness::{GatewayHarness, arrival};
 use quickcheck::quickcheck;
 use savorywood_gateway::{
@@ -57,8 +57,8 @@
     for daemons in [1, 8, 48] {
         let mut environment = CrashEnvironment::new(daemons);
         environment.repeat_crashing(40);
-        let late = environment.late_sends();
-        assert!(late <= MOST_RETRIES, "{late} at {daemons} daemons");
+        let late = environment.late_dispatches();
+        assert!(late <= MAX_LATE_DISPATCHES, "{late} at {daemons} daemons");
     }
 }
 
@@ -66,7 +66,10 @@
 fn quarantined_environment(daemons: usize) -> CrashEnvironment {
     let mut environment = CrashEnvironment::new(daemons);
     environment.repeat_crashing(24);
-    assert!(environment.refuses(0, CRASHING_PATH), "not in quarantine");
+    assert!(
+        environment.is_quarantined(0, CRASHING_PATH),
+        "not in quarantine"
+    );
     environment
 }
 
@@ -75,12 +78,16 @@
 fn a_daemon_that_starts_again_learns_of_quarantines_from_its_peers() {
     for daemons in [8, 48] {
         let mut environment = quarantined_environment(daemons);
-        let sends = environment.sends.len();
+        let dispatches = environment.dispatches.len();
         environment.cluster.down.insert(3);
         environment.cluster.restart_down();
-        environment.pass_rounds(12);
+        environment.advance_rounds(12);
         environment.send_crashing(3);
-        assert_eq!(environment.sends.len(), sends, "{daemons} daemons");
+        assert_eq!(
+            environment.dispatches.len(),
+            dispatches,
+            "{daemons} daemons"
+        );
     }
 }
 
@@ -96,10 +103,14 @@
             (1..=2).contains(&environment.writes),
             "one daemon writes the row"
         );
-        let sends = environment.sends.len();
+        let dispatches = environment.dispatches.len();
         environment.restart_all(true);
         environment.repeat_crashing(20);
-        assert_eq!(environment.sends.len(), sends, "{daemons} daemons");
+        assert_eq!(
+            environment.dispatches.len(),
+            dispatches,
+            "{daemons} daemons"
+        );
     }
 }
 
@@ -109,19 +120,19 @@
     for daemons in [8, 48] {
         let mut environment = CrashEnvironment::new(daemons);
         for _ in 0..4 {
-            environment.pass_rounds(6);
+            environment.advance_rounds(6);
             // A few daemons send a request that breaks once more, many of them do not.
             environment.repeat_crashing(if daemons == 8 { 1 } else { 2 });
-            environment.pass_rounds(6);
+            environment.advance_rounds(6);
             environment.restart_all(true);
         }
         environment.repeat_crashing(24);
-        let late = environment.late_sends();
+        let late = environment.late_dispatches();
         println!(
             "{} sends, {late} late at {daemons} daemons",
-            environment.sends.len()
+            environment.dispatches.len()
         );
-        assert!(late <= MOST_RETRIES, "{late} at {daemons} daemons");
+        assert!(late <= MAX_LATE_DISPATCHES, "{late} at {daemons} daemons");
     }
 }
 
@@ -129,7 +140,7 @@
 #[test]
 fn a_quarantine_is_written_once_the_store_is_back() {
     let mut environment = CrashEnvironment::new(8);
-    environment.store_works = false;
+    environment.store_accepts_writes = false;
     environment.repeat_crashing(40);
     assert!(environment.rows.is_empty());
     assert!(
@@ -137,8 +148,8 @@
         "{} writes in ten seconds",
         environment.writes
     );
-    environment.store_works = true;
-    environment.pass_rounds(40);
+    environment.store_accepts_writes = true;
+    environment.advance_rounds(40);
     assert_eq!(environment.rows.len(), 1);
 }
 
@@ -150,13 +161,17 @@
         environment.cluster.cut_off.insert(1);
         for round in 0..24 {
             environment.send_crashing(2 + round % 6);
-            environment.pass_round();
+            environment.advance_round();
         }
-        let sends = environment.sends.len();
+        let dispatches = environment.dispatches.len();
         environment.cluster.cut_off.clear();
-        environment.pass_rounds(12);
+        environment.advance_rounds(12);
         environment.send_crashing(1);
-        assert_eq!(environment.sends.len(), sends, "{daemons} daemons");
+        assert_eq!(
+            environment.dispatches.len(),
+            dispatches,
+            "{daemons} daemons"
+        );
     }
 }
 
@@ -165,13 +180,13 @@
 fn a_request_that_was_served_between_crashes_is_not_refused() {
     let mut environment = CrashEnvironment::new(8);
     for round in 0..5 {
-        let request = environment.send_sound(round, "/stream/bystander");
-        let beside = environment.upstream_of(request).expect("it runs");
-        environment.crash(&beside);
+        let request = environment.send_harmless(round, "/stream/bystander");
+        let crashed_upstream = environment.upstream_of(request).expect("it runs");
+        environment.crash(&crashed_upstream);
         environment.deliver_all();
-        environment.pass_rounds(16);
+        environment.advance_rounds(16);
     }
-    assert!(!environment.refuses(0, "/stream/bystander"));
+    assert!(!environment.is_quarantined(0, "/stream/bystander"));
 }
 
 /// Guards against refusing a read that many callers share, as a wave of crashes ends several of
@@ -180,23 +195,23 @@
 fn a_read_that_was_served_lately_survives_a_wave_of_crashes() {
     for daemons in [8, 48] {
         let mut environment = CrashEnvironment::new(daemons);
-        environment.send_sound(0, "/safe/shared");
+        environment.send_harmless(0, "/safe/shared");
         environment.deliver_all();
-        environment.pass_rounds(8);
+        environment.advance_rounds(8);
         let mut crashes = 0;
         for daemon in 1..8 {
-            let request = environment.send_sound(daemon, "/safe/shared");
-            if let Some(beside) = environment.upstream_of(request) {
-                environment.crash(&beside);
+            let request = environment.send_harmless(daemon, "/safe/shared");
+            if let Some(crashed_upstream) = environment.upstream_of(request) {
+                environment.crash(&crashed_upstream);
                 crashes += 1;
             }
         }
         assert!(crashes >= 3, "{crashes} crashes");
         environment.deliver_all();
-        environment.pass_rounds(16);
+        environment.advance_rounds(16);
         for daemon in 0..daemons {
             assert!(
-                !environment.refuses(daemon, "/safe/shared"),
+                !environment.is_quarantined(daemon, "/safe/shared"),
                 "daemon {daemon}"
             );
         }
@@ -207,22 +222,22 @@
 #[test]
 fn a_request_in_quarantine_is_tried_once_and_served_by_all_if_it_succeeds() {
     let mut environment = quarantined_environment(8);
-    environment.pass_rounds(260);
-    let mut trials = Vec::new();
+    environment.advance_rounds(260);
+    let mut probes = Vec::new();
     for daemon in 0..8 {
-        let name = environment.send_sound(daemon, CRASHING_PATH);
-        trials.extend(environment.upstream_of(name).map(|_| name));
+        let name = environment.send_harmless(daemon, CRASHING_PATH);
+        probes.extend(environment.upstream_of(name).map(|_| name));
     }
-    assert_eq!(trials.len(), 1, "one daemon tries it");
-    environment.deliver(trials[0]);
-    environment.pass_rounds(4);
+    assert_eq!(probes.len(), 1, "one daemon tries it");
+    environment.deliver(probes[0]);
+    environment.advance_rounds(4);
     for daemon in 0..8 {
         assert!(
-            !environment.refuses(daemon, CRASHING_PATH),
+            !environment.is_quarantined(daemon, CRASHING_PATH),
             "daemon {daemon}"
         );
     }
-    environment.pass_rounds(8);
+    environment.advance_rounds(8);
     assert!(environment.rows.is_empty(), "its row is removed");
 }
 
@@ -231,8 +246,8 @@
 fn trials_that_fail_become_rarer() {
     let mut environment = CrashEnvironment::new(8);
     environment.repeat_crashing(40 * 60);
-    let late = environment.late_sends();
-    assert!(late <= MOST_RETRIES, "{late} in ten minutes");
+    let late = environment.late_dispatches();
+    assert!(late <= MAX_LATE_DISPATCHES, "{late} in ten minutes");
 }
 
 /// Guards against taking a lost connection for the end of an upstream.
@@ -262,19 +277,19 @@
     let mut environment = CrashEnvironment::new(8);
     for round in 0..24 {
         let name = environment.send_crashing(round % 8);
-        let ran = environment.sends_of(name) > 0;
+        let ran = environment.dispatch_count(name) > 0;
         let end = environment.ends[&name];
         let RequestEnd::Refused(reason) = end else {
             panic!("it can't be served");
         };
         assert_eq!(ran, !reason.promises_not_run(), "{reason}");
-        environment.pass_round();
+        environment.advance_round();
     }
 }
 
 /// What became of requests that ran beside a crashing one.
 #[derive(Debug, Default)]
-struct BystanderTally {
+struct ConcurrentRequestTally {
     sent: usize,
     served: usize,
     quarantined: usize,
@@ -285,32 +300,32 @@
 
 /// Eight daemons with twelve new requests a round, each of which runs for one to eight rounds and
 /// comes again twice if it breaks, beside a crashing one that comes every few rounds.
-fn run_concurrent_requests(seed: u64) -> BystanderTally {
+fn run_concurrent_requests(seed: u64) -> ConcurrentRequestTally {
     let mut random = SeededRandom(seed);
     let mut environment = CrashEnvironment::new(8);
-    let mut tally = BystanderTally::default();
-    let mut open: Vec<Bystander> = Vec::new();
+    let mut tally = ConcurrentRequestTally::default();
+    let mut open: Vec<ConcurrentRequest> = Vec::new();
     for round in 0..160 {
         for number in 0..12 {
             let path = format!("/stream/bystander-{round}-{number}");
-            open.push(Bystander::new(&mut environment, &mut random, path));
+            open.push(ConcurrentRequest::new(&mut environment, &mut random, path));
             tally.sent += 1;
         }
         if random.below(4) == 0 {
             environment.send_crashing(random.below(8));
         }
-        environment.pass_round();
-        for bystander in std::mem::take(&mut open) {
-            match bystander.advance(&mut environment, &mut random) {
-                BystanderEnd::Open(bystander) => open.push(bystander),
-                BystanderEnd::Served => tally.served += 1,
-                BystanderEnd::Quarantined => tally.quarantined += 1,
-                BystanderEnd::Failed => {}
+        environment.advance_round();
+        for concurrent in std::mem::take(&mut open) {
+            match concurrent.advance(&mut environment, &mut random) {
+                ConcurrentRequestEnd::Open(concurrent) => open.push(concurrent),
+                ConcurrentRequestEnd::Served => tally.served += 1,
+                ConcurrentRequestEnd::Quarantined => tally.quarantined += 1,
+                ConcurrentRequestEnd::Failed => {}
             }
         }
     }
-    let late = environment.late_sends();
-    assert!(late <= MOST_RETRIES, "{late} with seed {seed}");
+    let late = environment.late_dispatches();
+    assert!(late <= MAX_LATE_DISPATCHES, "{late} with seed {seed}");
     tally.crashes = environment.crashes.len();
     tally.writes = environment.writes;
     tally
@@ -321,7 +336,7 @@
 #[test]
 fn a_crashing_request_beside_much_other_work_reaches_few_upstreams() {
     let tallies: Vec<_> = (0..6).map(run_concurrent_requests).collect();
-    let sum = |of: fn(&BystanderTally) -> usize| tallies.iter().map(of).sum::<usize>();
+    let sum = |of: fn(&ConcurrentRequestTally) -> usize| tallies.iter().map(of).sum::<usize>();
     let (sent, quarantined) = (sum(|tally| tally.sent), sum(|tally| tally.quarantined));
     println!(
         "sent {sent} served {} quarantined {quarantined} crashes {} writes {}",
@@ -336,63 +351,68 @@
 }
 
 /// A request that was sent long ago breaks at an upstream.
-fn broke(book: &mut QuarantineBook, now: MonotonicTime, number: u64, upstream: u64) {
+fn record_broken_attempt(
+    quarantine: &mut QuarantineBook,
+    now: MonotonicTime,
+    number: u64,
+    upstream: u64,
+) {
     let attempt = BrokenAttempt {
         fingerprint: fingerprint(number),
         upstream,
         sent_at: MonotonicTime::default(),
     };
-    book.broke(now, attempt);
+    quarantine.broke(now, attempt);
 }
 
 /// Guards against requests that find upstreams down after a crash and are taken for its cause.
 #[test]
 fn what_is_sent_to_an_upstream_that_is_down_says_nothing_of_it() {
     let start = MonotonicTime(1_000_000_000);
-    let mut book = QuarantineBook::default();
+    let mut quarantine = QuarantineBook::default();
     for upstream in 1..=3 {
-        broke(&mut book, start, 0, upstream);
+        record_broken_attempt(&mut quarantine, start, 0, upstream);
     }
     let round = Duration::from_millis(250);
     let mut peer = QuarantineBook::default();
-    for report in book.reports(start + round, ReportScope::Daemon, round) {
+    for report in quarantine.reports(start + round, ReportScope::Daemon, round) {
         peer.merge(start + round, &report, true);
     }
-    let send_to_all = |book: &mut QuarantineBook, sent_at: MonotonicTime| {
+    let send_to_all = |quarantine: &mut QuarantineBook, sent_at: MonotonicTime| {
         for upstream in 1..=3 {
             let attempt = BrokenAttempt {
                 fingerprint: fingerprint(1),
                 upstream,
                 sent_at,
             };
-            book.broke(sent_at + Duration::from_millis(30), attempt);
+            quarantine.broke(sent_at + Duration::from_millis(30), attempt);
         }
     };
-    for book in [&mut book, &mut peer] {
-        send_to_all(book, start + Duration::from_millis(800));
-        assert_eq!(book.verdict(fingerprint(1)), QuarantineVerdict::Clear);
-        assert_ne!(book.verdict(fingerprint(0)), QuarantineVerdict::Clear);
+    for quarantine in [&mut quarantine, &mut peer] {
+        send_to_all(quarantine, start + Duration::from_millis(800));
+        assert_eq!(quarantine.verdict(fingerprint(1)), QuarantineVerdict::Clear);
+        assert_ne!(quarantine.verdict(fingerprint(0)), QuarantineVerdict::Clear);
         // Until then the upstreams have started again.
-        send_to_all(book, start + Duration::from_secs(4));
-        assert_ne!(book.verdict(fingerprint(1)), QuarantineVerdict::Clear);
+        send_to_all(quarantine, start + Duration::from_secs(4));
+        assert_ne!(quarantine.verdict(fingerprint(1)), QuarantineVerdict::Clear);
     }
 }
 
 /// Guards against crowding a crashing request out of the book by crashing upstreams under others.
 #[test]
 fn many_other_crashes_do_not_end_a_quarantine() {
-    let mut book = QuarantineBook::default();
+    let mut quarantine = QuarantineBook::default();
     let start = MonotonicTime(1_000_000_000);
     for upstream in 1..=3 {
-        broke(&mut book, start, 0, upstream);
+        record_broken_attempt(&mut quarantine, start, 0, upstream);
     }
     for number in 1..6_000 {
         let now = start + Duration::from_millis(number * 3);
-        broke(&mut book, now, number, number % 7);
-        broke(&mut book, now, number, number % 5 + 7);
+        record_broken_attempt(&mut quarantine, now, number, number % 7);
+        record_broken_attempt(&mut quarantine, now, number, number % 5 + 7);
     }
-    assert!(book.len() <= 2_048, "{} entries", book.len());
-    let verdict = book.verdict(fingerprint(0));
+    assert!(quarantine.len() <= 2_048, "{} entries", quarantine.len());
+    let verdict = quarantine.verdict(fingerprint(0));
     assert!(matches!(
         verdict,
         QuarantineVerdict::Held { crashes: 3, .. }
@@ -402,21 +422,24 @@
 /// Guards against rows that the next start can't read.
 #[test]
 fn a_row_is_read_as_it_was_written() {
-    let mut book = QuarantineBook::default();
+    let mut quarantine = QuarantineBook::default();
     let now = MonotonicTime(1_000_000_000);
     for upstream in [1, 0xffff_ffff_ffff, 3] {
-        broke(&mut book, now, 0, upstream);
+        record_broken_attempt(&mut quarantine, now, 0, upstream);
     }
-    let writes = book.due_writes(now, |_| true);
+    let writes = quarantine.due_writes(now, |_| true);
     let value = writes[0].value().expect("a row");
     let key = writes[0].fingerprint.to_string();
     let row = QuarantineRow::parse(&key, &value).expect("a row");
     assert_eq!(Some(&row.crashes), writes[0].crashes.as_ref());
-    let mut next = QuarantineBook::default();
-    next.restore(now, &[row]);
-    assert_eq!(next.verdict(fingerprint(0)), book.verdict(fingerprint(0)));
-    for nonsense in ["3", "x.1", "00000001.", "00000001.900", "1.1 2"] {
-        assert_eq!(QuarantineRow::parse(&key, nonsense), None, "{nonsense}");
+    let mut restarted = QuarantineBook::default();
+    restarted.restore(now, &[row]);
+    assert_eq!(
+        restarted.verdict(fingerprint(0)),
+        quarantine.verdict(fingerprint(0))
+    );
+    for invalid in ["3", "x.1", "00000001.", "00000001.900", "1.1 2"] {
+        assert_eq!(QuarantineRow::parse(&key, invalid), None, "{invalid}");
     }
     assert_eq!(QuarantineRow::parse("no number", &value), None);
 }
@@ -424,16 +447,16 @@
 /// Guards against messages that grow with what crashes and no longer pass links in one piece.
 #[test]
 fn a_message_on_crashes_is_bounded() {
-    let mut book = QuarantineBook::default();
+    let mut quarantine = QuarantineBook::default();
     let now = MonotonicTime(1_000_000_000);
     for number in 0..500 {
         for upstream in 0..4 {
-            broke(&mut book, now, number, upstream);
+            record_broken_attempt(&mut quarantine, now, number, upstream);
         }
     }
     let round = Duration::from_millis(250);
     for scope in [ReportScope::Daemon, ReportScope::Zone] {
-        assert!(book.reports(now, scope, round).len() <= 26);
+        assert!(quarantine.reports(now, scope, round).len() <= 26);
     }
 }
 
@@ -442,15 +465,15 @@
 fn a_report_that_is_read_late_counts_once() {
     let start = MonotonicTime(1_000_000_000);
     let mut sender = QuarantineBook::default();
-    broke(&mut sender, start, 0, 1);
-    broke(&mut sender, start, 0, 2);
+    record_broken_attempt(&mut sender, start, 0, 1);
+    record_broken_attempt(&mut sender, start, 0, 2);
     let mut frozen = QuarantineBook::default();
     let round = Duration::from_millis(250);
-    let wake = start + Duration::from_secs(9);
+    let thawed_at = start + Duration::from_secs(9);
     for number in 0..4 {
         let sent = start + round * number;
         for report in sender.reports(sent, ReportScope::Daemon, round) {
-            let read = wake + Duration::from_millis(u64::from(number) * 900);
+            let read = thawed_at + Duration::from_millis(u64::from(number) * 900);
             frozen.merge(read, &report, true);
         }
     }
@@ -460,11 +483,11 @@
 /// Guards against crashes of one upstream that count once, however often it starts under its name.
 #[test]
 fn each_crash_of_an_upstream_that_comes_back_counts() {
-    let mut book = QuarantineBook::default();
+    let mut quarantine = QuarantineBook::default();
     for second in [10, 14, 18] {
-        broke(&mut book, MonotonicTime(second * 1_000_000), 0, 1);
+        record_broken_attempt(&mut quarantine, MonotonicTime(second * 1_000_000), 0, 1);
     }
-    assert_ne!(book.verdict(fingerprint(0)), QuarantineVerdict::Clear);
+    assert_ne!(quarantine.verdict(fingerprint(0)), QuarantineVerdict::Clear);
 }
 
 quickcheck! {
@@ -485,10 +508,10 @@
                 served_ms: None,
             })
             .collect();
-        let mut straight = QuarantineBook::default();
+        let mut in_order = QuarantineBook::default();
         let mut shuffled = QuarantineBook::default();
         for report in &reports {
-            straight.merge(now, report, true);
+            in_order.merge(now, report, true);
         }
         for index in &order {
             if let Some(report) = reports.get(index % reports.len().max(1)) {
@@ -499,10 +522,10 @@
             shuffled.merge(now, report, false);
         }
         (0..3).all(|number| {
-            let held = |book: &QuarantineBook| {
-                book.verdict(fingerprint(number)) != QuarantineVerdict::Clear
+            let held = |quarantine: &QuarantineBook| {
+                quarantine.verdict(fingerprint(number)) != QuarantineVerdict::Clear
             };
-            held(&straight) == held(&shuffled)
+            held(&in_order) == held(&shuffled)
         })
     }
 }
