--- a/crates/savorywood-gateway/tests/common/limits.rs
+++ b/crates/savorywood-gateway/tests/common/limits.rs
@@ -14,13 +14,13 @@
 use std::{collections::BTreeMap, time::Duration};
 
 const STEP: Duration = Duration::from_millis(50);
-const STEPS_A_ROUND: u64 = 5;
+const STEPS_PER_ROUND: u64 = 5;
 /// Span over which arrivals at an upstream are counted.
 const WINDOW: Duration = Duration::from_secs(4);
 /// Time after the first such answer from which the bound holds.
-const CONTACT: Duration = Duration::from_secs(3);
+const PROPAGATION_BOUND: Duration = Duration::from_secs(3);
 /// Time after its first such answer from which a daemon is bound.
-const KNOWN_TIME: Duration = Duration::from_millis(500);
+const REACTION_BOUND: Duration = Duration::from_millis(500);
 const SLOTS: u32 = 4;
 
 /// A request at an upstream.
@@ -32,7 +32,7 @@
 }
 
 /// A request that reached an upstream.
-struct SentRequest {
+struct DispatchRecord {
     daemon: usize,
     upstream: UpstreamLabel,
     at: MonotonicTime,
@@ -40,7 +40,7 @@
 
 /// Limit of an upstream in force.
 #[derive(Clone, Copy)]
-struct NamedLimit {
+struct AnnouncedLimit {
     limit: RateLimit,
     since: MonotonicTime,
 }
@@ -61,15 +61,15 @@
     pub arrivals: usize,
     pub tally: LimitTally,
     entries: Vec<UpstreamEntry>,
-    limits: BTreeMap<UpstreamLabel, NamedLimit>,
+    limits: BTreeMap<UpstreamLabel, AnnouncedLimit>,
     running: Vec<RunningRequest>,
-    sent: Vec<SentRequest>,
+    sent: Vec<DispatchRecord>,
     /// First answer with a limit that a daemon passed on, of each upstream.
     known: BTreeMap<(usize, UpstreamLabel), MonotonicTime>,
     /// Daemons that started or went on lately are not bound.
-    started: BTreeMap<usize, MonotonicTime>,
+    restarted_at: BTreeMap<usize, MonotonicTime>,
     steps: u64,
-    next: u64,
+    arrivals_so_far: u64,
 }
 
 impl LimitEnvironment {
@@ -89,9 +89,9 @@
             running: Vec::new(),
             sent: Vec::new(),
             known: BTreeMap::new(),
-            started: BTreeMap::new(),
+            restarted_at: BTreeMap::new(),
             steps: 0,
-            next: 0,
+            arrivals_so_far: 0,
         };
         for daemon in 0..daemons {
             cluster.read_upstreams(daemon);
@@ -114,7 +114,8 @@
         match per_second.and_then(RateLimit::of) {
             Some(limit) => {
                 let since = self.cluster.now;
-                self.limits.insert(upstream, NamedLimit { limit, since });
+                self.limits
+                    .insert(upstream, AnnouncedLimit { limit, since });
             }
             None => {
                 self.limits.remove(&upstream);
@@ -129,7 +130,7 @@
         self.known.retain(|(known, _), _| *known != daemon);
         self.cluster.down.insert(daemon);
         self.cluster.restart_down();
-        self.started.insert(daemon, self.cluster.now);
+        self.restarted_at.insert(daemon, self.cluster.now);
         self.read_upstreams(daemon);
     }
 
@@ -141,7 +142,7 @@
     /// A daemon that stood still goes on.
     pub fn thaw(&mut self, daemon: usize) {
         self.cluster.thaw(daemon);
-        self.started.insert(daemon, self.cluster.now);
+        self.restarted_at.insert(daemon, self.cluster.now);
     }
 
     fn is_frozen(&self, daemon: usize) -> bool {
@@ -166,7 +167,7 @@
             self.cluster.daemons[daemon].confirm();
             self.step(daemon, GatewayEvent::Tick);
         }
-        if self.steps.is_multiple_of(STEPS_A_ROUND) {
+        if self.steps.is_multiple_of(STEPS_PER_ROUND) {
             self.cluster.exchange_gossip();
         }
         for _ in 0..self.arrivals {
@@ -175,18 +176,18 @@
                 self.arrive(daemon);
             }
         }
-        self.answer_due();
+        self.complete_due();
     }
 
     fn arrive(&mut self, daemon: usize) {
-        self.next += 1;
+        self.arrivals_so_far += 1;
         self.tally.arrived += 1;
-        let arrival = Box::new(arrival(&format!("/safe/{}", self.next)));
+        let arrival = Box::new(arrival(&format!("/safe/{}", self.arrivals_so_far)));
         let request = self.cluster.daemons[daemon].next_request();
         self.step(daemon, GatewayEvent::Arrived { request, arrival });
     }
 
-    fn answer_due(&mut self) {
+    fn complete_due(&mut self) {
         let now = self.cluster.now;
         let frozen = &self.cluster.frozen;
         let is_due = |running: &mut RunningRequest| {
@@ -194,7 +195,10 @@
         };
         let due: Vec<_> = self.running.extract_if(.., is_due).collect();
         for running in due {
-            let limit = self.limits.get(&running.upstream).map(|named| named.limit);
+            let limit = self
+                .limits
+                .get(&running.upstream)
+                .map(|announced| announced.limit);
             if limit.is_some() {
                 let key = (running.daemon, running.upstream.clone());
                 self.known.entry(key).or_insert(now);
@@ -219,7 +223,7 @@
         harness.step(event);
         for effect in std::mem::take(&mut harness.effects) {
             match effect {
-                GatewayEffect::Dispatch(order) => self.dispatched(daemon, &order),
+                GatewayEffect::Dispatch(order) => self.on_dispatch(daemon, &order),
                 GatewayEffect::Refuse { reason, .. } => {
                     assert!(reason != RefusalReason::Quarantined);
                     self.tally.refused += 1;
@@ -229,9 +233,9 @@
         }
     }
 
-    fn dispatched(&mut self, daemon: usize, order: &DispatchOrder) {
+    fn on_dispatch(&mut self, daemon: usize, order: &DispatchOrder) {
         let time = 150 + self.random.below(300) as u64;
-        self.sent.push(SentRequest {
+        self.sent.push(DispatchRecord {
             daemon,
             upstream: order.upstream.clone(),
             at: self.cluster.now,
@@ -245,34 +249,36 @@
     }
 
     /// Arrivals at an upstream within a span before now.
-    pub fn sent_in_last(&self, number: usize, span: Duration) -> usize {
+    pub fn dispatched_in_last(&self, number: usize, span: Duration) -> usize {
         let upstream = self.upstream(number);
         let sent = self.sent.iter();
-        let late =
+        let enforced =
             sent.filter(|sent| sent.upstream == upstream && self.cluster.now.since(sent.at) < span);
-        late.count()
+        enforced.count()
     }
 
-    fn is_bound(&self, sent: &SentRequest) -> bool {
+    fn must_keep_limit(&self, sent: &DispatchRecord) -> bool {
         let key = (sent.daemon, sent.upstream.clone());
-        let knows = self.known.get(&key);
-        let started = self.started.get(&sent.daemon);
-        let is_new = started.is_some_and(|at| sent.at.since(*at) < CONTACT);
-        !is_new && knows.is_some_and(|at| *at + KNOWN_TIME <= sent.at)
+        let first_seen_at = self.known.get(&key);
+        let restarted_at = self.restarted_at.get(&sent.daemon);
+        let is_new = restarted_at.is_some_and(|at| sent.at.since(*at) < PROPAGATION_BOUND);
+        !is_new && first_seen_at.is_some_and(|at| *at + REACTION_BOUND <= sent.at)
     }
 
     /// Most requests beyond what is allowed in any window.
-    pub fn most_beyond(&self) -> f64 {
+    pub fn max_excess(&self) -> f64 {
         let mut most = f64::NEG_INFINITY;
-        for (upstream, named) in &self.limits {
-            let allowed = 1.5 * named.limit.per_second() * WINDOW.as_secs_f64() + 5.0;
+        for (upstream, announced) in &self.limits {
+            let allowed = 1.5 * announced.limit.per_second() * WINDOW.as_secs_f64() + 5.0;
             let sent = self.sent.iter();
             let times: Vec<MonotonicTime> = sent
-                .filter(|sent| sent.upstream == *upstream && self.is_bound(sent))
+                .filter(|sent| sent.upstream == *upstream && self.must_keep_limit(sent))
                 .map(|sent| sent.at)
                 .collect();
-            let late = times.iter().filter(|at| **at >= named.since + CONTACT);
-            for end in late {
+            let enforced = times
+                .iter()
+                .filter(|at| **at >= announced.since + PROPAGATION_BOUND);
+            for end in enforced {
                 let within = times
                     .iter()
                     .filter(|at| **at <= *end && end.since(**at) < WINDOW);
@@ -283,7 +289,7 @@
     }
 
     pub fn assert_limits_kept(&self, what: &str) {
-        let beyond = self.most_beyond();
-        assert!(beyond <= 0.0, "{beyond} beyond what is allowed: {what}");
+        let excess = self.max_excess();
+        assert!(excess <= 0.0, "{excess} beyond what is allowed: {what}");
     }
 }
--- a/crates/savorywood-gateway/tests/rate_limits.rs
+++ b/crates/savorywood-gateway/tests/rate_limits.rs
@@ -91,7 +91,7 @@
 }
 
 /// Shares of what limited upstreams take and of all requests, over some time.
-fn run_limits(daemons: usize, limited: usize, per_second: f64, arrivals: usize) -> LimitShares {
+fn run_limits(daemons: usize, limited: usize, per_second: f64, arrivals: usize) -> LimitUsage {
     let mut environment = LimitEnvironment::new(daemons, 6, 7);
     environment.arrivals = arrivals;
     environment.advance(Duration::from_secs(3));
@@ -104,16 +104,16 @@
     environment.advance(span);
     environment.assert_limits_kept(&format!("{limited} at {per_second} with {daemons} daemons"));
     let sent: usize = (0..limited)
-        .map(|number| environment.sent_in_last(number, span))
+        .map(|number| environment.dispatched_in_last(number, span))
         .sum();
-    LimitShares {
+    LimitUsage {
         used: sent as f64 / (per_second * limited as f64 * span.as_secs_f64()),
         served: environment.tally.served as f64 / environment.tally.arrived as f64,
     }
 }
 
 #[derive(Debug)]
-struct LimitShares {
+struct LimitUsage {
     used: f64,
     served: f64,
 }
@@ -123,15 +123,15 @@
 fn what_limited_upstreams_take_is_used_while_requests_wait() {
     for daemons in [1, 8, 48] {
         for (limited, per_second) in [(2, 1.2), (2, 8.0), (6, 1.2), (6, 4.0)] {
-            let shares = run_limits(daemons, limited, per_second, 4);
+            let usage = run_limits(daemons, limited, per_second, 4);
             println!(
                 "{daemons} daemons, {limited} of 6 at {per_second}: used {:.2}, served {:.3}",
-                shares.used, shares.served
+                usage.used, usage.served
             );
             let is_scarce = limited == 6;
             assert!(
-                !is_scarce || shares.used > 0.5,
-                "most of it is left: {shares:?}"
+                !is_scarce || usage.used > 0.5,
+                "most of it is left: {usage:?}"
             );
         }
     }
@@ -212,13 +212,16 @@
         environment.advance(Duration::from_secs(12));
         environment.assert_limits_kept("a limit that rose");
         let span = Duration::from_secs(4);
-        let risen = environment.sent_in_last(1, span);
+        let risen = environment.dispatched_in_last(1, span);
         assert!(risen >= 12, "{risen} in 4 s at {daemons} daemons");
         environment.set_limit(1, None);
         environment.advance(Duration::from_secs(8));
-        let free = environment.sent_in_last(1, span);
-        let other = environment.sent_in_last(2, span);
-        assert!(free * 2 > other, "{free} of {other} at {daemons} daemons");
+        let unlimited = environment.dispatched_in_last(1, span);
+        let other = environment.dispatched_in_last(2, span);
+        assert!(
+            unlimited * 2 > other,
+            "{unlimited} of {other} at {daemons} daemons"
+        );
     }
 }
 
@@ -232,7 +235,7 @@
     environment.set_limit(0, Some(4.0));
     environment.advance(Duration::from_secs(10));
     environment.assert_limits_kept("a limit that was named again");
-    let sent = environment.sent_in_last(0, Duration::from_secs(8));
+    let sent = environment.dispatched_in_last(0, Duration::from_secs(8));
     assert!(sent >= 16, "{sent} in 8 s, 32 taken");
 }
 
@@ -248,11 +251,11 @@
     harness.end(request, outcome);
     let waiting = harness.arrive(arrival("/safe/2"));
     assert!(harness.orders(waiting).is_empty());
-    let reborn = UpstreamEntry {
+    let restarted = UpstreamEntry {
         born: 2,
         ..upstream(1, 1)
     };
-    harness.step(GatewayEvent::UpstreamWritten(reborn));
+    harness.step(GatewayEvent::UpstreamWritten(restarted));
     assert_eq!(harness.orders(waiting).len(), 1);
 }
 
