--- a/crates/savorywood-gateway/tests/common/concurrent_requests.rs
+++ b/crates/savorywood-gateway/tests/common/concurrent_requests.rs
@@ -14,7 +14,7 @@
 
 /// A request that harms nobody.
 pub struct ConcurrentRequest {
-    name: RequestId,
+    id: RequestId,
     path: String,
     rounds: usize,
     retries: u32,
@@ -34,9 +34,9 @@
         random: &mut SeededRandom,
         path: String,
     ) -> Self {
-        let name = environment.send_harmless(random.below(8), &path);
+        let id = environment.send_harmless(random.below(8), &path);
         Self {
-            name,
+            id,
             path,
             rounds: 1 + random.below(MAX_ROUNDS),
             retries: 0,
@@ -49,7 +49,7 @@
         environment: &mut CrashEnvironment,
         random: &mut SeededRandom,
     ) -> ConcurrentRequestEnd {
-        match environment.ends.get(&self.name) {
+        match environment.ends.get(&self.id) {
             Some(RequestEnd::Served) => ConcurrentRequestEnd::Served,
             Some(RequestEnd::Refused(RefusalReason::Quarantined)) => {
                 ConcurrentRequestEnd::Quarantined
@@ -65,7 +65,7 @@
                 ConcurrentRequestEnd::Open(self)
             }
             None => {
-                environment.deliver(self.name);
+                environment.deliver(self.id);
                 ConcurrentRequestEnd::Open(self)
             }
         }
--- a/crates/savorywood-gateway/tests/common/crashes.rs
+++ b/crates/savorywood-gateway/tests/common/crashes.rs
@@ -52,7 +52,7 @@
 /// A sound request at an upstream.
 #[derive(Debug, Clone)]
 struct RunningRequest {
-    name: RequestId,
+    id: RequestId,
     upstream: UpstreamLabel,
 }
 
@@ -120,11 +120,11 @@
         harness.confirm();
         harness.effects.clear();
         let request = harness.next_request();
-        let name = RequestId { daemon, request };
-        self.kinds.insert(name, kind);
+        let id = RequestId { daemon, request };
+        self.kinds.insert(id, kind);
         let arrival = Box::new(arrival);
         self.step(daemon, GatewayEvent::Arrived { request, arrival });
-        name
+        id
     }
 
     /// One event, and all that its effects lead to.
@@ -138,8 +138,8 @@
                 GatewayEffect::Refuse {
                     request, reason, ..
                 } => {
-                    let name = RequestId { daemon, request };
-                    self.ends.insert(name, RequestEnd::Refused(reason));
+                    let id = RequestId { daemon, request };
+                    self.ends.insert(id, RequestEnd::Refused(reason));
                 }
                 GatewayEffect::WriteQuarantine(write) => self.write_row(daemon, write),
                 _ => {}
@@ -190,36 +190,36 @@
         }
     }
 
-    fn end_attempt(&mut self, name: RequestId, outcome: AttemptOutcome) {
-        let request = name.request;
-        self.step(name.daemon, GatewayEvent::AttemptEnded { request, outcome });
+    fn end_attempt(&mut self, id: RequestId, outcome: AttemptOutcome) {
+        let request = id.request;
+        self.step(id.daemon, GatewayEvent::AttemptEnded { request, outcome });
     }
 
     fn on_dispatch(&mut self, daemon: usize, order: &DispatchOrder) {
-        let name = RequestId {
+        let id = RequestId {
             daemon,
             request: order.request,
         };
         let upstream = order.upstream.clone();
         if !self.live_upstreams.contains(&upstream) {
-            return self.end_attempt(name, AttemptOutcome::NotSent);
+            return self.end_attempt(id, AttemptOutcome::NotSent);
         }
-        match self.kinds[&name] {
-            RequestKind::Harmless => self.running.push(RunningRequest { name, upstream }),
+        match self.kinds[&id] {
+            RequestKind::Harmless => self.running.push(RunningRequest { id, upstream }),
             RequestKind::Crashing => {
                 self.dispatches.push(self.cluster.now);
-                *self.dispatch_counts.entry(name).or_default() += 1;
+                *self.dispatch_counts.entry(id).or_default() += 1;
                 self.crashes.push(self.cluster.now);
                 self.crash(&upstream);
-                self.end_attempt(name, AttemptOutcome::Broken { silent: false });
+                self.end_attempt(id, AttemptOutcome::Broken { silent: false });
             }
         }
     }
 
     /// Upstreams at which a request runs.
-    pub fn upstream_of(&self, name: RequestId) -> Option<UpstreamLabel> {
+    pub fn upstream_of(&self, id: RequestId) -> Option<UpstreamLabel> {
         let mut running = self.running.iter();
-        let found = running.find(|running| running.name == name);
+        let found = running.find(|running| running.id == id);
         found.map(|running| running.upstream.clone())
     }
 
@@ -236,21 +236,21 @@
             .extract_if(.., |there| runs_there(there))
             .collect();
         for running in broken {
-            self.end_attempt(running.name, AttemptOutcome::Broken { silent: false });
+            self.end_attempt(running.id, AttemptOutcome::Broken { silent: false });
         }
     }
 
     /// A daemon refuses a path as in quarantine.
     pub fn is_quarantined(&mut self, daemon: usize, path: &str) -> bool {
-        let name = self.send_harmless(daemon, path);
-        self.deliver(name);
+        let id = self.send_harmless(daemon, path);
+        self.deliver(id);
         let refused = RequestEnd::Refused(RefusalReason::Quarantined);
-        self.ends.get(&name) == Some(&refused)
+        self.ends.get(&id) == Some(&refused)
     }
 
     /// Times that a crashing request reached an upstream.
-    pub fn dispatch_count(&self, name: RequestId) -> usize {
-        self.dispatch_counts.get(&name).copied().unwrap_or_default()
+    pub fn dispatch_count(&self, id: RequestId) -> usize {
+        self.dispatch_counts.get(&id).copied().unwrap_or_default()
     }
 
     /// Upstreams that run.
@@ -262,18 +262,18 @@
     pub fn deliver_all(&mut self) {
         for running in std::mem::take(&mut self.running) {
             let marks = AnswerMarks::default();
-            self.ends.insert(running.name, RequestEnd::Served);
-            self.end_attempt(running.name, AttemptOutcome::Delivered { marks, events: 1 });
+            self.ends.insert(running.id, RequestEnd::Served);
+            self.end_attempt(running.id, AttemptOutcome::Delivered { marks, events: 1 });
         }
     }
 
     /// One sound request is answered.
-    pub fn deliver(&mut self, name: RequestId) {
-        let has_id = |running: &mut RunningRequest| running.name == name;
+    pub fn deliver(&mut self, id: RequestId) {
+        let has_id = |running: &mut RunningRequest| running.id == id;
         if self.running.extract_if(.., has_id).count() > 0 {
             let marks = AnswerMarks::default();
-            self.ends.insert(name, RequestEnd::Served);
-            self.end_attempt(name, AttemptOutcome::Delivered { marks, events: 1 });
+            self.ends.insert(id, RequestEnd::Served);
+            self.end_attempt(id, AttemptOutcome::Delivered { marks, events: 1 });
         }
     }
 
--- a/crates/savorywood-gateway/tests/common/limits.rs
+++ b/crates/savorywood-gateway/tests/common/limits.rs
@@ -63,9 +63,9 @@
     entries: Vec<UpstreamEntry>,
     limits: BTreeMap<UpstreamLabel, AnnouncedLimit>,
     running: Vec<RunningRequest>,
-    sent: Vec<DispatchRecord>,
+    dispatches: Vec<DispatchRecord>,
     /// First answer with a limit that a daemon passed on, of each upstream.
-    known: BTreeMap<(usize, UpstreamLabel), MonotonicTime>,
+    first_seen: BTreeMap<(usize, UpstreamLabel), MonotonicTime>,
     /// Daemons that started or went on lately are not bound.
     restarted_at: BTreeMap<usize, MonotonicTime>,
     steps: u64,
@@ -79,7 +79,7 @@
             zone: zone(usize::from(number)),
             ..upstream(number, SLOTS)
         });
-        let mut cluster = Self {
+        let mut environment = Self {
             cluster: DaemonCluster::new(daemons),
             random: SeededRandom(seed),
             arrivals: 2,
@@ -87,16 +87,16 @@
             entries: entries.collect(),
             limits: BTreeMap::new(),
             running: Vec::new(),
-            sent: Vec::new(),
-            known: BTreeMap::new(),
+            dispatches: Vec::new(),
+            first_seen: BTreeMap::new(),
             restarted_at: BTreeMap::new(),
             steps: 0,
             arrivals_so_far: 0,
         };
         for daemon in 0..daemons {
-            cluster.read_upstreams(daemon);
+            environment.read_upstreams(daemon);
         }
-        cluster
+        environment
     }
 
     fn read_upstreams(&mut self, daemon: usize) {
@@ -119,7 +119,8 @@
             }
             None => {
                 self.limits.remove(&upstream);
-                self.known.retain(|(_, known), _| *known != upstream);
+                self.first_seen
+                    .retain(|(_, limited), _| *limited != upstream);
             }
         }
     }
@@ -127,7 +128,8 @@
     /// A daemon is killed and starts again at once.
     pub fn restart(&mut self, daemon: usize) {
         self.running.retain(|running| running.daemon != daemon);
-        self.known.retain(|(known, _), _| *known != daemon);
+        self.first_seen
+            .retain(|(observer, _), _| *observer != daemon);
         self.cluster.down.insert(daemon);
         self.cluster.restart_down();
         self.restarted_at.insert(daemon, self.cluster.now);
@@ -201,7 +203,7 @@
                 .map(|announced| announced.limit);
             if limit.is_some() {
                 let key = (running.daemon, running.upstream.clone());
-                self.known.entry(key).or_insert(now);
+                self.first_seen.entry(key).or_insert(now);
             }
             let marks = AnswerMarks {
                 limit,
@@ -235,7 +237,7 @@
 
     fn on_dispatch(&mut self, daemon: usize, order: &DispatchOrder) {
         let time = 150 + self.random.below(300) as u64;
-        self.sent.push(DispatchRecord {
+        self.dispatches.push(DispatchRecord {
             daemon,
             upstream: order.upstream.clone(),
             at: self.cluster.now,
@@ -251,18 +253,19 @@
     /// Arrivals at an upstream within a span before now.
     pub fn dispatched_in_last(&self, number: usize, span: Duration) -> usize {
         let upstream = self.upstream(number);
-        let sent = self.sent.iter();
-        let enforced =
-            sent.filter(|sent| sent.upstream == upstream && self.cluster.now.since(sent.at) < span);
-        enforced.count()
+        let dispatches = self.dispatches.iter();
+        let recent = dispatches.filter(|dispatch| {
+            dispatch.upstream == upstream && self.cluster.now.since(dispatch.at) < span
+        });
+        recent.count()
     }
 
-    fn must_keep_limit(&self, sent: &DispatchRecord) -> bool {
-        let key = (sent.daemon, sent.upstream.clone());
-        let first_seen_at = self.known.get(&key);
-        let restarted_at = self.restarted_at.get(&sent.daemon);
-        let is_new = restarted_at.is_some_and(|at| sent.at.since(*at) < PROPAGATION_BOUND);
-        !is_new && first_seen_at.is_some_and(|at| *at + REACTION_BOUND <= sent.at)
+    fn must_keep_limit(&self, dispatch: &DispatchRecord) -> bool {
+        let key = (dispatch.daemon, dispatch.upstream.clone());
+        let first_seen_at = self.first_seen.get(&key);
+        let restarted_at = self.restarted_at.get(&dispatch.daemon);
+        let is_new = restarted_at.is_some_and(|at| dispatch.at.since(*at) < PROPAGATION_BOUND);
+        !is_new && first_seen_at.is_some_and(|at| *at + REACTION_BOUND <= dispatch.at)
     }
 
     /// Most requests beyond what is allowed in any window.
@@ -270,10 +273,10 @@
         let mut most = f64::NEG_INFINITY;
         for (upstream, announced) in &self.limits {
             let allowed = 1.5 * announced.limit.per_second() * WINDOW.as_secs_f64() + 5.0;
-            let sent = self.sent.iter();
-            let times: Vec<MonotonicTime> = sent
-                .filter(|sent| sent.upstream == *upstream && self.must_keep_limit(sent))
-                .map(|sent| sent.at)
+            let dispatches = self.dispatches.iter();
+            let times: Vec<MonotonicTime> = dispatches
+                .filter(|dispatch| dispatch.upstream == *upstream && self.must_keep_limit(dispatch))
+                .map(|dispatch| dispatch.at)
                 .collect();
             let enforced = times
                 .iter()
--- a/crates/savorywood-gateway/tests/common/load.rs
+++ b/crates/savorywood-gateway/tests/common/load.rs
@@ -162,7 +162,7 @@
                     self.step(number, GatewayEvent::Tick);
                 }
             }
-            self.send();
+            self.send_gossip();
         }
     }
 
@@ -223,7 +223,7 @@
         };
         let engine = self.engine(&order.upstream);
         let full = engine.is_full();
-        engine.send(run);
+        engine.enqueue(run);
         self.sent += 1;
         self.sent_to_full += u32::from(full);
     }
@@ -417,7 +417,7 @@
         }
     }
 
-    fn send(&mut self) {
+    fn send_gossip(&mut self) {
         for number in 0..self.daemons.len() {
             // Not all at the same moment.
             let steps = self.steps + number as u64 * 31;
--- a/crates/savorywood-gateway/tests/common/load/engine.rs
+++ b/crates/savorywood-gateway/tests/common/load/engine.rs
@@ -63,7 +63,7 @@
         self.batch.len() + self.queue.len() >= self.slots
     }
 
-    pub fn send(&mut self, run: EngineRun) {
+    pub fn enqueue(&mut self, run: EngineRun) {
         self.queue.push_back(run);
     }
 
