--- a/crates/savorywood-gateway/tests/common/load.rs
+++ b/crates/savorywood-gateway/tests/common/load.rs
@@ -27,21 +27,21 @@
 const TICK_STEPS: u64 = 10;
 const SUMMARY_STEPS: u64 = 250;
 const SLOT_UPDATE_STEPS: u64 = 80;
-const MESSAGE_TIME: Duration = Duration::from_millis(2);
+const MESSAGE_DELAY: Duration = Duration::from_millis(2);
 /// Part of the time left after which callers come back whatever they were asked.
-const MOST_RETURN: f64 = 1.0 / 3.0;
+const MAX_RETRY_FRACTION: f64 = 1.0 / 3.0;
 /// Time for which requests go on after the last arrival.
-const AFTER_TIME: Duration = Duration::from_secs(14);
+const DRAIN_PERIOD: Duration = Duration::from_secs(14);
 
 /// A message on its way between daemons.
-struct MessageOnWay {
+struct InFlightMessage {
     at: MonotonicTime,
     receiver: usize,
     event: GatewayEvent,
 }
 
 /// A caller that comes back.
-struct CallerReturn {
+struct PendingRetry {
     at: MonotonicTime,
     kind: usize,
     call: OpenCall,
@@ -55,43 +55,43 @@
     pub kinds: Vec<CallKind>,
     pub tallies: Vec<CallTally>,
     /// Sends that met an engine whose batch was full.
-    pub sent_to_full: u32,
-    pub sent: u32,
+    pub dispatched_to_full: u32,
+    pub dispatched: u32,
     /// Answers under way that daemons took from their upstream because it was silent.
-    pub taken_away: u32,
+    pub abandoned_streams: u32,
     /// Daemons send slots alone as well.
-    pub sends_slots: bool,
+    pub sends_slot_updates: bool,
     steps: u64,
     random: RandomSource,
     calls: BTreeMap<(usize, LocalRequest), OpenCall>,
-    messages: VecDeque<MessageOnWay>,
-    returns: Vec<CallerReturn>,
+    messages: VecDeque<InFlightMessage>,
+    pending_retries: Vec<PendingRetry>,
 }
 
 impl LoadEnvironment {
     /// `slowness` names the engines: 1 is the ordinary speed, 2 takes twice the time.
-    pub fn new(daemons: usize, slowness: &[f64], slots: u32, kinds: Vec<CallKind>) -> Self {
+    pub fn new(daemons: usize, slowdown: &[f64], slots: u32, kinds: Vec<CallKind>) -> Self {
         let mut environment = Self {
             now: MonotonicTime(1_000_000),
             daemons: Vec::new(),
             engines: Vec::new(),
             tallies: kinds.iter().map(|_| CallTally::default()).collect(),
             kinds,
-            sent_to_full: 0,
-            sent: 0,
-            taken_away: 0,
-            sends_slots: true,
+            dispatched_to_full: 0,
+            dispatched: 0,
+            abandoned_streams: 0,
+            sends_slot_updates: true,
             steps: 0,
             random: RandomSource(42),
             calls: BTreeMap::new(),
             messages: VecDeque::new(),
-            returns: Vec::new(),
+            pending_retries: Vec::new(),
         };
-        for (number, slowness) in slowness.iter().enumerate() {
+        for (number, slowdown) in slowdown.iter().enumerate() {
             let name = format!("upstream-{}", number + 1);
             environment
                 .engines
-                .push(EngineModel::new(&name, *slowness, slots));
+                .push(EngineModel::new(&name, *slowdown, slots));
         }
         for number in 0..daemons {
             let daemon = environment.daemon(number, daemons, slots);
@@ -119,7 +119,7 @@
             };
             let mut route = route(kind.path, repeat, kind.rank);
             route.objective = kind.objective;
-            route.gap_objective = Some(kind.pause);
+            route.gap_objective = Some(kind.gap_objective);
             route.caller_timeout = Some(kind.caller_timeout);
             route.timeout = Some(kind.deadline);
             config.add_route(route);
@@ -141,7 +141,7 @@
     /// Plays arrivals for a time, and then what is left.
     pub fn run(&mut self, time: Duration) {
         self.advance(time, true);
-        self.advance(AFTER_TIME, false);
+        self.advance(DRAIN_PERIOD, false);
     }
 
     /// Plays a time, with or without new arrivals.
@@ -154,7 +154,7 @@
             if arrivals {
                 self.arrivals();
             }
-            self.come_back();
+            self.send_due_retries();
             self.run_engines();
             self.end_calls();
             if self.steps.is_multiple_of(TICK_STEPS) {
@@ -188,11 +188,11 @@
                 request,
                 retry_after,
                 ..
-            } => self.refused(number, request, retry_after),
+            } => self.on_refused(number, request, retry_after),
             GatewayEffect::BreakOff { request } | GatewayEffect::PassFailure { request } => {
                 if let Some(call) = self.calls.remove(&(number, request)) {
-                    self.tallies[call.kind].unserved(&call);
-                    self.tallies[call.kind].cut += 1;
+                    self.tallies[call.kind].record_unserved(&call);
+                    self.tallies[call.kind].broken_off += 1;
                 }
             }
             GatewayEffect::Abandon { request } => self.abandon(number, request),
@@ -217,15 +217,15 @@
         let run = EngineRun {
             daemon: number,
             request: order.request,
-            unread: call.prompt,
+            prefill_left: call.prompt,
             tokens_left: call.tokens_left,
             tokens: 0,
         };
         let engine = self.engine(&order.upstream);
         let full = engine.is_full();
         engine.enqueue(run);
-        self.sent += 1;
-        self.sent_to_full += u32::from(full);
+        self.dispatched += 1;
+        self.dispatched_to_full += u32::from(full);
     }
 
     fn abandon(&mut self, number: usize, request: LocalRequest) {
@@ -233,8 +233,8 @@
             return;
         };
         let engine = call.engine.take();
-        call.moves += 1;
-        self.taken_away += u32::from(call.events > 0);
+        call.redispatches += 1;
+        self.abandoned_streams += u32::from(call.events > 0);
         let outcome = if call.events > 0 {
             AttemptOutcome::StreamBroken(StreamEnd {
                 events: call.events,
@@ -244,28 +244,28 @@
             AttemptOutcome::Broken { silent: true }
         };
         if let Some(name) = engine {
-            self.engine(&name).drop_run(number, request);
+            self.engine(&name).cancel(number, request);
         }
         self.step(number, GatewayEvent::AttemptEnded { request, outcome });
     }
 
-    fn refused(&mut self, number: usize, request: LocalRequest, after: Option<Duration>) {
+    fn on_refused(&mut self, number: usize, request: LocalRequest, after: Option<Duration>) {
         let Some(mut call) = self.calls.remove(&(number, request)) else {
             return;
         };
         let kind = call.kind;
         let left = call.deadline_at.since(self.now);
-        let again = after.filter(|_| !call.came_back);
+        let again = after.filter(|_| !call.retried);
         let Some(after) = again else {
-            self.tallies[kind].unserved(&call);
+            self.tallies[kind].record_unserved(&call);
             self.tallies[kind].refused += 1;
             return;
         };
-        self.tallies[kind].longest_return = self.tallies[kind].longest_return.max(after);
-        self.tallies[kind].sent_back += 1;
-        call.came_back = true;
-        self.returns.push(CallerReturn {
-            at: self.now + after.min(left.mul_f64(MOST_RETURN)),
+        self.tallies[kind].max_retry_after = self.tallies[kind].max_retry_after.max(after);
+        self.tallies[kind].asked_to_retry += 1;
+        call.retried = true;
+        self.pending_retries.push(PendingRetry {
+            at: self.now + after.min(left.mul_f64(MAX_RETRY_FRACTION)),
             kind,
             call,
         });
@@ -277,13 +277,13 @@
             if self.random.next() >= per_step {
                 continue;
             }
-            self.tallies[kind].asked += 1;
+            self.tallies[kind].requests += 1;
             let call = self.kinds[kind].sample(kind, self.now, &mut self.random);
-            self.ask(call);
+            self.send_call(call);
         }
     }
 
-    fn ask(&mut self, mut call: OpenCall) {
+    fn send_call(&mut self, mut call: OpenCall) {
         let daemons = self.daemons.len() as f64;
         let number = (self.random.next() * daemons) as usize;
         let kind = &self.kinds[call.kind];
@@ -292,9 +292,9 @@
         arrival.deadline = Some(left);
         arrival.size = Some(RequestSize {
             prompt: call.prompt,
-            output: call.guess,
+            output: call.output_estimate,
         });
-        arrival.output_guess = Some(call.guess);
+        arrival.output_guess = Some(call.output_estimate);
         arrival.parts = Vec::new();
         call.received_at = self.now;
         call.give_up_at = call.deadline_at;
@@ -306,15 +306,15 @@
         self.step(number, GatewayEvent::Arrived { request, arrival });
     }
 
-    fn come_back(&mut self) {
+    fn send_due_retries(&mut self) {
         let now = self.now;
-        let (due, later) = std::mem::take(&mut self.returns)
+        let (due, later) = std::mem::take(&mut self.pending_retries)
             .into_iter()
-            .partition(|back| back.at <= now);
-        self.returns = later;
-        let due: Vec<CallerReturn> = due;
-        for back in due {
-            self.ask(back.call);
+            .partition(|retry| retry.at <= now);
+        self.pending_retries = later;
+        let due: Vec<PendingRetry> = due;
+        for retry in due {
+            self.send_call(retry.call);
         }
     }
 
@@ -324,23 +324,23 @@
             engine.advance(self.now, &mut outputs);
         }
         for output in outputs {
-            self.answer(output);
+            self.deliver_output(output);
         }
     }
 
-    fn answer(&mut self, output: EngineOutput) {
+    fn deliver_output(&mut self, output: EngineOutput) {
         let key = (output.daemon, output.request);
         let Some(call) = self.calls.get_mut(&key) else {
             return;
         };
-        let pause = self.now.since(call.received_at);
+        let gap = self.now.since(call.received_at);
         if call.events == 0 {
-            let first = self.now.since(call.began_at);
-            call.late |= first > self.kinds[call.kind].objective;
-            call.first = Some(first);
+            let time_to_first_event = self.now.since(call.arrived_at);
+            call.late |= time_to_first_event > self.kinds[call.kind].objective;
+            call.time_to_first_event = Some(time_to_first_event);
         } else {
-            call.late |= pause > self.kinds[call.kind].pause;
-            call.longest_pause = call.longest_pause.max(pause);
+            call.late |= gap > self.kinds[call.kind].gap_objective;
+            call.max_event_gap = call.max_event_gap.max(gap);
         }
         call.received_at = self.now;
         call.events += 1;
@@ -357,7 +357,7 @@
             return;
         }
         if let Some(call) = self.calls.remove(&key) {
-            self.tallies[call.kind].served(&call);
+            self.tallies[call.kind].record_served(&call);
             let events = call.events;
             let outcome = AttemptOutcome::Delivered { marks, events };
             self.step(
@@ -384,10 +384,10 @@
             };
             let engine = call.engine.clone();
             if let Some(name) = &engine {
-                self.engine(name).drop_run(number, request);
+                self.engine(name).cancel(number, request);
             }
             if left && let Some(call) = self.calls.remove(&(number, request)) {
-                self.tallies[call.kind].unserved(&call);
+                self.tallies[call.kind].record_unserved(&call);
                 self.tallies[call.kind].left += 1;
             }
             let event = match (engine, left) {
@@ -424,7 +424,7 @@
             let gateway = &mut self.daemons[number].gateway;
             let event = if steps.is_multiple_of(SUMMARY_STEPS) {
                 GatewayEvent::SummaryReceived(Box::new(gateway.summary(self.now)))
-            } else if self.sends_slots
+            } else if self.sends_slot_updates
                 && steps.is_multiple_of(SLOT_UPDATE_STEPS)
                 && let Some(update) = gateway.slot_update(self.now)
             {
@@ -433,8 +433,8 @@
                 continue;
             };
             for receiver in (0..self.daemons.len()).filter(|receiver| *receiver != number) {
-                self.messages.push_back(MessageOnWay {
-                    at: self.now + MESSAGE_TIME,
+                self.messages.push_back(InFlightMessage {
+                    at: self.now + MESSAGE_DELAY,
                     receiver,
                     event: event.clone(),
                 });
--- a/crates/savorywood-gateway/tests/common/load/calls.rs
+++ b/crates/savorywood-gateway/tests/common/load/calls.rs
@@ -37,13 +37,13 @@
     /// The same of the tokens of the answer.
     pub tokens: (f64, f64, f64),
     pub objective: Duration,
-    pub pause: Duration,
+    pub gap_objective: Duration,
     pub caller_timeout: Duration,
     pub deadline: Duration,
 }
 
 /// Spread of callers' guesses of the length of their answers.
-const GUESS_SPREAD: f64 = 0.5;
+const OUTPUT_ESTIMATE_SPREAD: f64 = 0.5;
 
 impl CallKind {
     /// A request of this kind.
@@ -56,21 +56,21 @@
         OpenCall {
             kind,
             prompt,
-            guess: random
-                .sample_lognormal(f64::from(tokens), GUESS_SPREAD)
+            output_estimate: random
+                .sample_lognormal(f64::from(tokens), OUTPUT_ESTIMATE_SPREAD)
                 .max(1.0) as u32,
             tokens_left: tokens,
-            began_at: now,
+            arrived_at: now,
             deadline_at: now + self.deadline,
             received_at: now,
             give_up_at: now + self.deadline,
             engine: None,
             events: 0,
-            first: None,
-            longest_pause: Duration::ZERO,
+            time_to_first_event: None,
+            max_event_gap: Duration::ZERO,
             late: false,
-            came_back: false,
-            moves: 0,
+            retried: false,
+            redispatches: 0,
         }
     }
 }
@@ -80,80 +80,80 @@
 pub struct OpenCall {
     pub kind: usize,
     pub prompt: u32,
-    pub guess: u32,
+    pub output_estimate: u32,
     pub tokens_left: u32,
-    pub began_at: MonotonicTime,
+    pub arrived_at: MonotonicTime,
     pub deadline_at: MonotonicTime,
     pub received_at: MonotonicTime,
     pub give_up_at: MonotonicTime,
     pub engine: Option<UpstreamLabel>,
     pub events: u32,
-    pub first: Option<Duration>,
-    pub longest_pause: Duration,
+    pub time_to_first_event: Option<Duration>,
+    pub max_event_gap: Duration,
     pub late: bool,
-    pub came_back: bool,
-    pub moves: u32,
+    pub retried: bool,
+    pub redispatches: u32,
 }
 
 impl OpenCall {
     /// Prompt and expected answer, by what each takes of an engine's time.
     pub fn size(&self) -> u32 {
-        self.prompt + 10 * self.guess
+        self.prompt + 10 * self.output_estimate
     }
 }
 
 /// What callers of one kind got.
 #[derive(Debug, Clone, Default)]
 pub struct CallTally {
-    pub asked: u32,
+    pub requests: u32,
     pub in_time: u32,
     pub late: u32,
     /// Refused for good.
     pub refused: u32,
     /// Asked to come back.
-    pub sent_back: u32,
+    pub asked_to_retry: u32,
     /// Left without a whole answer.
     pub left: u32,
     /// Answers that were broken off.
-    pub cut: u32,
+    pub broken_off: u32,
     /// Served after a move from one upstream to another.
-    pub moved: u32,
-    pub longest_return: Duration,
-    pub longest_pause: Duration,
+    pub redispatched: u32,
+    pub max_retry_after: Duration,
+    pub max_event_gap: Duration,
     /// Sizes of all requests that ended, and whether they were served.
     pub sizes: Vec<(u32, bool)>,
 }
 
 impl CallTally {
     /// Share of the requests served, of all and of the largest tenth.
-    pub fn served_by_size(&self) -> (f64, f64) {
+    pub fn served_fraction_by_size(&self) -> (f64, f64) {
         let mut sizes = self.sizes.clone();
         sizes.sort_unstable();
-        let share = |of: &[(u32, bool)]| {
+        let fraction = |of: &[(u32, bool)]| {
             let served = of.iter().filter(|(_, served)| *served).count();
             served as f64 / of.len().max(1) as f64
         };
         let largest = sizes.len() - sizes.len() / 10;
-        (share(&sizes), share(&sizes[largest..]))
+        (fraction(&sizes), fraction(&sizes[largest..]))
     }
 
     /// Notes the end of a request that was not served.
-    pub fn unserved(&mut self, call: &OpenCall) {
+    pub fn record_unserved(&mut self, call: &OpenCall) {
         self.sizes.push((call.size(), false));
     }
 
-    pub fn served(&mut self, call: &OpenCall) {
+    pub fn record_served(&mut self, call: &OpenCall) {
         self.sizes.push((call.size(), true));
         if call.late {
             self.late += 1;
         } else {
             self.in_time += 1;
         }
-        self.moved += u32::from(call.moves > 0);
-        self.longest_pause = self.longest_pause.max(call.longest_pause);
+        self.redispatched += u32::from(call.redispatches > 0);
+        self.max_event_gap = self.max_event_gap.max(call.max_event_gap);
     }
 
-    pub fn share(&self, count: u32) -> f64 {
-        f64::from(count) / f64::from(self.asked.max(1))
+    pub fn fraction(&self, count: u32) -> f64 {
+        f64::from(count) / f64::from(self.requests.max(1))
     }
 }
--- a/crates/savorywood-gateway/tests/common/load/engine.rs
+++ b/crates/savorywood-gateway/tests/common/load/engine.rs
@@ -5,13 +5,13 @@
 use std::{collections::VecDeque, time::Duration};
 
 /// Milliseconds of a step.
-const STEP_MS: f64 = 2.8;
+const BASE_STEP_MS: f64 = 2.8;
 /// More milliseconds of a step for each request in the batch.
-const SEAT_MS: f64 = 0.015;
+const STEP_MS_PER_REQUEST: f64 = 0.015;
 /// Prompt tokens read in a millisecond.
-const READ_PER_MS: f64 = 85.0;
+const PREFILL_TOKENS_PER_MS: f64 = 85.0;
 /// Prompt tokens read in one step at most.
-const PIECE: u32 = 2_048;
+const MAX_PREFILL_CHUNK: u32 = 2_048;
 /// Tokens of one event.
 const EVENT_TOKENS: u32 = 7;
 
@@ -20,7 +20,7 @@
 pub struct EngineRun {
     pub daemon: usize,
     pub request: LocalRequest,
-    pub unread: u32,
+    pub prefill_left: u32,
     pub tokens_left: u32,
     pub tokens: u32,
 }
@@ -37,9 +37,9 @@
 /// An engine.
 pub struct EngineModel {
     pub name: UpstreamLabel,
-    pub slowness: f64,
+    pub slowdown: f64,
     /// It says nothing any more.
-    pub dark: bool,
+    pub stalled: bool,
     slots: usize,
     queue: VecDeque<EngineRun>,
     batch: Vec<EngineRun>,
@@ -47,11 +47,11 @@
 }
 
 impl EngineModel {
-    pub fn new(name: &str, slowness: f64, slots: u32) -> Self {
+    pub fn new(name: &str, slowdown: f64, slots: u32) -> Self {
         Self {
             name: UpstreamLabel::from(name),
-            slowness,
-            dark: false,
+            slowdown,
+            stalled: false,
             slots: slots as usize,
             queue: VecDeque::new(),
             batch: Vec::new(),
@@ -67,7 +67,7 @@
         self.queue.push_back(run);
     }
 
-    pub fn drop_run(&mut self, daemon: usize, request: LocalRequest) {
+    pub fn cancel(&mut self, daemon: usize, request: LocalRequest) {
         let is_other = |run: &EngineRun| run.daemon != daemon || run.request != request;
         self.batch.retain(is_other);
         self.queue.retain(is_other);
@@ -75,7 +75,7 @@
 
     /// Runs the steps that end until now.
     pub fn advance(&mut self, now: MonotonicTime, outputs: &mut Vec<EngineOutput>) {
-        if self.dark {
+        if self.stalled {
             return;
         }
         while let Some(end) = self.step_end(now) {
@@ -104,25 +104,30 @@
         if self.batch.is_empty() {
             return;
         }
-        let unread: u32 = self.batch.iter().map(|run| run.unread.min(PIECE)).sum();
-        let read = f64::from(unread.min(PIECE)) / READ_PER_MS;
-        let millis = self.slowness * (STEP_MS + SEAT_MS * self.batch.len() as f64 + read);
+        let prefill_left: u32 = self
+            .batch
+            .iter()
+            .map(|run| run.prefill_left.min(MAX_PREFILL_CHUNK))
+            .sum();
+        let prefilled = f64::from(prefill_left.min(MAX_PREFILL_CHUNK)) / PREFILL_TOKENS_PER_MS;
+        let millis = self.slowdown
+            * (BASE_STEP_MS + STEP_MS_PER_REQUEST * self.batch.len() as f64 + prefilled);
         self.step_ends_at = Some(at + Duration::from_secs_f64(millis / 1e3));
     }
 
     fn finish_step(&mut self, outputs: &mut Vec<EngineOutput>) {
-        let mut piece = PIECE;
+        let mut chunk_left = MAX_PREFILL_CHUNK;
         for run in &mut self.batch {
-            let read = run.unread.min(piece);
-            piece -= read;
-            run.unread -= read;
-            if run.unread > 0 {
+            let prefilled = run.prefill_left.min(chunk_left);
+            chunk_left -= prefilled;
+            run.prefill_left -= prefilled;
+            if run.prefill_left > 0 {
                 continue;
             }
             run.tokens += 1;
             run.tokens_left -= 1;
-            let whole = run.tokens % EVENT_TOKENS == 1 || run.tokens_left == 0;
-            if whole {
+            let completes_event = run.tokens % EVENT_TOKENS == 1 || run.tokens_left == 0;
+            if completes_event {
                 outputs.push(EngineOutput {
                     daemon: run.daemon,
                     request: run.request,
--- a/crates/savorywood-gateway/tests/scheduling.rs
+++ b/crates/savorywood-gateway/tests/scheduling.rs
@@ -14,7 +14,7 @@
 const DAEMONS: usize = 8;
 const SLOTS: u32 = 12;
 /// Fast, ordinary and slow engines.
-const SLOWNESS: [f64; 6] = [0.55, 0.55, 1.0, 1.0, 2.8, 2.8];
+const SLOWDOWNS: [f64; 6] = [0.55, 0.55, 1.0, 1.0, 2.8, 2.8];
 
 fn plans(per_second: f64) -> CallKind {
     CallKind {
@@ -25,7 +25,7 @@
         prompt: (2_500.0, 1.4, 54_000.0),
         tokens: (125.0, 1.5, 3_850.0),
         objective: Duration::from_millis(600),
-        pause: Duration::from_millis(300),
+        gap_objective: Duration::from_millis(300),
         caller_timeout: Duration::from_millis(2_400),
         deadline: Duration::from_secs(12),
     }
@@ -58,22 +58,22 @@
     }
 }
 
-fn environment(slowness: &[f64], kinds: Vec<CallKind>) -> LoadEnvironment {
-    LoadEnvironment::new(DAEMONS, slowness, SLOTS, kinds)
+fn environment(slowdown: &[f64], kinds: Vec<CallKind>) -> LoadEnvironment {
+    LoadEnvironment::new(DAEMONS, slowdown, SLOTS, kinds)
 }
 
 /// Half as much again as all slots can serve.
 fn overload() -> LoadEnvironment {
     let kinds = vec![plans(20.0), chats(100.0), digests(60.0)];
-    let mut environment = environment(&SLOWNESS, kinds);
+    let mut environment = environment(&SLOWDOWNS, kinds);
     environment.run(Duration::from_secs(20));
     environment
 }
 
 fn total(environment: &LoadEnvironment, count: impl Fn(&CallTally) -> u32) -> f64 {
-    let asked: u32 = environment.tallies.iter().map(|tally| tally.asked).sum();
+    let requests: u32 = environment.tallies.iter().map(|tally| tally.requests).sum();
     let counted: u32 = environment.tallies.iter().map(count).sum();
-    f64::from(counted) / f64::from(asked)
+    f64::from(counted) / f64::from(requests)
 }
 
 /// Callers of the lower ranks ask for half as much again as all slots can serve, at eight daemons
@@ -83,7 +83,7 @@
 fn the_most_urgent_callers_are_answered_in_time_under_overload() {
     let environment = overload();
     let plans = environment.tally("/plan/");
-    let in_time = plans.share(plans.in_time);
+    let in_time = plans.fraction(plans.in_time);
     assert!(in_time >= 0.85, "{in_time:.3}: {plans:?}");
 }
 
@@ -95,10 +95,13 @@
     let environment = overload();
     let left = total(&environment, |tally| tally.left);
     assert!(left <= 0.01, "{left:.4} left: {:?}", environment.tallies);
-    let sent_back = total(&environment, |tally| tally.sent_back);
-    assert!(sent_back >= 0.1, "only {sent_back:.3} were sent back");
+    let asked_to_retry = total(&environment, |tally| tally.asked_to_retry);
+    assert!(
+        asked_to_retry >= 0.1,
+        "only {asked_to_retry:.3} were sent back"
+    );
     for (kind, tally) in environment.kinds.iter().zip(&environment.tallies) {
-        assert!(tally.longest_return <= kind.deadline / 3, "{tally:?}");
+        assert!(tally.max_retry_after <= kind.deadline / 3, "{tally:?}");
     }
 }
 
@@ -110,7 +113,7 @@
 fn short_work_of_the_lowest_rank_is_not_starved() {
     let environment = overload();
     let digests = environment.tally("/digest/");
-    let served = digests.share(digests.in_time + digests.late);
+    let served = digests.fraction(digests.in_time + digests.late);
     assert!(served >= 0.75, "{served:.3}: {digests:?}");
 }
 
@@ -123,7 +126,7 @@
         prompt: (2_000.0, 1.1, 53_200.0),
         tokens: (60.0, 1.2, 1_200.0),
         objective: Duration::from_secs(1),
-        pause: Duration::from_millis(800),
+        gap_objective: Duration::from_millis(800),
         caller_timeout: Duration::from_millis(6_400),
         deadline: Duration::from_secs(8),
     }
@@ -147,10 +150,10 @@
 #[test]
 fn large_requests_of_the_lowest_rank_are_not_starved() {
     let mut environment =
-        LoadEnvironment::new(DAEMONS, &SLOWNESS, 4, vec![briefs(20.0), notes(40.0)]);
+        LoadEnvironment::new(DAEMONS, &SLOWDOWNS, 4, vec![briefs(20.0), notes(40.0)]);
     environment.run(Duration::from_secs(30));
     let notes = environment.tally("/note/");
-    let (all, largest) = notes.served_by_size();
+    let (all, largest) = notes.served_fraction_by_size();
     assert!(all <= 0.95, "no overload: {all:.3}");
     assert!(
         largest >= all / 2.0,
@@ -166,8 +169,12 @@
     long.tokens = (300.0, 1.2, 2_950.0);
     let mut environment = environment(&[0.55, 0.55, 2.8, 2.8], vec![long]);
     environment.run(Duration::from_secs(30));
-    let cut = total(&environment, |tally| tally.cut);
-    assert!(cut <= 0.02, "{cut:.4} cut: {:?}", environment.tallies);
+    let broken_off = total(&environment, |tally| tally.broken_off);
+    assert!(
+        broken_off <= 0.02,
+        "{broken_off:.4} cut: {:?}",
+        environment.tallies
+    );
 }
 
 /// Slow engines have free slots while the fast ones give back several a second. A long prompt that
@@ -177,7 +184,7 @@
     let mut environment = environment(&[0.55, 0.55, 4.5, 4.5], vec![plans(9.0), chats(28.0)]);
     environment.run(Duration::from_secs(30));
     let plans = environment.tally("/plan/");
-    let in_time = plans.share(plans.in_time);
+    let in_time = plans.fraction(plans.in_time);
     assert!(in_time >= 0.85, "{in_time:.3}: {plans:?}");
 }
 
@@ -196,10 +203,14 @@
     let longest = environment
         .tallies
         .iter()
-        .map(|tally| tally.longest_pause)
+        .map(|tally| tally.max_event_gap)
         .max();
     assert!(longest > Some(Duration::from_millis(500)), "{longest:?}");
-    assert_eq!(environment.taken_away, 0, "{:?}", environment.tallies);
+    assert_eq!(
+        environment.abandoned_streams, 0,
+        "{:?}",
+        environment.tallies
+    );
 }
 
 /// One of six engines loses its power while a dozen answers run there. All of them fall silent at
@@ -207,36 +218,37 @@
 /// there no more.
 #[test]
 fn a_dark_upstream_is_found_by_the_silence_of_all_that_runs_there() {
-    let mut environment = environment(&SLOWNESS, vec![plans(16.0)]);
+    let mut environment = environment(&SLOWDOWNS, vec![plans(16.0)]);
     environment.advance(Duration::from_secs(5), true);
-    environment.engines[0].dark = true;
+    environment.engines[0].stalled = true;
     environment.advance(Duration::from_secs(5), true);
     environment.run(Duration::from_secs(2));
     let plans = environment.tally("/plan/");
-    assert!(plans.moved > 0, "{plans:?}");
-    let lost = plans.share(plans.left + plans.cut + plans.refused);
+    assert!(plans.redispatched > 0, "{plans:?}");
+    let lost = plans.fraction(plans.left + plans.broken_off + plans.refused);
     assert!(lost <= 0.02, "{lost:.4}: {plans:?}");
 }
 
 /// Most urgent callers that were not answered in time, and the share of sends to full engines.
-struct NewsEffect {
+struct SlotUpdateEffect {
     not_in_time: u32,
     to_full: f64,
 }
 
 /// Several loads under which nearly all slots are taken.
-fn scarce_loads(sends_slots: bool) -> NewsEffect {
-    let mut effect = NewsEffect {
+fn run_scarce_loads(sends_slot_updates: bool) -> SlotUpdateEffect {
+    let mut effect = SlotUpdateEffect {
         not_in_time: 0,
         to_full: 0.0,
     };
     for (urgent, other) in [(12.0, 55.0), (14.0, 70.0), (18.0, 60.0), (24.0, 40.0)] {
-        let mut environment = environment(&SLOWNESS, vec![plans(urgent), chats(other)]);
-        environment.sends_slots = sends_slots;
+        let mut environment = environment(&SLOWDOWNS, vec![plans(urgent), chats(other)]);
+        environment.sends_slot_updates = sends_slot_updates;
         environment.run(Duration::from_secs(30));
         let plans = environment.tally("/plan/");
-        effect.not_in_time += plans.asked - plans.in_time;
-        effect.to_full += f64::from(environment.sent_to_full) / f64::from(environment.sent);
+        effect.not_in_time += plans.requests - plans.in_time;
+        effect.to_full +=
+            f64::from(environment.dispatched_to_full) / f64::from(environment.dispatched);
     }
     effect
 }
@@ -247,8 +259,8 @@
 /// fewer of these callers wait too long.
 #[test]
 fn news_of_scarce_seats_spare_urgent_callers_a_wait() {
-    let reported = scarce_loads(true);
-    let unreported = scarce_loads(false);
+    let reported = run_scarce_loads(true);
+    let unreported = run_scarce_loads(false);
     let (late, late_before) = (reported.not_in_time, unreported.not_in_time);
     assert!(
         f64::from(late) < f64::from(late_before) * 0.9,
