--- a/crates/savorywood-gateway/tests/rollouts.rs
+++ b/crates/savorywood-gateway/tests/rollouts.rs
@@ -13,7 +13,7 @@
 use std::{sync::Arc, time::Duration};
 
 const DAEMONS: usize = 4;
-const WITHIN: Duration = Duration::from_secs(12);
+const ROLLOUT_DEADLINE: Duration = Duration::from_secs(12);
 
 fn new_upstream(number: u16) -> UpstreamEntry {
     UpstreamEntry {
@@ -27,10 +27,10 @@
 /// What a deployment did with a roll-out.
 #[derive(Debug, Default)]
 struct RolloutRun {
-    sent: u32,
-    sent_new: u32,
-    sent_new_after_verdict: u32,
-    bad_seen: u32,
+    dispatched: u32,
+    dispatched_new: u32,
+    dispatched_new_after_rollback: u32,
+    bad_responses: u32,
     writes: Vec<RolloutWrite>,
     ended: Option<(RolloutPhase, Duration)>,
 }
@@ -39,11 +39,11 @@
 #[derive(Debug, Clone, Copy)]
 struct RunOptions {
     /// Share of the new version's answers that are bad.
-    bad_share: f64,
+    bad_fraction: f64,
     /// Daemons learn of each other.
-    linked: bool,
+    connected: bool,
     /// Answers to writes are lost; what was written is found by reading.
-    lose_writes: bool,
+    lose_write_responses: bool,
 }
 
 fn run(run_options: RunOptions) -> RolloutRun {
@@ -64,14 +64,14 @@
         let request = daemon.arrive(arrival("/safe/1"));
         let order = daemon.orders(request)[0].clone();
         let new = order.upstream.as_str().starts_with("new-");
-        result.sent += 1;
-        result.sent_new += u32::from(new);
-        let verdict = stored
+        result.dispatched += 1;
+        result.dispatched_new += u32::from(new);
+        let is_rolled_back = stored
             .as_ref()
             .is_some_and(|(write, _)| write.phase == RolloutPhase::RolledBack);
-        result.sent_new_after_verdict += u32::from(new && verdict);
-        let bad = new && (step * 7 % 100) as f64 / 100.0 < run_options.bad_share;
-        result.bad_seen += u32::from(bad);
+        result.dispatched_new_after_rollback += u32::from(new && is_rolled_back);
+        let bad = new && (step * 7 % 100) as f64 / 100.0 < run_options.bad_fraction;
+        result.bad_responses += u32::from(bad);
         let marks = AnswerMarks::default();
         let outcome = if bad {
             AttemptOutcome::Failed { marks }
@@ -84,10 +84,10 @@
         }
         let elapsed = now.since(start);
         for daemon in &mut daemons {
-            take_writes(daemon, &mut stored, &mut result, elapsed, run_options);
+            apply_writes(daemon, &mut stored, &mut result, elapsed, run_options);
         }
         if step % 25 == 24 {
-            tell_all(&mut daemons, now, run_options.linked, stored.as_ref());
+            gossip_all(&mut daemons, now, run_options.connected, stored.as_ref());
         }
     }
     result
@@ -104,14 +104,14 @@
     harness.step(GatewayEvent::RolloutOrdered(RolloutOrder {
         service: ServiceLabel::from("engine"),
         to: VersionLabel::from("v2"),
-        within: WITHIN,
+        within: ROLLOUT_DEADLINE,
         position: StorePosition::new(1, 50),
     }));
     harness
 }
 
 /// The store: takes a write whose condition holds.
-fn take_writes(
+fn apply_writes(
     daemon: &mut GatewayHarness,
     stored: &mut Option<(RolloutWrite, u64)>,
     result: &mut RolloutRun,
@@ -133,7 +133,7 @@
             *stored = Some((write.clone(), version + 1));
         }
         let service = write.service.clone();
-        let accepted = holds && !run_options.lose_writes;
+        let accepted = holds && !run_options.lose_write_responses;
         daemon.step(GatewayEvent::RolloutWritten {
             service,
             accepted,
@@ -152,35 +152,35 @@
     }
 }
 
-fn tell_all(
+fn gossip_all(
     daemons: &mut [GatewayHarness],
     now: MonotonicTime,
-    linked: bool,
+    connected: bool,
     stored: Option<&(RolloutWrite, u64)>,
 ) {
     for index in 0..daemons.len() {
         daemons[index].step(GatewayEvent::RolloutRead(status(stored)));
         let summary = daemons[index].gateway.summary(now);
         for (other, daemon) in daemons.iter_mut().enumerate() {
-            if other != index && linked {
+            if other != index && connected {
                 daemon.step(GatewayEvent::SummaryReceived(Box::new(summary.clone())));
             }
         }
     }
 }
 
-const SOUND: RunOptions = RunOptions {
-    bad_share: 0.0,
-    linked: true,
-    lose_writes: false,
+const GOOD_VERSION: RunOptions = RunOptions {
+    bad_fraction: 0.0,
+    connected: true,
+    lose_write_responses: false,
 };
 
 #[test]
 fn a_good_version_is_completed_in_time() {
-    let run = run(SOUND);
+    let run = run(GOOD_VERSION);
     let (phase, after) = run.ended.expect("an end");
     assert_eq!(phase, RolloutPhase::Completed);
-    assert!(after < WITHIN, "{after:?}");
+    assert!(after < ROLLOUT_DEADLINE, "{after:?}");
 }
 
 /// A version fails one answer in four from its start. Few requests meet it, it is taken back, and
@@ -188,19 +188,19 @@
 #[test]
 fn a_bad_version_is_met_by_few_and_taken_back() {
     let run = run(RunOptions {
-        bad_share: 0.25,
-        ..SOUND
+        bad_fraction: 0.25,
+        ..GOOD_VERSION
     });
     let (phase, _) = run.ended.expect("an end");
     assert_eq!(phase, RolloutPhase::RolledBack);
-    let allowed = f64::from(run.sent) * 0.1 + 50.0;
+    let allowed = f64::from(run.dispatched) * 0.1 + 50.0;
     assert!(
-        f64::from(run.sent_new) <= allowed,
+        f64::from(run.dispatched_new) <= allowed,
         "{} of {allowed}",
-        run.sent_new
+        run.dispatched_new
     );
-    assert!(run.bad_seen < 50, "{}", run.bad_seen);
-    assert_eq!(run.sent_new_after_verdict, 0);
+    assert!(run.bad_responses < 50, "{}", run.bad_responses);
+    assert_eq!(run.dispatched_new_after_rollback, 0);
 }
 
 /// Daemons can't reach each other, so each sees only its own answers and leads in its own eyes.
@@ -208,17 +208,17 @@
 #[test]
 fn daemons_that_cannot_hear_each_other_stay_within_the_share() {
     let run = run(RunOptions {
-        bad_share: 0.25,
-        linked: false,
-        lose_writes: false,
+        bad_fraction: 0.25,
+        connected: false,
+        lose_write_responses: false,
     });
     let (phase, _) = run.ended.expect("an end");
     assert_eq!(phase, RolloutPhase::RolledBack);
-    let allowed = f64::from(run.sent) * 0.1 + 50.0;
+    let allowed = f64::from(run.dispatched) * 0.1 + 50.0;
     assert!(
-        f64::from(run.sent_new) <= allowed,
+        f64::from(run.dispatched_new) <= allowed,
         "{} of {allowed}",
-        run.sent_new
+        run.dispatched_new
     );
 }
 
@@ -226,8 +226,8 @@
 #[test]
 fn lost_answers_of_the_store_lead_to_one_end() {
     let run = run(RunOptions {
-        lose_writes: true,
-        ..SOUND
+        lose_write_responses: true,
+        ..GOOD_VERSION
     });
     assert_eq!(
         run.ended.map(|(phase, _)| phase),
