--- a/crates/savorywood-gateway/tests/warmup.rs
+++ b/crates/savorywood-gateway/tests/warmup.rs
@@ -29,17 +29,17 @@
     slack: 5.0,
 };
 /// Requests within a second that are allowed.
-const ALLOWED: usize = 14;
+const MAX_PER_SECOND: usize = 14;
 /// Time between two starts of the cold upstream.
-const LIFE: Duration = Duration::from_secs(4);
+const RESTART_INTERVAL: Duration = Duration::from_secs(4);
 
 /// Daemons with requests for one upstream that starts again and again.
 struct ColdStartRun {
     cluster: DaemonCluster,
     callers: CallerGroup,
-    sent_at: Vec<MonotonicTime>,
+    dispatched_at: Vec<MonotonicTime>,
     born: u64,
-    born_at: MonotonicTime,
+    started_at: MonotonicTime,
     random: SeededRandom,
 }
 
@@ -58,21 +58,21 @@
         let cluster = DaemonCluster::new(daemons);
         let mut run = Self {
             callers: CallerGroup::new(0, SECOND),
-            sent_at: Vec::new(),
+            dispatched_at: Vec::new(),
             born: 1,
-            born_at: cluster.now,
+            started_at: cluster.now,
             random: SeededRandom(seed),
             cluster,
         };
         for number in 0..daemons {
-            run.declare(number);
+            run.configure(number);
         }
         run.start_upstream();
         run
     }
 
     /// A daemon knows how upstreams start, and the cold one alone.
-    fn declare(&mut self, number: usize) {
+    fn configure(&mut self, number: usize) {
         let mut declared = config(7, None);
         for service in declared.services.values_mut() {
             service.warmup = Some(SPEC);
@@ -89,7 +89,7 @@
 
     fn start_upstream(&mut self) {
         self.born += 1;
-        self.born_at = self.cluster.now;
+        self.started_at = self.cluster.now;
         for daemon in &mut self.cluster.daemons {
             daemon.now = self.cluster.now;
             daemon.step(GatewayEvent::UpstreamWritten(cold_entry(self.born)));
@@ -101,19 +101,19 @@
         let end = self.cluster.now + time;
         while self.cluster.now < end {
             self.cluster.advance(STEP, &mut self.callers);
-            if self.cluster.now.since(self.born_at) >= LIFE {
+            if self.cluster.now.since(self.started_at) >= RESTART_INTERVAL {
                 self.start_upstream();
             }
             for number in 0..self.cluster.daemons.len() {
                 if !self.cluster.down.contains(&number) {
-                    self.ask(number);
+                    self.send_request(number);
                 }
             }
         }
     }
 
-    fn ask(&mut self, number: usize) {
-        let is_cold = self.cluster.now.since(self.born_at) < SPEC.time;
+    fn send_request(&mut self, number: usize) {
+        let is_cold = self.cluster.now.since(self.started_at) < SPEC.time;
         let daemon = &mut self.cluster.daemons[number];
         daemon.now = self.cluster.now;
         let request = daemon.arrive(arrival("/safe/1"));
@@ -122,7 +122,7 @@
             return;
         }
         if is_cold {
-            self.sent_at.push(self.cluster.now);
+            self.dispatched_at.push(self.cluster.now);
         }
         daemon.deliver(request);
     }
@@ -135,21 +135,21 @@
         let killed: Vec<usize> = self.cluster.down.iter().copied().collect();
         self.cluster.restart_down();
         for number in killed {
-            self.declare(number);
+            self.configure(number);
         }
     }
 
-    fn most_in_a_second(&self) -> usize {
-        let counts = self.sent_at.iter().enumerate().map(|(index, from)| {
-            let later = self.sent_at[index..].iter();
+    fn max_in_a_second(&self) -> usize {
+        let counts = self.dispatched_at.iter().enumerate().map(|(index, from)| {
+            let later = self.dispatched_at[index..].iter();
             later.take_while(|at| at.since(*from) < SECOND).count()
         });
         counts.max().unwrap_or_default()
     }
 
     fn assert_bound_kept(&self, what: &str) {
-        let most = self.most_in_a_second();
-        assert!(most <= ALLOWED, "{most} within a second: {what}");
+        let most = self.max_in_a_second();
+        assert!(most <= MAX_PER_SECOND, "{most} within a second: {what}");
     }
 }
 
@@ -162,7 +162,7 @@
         run.assert_bound_kept(&format!("{daemons} daemons"));
         let cold_s = SPEC.time.as_secs_f64() * 3.0;
         let least = SPEC.per_second * cold_s * 0.7;
-        let sent = run.sent_at.len() as f64;
+        let sent = run.dispatched_at.len() as f64;
         assert!(sent >= least, "{sent} of {least} at {daemons} daemons");
     }
 }
