--- a/crates/savorywood-gateway/tests/response_invariants.rs
+++ b/crates/savorywood-gateway/tests/response_invariants.rs
@@ -60,21 +60,21 @@
 
 /// What an observer outside knows of one request.
 #[derive(Debug, Default, Clone)]
-struct SeenRequest {
+struct ObservedRequest {
     once: bool,
     running: bool,
-    may_have_run: u32,
+    executions: u32,
     ended: bool,
     left: bool,
 }
 
 /// Replays steps and checks each effect against what an observer outside has seen.
-fn keeps_truth(steps: Vec<RandomStep>) -> Result<(), String> {
+fn check_steps(steps: Vec<RandomStep>) -> Result<(), String> {
     let mut harness = GatewayHarness::ready(3);
-    let mut seen: BTreeMap<u64, SeenRequest> = BTreeMap::new();
+    let mut observed: BTreeMap<u64, ObservedRequest> = BTreeMap::new();
     let mut checked = 0;
     for step in steps {
-        let open: Vec<u64> = seen
+        let open: Vec<u64> = observed
             .iter()
             .filter(|(_, request)| request.running && !request.ended)
             .map(|(number, _)| *number)
@@ -82,34 +82,34 @@
         match step {
             RandomStep::Arrive(kind) => {
                 let path = ["/safe/1", "/once/1", "/stream/1", "/urgent/1"][usize::from(kind) % 4];
-                let request = savorywood_gateway::LocalRequest(seen.len() as u64 + 1);
+                let request = savorywood_gateway::LocalRequest(observed.len() as u64 + 1);
                 let once = kind % 4 == 1;
-                let known = SeenRequest {
+                let state = ObservedRequest {
                     once,
-                    ..SeenRequest::default()
+                    ..ObservedRequest::default()
                 };
-                seen.insert(request.0, known);
+                observed.insert(request.0, state);
                 harness.confirm();
                 assert_eq!(harness.arrive(arrival(path)), request);
             }
             RandomStep::End(which, how) if !open.is_empty() => {
                 let number = open[usize::from(which) % open.len()];
                 let ended = outcome(how);
-                let request = seen.get_mut(&number).expect("an open request");
+                let request = observed.get_mut(&number).expect("an open request");
                 request.running = false;
                 match &ended {
                     AttemptOutcome::NotSent | AttemptOutcome::NotRun { .. } => {}
                     AttemptOutcome::Delivered { .. } => {
                         request.ended = true;
-                        request.may_have_run += 1;
+                        request.executions += 1;
                     }
-                    _ => request.may_have_run += 1,
+                    _ => request.executions += 1,
                 }
                 harness.end(savorywood_gateway::LocalRequest(number), ended);
             }
             RandomStep::Leave(which) if !open.is_empty() => {
                 let number = open[usize::from(which) % open.len()];
-                let request = seen.get_mut(&number).expect("an open request");
+                let request = observed.get_mut(&number).expect("an open request");
                 request.left = true;
                 request.ended = true;
                 harness.step(GatewayEvent::CallerLeft(savorywood_gateway::LocalRequest(
@@ -129,17 +129,20 @@
             RandomStep::StoreFails => harness.step(GatewayEvent::StoreFailed),
         }
         for effect in &harness.effects[checked..] {
-            check(effect, &mut seen)?;
+            check(effect, &mut observed)?;
         }
         checked = harness.effects.len();
     }
     Ok(())
 }
 
-fn check(effect: &GatewayEffect, seen: &mut BTreeMap<u64, SeenRequest>) -> Result<(), String> {
+fn check(
+    effect: &GatewayEffect,
+    observed: &mut BTreeMap<u64, ObservedRequest>,
+) -> Result<(), String> {
     match effect {
         GatewayEffect::Dispatch(order) => {
-            let request = seen
+            let request = observed
                 .get_mut(&order.request.0)
                 .ok_or("unknown request sent")?;
             if request.ended || request.left {
@@ -148,10 +151,10 @@
             if request.running {
                 return Err(format!("sent while it runs: {order:?}"));
             }
-            if request.once && request.may_have_run > 0 {
+            if request.once && request.executions > 0 {
                 return Err(format!("may run twice: {order:?}"));
             }
-            if request.may_have_run >= 2 {
+            if request.executions >= 2 {
                 return Err(format!("more runs than the route allows: {order:?}"));
             }
             request.running = true;
@@ -159,29 +162,33 @@
         GatewayEffect::Refuse {
             request, reason, ..
         } => {
-            let known = seen.get_mut(&request.0).ok_or("unknown request refused")?;
-            if known.ended {
+            let state = observed
+                .get_mut(&request.0)
+                .ok_or("unknown request refused")?;
+            if state.ended {
                 return Err(format!("a second final answer: {effect:?}"));
             }
-            known.ended = true;
-            let ran = known.may_have_run > 0 || known.running;
-            if reason.promises_not_run() && ran {
+            state.ended = true;
+            let may_have_executed = state.executions > 0 || state.running;
+            if reason.promises_not_run() && may_have_executed {
                 return Err(format!("an untrue promise: {effect:?}"));
             }
         }
         GatewayEffect::PassFailure { request } | GatewayEffect::BreakOff { request } => {
-            let known = seen.get_mut(&request.0).ok_or("unknown request ended")?;
-            if known.ended {
+            let state = observed
+                .get_mut(&request.0)
+                .ok_or("unknown request ended")?;
+            if state.ended {
                 return Err(format!("a second final answer: {effect:?}"));
             }
-            known.ended = true;
+            state.ended = true;
         }
         GatewayEffect::Abandon { request } => {
-            let known = seen
+            let state = observed
                 .get_mut(&request.0)
                 .ok_or("unknown request abandoned")?;
-            let may_run_again = !known.once && known.may_have_run == 0;
-            if known.ended || !known.running || !may_run_again {
+            let may_execute_again = !state.once && state.executions == 0;
+            if state.ended || !state.running || !may_execute_again {
                 return Err(format!("abandoned without a next run: {effect:?}"));
             }
         }
@@ -197,9 +204,9 @@
 /// sent again, and each request gets one final answer.
 #[test]
 fn no_promise_is_broken_by_any_order_of_faults() {
-    let property = |steps: Vec<RandomStep>| match keeps_truth(steps) {
+    let property = |steps: Vec<RandomStep>| match check_steps(steps) {
         Ok(()) => true,
-        Err(breach) => panic!("{breach}"),
+        Err(violation) => panic!("{violation}"),
     };
     QuickCheck::new()
         .rng(Gen::new(200))
