--- a/crates/savorywood-gateway/tests/admission.rs
+++ b/crates/savorywood-gateway/tests/admission.rs
@@ -3,7 +3,7 @@
 #[path = "common/harness.rs"]
 mod harness;
 
-use harness::{GatewayHarness, REVOCATION, arrival, config, options, route};
+use harness::{GatewayHarness, REVOCATION_BOUND, arrival, config, options, route};
 use savorywood_gateway::{GatewayEvent, RefusalReason, RepeatKind, RequestArrival, TeamLimit};
 use std::{sync::Arc, time::Duration};
 
@@ -40,15 +40,15 @@
     let mut harness = GatewayHarness::ready(1);
     let request = harness.arrive(arrival("/nowhere/"));
     assert_eq!(harness.refusal(request), Some(RefusalReason::NoRoute));
-    let stranger = RequestArrival {
+    let unknown_caller = RequestArrival {
         key: Some("stranger".to_owned()),
         ..arrival("/safe/1")
     };
-    let request = harness.arrive(stranger.clone());
+    let request = harness.arrive(unknown_caller.clone());
     assert_eq!(harness.refusal(request), Some(RefusalReason::UnknownKey));
     let open = RequestArrival {
         path: "/open/1".to_owned(),
-        ..stranger
+        ..unknown_caller
     };
     let request = harness.arrive(open);
     assert_eq!(harness.refusal(request), None);
@@ -72,9 +72,12 @@
             Some(reason) => assert_eq!(reason, RefusalReason::NotReady),
         }
     }
-    assert!(served_until < REVOCATION, "served until {served_until:?}");
     assert!(
-        served_until > REVOCATION / 2,
+        served_until < REVOCATION_BOUND,
+        "served until {served_until:?}"
+    );
+    assert!(
+        served_until > REVOCATION_BOUND / 2,
         "refused from {served_until:?}"
     );
     harness.confirm();
--- a/crates/savorywood-gateway/tests/common/harness.rs
+++ b/crates/savorywood-gateway/tests/common/harness.rs
@@ -12,14 +12,14 @@
 use std::{sync::Arc, time::Duration};
 
 /// Bound within which a key that was taken away stops working.
-pub const REVOCATION: Duration = Duration::from_secs(5);
+pub const REVOCATION_BOUND: Duration = Duration::from_secs(5);
 
 /// A gateway, its time and what came out of it.
 pub struct GatewayHarness {
     pub gateway: Gateway,
     pub now: MonotonicTime,
     pub effects: Vec<GatewayEffect>,
-    next: u64,
+    next_number: u64,
 }
 
 pub fn options(host: &str) -> GatewayOptions {
@@ -31,7 +31,7 @@
         caller_address: "10.0.0.1:80".parse().expect("an address"),
         first_start: true,
         bounds: GatewayBounds {
-            revocation: Some(REVOCATION),
+            revocation: Some(REVOCATION_BOUND),
             exposure_share: 0.1,
             ..GatewayBounds::default()
         },
@@ -130,7 +130,7 @@
             gateway: Gateway::new(options),
             now: MonotonicTime(1_000_000),
             effects: Vec::new(),
-            next: 1,
+            next_number: 1,
         }
     }
 
@@ -159,8 +159,8 @@
     }
 
     pub fn next_request(&mut self) -> LocalRequest {
-        self.next += 1;
-        LocalRequest(self.next - 1)
+        self.next_number += 1;
+        LocalRequest(self.next_number - 1)
     }
 
     pub fn arrive(&mut self, arrival: RequestArrival) -> LocalRequest {
--- a/crates/savorywood-gateway/tests/evacuation.rs
+++ b/crates/savorywood-gateway/tests/evacuation.rs
@@ -42,7 +42,7 @@
 }
 
 /// Numbers of the upstreams that get as many requests as there are upstreams.
-fn used(harness: &mut GatewayHarness) -> Vec<u16> {
+fn upstreams_used(harness: &mut GatewayHarness) -> Vec<u16> {
     let requests: Vec<_> = (0..4).map(|_| harness.arrive(arrival("/safe/1"))).collect();
     let mut numbers = Vec::new();
     for request in &requests {
@@ -67,11 +67,11 @@
 #[test]
 fn nothing_new_goes_to_a_zone_under_evacuation() {
     let mut harness = two_zones();
-    assert_eq!(used(&mut harness), [1, 2, 3, 4]);
+    assert_eq!(upstreams_used(&mut harness), [1, 2, 3, 4]);
     harness.step(GatewayEvent::EvacuationOrdered(order("zone-a", 5)));
-    assert_eq!(used(&mut harness), [3, 4]);
+    assert_eq!(upstreams_used(&mut harness), [3, 4]);
     harness.step(GatewayEvent::EvacuationWithdrawn(order("zone-a", 6)));
-    assert_eq!(used(&mut harness), [1, 2, 3, 4]);
+    assert_eq!(upstreams_used(&mut harness), [1, 2, 3, 4]);
 }
 
 /// Guards against work that is cut off, or lost, when its zone is evacuated.
@@ -101,7 +101,7 @@
     let mut harness = two_zones();
     harness.step(GatewayEvent::EvacuationOrdered(order("zone-a", 5)));
     harness.step(GatewayEvent::UpstreamWritten(in_zone(5, "zone-a")));
-    assert_eq!(used(&mut harness), [3, 4]);
+    assert_eq!(upstreams_used(&mut harness), [3, 4]);
 }
 
 /// Guards against an evacuation that a daemon forgets, or holds for ever, after a gap in the feed.
@@ -112,12 +112,12 @@
         orders: vec![order("zone-b", 7)],
         revision: StorePosition::new(1, 9),
     });
-    assert_eq!(used(&mut harness), [1, 2]);
+    assert_eq!(upstreams_used(&mut harness), [1, 2]);
     harness.step(GatewayEvent::EvacuationsRead {
         orders: Vec::new(),
         revision: StorePosition::new(1, 12),
     });
-    assert_eq!(used(&mut harness), [1, 2, 3, 4]);
+    assert_eq!(upstreams_used(&mut harness), [1, 2, 3, 4]);
 }
 
 /// Guards against an old answer that undoes a newer order.
@@ -130,7 +130,7 @@
         revision: StorePosition::new(1, 12),
     });
     harness.step(GatewayEvent::EvacuationWithdrawn(order("zone-a", 15)));
-    assert_eq!(used(&mut harness), [3, 4]);
+    assert_eq!(upstreams_used(&mut harness), [3, 4]);
 }
 
 /// Guards against requests that hang, or reach an upstream, when every zone is evacuated; an order
@@ -139,7 +139,7 @@
 fn with_all_zones_evacuated_callers_are_refused_at_once() {
     let mut harness = two_zones();
     harness.step(GatewayEvent::EvacuationOrdered(order("nowhere", 4)));
-    assert_eq!(used(&mut harness), [1, 2, 3, 4]);
+    assert_eq!(upstreams_used(&mut harness), [1, 2, 3, 4]);
     for (zone, version) in [("zone-a", 5), ("zone-b", 6)] {
         harness.step(GatewayEvent::EvacuationOrdered(order(zone, version)));
     }
--- a/crates/savorywood-gateway/tests/quarantine.rs
+++ b/crates/savorywood-gateway/tests/quarantine.rs
@@ -27,10 +27,10 @@
 #[test]
 fn a_broken_attempt_is_logged_with_what_it_asked_and_what_ran_beside_it() {
     let mut harness = GatewayHarness::ready(1);
-    let asked = arrival("/once/1");
+    let request_arrival = arrival("/once/1");
     let team = TeamLabel::from("team");
-    let fingerprint = RequestFingerprint::new(asked.content, Some(&team));
-    let request = harness.arrive(asked);
+    let fingerprint = RequestFingerprint::new(request_arrival.content, Some(&team));
+    let request = harness.arrive(request_arrival);
     harness.end(request, AttemptOutcome::Broken { silent: false });
     let lines = harness.effects.iter().filter_map(|effect| match effect {
         GatewayEffect::Log(line) => Some(line.to_string()),
--- a/crates/savorywood-gateway/tests/regions.rs
+++ b/crates/savorywood-gateway/tests/regions.rs
@@ -65,13 +65,13 @@
 }
 
 /// Zone of the upstream that gets a request; `None` where it is refused.
-fn zone_of(harness: &mut GatewayHarness, region: &str, key: &str) -> Option<String> {
-    let mut asked = arrival(&format!("/{region}/1"));
-    asked.host = format!("{region}.example");
-    asked.key = Some(key.to_owned());
-    let request = harness.arrive(asked);
-    let sent_to = harness.orders(request).first()?.upstream.clone();
-    let state = harness.gateway.fleet().get(&sent_to);
+fn dispatched_zone(harness: &mut GatewayHarness, region: &str, key: &str) -> Option<String> {
+    let mut request_arrival = arrival(&format!("/{region}/1"));
+    request_arrival.host = format!("{region}.example");
+    request_arrival.key = Some(key.to_owned());
+    let request = harness.arrive(request_arrival);
+    let dispatched_to = harness.orders(request).first()?.upstream.clone();
+    let state = harness.gateway.fleet().get(&dispatched_to);
     let zone = state.map(|state| state.entry.zone.as_str().to_owned());
     harness.deliver(request);
     zone
@@ -83,10 +83,10 @@
     let mut harness = two_regions(&["zone-a", "zone-b", "zone-c"]);
     for _ in 0..30 {
         assert_eq!(
-            zone_of(&mut harness, "south", "key").as_deref(),
+            dispatched_zone(&mut harness, "south", "key").as_deref(),
             Some("zone-c")
         );
-        let north = zone_of(&mut harness, "north", "key");
+        let north = dispatched_zone(&mut harness, "north", "key");
         assert_ne!(north.as_deref(), Some("zone-c"));
     }
 }
@@ -95,9 +95,9 @@
 #[test]
 fn homes_of_route_and_team_both_bind() {
     let mut harness = two_regions(&["zone-a", "zone-b", "zone-c"]);
-    let south = zone_of(&mut harness, "south", "southern");
+    let south = dispatched_zone(&mut harness, "south", "southern");
     assert_eq!(south.as_deref(), Some("zone-c"));
-    assert_eq!(zone_of(&mut harness, "north", "southern"), None);
+    assert_eq!(dispatched_zone(&mut harness, "north", "southern"), None);
 }
 
 /// Guards against a request that leaves its region when the region has nothing left, or waits
@@ -105,9 +105,9 @@
 #[test]
 fn without_an_upstream_at_home_a_request_is_refused() {
     let mut harness = two_regions(&["zone-a", "zone-b", "nowhere"]);
-    let mut asked = arrival("/south/1");
-    asked.host = "south.example".to_owned();
-    let request = harness.arrive(asked);
+    let mut request_arrival = arrival("/south/1");
+    request_arrival.host = "south.example".to_owned();
+    let request = harness.arrive(request_arrival);
     harness.advance(SECOND / 2);
     assert_eq!(harness.refusal(request), Some(RefusalReason::NoUpstream));
     assert!(harness.orders(request).is_empty());
--- a/crates/savorywood-gateway/tests/store_reads.rs
+++ b/crates/savorywood-gateway/tests/store_reads.rs
@@ -13,8 +13,8 @@
 
 impl DaemonCluster {
     /// A daemon reads a table of the store itself, or is handed on what changed there.
-    fn read(&mut self, number: usize, table: SharedTable, changed: u64, proved: bool) {
-        let proof_at = proved.then_some(self.now);
+    fn read(&mut self, number: usize, table: SharedTable, changed: u64, confirmed: bool) {
+        let proof_at = confirmed.then_some(self.now);
         let knowledge = TableKnowledge {
             through: StorePosition::new(1, changed),
             changed: StorePosition::new(1, changed),
@@ -50,7 +50,12 @@
     }
 
     /// Time passes in steps; daemons read where they must, and gossip.
-    fn live(&mut self, rounds: usize, changed: u64, reaches_store: impl Fn(usize) -> bool + Copy) {
+    fn run_rounds(
+        &mut self,
+        rounds: usize,
+        changed: u64,
+        reaches_store: impl Fn(usize) -> bool + Copy,
+    ) {
         for _ in 0..rounds {
             self.now = self.now + Duration::from_millis(250);
             for daemon in &mut self.daemons {
@@ -62,7 +67,7 @@
         }
     }
 
-    fn ready(&self, number: usize) -> bool {
+    fn is_ready(&self, number: usize) -> bool {
         self.daemons[number].gateway.is_ready(self.now)
     }
 }
@@ -72,9 +77,9 @@
 #[test]
 fn one_daemon_of_a_zone_reads_the_store() {
     let mut cluster = DaemonCluster::new(DAEMONS);
-    cluster.live(20, 7, |_| true);
+    cluster.run_rounds(20, 7, |_| true);
     assert_eq!(cluster.readers(), (0..ZONES).collect::<Vec<_>>());
-    assert!((0..DAEMONS).all(|number| cluster.ready(number)));
+    assert!((0..DAEMONS).all(|number| cluster.is_ready(number)));
 }
 
 /// The daemon that reads for its zone learns of a change; the others must get no proof before
@@ -82,7 +87,7 @@
 #[test]
 fn a_daemon_that_lacks_a_change_gets_no_proof() {
     let mut cluster = DaemonCluster::new(DAEMONS);
-    cluster.live(20, 7, |_| true);
+    cluster.run_rounds(20, 7, |_| true);
     for number in 0..ZONES {
         cluster.read(number, SharedTable::Declared, 8, true);
     }
@@ -90,12 +95,12 @@
     let plan = cluster.plan(ZONES, SharedTable::Declared);
     assert_eq!(plan, ReadPlan::CatchUp);
     // It can't read the store, and nobody hands on the change.
-    cluster.live(12, 8, |number| number < ZONES);
-    assert!(!cluster.ready(ZONES));
-    assert!(cluster.ready(0));
+    cluster.run_rounds(12, 8, |number| number < ZONES);
+    assert!(!cluster.is_ready(ZONES));
+    assert!(cluster.is_ready(0));
     cluster.read(ZONES, SharedTable::Declared, 8, false);
-    cluster.live(4, 8, |number| number < ZONES);
-    assert!(cluster.ready(ZONES));
+    cluster.run_rounds(4, 8, |number| number < ZONES);
+    assert!(cluster.is_ready(ZONES));
 }
 
 /// The daemon that reads for its zone dies, or the store turns it away. Another one reads, and
@@ -103,10 +108,10 @@
 #[test]
 fn another_daemon_reads_when_the_first_can_not() {
     let mut cluster = DaemonCluster::new(DAEMONS);
-    cluster.live(20, 7, |_| true);
+    cluster.run_rounds(20, 7, |_| true);
     for _ in 0..24 {
-        cluster.live(1, 7, |number| number >= ZONES);
-        let unready: Vec<usize> = (ZONES..DAEMONS).filter(|n| !cluster.ready(*n)).collect();
+        cluster.run_rounds(1, 7, |number| number >= ZONES);
+        let unready: Vec<usize> = (ZONES..DAEMONS).filter(|n| !cluster.is_ready(*n)).collect();
         assert!(unready.is_empty(), "{unready:?}");
     }
     let readers = cluster.readers();
@@ -119,12 +124,12 @@
 #[test]
 fn an_attestation_that_was_held_up_proves_nothing_new() {
     let mut cluster = DaemonCluster::new(DAEMONS);
-    cluster.live(20, 7, |_| true);
+    cluster.run_rounds(20, 7, |_| true);
     let now = cluster.now;
     let attestation = cluster.daemons[0].gateway.summary(now);
     cluster.cut_off = BTreeSet::from([ZONES]);
-    cluster.live(16, 7, |number| number != ZONES);
-    assert!(!cluster.ready(ZONES));
+    cluster.run_rounds(16, 7, |number| number != ZONES);
+    assert!(!cluster.is_ready(ZONES));
     cluster.daemons[ZONES].step(GatewayEvent::SummaryReceived(Box::new(attestation)));
-    assert!(!cluster.ready(ZONES));
+    assert!(!cluster.is_ready(ZONES));
 }
--- a/crates/savorywood-gateway/tests/store_restore.rs
+++ b/crates/savorywood-gateway/tests/store_restore.rs
@@ -26,7 +26,7 @@
     }
 }
 
-fn pass(harness: &mut GatewayHarness, time: Duration) {
+fn advance_confirmed(harness: &mut GatewayHarness, time: Duration) {
     let end = harness.now + time;
     while harness.now < end {
         harness.advance(STEP);
@@ -63,11 +63,11 @@
     harness.step(GatewayEvent::EvacuationOrdered(evacuation(1, 40)));
     harness.step(GatewayEvent::StoreEraSeen(2));
     read_evacuations(&mut harness, &[], position(2, 30));
-    pass(&mut harness, Duration::from_secs(3));
+    advance_confirmed(&mut harness, Duration::from_secs(3));
     assert!(is_evacuated(&harness));
     // The operator writes it again, under a version that was given out before.
     harness.step(GatewayEvent::EvacuationOrdered(evacuation(2, 35)));
-    pass(&mut harness, Duration::from_secs(20));
+    advance_confirmed(&mut harness, Duration::from_secs(20));
     assert!(is_evacuated(&harness));
 }
 
@@ -78,7 +78,7 @@
     harness.step(GatewayEvent::EvacuationOrdered(evacuation(1, 40)));
     harness.step(GatewayEvent::StoreEraSeen(2));
     read_evacuations(&mut harness, &[], position(2, 30));
-    pass(&mut harness, Duration::from_secs(8));
+    advance_confirmed(&mut harness, Duration::from_secs(8));
     assert!(!is_evacuated(&harness));
 }
 
@@ -92,7 +92,7 @@
     harness.step(GatewayEvent::StoreEraSeen(2));
     read_evacuations(&mut harness, &[evacuation(2, 20)], position(2, 30));
     harness.step(GatewayEvent::EvacuationWithdrawn(evacuation(2, 31)));
-    pass(&mut harness, Duration::from_secs(8));
+    advance_confirmed(&mut harness, Duration::from_secs(8));
     assert!(!is_evacuated(&harness));
 }
 
@@ -133,7 +133,7 @@
     let name = leaving.name.clone();
     harness.step(GatewayEvent::UpstreamWritten(leaving));
     harness.step(GatewayEvent::UpstreamRemoved(name.clone()));
-    pass(&mut harness, Duration::from_secs(1));
+    advance_confirmed(&mut harness, Duration::from_secs(1));
     harness.step(GatewayEvent::StoreEraSeen(2));
     harness.step(GatewayEvent::UpstreamsRead(vec![
         upstream(1, 1),
@@ -141,11 +141,11 @@
     ]));
     assert!(harness.gateway.fleet().get(&name).is_none());
     // A new start under the same name is another one.
-    let reborn = UpstreamEntry {
+    let restarted = UpstreamEntry {
         born: 2,
         ..upstream(1, 1)
     };
-    harness.step(GatewayEvent::UpstreamWritten(reborn));
+    harness.step(GatewayEvent::UpstreamWritten(restarted));
     assert!(harness.gateway.fleet().get(&name).is_some());
 }
 
@@ -184,7 +184,7 @@
     let service = ServiceLabel::from("engine");
     let mut last = None;
     for _ in 0..80 {
-        pass(&mut harness, STEP);
+        advance_confirmed(&mut harness, STEP);
         for write in rollout_writes(&mut harness) {
             last = Some(write.phase);
             let service = service.clone();
@@ -201,7 +201,7 @@
     harness.step(GatewayEvent::RolloutOrdered(rollout(2, 50)));
     let running = Some(RolloutPhase::Running);
     harness.step(GatewayEvent::RolloutRead(status(running, position(2, 55))));
-    pass(&mut harness, Duration::from_secs(2));
+    advance_confirmed(&mut harness, Duration::from_secs(2));
     let writes = rollout_writes(&mut harness);
     let first = writes.first().expect("it is written again");
     assert_eq!(first.phase, RolloutPhase::Completed);
@@ -218,7 +218,7 @@
 fn a_write_that_an_earlier_era_acknowledged_is_made_again() {
     let mut harness = harness();
     harness.step(GatewayEvent::RolloutOrdered(rollout(1, 50)));
-    pass(&mut harness, Duration::from_secs(1));
+    advance_confirmed(&mut harness, Duration::from_secs(1));
     assert_eq!(rollout_writes(&mut harness).len(), 1);
     harness.step(GatewayEvent::StoreEraSeen(2));
     harness.step(GatewayEvent::RolloutWritten {
@@ -226,7 +226,7 @@
         accepted: true,
         era: 1,
     });
-    pass(&mut harness, Duration::from_secs(1));
+    advance_confirmed(&mut harness, Duration::from_secs(1));
     assert_eq!(rollout_writes(&mut harness).len(), 1);
 }
 
@@ -234,7 +234,7 @@
 /// read at the next start.
 #[test]
 fn a_row_of_a_quarantine_that_ended_is_removed_again() {
-    let mut book = QuarantineBook::default();
+    let mut quarantine = QuarantineBook::default();
     let now = MonotonicTime(1_000_000_000);
     let request = RequestFingerprint::new(ContentDigest(1), None);
     for upstream in 1..=3 {
@@ -243,23 +243,23 @@
             upstream,
             sent_at: MonotonicTime::default(),
         };
-        book.broke(now, attempt);
+        quarantine.broke(now, attempt);
     }
-    let write_all = |book: &mut QuarantineBook| {
-        let writes = book.due_writes(now, |_| true);
+    let write_all = |quarantine: &mut QuarantineBook| {
+        let writes = quarantine.due_writes(now, |_| true);
         for write in &writes {
-            book.written(write, true);
+            quarantine.written(write, true);
         }
         let crashes = writes.iter().map(|write| write.crashes.as_ref());
         crashes.map(|all| all.map(Vec::len)).collect::<Vec<_>>()
     };
-    assert_eq!(write_all(&mut book), [Some(3)]);
-    book.store_restored();
-    assert_eq!(write_all(&mut book), [Some(3)]);
-    book.served(now, request);
-    assert_eq!(write_all(&mut book), [None]);
-    book.store_restored();
-    assert_eq!(write_all(&mut book), [None]);
+    assert_eq!(write_all(&mut quarantine), [Some(3)]);
+    quarantine.store_restored();
+    assert_eq!(write_all(&mut quarantine), [Some(3)]);
+    quarantine.served(now, request);
+    assert_eq!(write_all(&mut quarantine), [None]);
+    quarantine.store_restored();
+    assert_eq!(write_all(&mut quarantine), [None]);
 }
 
 quickcheck! {
--- a/crates/savorywood-gateway/tests/upstream_selection.rs
+++ b/crates/savorywood-gateway/tests/upstream_selection.rs
@@ -41,12 +41,12 @@
 fn the_most_urgent_request_gets_the_next_place() {
     let mut harness = GatewayHarness::ready(1);
     let running = harness.arrive(arrival("/safe/1"));
-    let usual = harness.arrive(arrival("/safe/2"));
+    let normal = harness.arrive(arrival("/safe/2"));
     let urgent = harness.arrive(arrival("/urgent/3"));
-    assert!(harness.orders(usual).is_empty() && harness.orders(urgent).is_empty());
+    assert!(harness.orders(normal).is_empty() && harness.orders(urgent).is_empty());
     harness.deliver(running);
     assert_eq!(harness.orders(urgent).len(), 1);
-    assert!(harness.orders(usual).is_empty());
+    assert!(harness.orders(normal).is_empty());
 }
 
 /// Two daemons send to the same upstream. What the other one has there counts here as well;
@@ -99,7 +99,7 @@
 #[test]
 fn an_upstream_that_keeps_failing_is_left_out_for_a_while() {
     let mut harness = GatewayHarness::ready(2);
-    let mut sent_to_bad = 0;
+    let mut dispatched_to_failing = 0;
     for _ in 0..40 {
         harness.confirm();
         let request = harness.arrive(arrival("/safe/1"));
@@ -109,10 +109,10 @@
                 break;
             };
             if order.upstream.as_str() == "upstream-1" {
-                sent_to_bad += 1;
-                let sends = orders.len();
+                dispatched_to_failing += 1;
+                let attempts = orders.len();
                 harness.end(request, AttemptOutcome::Broken { silent: false });
-                if harness.orders(request).len() == sends {
+                if harness.orders(request).len() == attempts {
                     break;
                 }
             } else {
@@ -122,7 +122,10 @@
         }
         harness.advance(Duration::from_millis(50));
     }
-    assert!((1..=6).contains(&sent_to_bad), "{sent_to_bad} requests");
+    assert!(
+        (1..=6).contains(&dispatched_to_failing),
+        "{dispatched_to_failing} requests"
+    );
 }
 
 /// All upstreams fail at once, so the fault is likely elsewhere. Were all of them left out, every
@@ -134,9 +137,9 @@
         harness.confirm();
         let request = harness.arrive(arrival("/safe/1"));
         while harness.refusal(request).is_none() && !harness.orders(request).is_empty() {
-            let sends = harness.orders(request).len();
+            let attempts = harness.orders(request).len();
             harness.end(request, AttemptOutcome::Broken { silent: false });
-            if harness.orders(request).len() == sends {
+            if harness.orders(request).len() == attempts {
                 break;
             }
         }
@@ -204,7 +207,7 @@
 #[test]
 fn a_mended_upstream_gets_work_again() {
     let mut harness = GatewayHarness::ready(2);
-    let mut mended_runs = 0;
+    let mut requests_after_recovery = 0;
     for number in 0..600 {
         harness.confirm();
         let request = harness.arrive(arrival("/safe/1"));
@@ -213,14 +216,18 @@
             harness.end(request, AttemptOutcome::Broken { silent: true });
         }
         harness.advance(Duration::from_millis(20));
-        mended_runs += u32::from(order.upstream.as_str() == "upstream-1" && number >= 300);
+        requests_after_recovery +=
+            u32::from(order.upstream.as_str() == "upstream-1" && number >= 300);
         harness.deliver(request);
         harness.advance(Duration::from_millis(30));
     }
-    assert!(mended_runs >= 50, "{mended_runs} of 300 requests");
+    assert!(
+        requests_after_recovery >= 50,
+        "{requests_after_recovery} of 300 requests"
+    );
 }
 
-fn suspecting(host: &str, upstreams: &[&str]) -> Box<PeerSummary> {
+fn summary_with_suspects(host: &str, upstreams: &[&str]) -> Box<PeerSummary> {
     let mut summary = peer(1, Vec::new());
     summary.host = host.to_owned();
     summary.suspects = upstreams.iter().map(|name| name_digest(name)).collect();
@@ -228,7 +235,9 @@
 }
 
 fn report_suspects(harness: &mut GatewayHarness, host: &str, upstreams: &[&str]) {
-    harness.step(GatewayEvent::SummaryReceived(suspecting(host, upstreams)));
+    harness.step(GatewayEvent::SummaryReceived(summary_with_suspects(
+        host, upstreams,
+    )));
 }
 
 /// Upstreams of the next requests, each served at once.
