--- a/crates/savorywood-gateway/tests/admission.rs
+++ b/crates/savorywood-gateway/tests/admission.rs
@@ -12,7 +12,7 @@
 /// A process that has just started knows no route. Answered "no such route", a caller would give up
 /// for good; answered "not ready", it comes back or asks another daemon.
 #[test]
-fn a_daemon_that_knows_nothing_denies_nothing() {
+fn an_unconfigured_daemon_refuses_as_not_ready() {
     let mut harness = GatewayHarness::unconfigured(options("host-a"));
     let request = harness.arrive(arrival("/safe/1"));
     assert_eq!(harness.refusal(request), Some(RefusalReason::NotReady));
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn unknown_routes_and_keys_are_denied_by_a_daemon_that_is_up_to_date() {
+fn a_current_daemon_refuses_unknown_routes_and_keys() {
     let mut harness = GatewayHarness::ready(1);
     let request = harness.arrive(arrival("/nowhere/"));
     assert_eq!(harness.refusal(request), Some(RefusalReason::NoRoute));
@@ -58,7 +58,7 @@
 /// of it; without a bound of its own it would let the shut-out caller in for as long as the cut
 /// lasts.
 #[test]
-fn keys_stop_working_before_the_bound_when_nothing_confirms_them() {
+fn unconfirmed_keys_are_refused_within_the_revocation_bound() {
     let mut harness = GatewayHarness::ready(1);
     let mut served_until = Duration::ZERO;
     for _ in 0..100 {
@@ -87,7 +87,7 @@
 
 /// A public route shows no key, so nothing can have been taken away.
 #[test]
-fn public_routes_go_on_without_the_store() {
+fn public_routes_are_served_without_the_store() {
     let mut harness = GatewayHarness::ready(1);
     harness.advance(60 * SECOND);
     let open = RequestArrival {
@@ -101,7 +101,7 @@
 /// An answer of the store that was held up brings a version that was replaced long ago. In force
 /// again, its routes and keys would come back to life.
 #[test]
-fn an_older_configuration_never_comes_back() {
+fn an_older_configuration_never_replaces_a_newer_one() {
     let mut harness = GatewayHarness::ready(1);
     let mut newer = savorywood_gateway::DeclaredConfig::new(9);
     newer.add_route(route("/new/", RepeatKind::Safe, 1));
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_team_over_its_limit_gets_the_time_to_come_back() {
+fn a_team_over_its_limit_is_refused_until_its_bucket_refills() {
     let limit = TeamLimit {
         per_second: 2_000.0,
         burst: 2_000.0,
@@ -135,7 +135,7 @@
 /// An operator shortens the bound of keys while a daemon is cut off. It holds from then on: what was
 /// allowed by the longer one is refused.
 #[test]
-fn changed_bounds_hold_at_once() {
+fn changed_bounds_take_effect_at_once() {
     let mut harness = GatewayHarness::ready(1);
     harness.advance(2 * SECOND);
     let request = harness.arrive(arrival("/safe/1"));
--- a/crates/savorywood-gateway/tests/entry_set.rs
+++ b/crates/savorywood-gateway/tests/entry_set.rs
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn larger_hosts_come_first() {
+fn larger_hosts_are_selected_first() {
     let mut all: Vec<EntryCandidate> = (0..20).map(|host| candidate(host, small())).collect();
     all.extend((20..22).map(|host| candidate(host, large())));
     let members = select_members(all, &descriptors(10));
@@ -134,7 +134,7 @@
 
 /// Guards against members whose processor is full while they have descriptors to spare.
 #[test]
-fn the_resource_that_binds_first_sizes_the_set() {
+fn the_scarcest_resource_determines_the_set_size() {
     let all: Vec<EntryCandidate> = (0..40).map(|host| candidate(host, small())).collect();
     let mut load = descriptors(100);
     load.processor_millis = 600;
@@ -154,7 +154,7 @@
 
 /// Guards against a start of all daemons at which each counts the others as just started.
 #[test]
-fn daemons_that_started_together_are_equal() {
+fn daemons_that_started_together_are_all_eligible() {
     let all = (0..6).map(|host| EntryCandidate {
         host,
         capacity: small(),
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn all_daemons_name_the_same_members() {
+fn all_daemons_agree_on_the_members() {
     for count in [1, 8, 80, 200, 350] {
         let mut cluster = DaemonCluster::new(count);
         cluster.advance(seconds(1), &mut CallerGroup::new(0, ADDRESS_TTL));
@@ -317,7 +317,7 @@
 
 /// Every daemon is stopped and started in turn, members among them.
 #[test]
-fn a_rolling_stop_of_all_refuses_nobody() {
+fn a_rolling_restart_of_all_daemons_refuses_no_request() {
     let (mut cluster, mut callers) = settled_cluster(24, ADDRESS_TTL);
     for number in 0..24 {
         cluster.stop(number);
@@ -347,7 +347,7 @@
 /// Guards against a set that takes in the whole zone since its hosts are busy with each other:
 /// reading the tables at a start, and gossip, cost a standby host more the larger its zone is.
 #[test]
-fn work_of_standby_hosts_calls_no_members_in() {
+fn load_of_standby_hosts_adds_no_members() {
     let mut cluster = DaemonCluster::with_load(DAEMONS, TeamLoad::unlimited(DAEMONS));
     cluster.capacities = vec![small(); DAEMONS];
     cluster.restart_all();
--- a/crates/savorywood-gateway/tests/evacuation.rs
+++ b/crates/savorywood-gateway/tests/evacuation.rs
@@ -65,7 +65,7 @@
 
 /// Guards against requests that reach a zone which operators are emptying.
 #[test]
-fn nothing_new_goes_to_a_zone_under_evacuation() {
+fn a_zone_under_evacuation_gets_no_new_requests() {
     let mut harness = two_zones();
     assert_eq!(upstreams_used(&mut harness), [1, 2, 3, 4]);
     harness.step(GatewayEvent::EvacuationOrdered(order("zone-a", 5)));
@@ -76,7 +76,7 @@
 
 /// Guards against work that is cut off, or lost, when its zone is evacuated.
 #[test]
-fn work_that_runs_there_ends_there_and_work_that_waits_moves() {
+fn running_requests_finish_and_queued_ones_go_to_other_zones() {
     let mut harness = two_zones();
     let running: Vec<_> = (0..4).map(|_| harness.arrive(arrival("/safe/1"))).collect();
     let waiting = harness.arrive(arrival("/safe/2"));
@@ -97,7 +97,7 @@
 
 /// Guards against an upstream that registers in an evacuated zone and gets work at once.
 #[test]
-fn an_upstream_that_joins_an_evacuated_zone_gets_nothing() {
+fn an_upstream_that_registers_in_an_evacuated_zone_gets_no_requests() {
     let mut harness = two_zones();
     harness.step(GatewayEvent::EvacuationOrdered(order("zone-a", 5)));
     harness.step(GatewayEvent::UpstreamWritten(in_zone(5, "zone-a")));
@@ -106,7 +106,7 @@
 
 /// Guards against an evacuation that a daemon forgets, or holds for ever, after a gap in the feed.
 #[test]
-fn a_full_read_brings_orders_and_ends_those_it_lacks() {
+fn a_full_read_adds_orders_and_ends_those_it_lacks() {
     let mut harness = two_zones();
     harness.step(GatewayEvent::EvacuationsRead {
         orders: vec![order("zone-b", 7)],
@@ -152,7 +152,7 @@
 
 /// Guards against a zone of cold upstreams that is filled at full pace when it is taken back.
 #[test]
-fn a_zone_that_is_taken_back_starts_slowly() {
+fn upstreams_of_a_zone_taken_back_are_warmed_up() {
     let mut harness = two_zones();
     let mut config = config(2, None);
     for service in config.services.values_mut() {
--- a/crates/savorywood-gateway/tests/fleet_limits.rs
+++ b/crates/savorywood-gateway/tests/fleet_limits.rs
@@ -130,7 +130,7 @@
 /// Each daemon spends second tries by itself, cut off from the others or not; the sum stays within
 /// what the service may get.
 #[test]
-fn second_tries_of_all_daemons_stay_within_the_budget() {
+fn retries_of_all_daemons_stay_within_the_budget() {
     let options = BudgetOptions {
         ratio: 0.2,
         slack: 54.0,
@@ -166,7 +166,7 @@
 /// The machine was suspended while an answer was on its way. Taken as of its receiving, the answer
 /// would prove what may have changed meanwhile.
 #[test]
-fn an_answer_that_waited_out_a_freeze_is_old() {
+fn a_response_received_after_a_freeze_is_not_fresh() {
     let mut clock = FreshnessClock::default();
     let quick = exchange(10_000_000, 10_004_000, 500_002_000);
     clock.proof(quick);
@@ -178,7 +178,7 @@
 /// A long poll was answered at its end, within a moment: it proves what was true then, not when it
 /// was sent.
 #[test]
-fn a_long_poll_proves_its_end() {
+fn a_long_poll_is_fresh_as_of_its_end() {
     let mut clock = FreshnessClock::default();
     let quick = exchange(10_000_000, 10_004_000, 500_002_000);
     clock.proof(quick);
@@ -191,7 +191,7 @@
 /// The store moved to another machine with another clock. What is proved falls back to the time of
 /// sending, which is always true.
 #[test]
-fn another_clock_of_the_store_proves_no_more_than_the_sending() {
+fn after_a_store_clock_change_freshness_falls_back_to_the_send_time() {
     let mut clock = FreshnessClock::default();
     clock.proof(exchange(10_000_000, 11_000_000, 900_000_000));
     let proof = clock.proof(exchange(20_000_000, 21_000_000, 5_000_000_000));
@@ -204,7 +204,7 @@
 /// exact, the two bounds of the clocks' difference contradict each other now and then; each long
 /// poll then seemed as old as its wait, and a daemon that is in touch called itself unready.
 #[test]
-fn a_clock_in_whole_milliseconds_is_no_other_clock() {
+fn a_millisecond_clock_is_not_taken_for_a_clock_change() {
     let mut clock = FreshnessClock::default();
     let quick = exchange(10_000_900, 10_000_990, 500_000_000);
     clock.proof(quick);
--- a/crates/savorywood-gateway/tests/quarantine.rs
+++ b/crates/savorywood-gateway/tests/quarantine.rs
@@ -25,7 +25,7 @@
 
 /// Guards against crashes that can't be attributed: logs named sizes, not what was asked.
 #[test]
-fn a_broken_attempt_is_logged_with_what_it_asked_and_what_ran_beside_it() {
+fn a_broken_attempt_is_logged_with_its_fingerprint_and_concurrent_requests() {
     let mut harness = GatewayHarness::ready(1);
     let request_arrival = arrival("/once/1");
     let team = TeamLabel::from("team");
@@ -75,7 +75,7 @@
 
 /// Guards against a daemon that starts again and sends what the others refuse.
 #[test]
-fn a_daemon_that_starts_again_learns_of_quarantines_from_its_peers() {
+fn a_restarted_daemon_gets_quarantines_from_its_peers() {
     for daemons in [8, 48] {
         let mut environment = quarantined_environment(daemons);
         let dispatches = environment.dispatches.len();
@@ -93,7 +93,7 @@
 
 /// Guards against a start of all daemons after which a crashing request begins anew.
 #[test]
-fn a_start_of_all_daemons_does_not_end_a_quarantine() {
+fn a_restart_of_all_daemons_does_not_end_a_quarantine() {
     for daemons in [8, 48] {
         let mut environment = quarantined_environment(daemons);
         assert_eq!(environment.rows.len(), 1);
@@ -138,7 +138,7 @@
 
 /// Guards against rows that are lost with an outage of the store.
 #[test]
-fn a_quarantine_is_written_once_the_store_is_back() {
+fn a_quarantine_is_written_once_the_store_recovers() {
     let mut environment = CrashEnvironment::new(8);
     environment.store_accepts_writes = false;
     environment.repeat_crashing(40);
@@ -155,7 +155,7 @@
 
 /// Guards against a daemon that comes back from a cut and does not know what the others refuse.
 #[test]
-fn a_daemon_that_was_cut_off_learns_of_quarantines_within_the_bound() {
+fn a_daemon_that_was_partitioned_gets_quarantines_within_the_bound() {
     for daemons in [8, 48] {
         let mut environment = CrashEnvironment::new(daemons);
         environment.cluster.cut_off.insert(1);
@@ -192,7 +192,7 @@
 /// Guards against refusing a read that many callers share, as a wave of crashes ends several of
 /// its runs at once.
 #[test]
-fn a_read_that_was_served_lately_survives_a_wave_of_crashes() {
+fn a_recently_served_request_is_not_quarantined_by_a_wave_of_crashes() {
     for daemons in [8, 48] {
         let mut environment = CrashEnvironment::new(daemons);
         environment.send_harmless(0, "/safe/shared");
@@ -220,7 +220,7 @@
 
 /// Guards against a request that is refused for good after upstreams ended for other reasons.
 #[test]
-fn a_request_in_quarantine_is_tried_once_and_served_by_all_if_it_succeeds() {
+fn a_successful_probe_ends_the_quarantine_on_all_daemons() {
     let mut environment = quarantined_environment(8);
     environment.advance_rounds(260);
     let mut probes = Vec::new();
@@ -243,7 +243,7 @@
 
 /// Guards against trials that crash an upstream each minute.
 #[test]
-fn trials_that_fail_become_rarer() {
+fn failed_probes_back_off() {
     let mut environment = CrashEnvironment::new(8);
     environment.repeat_crashing(40 * 60);
     let late = environment.late_dispatches();
@@ -252,7 +252,7 @@
 
 /// Guards against taking a lost connection for the end of an upstream.
 #[test]
-fn an_upstream_that_answers_after_a_break_did_not_crash() {
+fn an_upstream_that_responds_after_a_broken_connection_did_not_crash() {
     let mut harness = GatewayHarness::ready(4);
     for _ in 0..6 {
         let request = harness.arrive(arrival("/once/1"));
@@ -273,7 +273,7 @@
 
 /// Guards against a refusal that says not run for a request that was running when others crashed.
 #[test]
-fn a_request_that_ran_is_never_refused_as_not_run() {
+fn a_request_that_was_dispatched_is_never_refused_as_not_run() {
     let mut environment = CrashEnvironment::new(8);
     for round in 0..24 {
         let name = environment.send_crashing(round % 8);
@@ -367,7 +367,7 @@
 
 /// Guards against requests that find upstreams down after a crash and are taken for its cause.
 #[test]
-fn what_is_sent_to_an_upstream_that_is_down_says_nothing_of_it() {
+fn attempts_at_an_upstream_that_is_down_do_not_count_as_crashes() {
     let start = MonotonicTime(1_000_000_000);
     let mut quarantine = QuarantineBook::default();
     for upstream in 1..=3 {
@@ -421,7 +421,7 @@
 
 /// Guards against rows that the next start can't read.
 #[test]
-fn a_row_is_read_as_it_was_written() {
+fn a_row_round_trips() {
     let mut quarantine = QuarantineBook::default();
     let now = MonotonicTime(1_000_000_000);
     for upstream in [1, 0xffff_ffff_ffff, 3] {
@@ -482,7 +482,7 @@
 
 /// Guards against crashes of one upstream that count once, however often it starts under its name.
 #[test]
-fn each_crash_of_an_upstream_that_comes_back_counts() {
+fn each_crash_of_a_restarted_upstream_counts() {
     let mut quarantine = QuarantineBook::default();
     for second in [10, 14, 18] {
         record_broken_attempt(&mut quarantine, MonotonicTime(second * 1_000_000), 0, 1);
@@ -492,7 +492,7 @@
 
 quickcheck! {
     /// Guards against daemons that disagree as messages came in another order, twice or not at all.
-    fn reports_merge_alike_in_any_order(crashes: Vec<(u8, u8, u16)>, order: Vec<usize>) -> bool {
+    fn reports_merge_to_the_same_verdict_in_any_order(crashes: Vec<(u8, u8, u16)>, order: Vec<usize>) -> bool {
         let start = MonotonicTime(1_000_000_000);
         let now = start + Duration::from_secs(100);
         let reports: Vec<CrashReport> = crashes
--- a/crates/savorywood-gateway/tests/rate_limits.rs
+++ b/crates/savorywood-gateway/tests/rate_limits.rs
@@ -25,7 +25,7 @@
 
 /// Guards against limits that upstreams name and no log shows.
 #[test]
-fn a_limit_that_is_named_changed_or_lifted_is_logged() {
+fn announced_changed_and_lifted_limits_are_logged() {
     let mut harness = GatewayHarness::ready(1);
     for per_second in [None, Some(1.2), Some(1.2), Some(3.0), None] {
         let request = harness.arrive(arrival("/safe/1"));
@@ -56,7 +56,7 @@
 
 /// Guards against the head of a long stream that lifts a limit which was named after it.
 #[test]
-fn the_end_of_a_stream_says_nothing_new_of_a_limit() {
+fn the_end_of_a_stream_does_not_change_a_limit() {
     let mut harness = GatewayHarness::ready(2);
     let stream = harness.arrive(arrival("/stream/1"));
     harness.step(GatewayEvent::AnswerBegan {
@@ -78,7 +78,7 @@
 
 /// Guards against daemons that each send an upstream in need what it takes from all of them.
 #[test]
-fn all_daemons_together_keep_to_the_limit_that_an_upstream_names() {
+fn all_daemons_together_keep_an_announced_limit() {
     for daemons in [1, 8, 48] {
         let mut environment = LimitEnvironment::new(daemons, 6, 1);
         environment.arrivals = 3;
@@ -149,7 +149,7 @@
 
 /// Guards against parts of a limit that daemons save up while there is no work and spend at once.
 #[test]
-fn a_burst_after_a_rest_keeps_the_limit() {
+fn a_burst_after_an_idle_period_keeps_the_limit() {
     for daemons in [8, 48] {
         let mut environment = limited_environment(daemons, 3);
         for _ in 0..2 {
@@ -201,7 +201,7 @@
 
 /// Guards against limits that outlast the need, and against old answers that lift a new one.
 #[test]
-fn a_limit_follows_what_the_upstream_says() {
+fn a_limit_follows_the_announced_rate() {
     for daemons in [8, 48] {
         let mut environment = limited_environment(daemons, 5);
         environment.arrivals = 4;
@@ -227,7 +227,7 @@
 
 /// Guards against work without a limit that is held against an upstream once it names one again.
 #[test]
-fn a_limit_that_is_named_again_is_used_at_once() {
+fn a_limit_announced_again_is_usable_at_once() {
     let mut environment = limited_environment(8, 4);
     environment.arrivals = 4;
     environment.set_limit(0, None);
@@ -241,7 +241,7 @@
 
 /// Guards against a limit of an upstream's last life that binds the next one.
 #[test]
-fn an_upstream_that_starts_anew_is_not_bound_by_what_it_said_before() {
+fn a_restarted_upstream_is_not_bound_by_its_previous_limit() {
     let mut harness = GatewayHarness::ready(1);
     let request = harness.arrive(arrival("/safe/1"));
     let outcome = AttemptOutcome::Delivered {
--- a/crates/savorywood-gateway/tests/regions.rs
+++ b/crates/savorywood-gateway/tests/regions.rs
@@ -79,7 +79,7 @@
 
 /// Guards against a request that leaves the regions that its route may use.
 #[test]
-fn requests_reach_upstreams_of_their_home_region_alone() {
+fn requests_reach_only_upstreams_of_their_home_regions() {
     let mut harness = two_regions(&["zone-a", "zone-b", "zone-c"]);
     for _ in 0..30 {
         assert_eq!(
@@ -93,7 +93,7 @@
 
 /// Guards against a team's data in a region that only its route allows.
 #[test]
-fn homes_of_route_and_team_both_bind() {
+fn home_regions_of_route_and_team_both_apply() {
     let mut harness = two_regions(&["zone-a", "zone-b", "zone-c"]);
     let south = dispatched_zone(&mut harness, "south", "southern");
     assert_eq!(south.as_deref(), Some("zone-c"));
@@ -103,7 +103,7 @@
 /// Guards against a request that leaves its region when the region has nothing left, or waits
 /// there for ever.
 #[test]
-fn without_an_upstream_at_home_a_request_is_refused() {
+fn a_request_without_an_upstream_in_its_home_regions_is_refused() {
     let mut harness = two_regions(&["zone-a", "zone-b", "nowhere"]);
     let mut request_arrival = arrival("/south/1");
     request_arrival.host = "south.example".to_owned();
@@ -120,7 +120,7 @@
 /// Guards against callers that the directory sends through a region that is neither theirs nor a
 /// home of what they call.
 #[test]
-fn the_directory_names_hosts_of_the_callers_region_then_of_the_homes() {
+fn the_directory_lists_hosts_of_the_callers_region_then_of_the_home_regions() {
     let mut harness = two_regions(&["zone-a", "zone-b", "zone-c"]);
     let mut south = options("host-c");
     south.zone = ZoneLabel::from("zone-c");
--- a/crates/savorywood-gateway/tests/response_invariants.rs
+++ b/crates/savorywood-gateway/tests/response_invariants.rs
@@ -203,7 +203,7 @@
 /// come and leave. What may have run is never refused as not run, what may run once is never
 /// sent again, and each request gets one final answer.
 #[test]
-fn no_promise_is_broken_by_any_order_of_faults() {
+fn invariants_hold_under_any_order_of_faults() {
     let property = |steps: Vec<RandomStep>| match check_steps(steps) {
         Ok(()) => true,
         Err(violation) => panic!("{violation}"),
@@ -217,7 +217,7 @@
 /// A charge reached an upstream and its answer was lost. Sent once more it could be made twice,
 /// and answered "not run" the caller would send it once more itself.
 #[test]
-fn a_lost_answer_of_a_call_that_runs_once_is_unknown() {
+fn a_lost_response_of_a_run_once_request_is_not_reported_as_not_run() {
     let mut harness = GatewayHarness::ready(2);
     let request = harness.arrive(arrival("/once/1"));
     harness.end(request, AttemptOutcome::Broken { silent: false });
@@ -229,7 +229,7 @@
 /// An address was given to an upstream of another service. It says so; the request has not run
 /// and goes to one that is there, also when it may run once only.
 #[test]
-fn a_misdirected_request_goes_elsewhere() {
+fn a_misdirected_request_is_dispatched_to_another_upstream() {
     let mut harness = GatewayHarness::ready(2);
     let request = harness.arrive(arrival("/once/1"));
     let first = harness.orders(request)[0].upstream.clone();
--- a/crates/savorywood-gateway/tests/rollouts.rs
+++ b/crates/savorywood-gateway/tests/rollouts.rs
@@ -186,7 +186,7 @@
 /// A version fails one answer in four from its start. Few requests meet it, it is taken back, and
 /// nothing reaches it afterwards.
 #[test]
-fn a_bad_version_is_met_by_few_and_taken_back() {
+fn a_bad_version_gets_few_requests_and_is_rolled_back() {
     let run = run(RunOptions {
         bad_fraction: 0.25,
         ..GOOD_VERSION
@@ -206,7 +206,7 @@
 /// Daemons can't reach each other, so each sees only its own answers and leads in its own eyes.
 /// Together they stay within what an unproved version may get, and the store takes one end.
 #[test]
-fn daemons_that_cannot_hear_each_other_stay_within_the_share() {
+fn partitioned_daemons_stay_within_the_canary_share() {
     let run = run(RunOptions {
         bad_fraction: 0.25,
         connected: false,
@@ -224,7 +224,7 @@
 
 /// Every answer to a write is lost. The state is read back, written once, and not for ever.
 #[test]
-fn lost_answers_of_the_store_lead_to_one_end() {
+fn lost_write_responses_lead_to_one_final_phase() {
     let run = run(RunOptions {
         lose_write_responses: true,
         ..GOOD_VERSION
--- a/crates/savorywood-gateway/tests/scheduling.rs
+++ b/crates/savorywood-gateway/tests/scheduling.rs
@@ -80,7 +80,7 @@
 /// that learn of each other late. Were each free slot given away at once, the most urgent callers
 /// would find all of them taken for the length of an answer, and wait behind work that could wait.
 #[test]
-fn the_most_urgent_callers_are_answered_in_time_under_overload() {
+fn the_most_urgent_rank_is_served_in_time_under_overload() {
     let environment = overload();
     let plans = environment.tally("/plan/");
     let in_time = plans.fraction(plans.in_time);
@@ -91,7 +91,7 @@
 /// that, with a time to come back that leaves them time for the answer; left without an answer they
 /// would have waited for nothing.
 #[test]
-fn callers_that_can_not_be_served_hear_so_before_they_leave() {
+fn requests_that_cannot_be_served_are_refused_before_callers_leave() {
     let environment = overload();
     let left = total(&environment, |tally| tally.left);
     assert!(left <= 0.01, "{left:.4} left: {:?}", environment.tallies);
@@ -110,7 +110,7 @@
 /// by a short answer in time; otherwise most of these callers get nothing beside slots that stand
 /// empty.
 #[test]
-fn short_work_of_the_lowest_rank_is_not_starved() {
+fn short_requests_of_the_lowest_rank_are_not_starved() {
     let environment = overload();
     let digests = environment.tally("/digest/");
     let served = digests.fraction(digests.in_time + digests.late);
@@ -164,7 +164,7 @@
 /// Answers differ a hundredfold in length and engines five times in speed. A long answer on a slow
 /// engine is cut off at its deadline, after it held a slot for all that time; short ones end there.
 #[test]
-fn answers_begin_where_they_can_end() {
+fn long_responses_run_on_engines_that_complete_them() {
     let mut long = chats(40.0);
     long.tokens = (300.0, 1.2, 2_950.0);
     let mut environment = environment(&[0.55, 0.55, 2.8, 2.8], vec![long]);
@@ -192,7 +192,7 @@
 /// most of a second. That is no silence: taken away, the answers would be read from the start
 /// elsewhere, or broken off where nobody has room for them.
 #[test]
-fn a_pause_beside_long_prompts_ends_no_answer() {
+fn a_pause_during_a_long_prefill_is_not_a_stall() {
     let mut long = plans(2.0);
     long.prompt = (20_000.0, 0.3, 54_000.0);
     let mut short = plans(12.0);
@@ -217,7 +217,7 @@
 /// once, long before any caller leaves. What may run again is read on elsewhere, and new work goes
 /// there no more.
 #[test]
-fn a_dark_upstream_is_found_by_the_silence_of_all_that_runs_there() {
+fn a_stalled_upstream_is_detected_when_all_its_streams_stop() {
     let mut environment = environment(&SLOWDOWNS, vec![plans(16.0)]);
     environment.advance(Duration::from_secs(5), true);
     environment.engines[0].stalled = true;
@@ -258,7 +258,7 @@
 /// others, or keeps it waiting beside a free one. Sent slots alone while these are scarce,
 /// fewer of these callers wait too long.
 #[test]
-fn news_of_scarce_seats_spare_urgent_callers_a_wait() {
+fn slot_updates_reduce_late_urgent_responses() {
     let reported = run_scarce_loads(true);
     let unreported = run_scarce_loads(false);
     let (late, late_before) = (reported.not_in_time, unreported.not_in_time);
--- a/crates/savorywood-gateway/tests/store_reads.rs
+++ b/crates/savorywood-gateway/tests/store_reads.rs
@@ -85,7 +85,7 @@
 /// The daemon that reads for its zone learns of a change; the others must get no proof before
 /// they hold it as well, or a key that was taken away would work on at them.
 #[test]
-fn a_daemon_that_lacks_a_change_gets_no_proof() {
+fn a_daemon_that_lacks_a_change_is_not_confirmed() {
     let mut cluster = DaemonCluster::new(DAEMONS);
     cluster.run_rounds(20, 7, |_| true);
     for number in 0..ZONES {
@@ -106,7 +106,7 @@
 /// The daemon that reads for its zone dies, or the store turns it away. Another one reads, and
 /// nobody becomes unready meanwhile.
 #[test]
-fn another_daemon_reads_when_the_first_can_not() {
+fn another_daemon_takes_over_reading_the_store() {
     let mut cluster = DaemonCluster::new(DAEMONS);
     cluster.run_rounds(20, 7, |_| true);
     for _ in 0..24 {
@@ -122,7 +122,7 @@
 /// An attestation is held up on its way for seconds, by a freeze, say. It proves what was true when the
 /// message that it echoes was sent, and not a moment of its coming.
 #[test]
-fn an_attestation_that_was_held_up_proves_nothing_new() {
+fn a_delayed_attestation_does_not_extend_freshness() {
     let mut cluster = DaemonCluster::new(DAEMONS);
     cluster.run_rounds(20, 7, |_| true);
     let now = cluster.now;
--- a/crates/savorywood-gateway/tests/store_restore.rs
+++ b/crates/savorywood-gateway/tests/store_restore.rs
@@ -84,7 +84,7 @@
 
 /// Guards against an order that the backup brings back after it was withdrawn, for good.
 #[test]
-fn a_withdrawal_that_the_backup_lacks_is_learned_once_more() {
+fn a_withdrawal_that_the_backup_lacks_is_applied_again() {
     let mut harness = harness();
     harness.step(GatewayEvent::EvacuationOrdered(evacuation(1, 20)));
     harness.step(GatewayEvent::EvacuationWithdrawn(evacuation(1, 40)));
@@ -105,7 +105,7 @@
 
 /// Guards against work for an upstream that is leaving, as the backup has it ready.
 #[test]
-fn a_leaving_upstream_stays_leaving() {
+fn a_draining_upstream_stays_draining_after_a_restore() {
     let mut harness = harness();
     harness.step(GatewayEvent::UpstreamWritten(UpstreamEntry {
         draining: true,
@@ -124,7 +124,7 @@
 
 /// Guards against work for an upstream that has left, as the backup brings it back.
 #[test]
-fn an_upstream_that_left_does_not_come_back() {
+fn a_removed_upstream_is_not_restored_from_the_backup() {
     let mut harness = harness();
     let leaving = UpstreamEntry {
         draining: true,
@@ -178,7 +178,7 @@
 
 /// Guards against a roll-out that was completed and begins anew, or whose end is lost.
 #[test]
-fn a_completed_roll_out_is_said_to_be_complete_again() {
+fn a_completed_roll_out_is_written_as_completed_again() {
     let mut harness = harness();
     harness.step(GatewayEvent::RolloutOrdered(rollout(1, 50)));
     let service = ServiceLabel::from("engine");
@@ -264,7 +264,7 @@
 
 quickcheck! {
     /// Guards against eras that fall: an answer of an earlier copy may come last.
-    fn the_era_never_falls(eras: Vec<u8>) -> bool {
+    fn the_era_never_decreases(eras: Vec<u8>) -> bool {
         let mut harness = harness();
         eras.iter().all(|era| {
             let before = harness.gateway.store_era();
--- a/crates/savorywood-gateway/tests/upstream_selection.rs
+++ b/crates/savorywood-gateway/tests/upstream_selection.rs
@@ -38,7 +38,7 @@
 /// Engines know no priorities: what waits in them is served in the order of arrival. So it waits
 /// here, and the urgent request that came last gets the first place that is free.
 #[test]
-fn the_most_urgent_request_gets_the_next_place() {
+fn the_most_urgent_request_gets_the_next_free_slot() {
     let mut harness = GatewayHarness::ready(1);
     let running = harness.arrive(arrival("/safe/1"));
     let normal = harness.arrive(arrival("/safe/2"));
@@ -52,7 +52,7 @@
 /// Two daemons send to the same upstream. What the other one has there counts here as well;
 /// counted alone, both would fill it twice and its answers would be late.
 #[test]
-fn places_that_a_peer_has_taken_are_not_free() {
+fn slots_in_use_by_a_peer_are_not_free() {
     let mut harness = GatewayHarness::ready(1);
     let slot = SlotUse {
         upstream: name_digest("upstream-1"),
@@ -69,7 +69,7 @@
 /// A daemon died with requests at an upstream. The places that it reported must come free by
 /// themselves: nobody will say that they are.
 #[test]
-fn places_of_a_peer_that_fell_silent_come_free() {
+fn slots_of_a_stale_peer_are_freed() {
     let mut harness = GatewayHarness::ready(1);
     let slot = SlotUse {
         upstream: name_digest("upstream-1"),
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_request_that_waits_too_long_is_refused_before_its_deadline() {
+fn a_request_queued_too_long_expires_unsent() {
     let mut harness = GatewayHarness::ready(1);
     harness.arrive(arrival("/safe/1"));
     harness.arrive(arrival("/safe/2"));
@@ -97,7 +97,7 @@
 /// An upstream breaks every connection while its registration looks sound. It is left out after
 /// a few requests and tried again later; the other one serves meanwhile.
 #[test]
-fn an_upstream_that_keeps_failing_is_left_out_for_a_while() {
+fn an_upstream_that_keeps_failing_is_ejected() {
     let mut harness = GatewayHarness::ready(2);
     let mut dispatched_to_failing = 0;
     for _ in 0..40 {
@@ -131,7 +131,7 @@
 /// All upstreams fail at once, so the fault is likely elsewhere. Were all of them left out, every
 /// request would be refused, also once the fault is gone.
 #[test]
-fn upstreams_are_never_left_out_all_at_once() {
+fn upstreams_are_never_all_ejected() {
     let mut harness = GatewayHarness::ready(2);
     for _ in 0..10 {
         harness.confirm();
@@ -153,7 +153,7 @@
 /// The store is out, and registrations expire though their owners live. They are used on for the
 /// time in which they come back; a service without any upstream would refuse everything.
 #[test]
-fn registrations_that_expire_in_an_outage_are_kept_for_a_while() {
+fn registrations_that_expire_in_a_store_outage_are_kept_for_a_grace_period() {
     let mut harness = GatewayHarness::ready(1);
     harness.step(GatewayEvent::StoreFailed);
     harness.step(GatewayEvent::UpstreamsRead(Vec::new()));
@@ -168,7 +168,7 @@
 
 /// An upstream says that it leaves. Work that is sent there from now on is cut off.
 #[test]
-fn a_draining_upstream_gets_no_new_work() {
+fn a_draining_upstream_gets_no_new_requests() {
     let mut harness = GatewayHarness::ready(2);
     let mut leaving = upstream(1, 1);
     leaving.draining = true;
@@ -182,7 +182,7 @@
 
 /// A daemon that is about to end is in no directory any more, its own included.
 #[test]
-fn a_stopping_daemon_is_in_no_directory() {
+fn a_stopping_daemon_is_not_in_the_directory() {
     let mut harness = GatewayHarness::ready(1);
     harness.step(GatewayEvent::SummaryReceived(peer(1, Vec::new())));
     assert_eq!(
@@ -205,7 +205,7 @@
 /// It gets a request now and then, and once it answers it is one of them again; left out for good,
 /// each fault would take an upstream away for ever.
 #[test]
-fn a_mended_upstream_gets_work_again() {
+fn a_recovered_upstream_gets_requests_again() {
     let mut harness = GatewayHarness::ready(2);
     let mut requests_after_recovery = 0;
     for number in 0..600 {
@@ -255,7 +255,7 @@
 /// An upstream went dark. Each of many daemons would find that out by itself, at the cost of a
 /// request or two; those that learn it of two others spare themselves that.
 #[test]
-fn an_upstream_that_two_peers_left_out_is_held_back_from() {
+fn an_upstream_suspected_by_two_peers_is_avoided() {
     let mut harness = GatewayHarness::ready(2);
     report_suspects(&mut harness, "host-b", &["upstream-1"]);
     report_suspects(&mut harness, "host-c", &["upstream-1"]);
@@ -265,7 +265,7 @@
 
 /// A single daemon that lost its way to an upstream must not make it look ill to all.
 #[test]
-fn one_peer_alone_makes_no_upstream_look_ill() {
+fn one_peer_alone_does_not_make_an_upstream_suspect() {
     let mut harness = GatewayHarness::ready(1);
     report_suspects(&mut harness, "host-b", &["upstream-1"]);
     assert!(!harness.gateway.peers().suspect(&"upstream-1".into()));
@@ -273,7 +273,7 @@
 
 /// Peers hold every upstream for ill. The fault is more likely on their way: requests are served.
 #[test]
-fn upstreams_that_all_look_ill_still_serve() {
+fn upstreams_that_are_all_suspect_still_serve() {
     let mut harness = GatewayHarness::ready(2);
     for host in ["host-b", "host-c", "host-d"] {
         report_suspects(&mut harness, host, &["upstream-1", "upstream-2"]);
@@ -283,7 +283,7 @@
 
 /// The simple policies that ours is measured against do what their names say.
 #[test]
-fn baselines_choose_by_their_names() {
+fn baseline_policies_behave_as_named() {
     let chosen = |routing: RoutingPolicy| {
         let mut options = options("host-a");
         options.routing = routing;
--- a/crates/savorywood-gateway/tests/warmup.rs
+++ b/crates/savorywood-gateway/tests/warmup.rs
@@ -155,7 +155,7 @@
 
 /// Guards against an empty upstream that every daemon takes for the best at the same moment.
 #[test]
-fn all_daemons_together_keep_to_the_bound_of_a_cold_upstream() {
+fn all_daemons_together_keep_the_bound_of_a_cold_upstream() {
     for daemons in [8, DAEMONS] {
         let mut run = ColdStartRun::new(daemons, 1);
         run.advance(12 * SECOND);
@@ -189,7 +189,7 @@
 
 /// Guards against daemons that are cut off from each other and each hold the lease.
 #[test]
-fn daemons_that_are_cut_off_send_nothing_to_cold_upstreams() {
+fn partitioned_daemons_keep_the_bound_of_a_cold_upstream() {
     for seed in 1..=8 {
         let mut run = ColdStartRun::new(24, seed);
         for _ in 0..6 {
@@ -207,7 +207,7 @@
 
 /// Guards against the head of a long stream that makes its upstream cold once more at its end.
 #[test]
-fn the_end_of_a_stream_says_nothing_new_of_how_long_its_upstream_is_cold() {
+fn the_end_of_a_stream_does_not_make_its_upstream_cold_again() {
     let mut harness = GatewayHarness::ready(1);
     let marks = AnswerMarks {
         cold: Some(SPEC.time),
@@ -228,7 +228,7 @@
 
 quickcheck! {
     /// Guards against a bound that two holders at a moment exceed.
-    fn two_holders_keep_the_bound(rate: u8, overage: u8, slack: u8) -> TestResult {
+    fn two_lease_holders_keep_the_bound(rate: u8, overage: u8, slack: u8) -> TestResult {
         let per_second = f64::from(rate) / 4.0 + 0.5;
         let tolerance = WarmupTolerance {
             overage: 1.0 + f64::from(overage % 8) / 4.0,
--- a/crates/savorywood-gateway/tests/zones.rs
+++ b/crates/savorywood-gateway/tests/zones.rs
@@ -113,7 +113,7 @@
 /// The daemon that reported its zone dies. Others report on within two seconds, and callers of the
 /// zone are still sent to those that live.
 #[test]
-fn another_daemon_reports_a_zone_when_the_first_dies() {
+fn another_daemon_reports_a_zone_when_the_first_is_unreachable() {
     let mut cluster = DaemonCluster::new(DAEMONS);
     cluster.cut_off = (0..DAEMONS).filter(|number| number % 8 == 0).collect();
     for _ in 0..9 {
@@ -140,7 +140,7 @@
 /// A third of the daemons are cut off from the others for longer than one waits for a peer, and
 /// the team goes on at all of them. Each that is cut off holds a copy of the whole burst.
 #[test]
-fn daemons_that_are_cut_off_keep_to_their_part_of_a_limit() {
+fn partitioned_daemons_keep_to_their_share_of_a_limit() {
     let mut cluster = DaemonCluster::new(DAEMONS);
     cluster.overload(Duration::from_secs(3));
     cluster.cut_off = (0..DAEMONS).filter(|number| number % 3 == 0).collect();
@@ -152,7 +152,7 @@
 
 /// They are cut off while the team is quiet, with full buckets, and then it sends.
 #[test]
-fn daemons_that_were_cut_off_before_keep_to_their_part_of_a_limit() {
+fn daemons_partitioned_while_idle_keep_to_their_share_of_a_limit() {
     let mut cluster = DaemonCluster::new(DAEMONS);
     cluster.cut_off = (0..DAEMONS).filter(|number| number % 3 == 0).collect();
     for _ in 0..8 {
@@ -165,7 +165,7 @@
 /// While a team is at its limit, daemons are added. Each beginning with a part of the burst would
 /// let it through once more.
 #[test]
-fn daemons_that_join_take_over_what_a_team_has_used() {
+fn joining_daemons_take_over_the_usage_of_a_team() {
     let mut cluster = DaemonCluster::new(DAEMONS);
     cluster.overload(Duration::from_secs(6));
     for _ in 0..12 {
@@ -196,7 +196,7 @@
 /// Guards against a storm of digests after a kill of all daemons: each that knows no neighbours yet
 /// would send its zone's digest to every daemon.
 #[test]
-fn daemons_that_all_start_again_send_no_digests_before_they_know_their_zone() {
+fn restarted_daemons_send_no_digests_before_they_discover_their_zone() {
     let mut cluster = DaemonCluster::new(LARGE_FLEET);
     cluster.now = cluster.now + Duration::from_secs(1);
     cluster.daemons = (0..LARGE_FLEET)
@@ -248,7 +248,7 @@
 
 /// Guards against a team whose urgent work is refused at its limit while its other work passes.
 #[test]
-fn within_a_limit_urgent_work_goes_first() {
+fn within_a_limit_urgent_requests_are_admitted_first() {
     let mut cluster = DaemonCluster::new(DAEMONS);
     cluster.overload(Duration::from_secs(6));
     let mut admitted = [0; 2];
