--- a/crates/savorywood-gateway/tests/common/callers.rs
+++ b/crates/savorywood-gateway/tests/common/callers.rs
@@ -1,5 +1,5 @@
-//! Callers that ask the directory of a field of daemons which addresses to use, and keep the answer.
-#![allow(dead_code, reason = "each test uses a part of the callers")]
+//! Simulated callers that resolve daemon addresses through the directory and cache them.
+#![allow(dead_code, reason = "each test file uses a part of the module")]
 
 use crate::{
     cluster::{DaemonCluster, ZONES},
@@ -9,16 +9,16 @@
 use savorywood_protocol::MonotonicTime;
 use std::time::Duration;
 
-/// Daemons that a caller asks in turn for addresses.
+/// Daemons that a caller queries for addresses before it gives up.
 const DIRECTORY_ATTEMPTS: usize = 3;
 const MAX_ADDRESSES: usize = 64;
 
-/// Numbers that follow from a seed.
+/// Deterministic pseudo-random numbers (a linear congruential generator) from a seed.
 #[derive(Debug, Clone)]
 pub struct SeededRandom(pub u64);
 
 impl SeededRandom {
-    /// A number below a bound.
+    /// Returns a number from 0 to `bound` - 1.
     pub fn below(&mut self, bound: usize) -> usize {
         let Self(state) = self;
         *state = state
@@ -28,33 +28,37 @@
     }
 }
 
-/// What became of requests.
+/// Counts of requests by result, over all callers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct CallerTally {
     pub requests: usize,
     pub served: usize,
-    /// Answered that the daemon can't serve now.
+    /// Refused by a daemon that was not able to serve.
     pub refused: usize,
     /// Sent to a host that is down.
     pub failed: usize,
 }
 
+/// One caller, with the addresses that it has cached.
 #[derive(Debug, Clone, Default)]
 struct ZoneCaller {
+    /// Number of the caller's zone.
     zone: usize,
+    /// Daemons that it may use, by number.
     addresses: Vec<usize>,
+    /// When the addresses were read from the directory.
     resolved_at: MonotonicTime,
 }
 
-/// Callers of all zones.
+/// Callers spread evenly over all zones.
 #[derive(Debug, Clone)]
 pub struct CallerGroup {
     callers: Vec<ZoneCaller>,
-    /// Time for which they keep an answer.
+    /// Time for which resolved addresses are cached.
     address_ttl: Duration,
     random: SeededRandom,
     pub tally: CallerTally,
-    /// When a request last went wrong.
+    /// When a request was last refused, failed or found no address; `None` if all were served.
     pub last_failure: Option<MonotonicTime>,
 }
 
@@ -73,13 +77,15 @@
         }
     }
 
-    /// Every caller sends one request.
+    /// Sends one request from every caller.
     pub fn send_all(&mut self, cluster: &mut DaemonCluster) {
         for number in 0..self.callers.len() {
             self.send_request(cluster, number);
         }
     }
 
+    /// Sends a request to a random cached address; an address that refuses or is down leaves the
+    /// cache.
     fn send_request(&mut self, cluster: &mut DaemonCluster, number: usize) {
         let now = cluster.now;
         let caller = &self.callers[number];
@@ -115,7 +121,8 @@
         harness.effects.clear();
     }
 
-    /// Asks daemons of the caller's own zone first.
+    /// Reads the addresses from a daemon of the caller's own zone, or of any zone if none there is
+    /// up.
     fn resolve(&mut self, cluster: &mut DaemonCluster, number: usize) {
         let zone = self.callers[number].zone;
         let up = |number: &usize| !cluster.down.contains(number);
--- a/crates/savorywood-gateway/tests/common/cluster.rs
+++ b/crates/savorywood-gateway/tests/common/cluster.rs
@@ -1,5 +1,5 @@
-//! Many daemons in several zones and the messages on their way between them.
-#![allow(dead_code, reason = "each test file uses a part of the field")]
+//! A cluster of daemons in several zones, with gossip between them on a simulated clock.
+#![allow(dead_code, reason = "each test file uses a part of the cluster")]
 
 use crate::{
     callers::CallerGroup,
@@ -18,17 +18,23 @@
 };
 
 pub const ZONES: usize = 4;
+/// Daemons of a cluster in most tests.
 pub const DAEMONS: usize = 48;
+/// Window over which a team's limit is checked.
 pub const WINDOW: Duration = Duration::from_secs(8);
+/// Step of the simulated clock under the load of a team.
 pub const STEP: Duration = Duration::from_millis(10);
-/// Rounds of messages after which all daemons know each other and which daemon reports which zone.
+/// Gossip rounds after which every daemon tracks its peers and which daemon reports which zone.
 pub const WARM_UP_ROUNDS: usize = 5;
-/// Step of callers that follow the directory.
+/// Step of the simulated clock while callers use the directory.
 const CALLER_STEP: Duration = Duration::from_millis(40);
+/// Steps of `CALLER_STEP` between two heartbeats of a member.
 const HEARTBEAT_STEPS: u64 = 4;
+/// Units that a small request costs a team: its prompt and output tokens.
 pub const UNITS_PER_REQUEST: f64 = 1_100.0;
+/// Output tokens that a request announces; the rest of its units are prompt tokens.
 const OUTPUT_TOKENS: u32 = 100;
-/// Steps between two requests of the pressing team at one daemon: three times what it may.
+/// Steps between two requests of the overloading team at one daemon: three times its limit.
 pub const REQUEST_INTERVAL_STEPS: u64 = 4;
 
 pub fn peer_address(number: usize) -> SocketAddr {
@@ -46,7 +52,7 @@
     ZoneLabel::from(format!("zone-{}", number % ZONES).as_str())
 }
 
-/// A limit that grows with the number of daemons, as in deployments of different sizes.
+/// Returns a limit in proportion to the number of daemons, as in deployments of different sizes.
 pub fn limit(daemons: usize) -> TeamLimit {
     TeamLimit {
         per_second: 9_000.0 * daemons as f64,
@@ -56,10 +62,13 @@
     }
 }
 
+/// Returns the most units that may be admitted in one window: rate and burst, plus the tolerance
+/// that `daemon_options` sets (10 % and 190,000 units).
 pub fn allowed_units(limit: TeamLimit) -> f64 {
     (limit.per_second * WINDOW.as_secs_f64() + limit.burst) * 1.1 + 190_000.0
 }
 
+/// Returns the options of a daemon; incarnation 1 is its first start.
 pub fn daemon_options(number: usize, incarnation: u64) -> GatewayOptions {
     let mut options = options(&format!("host-{number:03}"));
     options.zone = zone(number);
@@ -75,17 +84,18 @@
     options
 }
 
-/// Limit and requests of the pressing team.
+/// Limit and request pattern of the overloading team.
 #[derive(Debug, Clone, Copy)]
 pub struct TeamLoad {
     pub limit: TeamLimit,
-    /// Units of one request.
+    /// Units per request.
     pub units: f64,
     /// Steps between two requests at one daemon.
     pub request_interval_steps: u64,
 }
 
 impl TeamLoad {
+    /// Small requests at three times the limit.
     pub fn small_requests(daemons: usize) -> Self {
         Self {
             limit: limit(daemons),
@@ -94,7 +104,7 @@
         }
     }
 
-    /// The limit never binds.
+    /// Small requests under a limit that never binds.
     pub fn unlimited(daemons: usize) -> Self {
         let mut load = Self::small_requests(daemons);
         load.limit.per_second = 1e12;
@@ -102,8 +112,7 @@
         load
     }
 
-    /// A request is as large as what a daemon may admit in a second, and five times the limit is
-    /// asked for.
+    /// Requests as large as what a daemon may admit in a second, at five times the limit.
     pub fn large_requests(daemons: usize) -> Self {
         let mut limit = limit(daemons);
         limit.per_second = 2_500.0 * daemons as f64;
@@ -116,36 +125,42 @@
     }
 }
 
-/// Daemons and the messages on their way between them.
+/// Daemons and the state of the network between them.
 pub struct DaemonCluster {
     pub now: MonotonicTime,
     pub daemons: Vec<GatewayHarness>,
     pub addresses: BTreeMap<SocketAddr, usize>,
     pub limit: TeamLimit,
-    /// Units of one request.
+    /// Units per request.
     pub units: f64,
-    /// Steps between two requests of the pressing team at one daemon.
+    /// Steps between two requests of the overloading team at one daemon.
     pub request_interval_steps: u64,
+    /// Daemons that exchange no messages with others; callers still reach them.
     pub cut_off: BTreeSet<usize>,
-    /// Hosts without power, or frozen.
+    /// Hosts that are powered off, or frozen.
     pub down: BTreeSet<usize>,
-    /// Processes that stand still, and what their hosts received meanwhile.
+    /// Frozen processes, with the messages that their hosts received meanwhile.
     pub frozen: BTreeMap<usize, Vec<GatewayEvent>>,
-    /// Daemons that get no proof of their configuration.
+    /// Daemons that get no confirmation of their configuration.
     pub stale: BTreeSet<usize>,
-    /// What the hosts have.
+    /// Resources of each host.
     pub capacities: Vec<HostResources>,
+    /// Steps of `CALLER_STEP` so far.
     steps: u64,
+    /// Highest incarnation given to a restarted daemon.
     last_incarnation: u64,
+    /// Times at which requests of the overloading team were admitted.
     pub admitted: Vec<MonotonicTime>,
-    /// Those of daemons that joined later.
+    /// Requests admitted by daemons beyond the first `DAEMONS`, which joined later.
     pub admitted_by_joined: usize,
 }
 
-/// Messages of one round.
+/// Message counts of one gossip round.
 #[derive(Debug, Default)]
 pub struct RoundTraffic {
+    /// Messages that each daemon sent.
     pub sent: Vec<usize>,
+    /// Digests by receiving daemon, then by zone of the sender.
     pub digests_received: BTreeMap<usize, BTreeMap<usize, usize>>,
 }
 
@@ -182,6 +197,7 @@
         cluster
     }
 
+    /// Returns a started daemon with configuration and upstreams, but without contacts.
     pub fn start_daemon(&self, number: usize, incarnation: u64) -> GatewayHarness {
         let mut options = daemon_options(number, incarnation);
         options.capacity = self.capacities[number];
@@ -197,6 +213,7 @@
         harness
     }
 
+    /// Adds a daemon that the others do not have in their contacts yet.
     pub fn add(&mut self, incarnation: u64) {
         let number = self.daemons.len();
         self.addresses.insert(peer_address(number), number);
@@ -207,7 +224,7 @@
         self.daemons.push(harness);
     }
 
-    /// Every daemon reads where the others are.
+    /// Gives every daemon the current list of peers.
     pub fn read_contacts(&mut self) {
         let contacts: Vec<PeerContact> = (0..self.daemons.len())
             .map(|number| PeerContact {
@@ -221,6 +238,7 @@
         }
     }
 
+    /// Advances the clock and runs one gossip round with confirmed configurations.
     pub fn gossip_round(&mut self, time: Duration) -> RoundTraffic {
         self.now = self.now + time;
         for daemon in &mut self.daemons {
@@ -231,7 +249,7 @@
         self.exchange_gossip()
     }
 
-    /// All gossip once; those that are cut off neither send nor receive.
+    /// Delivers all due gossip once; daemons that are cut off neither send nor receive.
     pub fn exchange_gossip(&mut self) -> RoundTraffic {
         let mut count = RoundTraffic::default();
         let mut messages: Vec<(usize, usize, GatewayEvent)> = Vec::new();
@@ -293,7 +311,7 @@
         count
     }
 
-    /// A process goes on and reads what its host received meanwhile.
+    /// Resumes a frozen process, which then handles the messages that its host received meanwhile.
     pub fn thaw(&mut self, number: usize) {
         for event in self.frozen.remove(&number).unwrap_or_default() {
             self.daemons[number].now = self.now;
@@ -301,18 +319,19 @@
         }
     }
 
+    /// Returns whether no message reaches or leaves a daemon.
     fn is_isolated(&self, number: usize) -> bool {
         self.cut_off.contains(&number) || self.down.contains(&number)
     }
 
-    /// Daemon that callers reach at an address.
+    /// Returns the daemon that callers reach at an address.
     pub fn daemon_at(&self, caller_address: SocketAddr) -> Option<usize> {
         let mut address = caller_address;
         address.set_port(7600);
         self.addresses.get(&address).copied()
     }
 
-    /// Time passes: daemons gossip, members send heartbeats, callers ask.
+    /// Advances the clock in steps: daemons gossip, members send heartbeats, callers send requests.
     pub fn advance(&mut self, time: Duration, callers: &mut CallerGroup) {
         let end = self.now + time;
         while self.now < end {
@@ -354,7 +373,7 @@
         }
     }
 
-    /// Hosts that are down start again and read the list of daemons.
+    /// Restarts the hosts that are down, as new incarnations, and updates the contacts.
     pub fn restart_down(&mut self) {
         for number in std::mem::take(&mut self.down) {
             self.last_incarnation += 1;
@@ -364,20 +383,20 @@
         self.exchange_gossip();
     }
 
-    /// All start again, for hosts with other capacities.
+    /// Restarts all daemons at once, with the current `capacities`.
     pub fn restart_all(&mut self) {
         self.down = (0..self.daemons.len()).collect();
         self.restart_down();
     }
 
-    /// A daemon is ordered to stop, and says so.
+    /// Orders a daemon to stop, and gossips that it is leaving.
     pub fn stop(&mut self, number: usize) {
         let grace = Duration::from_secs(8);
         self.daemons[number].step(GatewayEvent::StopRequested { grace });
         self.exchange_gossip();
     }
 
-    /// Callers of each zone use some descriptors, spread over the members.
+    /// Reports a load of some descriptors in each zone, spread evenly over the zone's members.
     pub fn spread_load(&mut self, descriptors: u32) {
         for daemon in &mut self.daemons {
             let members = u32::try_from(daemon.gateway.member_count()).expect("few members");
@@ -391,7 +410,7 @@
         self.exchange_gossip();
     }
 
-    /// A team sends several times what it may to all daemons for some time.
+    /// Sends requests of the overloading team to all daemons for some time.
     pub fn overload(&mut self, time: Duration) {
         let steps = time.as_millis() / STEP.as_millis();
         for step in 0..u64::try_from(steps).expect("few steps") {
@@ -413,7 +432,7 @@
         self.admits(number, "/safe/1");
     }
 
-    /// The pressing team sends a request to a daemon; whether it is let in.
+    /// Sends a request of the overloading team to a daemon; returns whether it was admitted.
     pub fn admits(&mut self, number: usize, path: &str) -> bool {
         let daemon = &mut self.daemons[number];
         daemon.now = self.now;
@@ -434,6 +453,7 @@
         is_admitted
     }
 
+    /// Returns the most units admitted within any window.
     pub fn max_units_in_window(&self) -> f64 {
         let counts = self.admitted.iter().enumerate().map(|(index, from)| {
             let later = self.admitted[index..].iter();
@@ -442,7 +462,7 @@
         counts.max().unwrap_or_default() as f64 * self.units
     }
 
-    /// Units admitted within the last span.
+    /// Returns the units admitted within `span` before now.
     pub fn admitted_in_last(&self, span: Duration) -> f64 {
         let admitted = self.admitted.iter();
         let recent = admitted.filter(|at| self.now.since(**at) < span);
@@ -452,6 +472,9 @@
     pub fn assert_limit_kept(&self) {
         let most = self.max_units_in_window();
         let allowed_units = allowed_units(self.limit);
-        assert!(most <= allowed_units, "{most} of {allowed_units}");
+        assert!(
+            most <= allowed_units,
+            "{most} units in a window, {allowed_units} allowed"
+        );
     }
 }
--- a/crates/savorywood-gateway/tests/common/concurrent_requests.rs
+++ b/crates/savorywood-gateway/tests/common/concurrent_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that run beside one that crashes upstreams.
+//! Harmless requests that run concurrently with one that crashes upstreams.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use crate::{
@@ -7,20 +7,21 @@
 };
 use savorywood_gateway::RefusalReason;
 
-/// Repeats of a request that broke.
+/// Retries by the caller after a broken attempt.
 const MAX_RETRIES: u32 = 2;
-/// Rounds for which a request runs at most.
+/// Most rounds that a request runs.
 const MAX_ROUNDS: usize = 8;
 
-/// A request that harms nobody.
+/// A harmless request and its remaining run time.
 pub struct ConcurrentRequest {
     id: RequestId,
     path: String,
+    /// Rounds until its response is complete.
     rounds: usize,
     retries: u32,
 }
 
-/// What became of it.
+/// State of a request after a round.
 pub enum ConcurrentRequestEnd {
     Open(ConcurrentRequest),
     Served,
@@ -43,7 +44,7 @@
         }
     }
 
-    /// A round passes: it is answered, runs on, or comes again.
+    /// Advances a request by one round: it completes, runs on, or is retried after it was refused.
     pub fn advance(
         mut self,
         environment: &mut CrashEnvironment,
--- a/crates/savorywood-gateway/tests/common/crashes.rs
+++ b/crates/savorywood-gateway/tests/common/crashes.rs
@@ -1,5 +1,5 @@
-//! Daemons whose upstreams crash under one request that comes again and again.
-#![allow(dead_code, reason = "each test file uses a part of the field")]
+//! A cluster whose upstreams crash whenever they run one particular request.
+#![allow(dead_code, reason = "each test file uses a part of the environment")]
 
 use crate::{
     cluster::DaemonCluster,
@@ -16,16 +16,18 @@
     time::Duration,
 };
 
-/// Time within which daemons in touch must know of a crash.
+/// Time within which connected daemons must have received a crash record.
 pub const PROPAGATION_BOUND: Duration = Duration::from_secs(3);
-/// Retries that may reach upstreams after that.
+/// Most dispatches of the crashing request after `PROPAGATION_BOUND` has passed since the third
+/// crash.
 pub const MAX_LATE_DISPATCHES: usize = 3;
-/// Time after which a crashed upstream has a successor.
+/// Time after which a crashed upstream is replaced.
 const REPLACEMENT_DELAY: Duration = Duration::from_secs(3);
-/// Time between two rounds of gossip.
+/// Time between two gossip rounds.
 pub const GOSSIP_INTERVAL: Duration = Duration::from_millis(250);
-/// Slots of a successor.
+/// Slots of each upstream.
 const SLOTS: u32 = 1_000;
+/// Path of the request that crashes upstreams.
 pub const CRASHING_PATH: &str = "/stream/crashing";
 
 /// What a request does to the upstream that runs it.
@@ -42,45 +44,48 @@
     Refused(RefusalReason),
 }
 
-/// A request of one daemon.
+/// A request, with the daemon that received it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestId {
     pub daemon: usize,
     pub request: LocalRequest,
 }
 
-/// A sound request at an upstream.
+/// A harmless request that runs at an upstream.
 #[derive(Debug, Clone)]
 struct RunningRequest {
     id: RequestId,
     upstream: UpstreamLabel,
 }
 
-/// An upstream that will have a successor.
+/// An upstream that is due to be replaced.
 #[derive(Debug, Clone)]
 struct CrashedUpstream {
     upstream: UpstreamLabel,
     at: MonotonicTime,
 }
 
-/// Daemons, their upstreams, and what became of requests.
+/// Daemons, their upstreams and the results of requests.
 pub struct CrashEnvironment {
     pub cluster: DaemonCluster,
     live_upstreams: BTreeSet<UpstreamLabel>,
+    /// Number of the next replacement.
     next_upstream: u16,
     crashed: Vec<CrashedUpstream>,
     running: Vec<RunningRequest>,
     kinds: BTreeMap<RequestId, RequestKind>,
     pub ends: BTreeMap<RequestId, RequestEnd>,
-    /// When upstreams crashed under the crashing request.
+    /// Times at which upstreams crashed under the crashing request.
     pub crashes: Vec<MonotonicTime>,
-    /// Arrivals of the crashing request at upstreams.
+    /// Times at which the crashing request was dispatched.
     pub dispatches: Vec<MonotonicTime>,
+    /// Dispatches of each crashing request.
     dispatch_counts: BTreeMap<RequestId, usize>,
-    /// Rows of the store, and how often they were written.
+    /// Quarantine rows of the store.
     pub rows: BTreeMap<RequestFingerprint, Vec<StoredCrash>>,
+    /// Writes of quarantine rows so far, removals and failed ones included.
     pub writes: usize,
-    /// The store takes writes.
+    /// Whether writes to the store succeed.
     pub store_accepts_writes: bool,
 }
 
@@ -104,12 +109,12 @@
         }
     }
 
-    /// The crashing request comes to a daemon once more.
+    /// Sends the crashing request to a daemon.
     pub fn send_crashing(&mut self, daemon: usize) -> RequestId {
         self.send(daemon, RequestKind::Crashing, arrival(CRASHING_PATH))
     }
 
-    /// A request that harms nobody comes to a daemon.
+    /// Sends a harmless request to a daemon.
     pub fn send_harmless(&mut self, daemon: usize, path: &str) -> RequestId {
         self.send(daemon, RequestKind::Harmless, arrival(path))
     }
@@ -127,7 +132,7 @@
         id
     }
 
-    /// One event, and all that its effects lead to.
+    /// Handles an event and all events that its effects lead to.
     fn step(&mut self, daemon: usize, event: GatewayEvent) {
         let harness = &mut self.cluster.daemons[daemon];
         harness.now = self.cluster.now;
@@ -166,7 +171,7 @@
         );
     }
 
-    /// All daemons start again at once; `reads`: they read what the store keeps.
+    /// Restarts all daemons at once; with `reads_rows` they read the quarantine rows of the store.
     pub fn restart_all(&mut self, reads_rows: bool) {
         self.cluster.restart_all();
         let rows = self
@@ -216,14 +221,14 @@
         }
     }
 
-    /// Upstreams at which a request runs.
+    /// Returns the upstream at which a request runs.
     pub fn upstream_of(&self, id: RequestId) -> Option<UpstreamLabel> {
         let mut running = self.running.iter();
         let found = running.find(|running| running.id == id);
         found.map(|running| running.upstream.clone())
     }
 
-    /// An upstream ends, and all that runs there breaks.
+    /// Crashes an upstream, which breaks all requests that run there.
     pub fn crash(&mut self, upstream: &UpstreamLabel) {
         self.live_upstreams.remove(upstream);
         self.crashed.push(CrashedUpstream {
@@ -240,7 +245,7 @@
         }
     }
 
-    /// A daemon refuses a path as in quarantine.
+    /// Returns whether a daemon refuses a path as quarantined.
     pub fn is_quarantined(&mut self, daemon: usize, path: &str) -> bool {
         let id = self.send_harmless(daemon, path);
         self.deliver(id);
@@ -248,17 +253,17 @@
         self.ends.get(&id) == Some(&refused)
     }
 
-    /// Times that a crashing request reached an upstream.
+    /// Returns how often a crashing request was dispatched.
     pub fn dispatch_count(&self, id: RequestId) -> usize {
         self.dispatch_counts.get(&id).copied().unwrap_or_default()
     }
 
-    /// Upstreams that run.
+    /// Returns the upstreams that are live.
     pub fn upstreams(&self) -> Vec<UpstreamLabel> {
         self.live_upstreams.iter().cloned().collect()
     }
 
-    /// All sound requests that run are answered.
+    /// Completes all harmless requests that run.
     pub fn deliver_all(&mut self) {
         for running in std::mem::take(&mut self.running) {
             let marks = AnswerMarks::default();
@@ -267,7 +272,7 @@
         }
     }
 
-    /// One sound request is answered.
+    /// Completes one harmless request.
     pub fn deliver(&mut self, id: RequestId) {
         let has_id = |running: &mut RunningRequest| running.id == id;
         if self.running.extract_if(.., has_id).count() > 0 {
@@ -277,7 +282,7 @@
         }
     }
 
-    /// A round of gossip; crashed upstreams are replaced in time.
+    /// Runs one gossip round and replaces crashed upstreams that are due.
     pub fn advance_round(&mut self) {
         self.cluster.gossip_round(GOSSIP_INTERVAL);
         for daemon in 0..self.cluster.daemons.len() {
@@ -307,7 +312,7 @@
         }
     }
 
-    /// The crashing request comes once a round, each time to another daemon.
+    /// Sends the crashing request once per round, each time to another daemon.
     pub fn repeat_crashing(&mut self, rounds: usize) {
         let daemons = self.cluster.daemons.len();
         for round in 0..rounds {
@@ -316,7 +321,7 @@
         }
     }
 
-    /// Arrivals at upstreams later than the bound after the third crash.
+    /// Returns the dispatches later than `PROPAGATION_BOUND` after the third crash.
     pub fn late_dispatches(&self) -> usize {
         let Some(third) = self.crashes.get(2) else {
             return 0;
--- a/crates/savorywood-gateway/tests/common/harness.rs
+++ b/crates/savorywood-gateway/tests/common/harness.rs
@@ -1,5 +1,5 @@
-//! One gateway with a small deployment, driven by hand.
-#![allow(dead_code, reason = "each test file uses a part of the scene")]
+//! Test harness around one gateway with a small deployment; the test drives clock and events.
+#![allow(dead_code, reason = "each test file uses a part of the harness")]
 
 use savorywood_gateway::{
     AnswerMarks, AttemptOutcome, ContentDigest, DeclaredConfig, DispatchOrder, Gateway,
@@ -11,17 +11,20 @@
 use savorywood_protocol::MonotonicTime;
 use std::{sync::Arc, time::Duration};
 
-/// Bound within which a key that was taken away stops working.
+/// Time within which a revoked key must stop working.
 pub const REVOCATION_BOUND: Duration = Duration::from_secs(5);
 
-/// A gateway, its time and what came out of it.
+/// A gateway with its simulated clock and the effects that it has requested.
 pub struct GatewayHarness {
     pub gateway: Gateway,
     pub now: MonotonicTime,
+    /// Effects since the test last took or cleared them.
     pub effects: Vec<GatewayEffect>,
+    /// Number of the next request.
     next_number: u64,
 }
 
+/// Returns options of a first start in `zone-a`.
 pub fn options(host: &str) -> GatewayOptions {
     GatewayOptions {
         host: HostLabel::from(host),
@@ -64,7 +67,8 @@
     }
 }
 
-/// Routes `/safe/`, `/once/`, `/stream/`, `/urgent/` and `/open/`, and a team with the key `key`.
+/// Returns a configuration with the routes `/safe/`, `/once/`, `/stream/`, `/urgent/` and `/open/`
+/// and a team with the key `key`.
 pub fn config(version: u64, limit: Option<TeamLimit>) -> DeclaredConfig {
     let mut config = DeclaredConfig::new(version);
     config.add_route(route("/safe/", RepeatKind::Safe, 1));
@@ -92,6 +96,7 @@
     config
 }
 
+/// Returns a warm upstream `upstream-<number>` in `zone-a`.
 pub fn upstream(number: u16, slots: u32) -> UpstreamEntry {
     UpstreamEntry {
         name: UpstreamLabel::from(format!("upstream-{number}").as_str()),
@@ -106,6 +111,7 @@
     }
 }
 
+/// Returns a request of the team with an 8 s deadline, 1,000 prompt tokens and 100 output tokens.
 pub fn arrival(path: &str) -> RequestArrival {
     RequestArrival {
         identity: "request".to_owned(),
@@ -124,7 +130,7 @@
 }
 
 impl GatewayHarness {
-    /// A gateway that knows nothing yet.
+    /// Returns a gateway without configuration, upstreams or peers.
     pub fn unconfigured(options: GatewayOptions) -> Self {
         Self {
             gateway: Gateway::new(options),
@@ -134,7 +140,7 @@
         }
     }
 
-    /// A gateway that is ready, with some upstreams of one slot each.
+    /// Returns a ready gateway with some upstreams of one slot each.
     pub fn ready(upstreams: u16) -> Self {
         let mut harness = Self::unconfigured(options("host-a"));
         harness.step(GatewayEvent::ConfigRead(Arc::new(config(1, None))));
@@ -144,6 +150,7 @@
         harness
     }
 
+    /// Confirms the configuration as of now.
     pub fn confirm(&mut self) {
         let at = self.now;
         self.step(GatewayEvent::Confirmed { at });
@@ -163,6 +170,7 @@
         LocalRequest(self.next_number - 1)
     }
 
+    /// Lets a request arrive.
     pub fn arrive(&mut self, arrival: RequestArrival) -> LocalRequest {
         let request = self.next_request();
         let arrival = Box::new(arrival);
@@ -170,10 +178,12 @@
         request
     }
 
+    /// Ends the current attempt of a request.
     pub fn end(&mut self, request: LocalRequest, outcome: AttemptOutcome) {
         self.step(GatewayEvent::AttemptEnded { request, outcome });
     }
 
+    /// Ends the current attempt of a request with a complete response.
     pub fn deliver(&mut self, request: LocalRequest) {
         let outcome = AttemptOutcome::Delivered {
             marks: AnswerMarks::default(),
@@ -182,7 +192,7 @@
         self.end(request, outcome);
     }
 
-    /// All sends of a request so far.
+    /// Returns the dispatch orders of a request so far.
     pub fn orders(&self, request: LocalRequest) -> Vec<&DispatchOrder> {
         let orders = self.effects.iter().filter_map(|effect| match effect {
             GatewayEffect::Dispatch(order) if order.request == request => Some(order),
@@ -191,7 +201,7 @@
         orders.collect()
     }
 
-    /// The refusal of a request.
+    /// Returns the reason if a request was refused.
     pub fn refusal(&self, request: LocalRequest) -> Option<RefusalReason> {
         self.effects.iter().find_map(|effect| match effect {
             GatewayEffect::Refuse {
--- a/crates/savorywood-gateway/tests/common/limits.rs
+++ b/crates/savorywood-gateway/tests/common/limits.rs
@@ -1,5 +1,5 @@
-//! Daemons with work for upstreams of which some name a rate that they take from all daemons.
-#![allow(dead_code, reason = "each test file uses a part of the field")]
+//! A cluster with upstreams that announce a rate limit for the sum of all daemons.
+#![allow(dead_code, reason = "each test file uses a part of the environment")]
 
 use crate::{
     callers::SeededRandom,
@@ -13,17 +13,21 @@
 use savorywood_protocol::MonotonicTime;
 use std::{collections::BTreeMap, time::Duration};
 
+/// Step of the simulated clock.
 const STEP: Duration = Duration::from_millis(50);
+/// Steps between two gossip rounds.
 const STEPS_PER_ROUND: u64 = 5;
-/// Span over which arrivals at an upstream are counted.
+/// Window over which dispatches to an upstream are counted.
 const WINDOW: Duration = Duration::from_secs(4);
-/// Time after the first such answer from which the bound holds.
+/// Time after the announcement of a limit, or the restart of a daemon, from which the limit is
+/// checked.
 const PROPAGATION_BOUND: Duration = Duration::from_secs(3);
-/// Time after its first such answer from which a daemon is bound.
+/// Time after a daemon first receives a limit from which its dispatches are checked.
 const REACTION_BOUND: Duration = Duration::from_millis(500);
+/// Slots of each upstream.
 const SLOTS: u32 = 4;
 
-/// A request at an upstream.
+/// A request that runs at an upstream.
 struct RunningRequest {
     daemon: usize,
     request: LocalRequest,
@@ -31,21 +35,21 @@
     ends_at: MonotonicTime,
 }
 
-/// A request that reached an upstream.
+/// A request that was dispatched to an upstream.
 struct DispatchRecord {
     daemon: usize,
     upstream: UpstreamLabel,
     at: MonotonicTime,
 }
 
-/// Limit of an upstream in force.
+/// The limit that an upstream announces, and since when.
 #[derive(Clone, Copy)]
 struct AnnouncedLimit {
     limit: RateLimit,
     since: MonotonicTime,
 }
 
-/// What became of requests.
+/// Counts of requests by result.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct LimitTally {
     pub arrived: usize,
@@ -53,22 +57,23 @@
     pub refused: usize,
 }
 
-/// Daemons, upstreams with limits, and what was sent where.
+/// Daemons, upstreams with limits and a record of all dispatches.
 pub struct LimitEnvironment {
     pub cluster: DaemonCluster,
     pub random: SeededRandom,
-    /// Requests that come in a step to all daemons together.
+    /// Requests that arrive per step over all daemons.
     pub arrivals: usize,
     pub tally: LimitTally,
     entries: Vec<UpstreamEntry>,
     limits: BTreeMap<UpstreamLabel, AnnouncedLimit>,
     running: Vec<RunningRequest>,
     dispatches: Vec<DispatchRecord>,
-    /// First answer with a limit that a daemon passed on, of each upstream.
+    /// When a daemon first received a limit in a response, by daemon and upstream.
     first_seen: BTreeMap<(usize, UpstreamLabel), MonotonicTime>,
-    /// Daemons that started or went on lately are not bound.
+    /// When daemons restarted or thawed: their dispatches are not checked for `PROPAGATION_BOUND`.
     restarted_at: BTreeMap<usize, MonotonicTime>,
     steps: u64,
+    /// Requests so far; each gets a path of its own.
     arrivals_so_far: u64,
 }
 
@@ -108,7 +113,7 @@
         self.entries[number].name.clone()
     }
 
-    /// An upstream names a limit from now on, or none any more.
+    /// Sets the limit that an upstream announces from now on; `None` lifts it.
     pub fn set_limit(&mut self, number: usize, per_second: Option<f64>) {
         let upstream = self.upstream(number);
         match per_second.and_then(RateLimit::of) {
@@ -125,7 +130,7 @@
         }
     }
 
-    /// A daemon is killed and starts again at once.
+    /// Kills a daemon and restarts it at once.
     pub fn restart(&mut self, daemon: usize) {
         self.running.retain(|running| running.daemon != daemon);
         self.first_seen
@@ -136,12 +141,12 @@
         self.read_upstreams(daemon);
     }
 
-    /// A daemon stands still from now on.
+    /// Freezes the process of a daemon.
     pub fn freeze(&mut self, daemon: usize) {
         self.cluster.frozen.insert(daemon, Vec::new());
     }
 
-    /// A daemon that stood still goes on.
+    /// Resumes a frozen daemon.
     pub fn thaw(&mut self, daemon: usize) {
         self.cluster.thaw(daemon);
         self.restarted_at.insert(daemon, self.cluster.now);
@@ -189,6 +194,7 @@
         self.step(daemon, GatewayEvent::Arrived { request, arrival });
     }
 
+    /// Completes the requests whose run time is over; the response carries the upstream's limit.
     fn complete_due(&mut self) {
         let now = self.cluster.now;
         let frozen = &self.cluster.frozen;
@@ -250,7 +256,7 @@
         });
     }
 
-    /// Arrivals at an upstream within a span before now.
+    /// Returns the dispatches to an upstream within `span` before now.
     pub fn dispatched_in_last(&self, number: usize, span: Duration) -> usize {
         let upstream = self.upstream(number);
         let dispatches = self.dispatches.iter();
@@ -260,6 +266,7 @@
         recent.count()
     }
 
+    /// Returns whether the daemon had time to learn of the limit before it dispatched.
     fn must_keep_limit(&self, dispatch: &DispatchRecord) -> bool {
         let key = (dispatch.daemon, dispatch.upstream.clone());
         let first_seen_at = self.first_seen.get(&key);
@@ -268,7 +275,8 @@
         !is_new && first_seen_at.is_some_and(|at| *at + REACTION_BOUND <= dispatch.at)
     }
 
-    /// Most requests beyond what is allowed in any window.
+    /// Returns the most dispatches above the allowed number in any window; negative if all are
+    /// below it.
     pub fn max_excess(&self) -> f64 {
         let mut most = f64::NEG_INFINITY;
         for (upstream, announced) in &self.limits {
@@ -293,6 +301,6 @@
 
     pub fn assert_limits_kept(&self, what: &str) {
         let excess = self.max_excess();
-        assert!(excess <= 0.0, "{excess} beyond what is allowed: {what}");
+        assert!(excess <= 0.0, "{excess} dispatches above the limit: {what}");
     }
 }
--- a/crates/savorywood-gateway/tests/common/load.rs
+++ b/crates/savorywood-gateway/tests/common/load.rs
@@ -1,8 +1,10 @@
-//! Callers, daemons and unlike engines on one clock that the test advances.
+//! Simulation of callers, daemons and engines of different speeds on one clock that the test
+//! advances.
 //!
-//! Several gateways learn of each other late, engines read prompts in pieces between the tokens of
-//! all that run there, and callers leave after a silence or come back when they are asked to.
-#![allow(dead_code, reason = "each test uses a part of the load")]
+//! Daemons receive each other's state with a delay. Engines process prompts in chunks between
+//! decode steps of the whole batch. Callers leave when they receive no data for too long, and retry
+//! when a refusal asks them to.
+#![allow(dead_code, reason = "each test file uses a part of the environment")]
 
 #[path = "load/calls.rs"]
 pub mod calls;
@@ -23,53 +25,63 @@
     time::Duration,
 };
 
+/// Step of the simulated clock.
 pub const STEP: Duration = Duration::from_millis(1);
+/// Steps between two ticks of a daemon.
 const TICK_STEPS: u64 = 10;
+/// Steps between two summaries of a daemon.
 const SUMMARY_STEPS: u64 = 250;
+/// Steps between two slot updates of a daemon.
 const SLOT_UPDATE_STEPS: u64 = 80;
+/// Delay of a message between daemons.
 const MESSAGE_DELAY: Duration = Duration::from_millis(2);
-/// Part of the time left after which callers come back whatever they were asked.
+/// Fraction of the time to the deadline after which callers retry at the latest, whatever
+/// retry-after delay they were given.
 const MAX_RETRY_FRACTION: f64 = 1.0 / 3.0;
 /// Time for which requests go on after the last arrival.
 const DRAIN_PERIOD: Duration = Duration::from_secs(14);
 
-/// A message on its way between daemons.
+/// A message in transit between daemons.
 struct InFlightMessage {
     at: MonotonicTime,
     receiver: usize,
     event: GatewayEvent,
 }
 
-/// A caller that comes back.
+/// A refused request that its caller will retry.
 struct PendingRetry {
     at: MonotonicTime,
     kind: usize,
     call: OpenCall,
 }
 
-/// All of it.
+/// Daemons, engines, callers and the messages between them.
 pub struct LoadEnvironment {
     pub now: MonotonicTime,
     pub daemons: Vec<GatewayHarness>,
     pub engines: Vec<EngineModel>,
+    /// Kinds of requests.
     pub kinds: Vec<CallKind>,
+    /// Results by kind of request.
     pub tallies: Vec<CallTally>,
-    /// Sends that met an engine whose batch was full.
+    /// Dispatches to an engine that had no free slot.
     pub dispatched_to_full: u32,
     pub dispatched: u32,
-    /// Answers under way that daemons took from their upstream because it was silent.
+    /// Streams that daemons abandoned at a stalled upstream.
     pub abandoned_streams: u32,
-    /// Daemons send slots alone as well.
+    /// Whether daemons send slot updates between summaries.
     pub sends_slot_updates: bool,
     steps: u64,
     random: RandomSource,
+    /// Open requests, by daemon and number.
     calls: BTreeMap<(usize, LocalRequest), OpenCall>,
     messages: VecDeque<InFlightMessage>,
     pending_retries: Vec<PendingRetry>,
 }
 
 impl LoadEnvironment {
-    /// `slowness` names the engines: 1 is the ordinary speed, 2 takes twice the time.
+    /// Creates the environment with one engine for each entry of `slowdown`: 1 is the normal speed,
+    /// 2 takes twice the time. Each engine has `slots` slots.
     pub fn new(daemons: usize, slowdown: &[f64], slots: u32, kinds: Vec<CallKind>) -> Self {
         let mut environment = Self {
             now: MonotonicTime(1_000_000),
@@ -107,7 +119,7 @@
         };
         let mut options = options(&format!("host-{number}"));
         options.peer_address = address(number);
-        // Two daemons a zone: the directory names all of them.
+        // Two daemons per zone: the directory lists all of them.
         options.zone = ZoneLabel::from(format!("zone-{}", number / 2).as_str());
         options.seed = 7 + number as u64;
         let mut harness = GatewayHarness::unconfigured(options);
@@ -138,13 +150,13 @@
         harness
     }
 
-    /// Plays arrivals for a time, and then what is left.
+    /// Runs with arrivals for some time, then until the open requests have ended.
     pub fn run(&mut self, time: Duration) {
         self.advance(time, true);
         self.advance(DRAIN_PERIOD, false);
     }
 
-    /// Plays a time, with or without new arrivals.
+    /// Advances the clock, with or without new arrivals.
     pub fn advance(&mut self, time: Duration, arrivals: bool) {
         let end = self.now + time;
         while self.now < end {
@@ -166,6 +178,7 @@
         }
     }
 
+    /// Returns the results for the requests with a path.
     pub fn tally(&self, path: &str) -> &CallTally {
         let position = self.kinds.iter().position(|kind| kind.path == path);
         &self.tallies[position.expect("a kind")]
@@ -249,6 +262,7 @@
         self.step(number, GatewayEvent::AttemptEnded { request, outcome });
     }
 
+    /// Records a refusal; a caller retries once if it was given a retry-after delay.
     fn on_refused(&mut self, number: usize, request: LocalRequest, after: Option<Duration>) {
         let Some(mut call) = self.calls.remove(&(number, request)) else {
             return;
@@ -328,6 +342,7 @@
         }
     }
 
+    /// Delivers an event of a stream to its caller and reports it to the daemon.
     fn deliver_output(&mut self, output: EngineOutput) {
         let key = (output.daemon, output.request);
         let Some(call) = self.calls.get_mut(&key) else {
@@ -367,7 +382,8 @@
         }
     }
 
-    /// Callers that received nothing for too long leave; what is not whole at its end is given up.
+    /// Ends requests whose caller received no data within its time-out, and attempts at their
+    /// deadline.
     fn end_calls(&mut self) {
         let now = self.now;
         let mut ended = Vec::new();
@@ -417,9 +433,10 @@
         }
     }
 
+    /// Sends the summaries and slot updates that are due.
     fn send_gossip(&mut self) {
         for number in 0..self.daemons.len() {
-            // Not all at the same moment.
+            // Staggered, so that daemons do not send at the same moment.
             let steps = self.steps + number as u64 * 31;
             let gateway = &mut self.daemons[number].gateway;
             let event = if steps.is_multiple_of(SUMMARY_STEPS) {
--- a/crates/savorywood-gateway/tests/common/load/calls.rs
+++ b/crates/savorywood-gateway/tests/common/load/calls.rs
@@ -1,13 +1,14 @@
-//! What callers ask and what they get.
+//! Requests that callers send, and tallies of their results.
 
 use savorywood_gateway::UpstreamLabel;
 use savorywood_protocol::MonotonicTime;
 use std::time::Duration;
 
-/// Evenly drawn numbers (SplitMix64).
+/// Uniform random numbers (SplitMix64) from a seed.
 pub struct RandomSource(pub u64);
 
 impl RandomSource {
+    /// Returns a number from 0 to less than 1.
     pub fn next(&mut self) -> f64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.0;
@@ -17,7 +18,8 @@
         (mixed >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// Lognormally drawn around a median.
+    /// Returns a log-normally distributed number; `spread` is the standard deviation of its
+    /// logarithm.
     fn sample_lognormal(&mut self, median: f64, spread: f64) -> f64 {
         let radius = (-2.0 * (1.0 - self.next()).ln()).sqrt();
         let normal = radius * (std::f64::consts::TAU * self.next()).cos();
@@ -25,28 +27,34 @@
     }
 }
 
-/// One kind of request.
+/// One kind of request: its route, rate and sizes, and what its callers expect.
 #[derive(Debug, Clone)]
 pub struct CallKind {
     pub path: &'static str,
+    /// Rank of the route; 0 is the most urgent.
     pub rank: u32,
+    /// Arrivals per second over all daemons.
     pub per_second: f64,
     pub resumable: bool,
-    /// Median prompt tokens, their spread and the most.
+    /// Prompt tokens: median, spread (see `sample_lognormal`) and maximum.
     pub prompt: (f64, f64, f64),
-    /// The same of the tokens of the answer.
+    /// Output tokens: median, spread and maximum.
     pub tokens: (f64, f64, f64),
+    /// Longest time to the first event for a response in time.
     pub objective: Duration,
+    /// Longest time between two events for a response in time.
     pub gap_objective: Duration,
+    /// Time without data after which the caller leaves.
     pub caller_timeout: Duration,
+    /// Time from arrival to the deadline.
     pub deadline: Duration,
 }
 
-/// Spread of callers' guesses of the length of their answers.
+/// Spread of the output lengths that callers announce around the true ones.
 const OUTPUT_ESTIMATE_SPREAD: f64 = 0.5;
 
 impl CallKind {
-    /// A request of this kind.
+    /// Returns a random request of this kind.
     pub fn sample(&self, kind: usize, now: MonotonicTime, random: &mut RandomSource) -> OpenCall {
         let mut size = |(median, spread, most): (f64, f64, f64)| {
             random.sample_lognormal(median, spread).clamp(1.0, most) as u32
@@ -75,57 +83,68 @@
     }
 }
 
-/// A request that has no final answer yet.
+/// A request that has not received its final response yet.
 #[derive(Debug, Clone)]
 pub struct OpenCall {
+    /// Index of its kind.
     pub kind: usize,
     pub prompt: u32,
+    /// Output tokens that the caller announces.
     pub output_estimate: u32,
     pub tokens_left: u32,
     pub arrived_at: MonotonicTime,
     pub deadline_at: MonotonicTime,
+    /// When the caller last received data, or sent the request.
     pub received_at: MonotonicTime,
+    /// When the daemon gives up the current attempt.
     pub give_up_at: MonotonicTime,
+    /// Upstream of the current attempt; `None` while the request is queued.
     pub engine: Option<UpstreamLabel>,
+    /// Events received so far.
     pub events: u32,
     pub time_to_first_event: Option<Duration>,
     pub max_event_gap: Duration,
+    /// Whether an event was later than the objectives allow.
     pub late: bool,
+    /// Whether the caller has retried after a refusal.
     pub retried: bool,
+    /// Attempts that the daemon abandoned in order to dispatch the request again.
     pub redispatches: u32,
 }
 
 impl OpenCall {
-    /// Prompt and expected answer, by what each takes of an engine's time.
+    /// Returns prompt and output tokens, weighted by the engine time that each takes.
     pub fn size(&self) -> u32 {
         self.prompt + 10 * self.output_estimate
     }
 }
 
-/// What callers of one kind got.
+/// Results of the requests of one kind.
 #[derive(Debug, Clone, Default)]
 pub struct CallTally {
     pub requests: u32,
     pub in_time: u32,
     pub late: u32,
-    /// Refused for good.
+    /// Refused, and not retried.
     pub refused: u32,
-    /// Asked to come back.
+    /// Refused with a retry-after delay and retried.
     pub asked_to_retry: u32,
-    /// Left without a whole answer.
+    /// Ended by a caller that received no data within its time-out.
     pub left: u32,
-    /// Answers that were broken off.
+    /// Responses that the daemon broke off.
     pub broken_off: u32,
-    /// Served after a move from one upstream to another.
+    /// Served after at least one abandoned attempt.
     pub redispatched: u32,
+    /// Longest retry-after delay of a refusal.
     pub max_retry_after: Duration,
+    /// Longest time between two events of a served response.
     pub max_event_gap: Duration,
-    /// Sizes of all requests that ended, and whether they were served.
+    /// Size of each request that ended, and whether it was served.
     pub sizes: Vec<(u32, bool)>,
 }
 
 impl CallTally {
-    /// Share of the requests served, of all and of the largest tenth.
+    /// Returns the fraction of requests served: of all, and of the largest tenth.
     pub fn served_fraction_by_size(&self) -> (f64, f64) {
         let mut sizes = self.sizes.clone();
         sizes.sort_unstable();
@@ -137,7 +156,7 @@
         (fraction(&sizes), fraction(&sizes[largest..]))
     }
 
-    /// Notes the end of a request that was not served.
+    /// Records the end of a request that was not served.
     pub fn record_unserved(&mut self, call: &OpenCall) {
         self.sizes.push((call.size(), false));
     }
@@ -153,6 +172,7 @@
         self.max_event_gap = self.max_event_gap.max(call.max_event_gap);
     }
 
+    /// Returns `count` as a fraction of all requests.
     pub fn fraction(&self, count: u32) -> f64 {
         f64::from(count) / f64::from(self.requests.max(1))
     }
--- a/crates/savorywood-gateway/tests/common/load/engine.rs
+++ b/crates/savorywood-gateway/tests/common/load/engine.rs
@@ -1,27 +1,31 @@
-//! A model engine: a batch that makes a token a step, and prompts that are read in pieces between.
+//! Model of an engine with continuous batching: each step decodes one token for every request in
+//! the batch, and prompts are processed in chunks within the steps.
 
 use savorywood_gateway::{LocalRequest, UpstreamLabel};
 use savorywood_protocol::MonotonicTime;
 use std::{collections::VecDeque, time::Duration};
 
-/// Milliseconds of a step.
+/// Milliseconds of a step with an empty batch.
 const BASE_STEP_MS: f64 = 2.8;
-/// More milliseconds of a step for each request in the batch.
+/// Additional milliseconds of a step for each request in the batch.
 const STEP_MS_PER_REQUEST: f64 = 0.015;
-/// Prompt tokens read in a millisecond.
+/// Prompt tokens processed per millisecond.
 const PREFILL_TOKENS_PER_MS: f64 = 85.0;
-/// Prompt tokens read in one step at most.
+/// Most prompt tokens processed in one step.
 const MAX_PREFILL_CHUNK: u32 = 2_048;
-/// Tokens of one event.
+/// Tokens that are sent together in one event.
 const EVENT_TOKENS: u32 = 7;
 
-/// One request at an engine.
+/// A request at an engine, queued or in the batch.
 #[derive(Debug, Clone)]
 pub struct EngineRun {
     pub daemon: usize,
     pub request: LocalRequest,
+    /// Prompt tokens not yet processed.
     pub prefill_left: u32,
+    /// Output tokens not yet produced.
     pub tokens_left: u32,
+    /// Output tokens produced so far.
     pub tokens: u32,
 }
 
@@ -31,14 +35,16 @@
     pub daemon: usize,
     pub request: LocalRequest,
     pub is_first: bool,
+    /// Output tokens not yet produced; 0 in the last event.
     pub tokens_left: u32,
 }
 
-/// An engine.
+/// An engine with a fixed number of slots and a queue.
 pub struct EngineModel {
     pub name: UpstreamLabel,
+    /// Factor on the time of each step.
     pub slowdown: f64,
-    /// It says nothing any more.
+    /// Whether the engine has stopped and sends nothing more.
     pub stalled: bool,
     slots: usize,
     queue: VecDeque<EngineRun>,
@@ -59,6 +65,7 @@
         }
     }
 
+    /// Returns whether no slot is free for another request.
     pub fn is_full(&self) -> bool {
         self.batch.len() + self.queue.len() >= self.slots
     }
@@ -67,13 +74,14 @@
         self.queue.push_back(run);
     }
 
+    /// Removes a request from queue and batch.
     pub fn cancel(&mut self, daemon: usize, request: LocalRequest) {
         let is_other = |run: &EngineRun| run.daemon != daemon || run.request != request;
         self.batch.retain(is_other);
         self.queue.retain(is_other);
     }
 
-    /// Runs the steps that end until now.
+    /// Runs the steps that end up to now.
     pub fn advance(&mut self, now: MonotonicTime, outputs: &mut Vec<EngineOutput>) {
         if self.stalled {
             return;
