--- a/crates/savorywood-gateway/tests/admission.rs
+++ b/crates/savorywood-gateway/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Who is let in.
+//! Admission: readiness, routes, keys and team limits.
 
 #[path = "common/harness.rs"]
 mod harness;
@@ -9,8 +9,8 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// A process that has just started knows no route. Answered "no such route", a caller would give up
-/// for good; answered "not ready", it comes back or asks another daemon.
+/// Guards against refusing requests as "no such route" before the first configuration is read:
+/// callers would give up for good. After "not ready" they retry or use another daemon.
 #[test]
 fn an_unconfigured_daemon_refuses_as_not_ready() {
     let mut harness = GatewayHarness::unconfigured(options("host-a"));
@@ -54,9 +54,8 @@
     assert_eq!(harness.refusal(request), None);
 }
 
-/// The store can't be reached, and an operator takes a key away meanwhile. The daemon can't learn
-/// of it; without a bound of its own it would let the shut-out caller in for as long as the cut
-/// lasts.
+/// Guards against keys that work on after they were revoked while the store is unreachable. The
+/// daemon can't learn of the revocation, so it must refuse keys by itself within the bound.
 #[test]
 fn unconfirmed_keys_are_refused_within_the_revocation_bound() {
     let mut harness = GatewayHarness::ready(1);
@@ -85,7 +84,7 @@
     assert_eq!(harness.refusal(request), None);
 }
 
-/// A public route shows no key, so nothing can have been taken away.
+/// Public routes need no key, so an outage of the store must not stop them.
 #[test]
 fn public_routes_are_served_without_the_store() {
     let mut harness = GatewayHarness::ready(1);
@@ -98,8 +97,8 @@
     assert_eq!(harness.refusal(request), None);
 }
 
-/// An answer of the store that was held up brings a version that was replaced long ago. In force
-/// again, its routes and keys would come back to life.
+/// Guards against a delayed response of the store that puts a replaced version into force again,
+/// with its routes and keys.
 #[test]
 fn an_older_configuration_never_replaces_a_newer_one() {
     let mut harness = GatewayHarness::ready(1);
@@ -132,8 +131,8 @@
     assert_eq!(harness.refusal(request), None);
 }
 
-/// An operator shortens the bound of keys while a daemon is cut off. It holds from then on: what was
-/// allowed by the longer one is refused.
+/// An operator shortens the revocation bound while a daemon can't reach the store: requests that
+/// only the longer bound allowed are refused from then on.
 #[test]
 fn changed_bounds_take_effect_at_once() {
     let mut harness = GatewayHarness::ready(1);
--- a/crates/savorywood-gateway/tests/entry_set.rs
+++ b/crates/savorywood-gateway/tests/entry_set.rs
@@ -1,4 +1,4 @@
-//! The entry set: which daemons the directory names, and what callers get when these fail.
+//! Selection of the entry set, which the directory lists, and service to callers when members fail.
 
 #[path = "common/callers.rs"]
 mod callers;
@@ -16,10 +16,11 @@
 use std::{collections::BTreeSet, time::Duration};
 
 const DAEMONS: usize = 80;
+/// Simulated callers.
 const CALLERS: usize = 80;
-/// Time for which callers keep an answer of the directory.
+/// Time for which callers cache addresses of the directory.
 const ADDRESS_TTL: Duration = Duration::from_secs(1);
-/// Time after which a failed member is named no more.
+/// Time after which a failed member must no longer be listed.
 const REPLACEMENT_BOUND: Duration = Duration::from_secs(1);
 
 fn small() -> HostResources {
@@ -59,7 +60,7 @@
     Duration::from_secs(count)
 }
 
-/// Members of each zone as all its daemons that are up see them.
+/// Asserts that all daemons of a zone that are up list the same members; returns these by zone.
 fn assert_agreement(cluster: &DaemonCluster) -> Vec<BTreeSet<usize>> {
     let mut members = vec![BTreeSet::new(); ZONES];
     for number in (0..cluster.daemons.len()).filter(|number| !cluster.down.contains(number)) {
@@ -76,12 +77,12 @@
         if expected.is_empty() {
             expected.clone_from(&numbers);
         }
-        assert_eq!(*expected, numbers, "as daemon {number} sees it");
+        assert_eq!(*expected, numbers, "members as listed by daemon {number}");
     }
     members
 }
 
-/// Callers at a field that has settled.
+/// Returns a cluster that has run for 4 s, and its callers with cleared counts.
 fn settled_cluster(daemons: usize, address_ttl: Duration) -> (DaemonCluster, CallerGroup) {
     let mut cluster = DaemonCluster::with_load(daemons, TeamLoad::unlimited(daemons));
     let mut callers = CallerGroup::new(CALLERS, address_ttl);
@@ -91,13 +92,14 @@
     (cluster, callers)
 }
 
+/// Asserts that no request failed later than `within` after `since`.
 fn assert_recovered(callers: &CallerGroup, since: MonotonicTime, within: Duration) {
     let failing_for = callers
         .last_failure
         .map_or(Duration::ZERO, |at| at.since(since));
     assert!(
         failing_for <= within,
-        "trouble for {failing_for:?}: {:?}",
+        "requests failed for {failing_for:?}: {:?}",
         callers.tally
     );
 }
@@ -119,7 +121,7 @@
     assert_eq!(members, [20, 21, 0]);
 }
 
-/// Guards against a set that is too small once its largest member is lost.
+/// Guards against a set that is too small once its largest member fails.
 #[test]
 fn members_carry_the_load_without_the_largest() {
     for load in [100, 3_000, 9_000, 30_000] {
@@ -132,7 +134,7 @@
     }
 }
 
-/// Guards against members whose processor is full while they have descriptors to spare.
+/// Guards against members whose processors are saturated while they have descriptors to spare.
 #[test]
 fn the_scarcest_resource_determines_the_set_size() {
     let all: Vec<EntryCandidate> = (0..40).map(|host| candidate(host, small())).collect();
@@ -142,7 +144,8 @@
     assert!(members.len() * 120 >= 600 * 2, "{members:?}");
 }
 
-/// Guards against callers at a daemon that has just started beside others that know the slots.
+/// Guards against listing a daemon that has just started and has not received the slots in use yet,
+/// while others have.
 #[test]
 fn a_daemon_that_just_started_is_no_member() {
     let mut all: Vec<EntryCandidate> = (0..6).map(|host| candidate(host, small())).collect();
@@ -152,7 +155,7 @@
     assert!(!select_members(all, &descriptors(10)).contains(&9));
 }
 
-/// Guards against a start of all daemons at which each counts the others as just started.
+/// Guards against a start of all daemons at which each excludes the others as just started.
 #[test]
 fn daemons_that_started_together_are_all_eligible() {
     let all = (0..6).map(|host| EntryCandidate {
@@ -190,7 +193,7 @@
     }
 }
 
-/// Guards against bursts of two and three times that meet members which are full.
+/// Guards against full members when the load doubles or triples at once.
 #[test]
 fn a_set_grows_before_a_burst_fills_it() {
     for factor in [2, 3] {
@@ -219,7 +222,8 @@
     }
 }
 
-/// Half of all hosts lose power at once, twice within five seconds, and come back after a second.
+/// Half of all hosts lose power at once, then the other half 5 s later; each half restarts after 1
+/// s.
 #[test]
 fn callers_are_served_again_after_half_of_all_hosts_are_lost() {
     for address_ttl in [ADDRESS_TTL, ADDRESS_TTL * 3] {
@@ -241,7 +245,7 @@
     }
 }
 
-/// Members are killed one after the other, each time the first of its zone.
+/// Kills the first member of each zone, four times in a row.
 #[test]
 fn members_that_are_killed_in_turn_are_replaced() {
     let (mut cluster, mut callers) = settled_cluster(DAEMONS, ADDRESS_TTL);
@@ -258,7 +262,8 @@
     }
 }
 
-/// A frozen member neither answers nor sends; after it wakes it is no member for a while.
+/// A frozen member neither responds nor sends gossip. After it resumes, it must not be listed at
+/// once.
 #[test]
 fn a_frozen_member_is_replaced_until_it_is_steady_again() {
     let (mut cluster, mut callers) = settled_cluster(DAEMONS, ADDRESS_TTL);
@@ -274,7 +279,8 @@
     assert!(assert_agreement(&cluster)[0].contains(&frozen));
 }
 
-/// A member that no daemon sees goes on serving the callers that know it; the others replace it.
+/// A member that is unreachable for its peers still serves callers that have cached its address;
+/// the other daemons replace it.
 #[test]
 fn a_member_cut_off_from_its_peers_is_replaced() {
     let (mut cluster, mut callers) = settled_cluster(DAEMONS, ADDRESS_TTL);
@@ -298,7 +304,7 @@
     assert!(!named.contains(&cut_off), "{named:?}");
 }
 
-/// A member that can't confirm its configuration names itself no more.
+/// A member that can't confirm its configuration must not list itself.
 #[test]
 fn a_member_without_the_store_is_replaced() {
     let (mut cluster, mut callers) = settled_cluster(DAEMONS, ADDRESS_TTL);
@@ -315,7 +321,7 @@
     );
 }
 
-/// Every daemon is stopped and started in turn, members among them.
+/// Stops and restarts every daemon in turn, members included.
 #[test]
 fn a_rolling_restart_of_all_daemons_refuses_no_request() {
     let (mut cluster, mut callers) = settled_cluster(24, ADDRESS_TTL);
@@ -334,7 +340,7 @@
     );
 }
 
-/// Callers of a zone that is lost get the members of the other zones.
+/// Callers of a zone without live daemons get members of the other zones.
 #[test]
 fn callers_of_a_lost_zone_use_other_zones() {
     let (mut cluster, mut callers) = settled_cluster(DAEMONS, ADDRESS_TTL);
@@ -344,7 +350,7 @@
     assert_recovered(&callers, lost_at, REPLACEMENT_BOUND + ADDRESS_TTL);
 }
 
-/// Guards against a set that takes in the whole zone since its hosts are busy with each other:
+/// Guards against a set that grows to the whole zone because of load that is not from callers:
 /// reading the tables at a start, and gossip, cost a standby host more the larger its zone is.
 #[test]
 fn load_of_standby_hosts_adds_no_members() {
--- a/crates/savorywood-gateway/tests/evacuation.rs
+++ b/crates/savorywood-gateway/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Zones that operators evacuate.
+//! Evacuation of zones.
 
 #[path = "common/harness.rs"]
 mod harness;
@@ -12,6 +12,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
+/// Returns an upstream of one slot.
 fn in_zone(number: u16, zone: &str) -> UpstreamEntry {
     UpstreamEntry {
         zone: ZoneLabel::from(zone),
@@ -26,7 +27,8 @@
     }
 }
 
-/// Two upstreams in the own zone and two in another one, of one slot each.
+/// Returns a daemon in `zone-a` with two upstreams in its own zone and two in `zone-b`, of one slot
+/// each.
 fn two_zones() -> GatewayHarness {
     let mut harness = GatewayHarness::unconfigured(options("host-a"));
     harness.step(GatewayEvent::ConfigRead(Arc::new(config(1, None))));
@@ -41,7 +43,7 @@
     harness
 }
 
-/// Numbers of the upstreams that get as many requests as there are upstreams.
+/// Sends four requests, as many as there are upstreams; returns the numbers of the upstreams used.
 fn upstreams_used(harness: &mut GatewayHarness) -> Vec<u16> {
     let requests: Vec<_> = (0..4).map(|_| harness.arrive(arrival("/safe/1"))).collect();
     let mut numbers = Vec::new();
@@ -63,7 +65,7 @@
     numbers
 }
 
-/// Guards against requests that reach a zone which operators are emptying.
+/// Guards against requests that are dispatched to a zone under evacuation.
 #[test]
 fn a_zone_under_evacuation_gets_no_new_requests() {
     let mut harness = two_zones();
@@ -74,7 +76,7 @@
     assert_eq!(upstreams_used(&mut harness), [1, 2, 3, 4]);
 }
 
-/// Guards against work that is cut off, or lost, when its zone is evacuated.
+/// Guards against requests that are broken off or lost when their zone is evacuated.
 #[test]
 fn running_requests_finish_and_queued_ones_go_to_other_zones() {
     let mut harness = two_zones();
@@ -95,7 +97,7 @@
     assert!(["upstream-3", "upstream-4"].contains(&moved_to));
 }
 
-/// Guards against an upstream that registers in an evacuated zone and gets work at once.
+/// Guards against dispatching to an upstream that registers in a zone after the evacuation order.
 #[test]
 fn an_upstream_that_registers_in_an_evacuated_zone_gets_no_requests() {
     let mut harness = two_zones();
@@ -104,7 +106,7 @@
     assert_eq!(upstreams_used(&mut harness), [3, 4]);
 }
 
-/// Guards against an evacuation that a daemon forgets, or holds for ever, after a gap in the feed.
+/// Guards against an evacuation that a daemon misses, or keeps for ever, after a gap in the feed.
 #[test]
 fn a_full_read_adds_orders_and_ends_those_it_lacks() {
     let mut harness = two_zones();
@@ -120,7 +122,7 @@
     assert_eq!(upstreams_used(&mut harness), [1, 2, 3, 4]);
 }
 
-/// Guards against an old answer that undoes a newer order.
+/// Guards against an old response of the store that undoes a newer order.
 #[test]
 fn an_older_read_changes_nothing() {
     let mut harness = two_zones();
@@ -133,8 +135,8 @@
     assert_eq!(upstreams_used(&mut harness), [3, 4]);
 }
 
-/// Guards against requests that hang, or reach an upstream, when every zone is evacuated; an order
-/// for a zone that nobody knows must harm nothing.
+/// Guards against requests that hang, or are dispatched, when every zone is evacuated. An order for
+/// a zone that does not exist must have no effect.
 #[test]
 fn with_all_zones_evacuated_callers_are_refused_at_once() {
     let mut harness = two_zones();
@@ -150,7 +152,7 @@
     assert!(harness.gateway.is_ready(harness.now));
 }
 
-/// Guards against a zone of cold upstreams that is filled at full pace when it is taken back.
+/// Guards against sending the full load at once to the cold upstreams of a zone that is taken back.
 #[test]
 fn upstreams_of_a_zone_taken_back_are_warmed_up() {
     let mut harness = two_zones();
--- a/crates/savorywood-gateway/tests/fleet_limits.rs
+++ b/crates/savorywood-gateway/tests/fleet_limits.rs
@@ -1,4 +1,5 @@
-//! Several daemons with one limit, one budget, one clock.
+//! Bounds that hold for all daemons together (team limits, retry budgets), and freshness of the
+//! configuration by the store's clock.
 
 #[path = "common/harness.rs"]
 mod harness;
@@ -12,7 +13,9 @@
 use std::{sync::Arc, time::Duration};
 
 const DAEMONS: usize = 7;
+/// Window over which the limit is checked.
 const WINDOW: Duration = Duration::from_secs(8);
+/// Units of one request: 1,000 prompt tokens and 100 output tokens.
 const UNITS_PER_REQUEST: f64 = 1_100.0;
 
 fn daemon_options(number: usize, incarnation: u64) -> GatewayOptions {
@@ -46,7 +49,8 @@
     harness
 }
 
-/// Times at which units were admitted, over all daemons.
+/// Runs an overloaded cluster, with a restart of all daemons at a step if given. Returns the times
+/// at which requests were admitted, over all daemons.
 fn run(restart_at: Option<u64>) -> Vec<MonotonicTime> {
     let start = MonotonicTime(1_000_000);
     let mut daemons: Vec<_> = (0..DAEMONS)
@@ -60,7 +64,7 @@
                 .map(|number| start_daemon(number, 2, now))
                 .collect();
         }
-        // A team that sends several times what it may, spread over all daemons.
+        // A team sends several times its limit, spread over all daemons.
         let daemon = &mut daemons[(step % DAEMONS as u64) as usize];
         daemon.now = now;
         daemon.confirm();
@@ -90,6 +94,7 @@
     }
 }
 
+/// Returns the most units admitted within any window.
 fn max_units_in_window(admitted: &[MonotonicTime]) -> f64 {
     let counts = admitted.iter().enumerate().map(|(index, from)| {
         let later = admitted[index..].iter();
@@ -98,37 +103,41 @@
     counts.max().unwrap_or_default() as f64 * UNITS_PER_REQUEST
 }
 
+/// Returns the most units that may be admitted in a window, the tolerance included.
 fn allowed_units() -> f64 {
     (limit().per_second * WINDOW.as_secs_f64() + limit().burst) * 1.1 + 190_000.0
 }
 
-/// A team sends five times what it may, to all daemons at once. They learn of each other four
-/// times a second; together they admit no more than operators tolerate, and no less than the
-/// limit.
+/// A team sends five times its limit to all daemons at once, which exchange their usage four times
+/// a second. Together they must admit no more than limit and tolerance, and no less than the limit.
 #[test]
 fn daemons_together_keep_a_limit() {
     let admitted = run(None);
     let most = max_units_in_window(&admitted);
-    assert!(most <= allowed_units(), "{most} of {}", allowed_units());
+    assert!(
+        most <= allowed_units(),
+        "{most} units in a window, {} allowed",
+        allowed_units()
+    );
     assert!(most >= limit().per_second * WINDOW.as_secs_f64(), "{most}");
 }
 
-/// All daemons are killed together in the middle of it and start again at once, knowing nothing
-/// of what they admitted. Each beginning with a full burst, they would admit several limits.
+/// Guards against several times the limit after all daemons are killed under load and restart at
+/// once: their record of the usage is lost, and each would start with a full bucket.
 #[test]
 fn daemons_that_all_start_again_keep_a_limit() {
     for restart_at in [650, 800, 1_000, 1_550] {
         let most = max_units_in_window(&run(Some(restart_at)));
         assert!(
             most <= allowed_units(),
-            "{most} of {} at {restart_at}",
+            "{most} units in a window, {} allowed, restart at step {restart_at}",
             allowed_units()
         );
     }
 }
 
-/// Each daemon spends second tries by itself, cut off from the others or not; the sum stays within
-/// what the service may get.
+/// Each daemon spends the retry budget by itself, connected or not; the sum over all daemons must
+/// stay within the budget of the service.
 #[test]
 fn retries_of_all_daemons_stay_within_the_budget() {
     let options = BudgetOptions {
@@ -154,7 +163,7 @@
     assert!(f64::from(spent) >= most * 0.6, "{spent} of {most}");
 }
 
-/// A call to the store, with the store's clock in its answer; all in microseconds.
+/// Returns a call to the store with the store's clock in its response; all times in microseconds.
 fn exchange(sent: u64, received: u64, store: u64) -> StoreExchange {
     StoreExchange {
         sent: MonotonicTime(sent),
@@ -163,8 +172,8 @@
     }
 }
 
-/// The machine was suspended while an answer was on its way. Taken as of its receiving, the answer
-/// would prove what may have changed meanwhile.
+/// Guards against taking a response as current when it is received after the machine was suspended:
+/// what it states may have changed meanwhile.
 #[test]
 fn a_response_received_after_a_freeze_is_not_fresh() {
     let mut clock = FreshnessClock::default();
@@ -175,8 +184,7 @@
     assert!(proof < MonotonicTime(11_100_000), "{proof:?}");
 }
 
-/// A long poll was answered at its end, within a moment: it proves what was true then, not when it
-/// was sent.
+/// A long poll responds at its end, so it confirms the state of that moment, not of its start.
 #[test]
 fn a_long_poll_is_fresh_as_of_its_end() {
     let mut clock = FreshnessClock::default();
@@ -188,8 +196,8 @@
     assert!(proof <= MonotonicTime(12_404_000), "{proof:?}");
 }
 
-/// The store moved to another machine with another clock. What is proved falls back to the time of
-/// sending, which is always true.
+/// The store moves to a machine with another clock. Freshness then counts from the time at which
+/// the call was sent, which is always safe.
 #[test]
 fn after_a_store_clock_change_freshness_falls_back_to_the_send_time() {
     let mut clock = FreshnessClock::default();
@@ -200,9 +208,10 @@
     assert_eq!(proof, MonotonicTime(30_000_000));
 }
 
-/// The store reports its clock in whole milliseconds, and a quick call takes less than one. Taken as
-/// exact, the two bounds of the clocks' difference contradict each other now and then; each long
-/// poll then seemed as old as its wait, and a daemon that is in touch called itself unready.
+/// Guards against taking rounding for another clock. The store reports whole milliseconds and a
+/// quick call takes less than one; taken as exact, the two bounds of the clock difference
+/// contradict each other at times. Each long poll then counted from its start, and a connected
+/// daemon became unready.
 #[test]
 fn a_millisecond_clock_is_not_taken_for_a_clock_change() {
     let mut clock = FreshnessClock::default();
--- a/crates/savorywood-gateway/tests/quarantine.rs
+++ b/crates/savorywood-gateway/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the upstreams that run them.
+//! Quarantine of requests that crash the upstreams that run them.
 
 #[path = "common/callers.rs"]
 mod callers;
@@ -23,7 +23,7 @@
 use savorywood_protocol::MonotonicTime;
 use std::time::Duration;
 
-/// Guards against crashes that can't be attributed: logs named sizes, not what was asked.
+/// Guards against log lines that do not identify the request, so that crashes can't be attributed.
 #[test]
 fn a_broken_attempt_is_logged_with_its_fingerprint_and_concurrent_requests() {
     let mut harness = GatewayHarness::ready(1);
@@ -51,7 +51,7 @@
     }
 }
 
-/// Guards against a request that goes on crashing upstreams because each repeat counts as new.
+/// Guards against a request that goes on crashing upstreams because each retry counts as a new one.
 #[test]
 fn a_request_that_crashed_three_upstreams_reaches_few_more() {
     for daemons in [1, 8, 48] {
@@ -62,7 +62,7 @@
     }
 }
 
-/// A field in which the crashing request is in quarantine.
+/// Returns an environment in which the crashing request is in quarantine.
 fn quarantined_environment(daemons: usize) -> CrashEnvironment {
     let mut environment = CrashEnvironment::new(daemons);
     environment.repeat_crashing(24);
@@ -73,7 +73,7 @@
     environment
 }
 
-/// Guards against a daemon that starts again and sends what the others refuse.
+/// Guards against a restarted daemon that dispatches what its peers refuse.
 #[test]
 fn a_restarted_daemon_gets_quarantines_from_its_peers() {
     for daemons in [8, 48] {
@@ -91,14 +91,14 @@
     }
 }
 
-/// Guards against a start of all daemons after which a crashing request begins anew.
+/// Guards against a restart of all daemons that loses a quarantine.
 #[test]
 fn a_restart_of_all_daemons_does_not_end_a_quarantine() {
     for daemons in [8, 48] {
         let mut environment = quarantined_environment(daemons);
         assert_eq!(environment.rows.len(), 1);
         assert!(environment.rows.values().all(|crashes| crashes.len() >= 3));
-        // At the third crash, and at the second if there was time before it.
+        // One write at the third crash, and one at the second if there was time before the third.
         assert!(
             (1..=2).contains(&environment.writes),
             "one daemon writes the row"
@@ -114,14 +114,15 @@
     }
 }
 
-/// Guards against crashes that are forgotten with each start of all daemons, so that none is the third.
+/// Guards against crash records that are lost at each restart of all daemons, so that the count
+/// never reaches three.
 #[test]
 fn starts_of_all_daemons_between_crashes_cost_few_upstreams() {
     for daemons in [8, 48] {
         let mut environment = CrashEnvironment::new(daemons);
         for _ in 0..4 {
             environment.advance_rounds(6);
-            // A few daemons send a request that breaks once more, many of them do not.
+            // Eight daemons dispatch a request again after a broken attempt, 48 do not.
             environment.repeat_crashing(if daemons == 8 { 1 } else { 2 });
             environment.advance_rounds(6);
             environment.restart_all(true);
@@ -136,7 +137,7 @@
     }
 }
 
-/// Guards against rows that are lost with an outage of the store.
+/// Guards against quarantine rows that are lost in an outage of the store.
 #[test]
 fn a_quarantine_is_written_once_the_store_recovers() {
     let mut environment = CrashEnvironment::new(8);
@@ -153,7 +154,7 @@
     assert_eq!(environment.rows.len(), 1);
 }
 
-/// Guards against a daemon that comes back from a cut and does not know what the others refuse.
+/// Guards against a daemon that does not receive the quarantines of its peers after a partition.
 #[test]
 fn a_daemon_that_was_partitioned_gets_quarantines_within_the_bound() {
     for daemons in [8, 48] {
@@ -175,7 +176,7 @@
     }
 }
 
-/// Guards against refusing requests that merely ran beside one that crashes upstreams.
+/// Guards against refusing requests that merely ran concurrently with one that crashes upstreams.
 #[test]
 fn a_request_that_was_served_between_crashes_is_not_refused() {
     let mut environment = CrashEnvironment::new(8);
@@ -189,8 +190,8 @@
     assert!(!environment.is_quarantined(0, "/stream/bystander"));
 }
 
-/// Guards against refusing a read that many callers share, as a wave of crashes ends several of
-/// its runs at once.
+/// Guards against refusing a request that many callers share when several of its executions end at
+/// once in a wave of crashes.
 #[test]
 fn a_recently_served_request_is_not_quarantined_by_a_wave_of_crashes() {
     for daemons in [8, 48] {
@@ -218,7 +219,8 @@
     }
 }
 
-/// Guards against a request that is refused for good after upstreams ended for other reasons.
+/// Guards against a permanent quarantine of a request whose upstreams crashed for other reasons:
+/// after a while one daemon dispatches it as a probe.
 #[test]
 fn a_successful_probe_ends_the_quarantine_on_all_daemons() {
     let mut environment = quarantined_environment(8);
@@ -241,7 +243,7 @@
     assert!(environment.rows.is_empty(), "its row is removed");
 }
 
-/// Guards against trials that crash an upstream each minute.
+/// Guards against probe requests that crash an upstream every minute.
 #[test]
 fn failed_probes_back_off() {
     let mut environment = CrashEnvironment::new(8);
@@ -250,7 +252,7 @@
     assert!(late <= MAX_LATE_DISPATCHES, "{late} in ten minutes");
 }
 
-/// Guards against taking a lost connection for the end of an upstream.
+/// Guards against taking a broken connection for a crash of the upstream.
 #[test]
 fn an_upstream_that_responds_after_a_broken_connection_did_not_crash() {
     let mut harness = GatewayHarness::ready(4);
@@ -259,7 +261,8 @@
         assert_eq!(harness.refusal(request), None);
         harness.end(request, AttemptOutcome::Broken { silent: false });
         harness.advance(Duration::from_millis(300));
-        // What comes next goes to each upstream, the one of the broken connection among them.
+        // The next four requests go to all four upstreams, the one with the broken connection
+        // included.
         let others: Vec<_> = (0..4)
             .map(|number| harness.arrive(arrival(&format!("/safe/other-{number}"))))
             .collect();
@@ -271,7 +274,8 @@
     }
 }
 
-/// Guards against a refusal that says not run for a request that was running when others crashed.
+/// Guards against refusing a request as not run after it was dispatched to an upstream that
+/// crashed.
 #[test]
 fn a_request_that_was_dispatched_is_never_refused_as_not_run() {
     let mut environment = CrashEnvironment::new(8);
@@ -287,19 +291,19 @@
     }
 }
 
-/// What became of requests that ran beside a crashing one.
+/// Results of requests that ran concurrently with a crashing one.
 #[derive(Debug, Default)]
 struct ConcurrentRequestTally {
     sent: usize,
     served: usize,
     quarantined: usize,
     crashes: usize,
-    /// Writes of rows, removals included.
+    /// Writes of quarantine rows, removals included.
     writes: usize,
 }
 
-/// Eight daemons with twelve new requests a round, each of which runs for one to eight rounds and
-/// comes again twice if it breaks, beside a crashing one that comes every few rounds.
+/// Runs eight daemons with twelve new requests per round, each of which takes one to eight rounds
+/// and is retried twice if it breaks, and a crashing request every four rounds on average.
 fn run_concurrent_requests(seed: u64) -> ConcurrentRequestTally {
     let mut random = SeededRandom(seed);
     let mut environment = CrashEnvironment::new(8);
@@ -331,8 +335,8 @@
     tally
 }
 
-/// Guards against retries of what runs beside a crashing request that crash further upstreams, and
-/// prints what becomes of these.
+/// Guards against retries of concurrent requests that crash further upstreams; prints how these
+/// ended.
 #[test]
 fn a_crashing_request_beside_much_other_work_reaches_few_upstreams() {
     let tallies: Vec<_> = (0..6).map(run_concurrent_requests).collect();
@@ -350,7 +354,7 @@
     RequestFingerprint::new(ContentDigest(number), None)
 }
 
-/// A request that was sent long ago breaks at an upstream.
+/// Records that a request, dispatched long ago, broke at an upstream.
 fn record_broken_attempt(
     quarantine: &mut QuarantineBook,
     now: MonotonicTime,
@@ -365,7 +369,7 @@
     quarantine.broke(now, attempt);
 }
 
-/// Guards against requests that find upstreams down after a crash and are taken for its cause.
+/// Guards against taking requests for the cause of a crash that find their upstream down after it.
 #[test]
 fn attempts_at_an_upstream_that_is_down_do_not_count_as_crashes() {
     let start = MonotonicTime(1_000_000_000);
@@ -392,13 +396,14 @@
         send_to_all(quarantine, start + Duration::from_millis(800));
         assert_eq!(quarantine.verdict(fingerprint(1)), QuarantineVerdict::Clear);
         assert_ne!(quarantine.verdict(fingerprint(0)), QuarantineVerdict::Clear);
-        // Until then the upstreams have started again.
+        // By then the upstreams have restarted.
         send_to_all(quarantine, start + Duration::from_secs(4));
         assert_ne!(quarantine.verdict(fingerprint(1)), QuarantineVerdict::Clear);
     }
 }
 
-/// Guards against crowding a crashing request out of the book by crashing upstreams under others.
+/// Guards against evicting a crashing request from the bounded registry by crashes under other
+/// requests.
 #[test]
 fn many_other_crashes_do_not_end_a_quarantine() {
     let mut quarantine = QuarantineBook::default();
@@ -419,7 +424,7 @@
     ));
 }
 
-/// Guards against rows that the next start can't read.
+/// Guards against rows that can't be read at the next start.
 #[test]
 fn a_row_round_trips() {
     let mut quarantine = QuarantineBook::default();
@@ -444,7 +449,7 @@
     assert_eq!(QuarantineRow::parse("no number", &value), None);
 }
 
-/// Guards against messages that grow with what crashes and no longer pass links in one piece.
+/// Guards against gossip that grows with the number of crashes beyond the size of one datagram.
 #[test]
 fn a_message_on_crashes_is_bounded() {
     let mut quarantine = QuarantineBook::default();
@@ -460,7 +465,7 @@
     }
 }
 
-/// Guards against one crash that counts several times as its reports lay unread during a freeze.
+/// Guards against counting one crash several times when its reports were queued during a freeze.
 #[test]
 fn a_report_that_is_read_late_counts_once() {
     let start = MonotonicTime(1_000_000_000);
@@ -480,7 +485,7 @@
     assert_eq!(frozen.verdict(fingerprint(0)), QuarantineVerdict::Clear);
 }
 
-/// Guards against crashes of one upstream that count once, however often it starts under its name.
+/// Guards against counting only one crash of an upstream that restarts under the same name.
 #[test]
 fn each_crash_of_a_restarted_upstream_counts() {
     let mut quarantine = QuarantineBook::default();
@@ -491,7 +496,7 @@
 }
 
 quickcheck! {
-    /// Guards against daemons that disagree as messages came in another order, twice or not at all.
+    /// Guards against daemons that disagree because messages were reordered, duplicated or lost.
     fn reports_merge_to_the_same_verdict_in_any_order(crashes: Vec<(u8, u8, u16)>, order: Vec<usize>) -> bool {
         let start = MonotonicTime(1_000_000_000);
         let now = start + Duration::from_secs(100);
@@ -500,7 +505,8 @@
             .map(|(number, upstream, at)| CrashReport {
                 fingerprint: fingerprint(u64::from(*number % 3)),
                 crashes: vec![CrashAge {
-                    // One crash of each upstream: when two are the same is not a matter of order.
+                    // One crash per upstream: whether two reports are of the same crash depends on
+                    // more than their order.
                     upstream: u32::from(*upstream % 4),
                     number: 1,
                     age_ms: u32::from(*at % 900),
--- a/crates/savorywood-gateway/tests/rate_limits.rs
+++ b/crates/savorywood-gateway/tests/rate_limits.rs
@@ -1,4 +1,4 @@
-//! Upstreams that name a rate which they take from all daemons together.
+//! Rate limits that upstreams announce for the sum of all daemons.
 
 #[path = "common/callers.rs"]
 mod callers;
@@ -23,7 +23,7 @@
     }
 }
 
-/// Guards against limits that upstreams name and no log shows.
+/// Guards against announced limits that do not show in the log.
 #[test]
 fn announced_changed_and_lifted_limits_are_logged() {
     let mut harness = GatewayHarness::ready(1);
@@ -54,7 +54,8 @@
     );
 }
 
-/// Guards against the head of a long stream that lifts a limit which was named after it.
+/// Guards against applying the metadata of a long stream's head again at its end, after a limit was
+/// announced.
 #[test]
 fn the_end_of_a_stream_does_not_change_a_limit() {
     let mut harness = GatewayHarness::ready(2);
@@ -76,7 +77,7 @@
     assert_eq!(limited(&harness), 1);
 }
 
-/// Guards against daemons that each send an upstream in need what it takes from all of them.
+/// Guards against daemons that each dispatch the full announced rate.
 #[test]
 fn all_daemons_together_keep_an_announced_limit() {
     for daemons in [1, 8, 48] {
@@ -90,7 +91,8 @@
     }
 }
 
-/// Shares of what limited upstreams take and of all requests, over some time.
+/// Returns which fraction of the announced limits was used, and which fraction of all requests was
+/// served, over 20 s.
 fn run_limits(daemons: usize, limited: usize, per_second: f64, arrivals: usize) -> LimitUsage {
     let mut environment = LimitEnvironment::new(daemons, 6, 7);
     environment.arrivals = arrivals;
@@ -112,13 +114,14 @@
     }
 }
 
+/// Fractions from 0 to 1.
 #[derive(Debug)]
 struct LimitUsage {
     used: f64,
     served: f64,
 }
 
-/// Guards against limits that are kept by leaving most of what an upstream still takes unused.
+/// Guards against keeping a limit by leaving most of it unused.
 #[test]
 fn what_limited_upstreams_take_is_used_while_requests_wait() {
     for daemons in [1, 8, 48] {
@@ -131,13 +134,14 @@
             let is_scarce = limited == 6;
             assert!(
                 !is_scarce || usage.used > 0.5,
-                "most of it is left: {usage:?}"
+                "most of the limit is unused: {usage:?}"
             );
         }
     }
 }
 
-/// A field with two limited upstreams of six, long enough for all to know of them.
+/// Returns an environment in which two of six upstreams announce a limit that all daemons have
+/// received.
 fn limited_environment(daemons: usize, seed: u64) -> LimitEnvironment {
     let mut environment = LimitEnvironment::new(daemons, 6, seed);
     environment.advance(Duration::from_secs(2));
@@ -147,7 +151,7 @@
     environment
 }
 
-/// Guards against parts of a limit that daemons save up while there is no work and spend at once.
+/// Guards against shares of a limit that daemons accumulate while idle and spend at once.
 #[test]
 fn a_burst_after_an_idle_period_keeps_the_limit() {
     for daemons in [8, 48] {
@@ -162,7 +166,8 @@
     }
 }
 
-/// Guards against daemons that start again, or take over from killed ones, and send the limit anew.
+/// Guards against daemons that spend the limit anew after a restart, or after they take over the
+/// share of a killed one.
 #[test]
 fn the_limit_holds_while_daemons_are_killed_and_start_again() {
     for seed in 1..=6 {
@@ -180,7 +185,7 @@
     }
 }
 
-/// Guards against daemons that are cut off from the others and take over what those hold.
+/// Guards against partitioned daemons that take over the shares of those they can't reach.
 #[test]
 fn the_limit_holds_while_daemons_are_cut_off_from_each_other() {
     for seed in 1..=6 {
@@ -199,7 +204,8 @@
     }
 }
 
-/// Guards against limits that outlast the need, and against old answers that lift a new one.
+/// Guards against limits that stay in force after they were raised or lifted, and against old
+/// responses that lift a newer one.
 #[test]
 fn a_limit_follows_the_announced_rate() {
     for daemons in [8, 48] {
@@ -225,7 +231,8 @@
     }
 }
 
-/// Guards against work without a limit that is held against an upstream once it names one again.
+/// Guards against charging requests from the time without a limit to a limit that is announced
+/// again.
 #[test]
 fn a_limit_announced_again_is_usable_at_once() {
     let mut environment = limited_environment(8, 4);
@@ -239,7 +246,7 @@
     assert!(sent >= 16, "{sent} in 8 s, 32 taken");
 }
 
-/// Guards against a limit of an upstream's last life that binds the next one.
+/// Guards against keeping the limit of an upstream's previous incarnation.
 #[test]
 fn a_restarted_upstream_is_not_bound_by_its_previous_limit() {
     let mut harness = GatewayHarness::ready(1);
@@ -259,7 +266,8 @@
     assert_eq!(harness.orders(waiting).len(), 1);
 }
 
-/// Guards against a daemon that reads late that an earlier limit ended, and passes it on as new.
+/// Guards against a daemon that, after a freeze, handles the end of an earlier limit and gossips it
+/// as the end of the current one.
 #[test]
 fn the_limit_holds_when_a_frozen_daemon_reads_that_an_earlier_one_ended() {
     for seed in 1..=8 {
--- a/crates/savorywood-gateway/tests/regions.rs
+++ b/crates/savorywood-gateway/tests/regions.rs
@@ -1,4 +1,4 @@
-//! Home regions of routes and teams, in a deployment of two regions.
+//! Home regions of routes and teams, in a deployment with two regions.
 
 #[path = "common/harness.rs"]
 mod harness;
@@ -29,8 +29,8 @@
         .collect()
 }
 
-/// Routes `/north/` and `/south/` with homes, and a team with the key `southern` whose home is the
-/// south.
+/// Returns a configuration with routes `/north/` and `/south/`, each with its home region, and a
+/// team with the key `southern` and the home region south.
 fn declared() -> DeclaredConfig {
     let mut config = config(1, None);
     for name in ["north", "south"] {
@@ -49,7 +49,7 @@
     config
 }
 
-/// A daemon in the north; one upstream in each of three zones, with many slots.
+/// Returns a daemon in the north, with one upstream of many slots in each of `zones`.
 fn two_regions(zones: &[&str]) -> GatewayHarness {
     let mut options = options("host-a");
     options.regions = regions();
@@ -64,7 +64,7 @@
     harness
 }
 
-/// Zone of the upstream that gets a request; `None` where it is refused.
+/// Returns the zone of the upstream to which a request is dispatched; `None` if it is refused.
 fn dispatched_zone(harness: &mut GatewayHarness, region: &str, key: &str) -> Option<String> {
     let mut request_arrival = arrival(&format!("/{region}/1"));
     request_arrival.host = format!("{region}.example");
@@ -77,7 +77,7 @@
     zone
 }
 
-/// Guards against a request that leaves the regions that its route may use.
+/// Guards against requests that leave the home regions of their route.
 #[test]
 fn requests_reach_only_upstreams_of_their_home_regions() {
     let mut harness = two_regions(&["zone-a", "zone-b", "zone-c"]);
@@ -91,7 +91,7 @@
     }
 }
 
-/// Guards against a team's data in a region that only its route allows.
+/// Guards against a team's requests in a region that its route allows and the team does not.
 #[test]
 fn home_regions_of_route_and_team_both_apply() {
     let mut harness = two_regions(&["zone-a", "zone-b", "zone-c"]);
@@ -100,8 +100,8 @@
     assert_eq!(dispatched_zone(&mut harness, "north", "southern"), None);
 }
 
-/// Guards against a request that leaves its region when the region has nothing left, or waits
-/// there for ever.
+/// Guards against a request that leaves its home region, or is queued for ever, when the region has
+/// no upstream left.
 #[test]
 fn a_request_without_an_upstream_in_its_home_regions_is_refused() {
     let mut harness = two_regions(&["zone-a", "zone-b", "nowhere"]);
@@ -117,8 +117,8 @@
     text.parse().expect("an address")
 }
 
-/// Guards against callers that the directory sends through a region that is neither theirs nor a
-/// home of what they call.
+/// Guards against directing callers to a region that is neither their own nor a home region of the
+/// route.
 #[test]
 fn the_directory_lists_hosts_of_the_callers_region_then_of_the_home_regions() {
     let mut harness = two_regions(&["zone-a", "zone-b", "zone-c"]);
--- a/crates/savorywood-gateway/tests/response_invariants.rs
+++ b/crates/savorywood-gateway/tests/response_invariants.rs
@@ -1,4 +1,4 @@
-//! What callers are answered is true, whatever upstreams do.
+//! Invariants of the responses to callers under random sequences of upstream faults.
 
 #[path = "common/harness.rs"]
 mod harness;
@@ -8,7 +8,7 @@
 use savorywood_gateway::{AnswerMarks, AttemptOutcome, GatewayEffect, GatewayEvent, StreamEnd};
 use std::{collections::BTreeMap, time::Duration};
 
-/// One thing that happens to the gateway.
+/// A random event; numbers select the request, the upstream or the outcome.
 #[derive(Debug, Clone)]
 enum RandomStep {
     Arrive(u8),
@@ -58,17 +58,18 @@
     }
 }
 
-/// What an observer outside knows of one request.
+/// State of a request as visible from outside the gateway.
 #[derive(Debug, Default, Clone)]
 struct ObservedRequest {
     once: bool,
     running: bool,
+    /// Attempts that the upstream may have executed.
     executions: u32,
     ended: bool,
     left: bool,
 }
 
-/// Replays steps and checks each effect against what an observer outside has seen.
+/// Runs the steps and checks each effect against the observed state of the requests.
 fn check_steps(steps: Vec<RandomStep>) -> Result<(), String> {
     let mut harness = GatewayHarness::ready(3);
     let mut observed: BTreeMap<u64, ObservedRequest> = BTreeMap::new();
@@ -136,6 +137,7 @@
     Ok(())
 }
 
+/// Checks one effect and updates the observed state.
 fn check(
     effect: &GatewayEffect,
     observed: &mut BTreeMap<u64, ObservedRequest>,
@@ -144,18 +146,18 @@
         GatewayEffect::Dispatch(order) => {
             let request = observed
                 .get_mut(&order.request.0)
-                .ok_or("unknown request sent")?;
+                .ok_or("unknown request dispatched")?;
             if request.ended || request.left {
-                return Err(format!("sent after its end: {order:?}"));
+                return Err(format!("dispatched after its end: {order:?}"));
             }
             if request.running {
-                return Err(format!("sent while it runs: {order:?}"));
+                return Err(format!("dispatched while it runs: {order:?}"));
             }
             if request.once && request.executions > 0 {
-                return Err(format!("may run twice: {order:?}"));
+                return Err(format!("may be executed twice: {order:?}"));
             }
             if request.executions >= 2 {
-                return Err(format!("more runs than the route allows: {order:?}"));
+                return Err(format!("more executions than the route allows: {order:?}"));
             }
             request.running = true;
         }
@@ -171,7 +173,9 @@
             state.ended = true;
             let may_have_executed = state.executions > 0 || state.running;
             if reason.promises_not_run() && may_have_executed {
-                return Err(format!("an untrue promise: {effect:?}"));
+                return Err(format!(
+                    "refused as not run although it may have been executed: {effect:?}"
+                ));
             }
         }
         GatewayEffect::PassFailure { request } | GatewayEffect::BreakOff { request } => {
@@ -189,7 +193,9 @@
                 .ok_or("unknown request abandoned")?;
             let may_execute_again = !state.once && state.executions == 0;
             if state.ended || !state.running || !may_execute_again {
-                return Err(format!("abandoned without a next run: {effect:?}"));
+                return Err(format!(
+                    "abandoned although it can't be dispatched again: {effect:?}"
+                ));
             }
         }
         GatewayEffect::WriteRollout(_)
@@ -199,9 +205,10 @@
     Ok(())
 }
 
-/// Upstreams refuse, fail, break, fall silent, vanish and come back in any order while callers
-/// come and leave. What may have run is never refused as not run, what may run once is never
-/// sent again, and each request gets one final answer.
+/// Upstreams refuse, fail, break connections, stall, are removed and register again in any order
+/// while requests arrive and callers leave. A request that may have been executed is never refused
+/// as not run, one that may run only once is never dispatched again, and each request gets one
+/// final response.
 #[test]
 fn invariants_hold_under_any_order_of_faults() {
     let property = |steps: Vec<RandomStep>| match check_steps(steps) {
@@ -214,8 +221,8 @@
         .quickcheck(property as fn(Vec<RandomStep>) -> bool);
 }
 
-/// A charge reached an upstream and its answer was lost. Sent once more it could be made twice,
-/// and answered "not run" the caller would send it once more itself.
+/// Guards against charging twice: the response to a charge is lost. Dispatched again, it might be
+/// executed twice; refused as "not run", the caller would send it again.
 #[test]
 fn a_lost_response_of_a_run_once_request_is_not_reported_as_not_run() {
     let mut harness = GatewayHarness::ready(2);
@@ -226,8 +233,9 @@
     assert!(!reason.promises_not_run());
 }
 
-/// An address was given to an upstream of another service. It says so; the request has not run
-/// and goes to one that is there, also when it may run once only.
+/// An address was reused by an upstream of another service, which rejects the request as
+/// misdirected. It was not executed, so even a request that may run only once is dispatched to
+/// another upstream.
 #[test]
 fn a_misdirected_request_is_dispatched_to_another_upstream() {
     let mut harness = GatewayHarness::ready(2);
--- a/crates/savorywood-gateway/tests/rollouts.rs
+++ b/crates/savorywood-gateway/tests/rollouts.rs
@@ -1,4 +1,4 @@
-//! Roll-outs over several daemons.
+//! Roll-outs of a new version by several daemons.
 
 #[path = "common/harness.rs"]
 mod harness;
@@ -13,8 +13,10 @@
 use std::{sync::Arc, time::Duration};
 
 const DAEMONS: usize = 4;
+/// Time within which the roll-out must be completed.
 const ROLLOUT_DEADLINE: Duration = Duration::from_secs(12);
 
+/// Returns an upstream of the new version.
 fn new_upstream(number: u16) -> UpstreamEntry {
     UpstreamEntry {
         name: UpstreamLabel::from(format!("new-{number}").as_str()),
@@ -24,28 +26,35 @@
     }
 }
 
-/// What a deployment did with a roll-out.
+/// Results of a simulated roll-out.
 #[derive(Debug, Default)]
 struct RolloutRun {
+    /// Requests dispatched to either version.
     dispatched: u32,
+    /// Requests dispatched to the new version.
     dispatched_new: u32,
+    /// Requests dispatched to the new version after the store held the rollback.
     dispatched_new_after_rollback: u32,
+    /// Failed responses of the new version.
     bad_responses: u32,
+    /// Writes to the store, rejected ones included.
     writes: Vec<RolloutWrite>,
+    /// Final phase, and the time that it took; `None` while the roll-out runs.
     ended: Option<(RolloutPhase, Duration)>,
 }
 
-/// What a play varies.
+/// Parameters of a simulated roll-out.
 #[derive(Debug, Clone, Copy)]
 struct RunOptions {
-    /// Share of the new version's answers that are bad.
+    /// Fraction of the new version's responses that fail.
     bad_fraction: f64,
-    /// Daemons learn of each other.
+    /// Whether daemons exchange gossip.
     connected: bool,
-    /// Answers to writes are lost; what was written is found by reading.
+    /// Whether responses to writes are lost, so that only a read shows what was written.
     lose_write_responses: bool,
 }
 
+/// Runs 13 s of steady requests at four daemons with a store.
 fn run(run_options: RunOptions) -> RolloutRun {
     let start = MonotonicTime(1_000_000);
     let mut daemons: Vec<GatewayHarness> = (0..DAEMONS)
@@ -110,7 +119,7 @@
     harness
 }
 
-/// The store: takes a write whose condition holds.
+/// Acts as the store: applies a write if its expected version matches.
 fn apply_writes(
     daemon: &mut GatewayHarness,
     stored: &mut Option<(RolloutWrite, u64)>,
@@ -152,6 +161,7 @@
     }
 }
 
+/// Lets every daemon read the status from the store and, if connected, exchange summaries.
 fn gossip_all(
     daemons: &mut [GatewayHarness],
     now: MonotonicTime,
@@ -183,8 +193,8 @@
     assert!(after < ROLLOUT_DEADLINE, "{after:?}");
 }
 
-/// A version fails one answer in four from its start. Few requests meet it, it is taken back, and
-/// nothing reaches it afterwards.
+/// One in four responses of the new version fails from its start. It must get few requests before
+/// it is rolled back, and none after that.
 #[test]
 fn a_bad_version_gets_few_requests_and_is_rolled_back() {
     let run = run(RunOptions {
@@ -203,8 +213,8 @@
     assert_eq!(run.dispatched_new_after_rollback, 0);
 }
 
-/// Daemons can't reach each other, so each sees only its own answers and leads in its own eyes.
-/// Together they stay within what an unproved version may get, and the store takes one end.
+/// Daemons can't reach each other, so each sees only its own responses and leads the roll-out by
+/// itself. Together they must stay within the canary share, and the store accepts one final phase.
 #[test]
 fn partitioned_daemons_stay_within_the_canary_share() {
     let run = run(RunOptions {
@@ -222,7 +232,8 @@
     );
 }
 
-/// Every answer to a write is lost. The state is read back, written once, and not for ever.
+/// The response to every write is lost. Daemons must read the status back instead of writing it
+/// over and over.
 #[test]
 fn lost_write_responses_lead_to_one_final_phase() {
     let run = run(RunOptions {
--- a/crates/savorywood-gateway/tests/scheduling.rs
+++ b/crates/savorywood-gateway/tests/scheduling.rs
@@ -1,4 +1,4 @@
-//! Loads on several daemons and unlike engines: what callers of each rank get.
+//! Scheduling under load on several daemons and engines of different speeds: results by rank.
 
 #[path = "common/harness.rs"]
 mod harness;
@@ -13,9 +13,10 @@
 
 const DAEMONS: usize = 8;
 const SLOTS: u32 = 12;
-/// Fast, ordinary and slow engines.
+/// Two fast, two normal and two slow engines.
 const SLOWDOWNS: [f64; 6] = [0.55, 0.55, 1.0, 1.0, 2.8, 2.8];
 
+/// Most urgent requests: long prompts, streams that can be resumed.
 fn plans(per_second: f64) -> CallKind {
     CallKind {
         path: "/plan/",
@@ -31,6 +32,7 @@
     }
 }
 
+/// Requests of normal rank: short prompts, streams that can't be resumed.
 fn chats(per_second: f64) -> CallKind {
     CallKind {
         path: "/chat/",
@@ -44,6 +46,7 @@
     }
 }
 
+/// Requests of the lowest rank with short responses.
 fn digests(per_second: f64) -> CallKind {
     CallKind {
         path: "/digest/",
@@ -62,7 +65,7 @@
     LoadEnvironment::new(DAEMONS, slowdown, SLOTS, kinds)
 }
 
-/// Half as much again as all slots can serve.
+/// Returns an environment after 20 s with 1.5 times the load that all slots can serve.
 fn overload() -> LoadEnvironment {
     let kinds = vec![plans(20.0), chats(100.0), digests(60.0)];
     let mut environment = environment(&SLOWDOWNS, kinds);
@@ -70,15 +73,16 @@
     environment
 }
 
+/// Returns a count over all kinds, as a fraction of all requests.
 fn total(environment: &LoadEnvironment, count: impl Fn(&CallTally) -> u32) -> f64 {
     let requests: u32 = environment.tallies.iter().map(|tally| tally.requests).sum();
     let counted: u32 = environment.tallies.iter().map(count).sum();
     f64::from(counted) / f64::from(requests)
 }
 
-/// Callers of the lower ranks ask for half as much again as all slots can serve, at eight daemons
-/// that learn of each other late. Were each free slot given away at once, the most urgent callers
-/// would find all of them taken for the length of an answer, and wait behind work that could wait.
+/// Lower ranks send 1.5 times the load that all slots can serve, at eight daemons that receive each
+/// other's state late. Guards against giving every free slot away at once: urgent requests would
+/// find all slots in use by less urgent ones for the length of a response.
 #[test]
 fn the_most_urgent_rank_is_served_in_time_under_overload() {
     let environment = overload();
@@ -87,28 +91,31 @@
     assert!(in_time >= 0.85, "{in_time:.3}: {plans:?}");
 }
 
-/// Under the same load no answer can begin for many callers before they leave. They are refused before
-/// that, with a time to come back that leaves them time for the answer; left without an answer they
-/// would have waited for nothing.
+/// Under the same load many responses can't start before their callers time out. Guards against
+/// keeping these requests queued in vain: they are refused early, with a retry-after delay that
+/// leaves enough time before the deadline.
 #[test]
 fn requests_that_cannot_be_served_are_refused_before_callers_leave() {
     let environment = overload();
     let left = total(&environment, |tally| tally.left);
-    assert!(left <= 0.01, "{left:.4} left: {:?}", environment.tallies);
+    assert!(
+        left <= 0.01,
+        "{left:.4} of the callers left: {:?}",
+        environment.tallies
+    );
     let asked_to_retry = total(&environment, |tally| tally.asked_to_retry);
     assert!(
         asked_to_retry >= 0.1,
-        "only {asked_to_retry:.3} were sent back"
+        "only {asked_to_retry:.3} were asked to retry"
     );
     for (kind, tally) in environment.kinds.iter().zip(&environment.tallies) {
         assert!(tally.max_retry_after <= kind.deadline / 3, "{tally:?}");
     }
 }
 
-/// Under the same load the lowest rank asks for short answers. More urgent work that can't use a
-/// slot must not keep them from it, and a slot that is kept for the most urgent work is given back
-/// by a short answer in time; otherwise most of these callers get nothing beside slots that stand
-/// empty.
+/// Under the same load the lowest rank asks for short responses. Guards against slots that stay
+/// empty for more urgent requests while short ones, which free a reserved slot in time, are
+/// refused.
 #[test]
 fn short_requests_of_the_lowest_rank_are_not_starved() {
     let environment = overload();
@@ -117,6 +124,7 @@
     assert!(served >= 0.75, "{served:.3}: {digests:?}");
 }
 
+/// Most urgent requests of a second load: long prompts, medium responses.
 fn briefs(per_second: f64) -> CallKind {
     CallKind {
         path: "/brief/",
@@ -132,6 +140,7 @@
     }
 }
 
+/// Requests of the lowest rank with responses of widely different length.
 fn notes(per_second: f64) -> CallKind {
     CallKind {
         path: "/note/",
@@ -145,8 +154,8 @@
     }
 }
 
-/// Guards against large requests of the lowest rank that never get a slot: more urgent work comes
-/// all the time, and every slot that is kept for it goes to short answers as soon as it is free.
+/// Guards against large requests of the lowest rank that never get a slot: urgent requests arrive
+/// all the time, and every slot reserved for these goes to short requests as soon as it is free.
 #[test]
 fn large_requests_of_the_lowest_rank_are_not_starved() {
     let mut environment =
@@ -157,12 +166,13 @@
     assert!(all <= 0.95, "no overload: {all:.3}");
     assert!(
         largest >= all / 2.0,
-        "{largest:.3} of the largest, {all:.3} of all"
+        "served {largest:.3} of the largest requests, {all:.3} of all"
     );
 }
 
-/// Answers differ a hundredfold in length and engines five times in speed. A long answer on a slow
-/// engine is cut off at its deadline, after it held a slot for all that time; short ones end there.
+/// Response lengths differ by a factor of a hundred and engine speeds by a factor of five. Guards
+/// against long responses on slow engines, which are broken off at their deadline after they held a
+/// slot all that time.
 #[test]
 fn long_responses_run_on_engines_that_complete_them() {
     let mut long = chats(40.0);
@@ -172,13 +182,13 @@
     let broken_off = total(&environment, |tally| tally.broken_off);
     assert!(
         broken_off <= 0.02,
-        "{broken_off:.4} cut: {:?}",
+        "{broken_off:.4} broken off: {:?}",
         environment.tallies
     );
 }
 
-/// Slow engines have free slots while the fast ones give back several a second. A long prompt that
-/// goes to a slow one is late before its first event, and makes all that runs beside it late.
+/// Slow engines have free slots while fast ones free several a second. Guards against dispatching a
+/// long prompt to a slow engine, where its first event is late and delays all concurrent requests.
 #[test]
 fn long_prompts_wait_for_an_upstream_that_reads_them_in_time() {
     let mut environment = environment(&[0.55, 0.55, 4.5, 4.5], vec![plans(9.0), chats(28.0)]);
@@ -188,9 +198,9 @@
     assert!(in_time >= 0.85, "{in_time:.3}: {plans:?}");
 }
 
-/// An engine reads a prompt of tens of thousands of tokens, and all that runs there pauses for
-/// most of a second. That is no silence: taken away, the answers would be read from the start
-/// elsewhere, or broken off where nobody has room for them.
+/// The prefill of tens of thousands of tokens pauses all other streams of an engine for most of a
+/// second. Guards against taking that for a stall: abandoned streams would start over elsewhere, or
+/// be broken off where no slot is free.
 #[test]
 fn a_pause_during_a_long_prefill_is_not_a_stall() {
     let mut long = plans(2.0);
@@ -213,9 +223,9 @@
     );
 }
 
-/// One of six engines loses its power while a dozen answers run there. All of them fall silent at
-/// once, long before any caller leaves. What may run again is read on elsewhere, and new work goes
-/// there no more.
+/// One of six engines loses power with a dozen streams. All of them stop at once, long before a
+/// caller times out. The daemon must resume those that can be resumed elsewhere, and dispatch
+/// nothing more to the engine.
 #[test]
 fn a_stalled_upstream_is_detected_when_all_its_streams_stop() {
     let mut environment = environment(&SLOWDOWNS, vec![plans(16.0)]);
@@ -229,13 +239,15 @@
     assert!(lost <= 0.02, "{lost:.4}: {plans:?}");
 }
 
-/// Most urgent callers that were not answered in time, and the share of sends to full engines.
+/// Results with or without slot updates.
 struct SlotUpdateEffect {
+    /// Requests of the most urgent rank that were not served in time.
     not_in_time: u32,
+    /// Sum over the loads of the fraction of dispatches to full engines.
     to_full: f64,
 }
 
-/// Several loads under which nearly all slots are taken.
+/// Runs four loads under which nearly all slots are in use.
 fn run_scarce_loads(sends_slot_updates: bool) -> SlotUpdateEffect {
     let mut effect = SlotUpdateEffect {
         not_in_time: 0,
@@ -253,10 +265,10 @@
     effect
 }
 
-/// Slots turn over in less time than passes between two full summaries of a daemon. A daemon that
-/// learns late sends the most urgent request to an engine that is full, where it waits behind all
-/// others, or keeps it waiting beside a free one. Sent slots alone while these are scarce,
-/// fewer of these callers wait too long.
+/// Slots are freed and taken faster than daemons send summaries. A daemon with outdated slot counts
+/// dispatches urgent requests to full engines, where they queue behind all others, or keeps them
+/// queued beside a free slot. Slot updates between the summaries must reduce the number of late
+/// responses.
 #[test]
 fn slot_updates_reduce_late_urgent_responses() {
     let reported = run_scarce_loads(true);
--- a/crates/savorywood-gateway/tests/store_reads.rs
+++ b/crates/savorywood-gateway/tests/store_reads.rs
@@ -1,4 +1,4 @@
-//! Who reads the store in a zone, and what an attestation proves.
+//! Which daemon of a zone reads the store, and what an attestation of another daemon confirms.
 
 #[path = "common/callers.rs"]
 mod callers;
@@ -12,7 +12,8 @@
 use std::{collections::BTreeSet, time::Duration};
 
 impl DaemonCluster {
-    /// A daemon reads a table of the store itself, or is handed on what changed there.
+    /// Lets a daemon read a table from the store, or receive a change of it from a peer. Only a
+    /// read confirms the table (`confirmed`).
     fn read(&mut self, number: usize, table: SharedTable, changed: u64, confirmed: bool) {
         let proof_at = confirmed.then_some(self.now);
         let knowledge = TableKnowledge {
@@ -26,7 +27,7 @@
         });
     }
 
-    /// Daemons that must read the store do so, if they reach it.
+    /// Lets every daemon read that must, if it reaches the store.
     fn read_all(&mut self, changed: u64, reaches_store: impl Fn(usize) -> bool) {
         for number in 0..self.daemons.len() {
             for table in [SharedTable::Declared, SharedTable::Upstreams] {
@@ -43,13 +44,14 @@
         self.daemons[number].gateway.read_plan(self.now, table)
     }
 
+    /// Returns the daemons that read the configuration from the store.
     fn readers(&self) -> Vec<usize> {
         let all = 0..self.daemons.len();
         all.filter(|number| self.plan(*number, SharedTable::Declared) == ReadPlan::Direct)
             .collect()
     }
 
-    /// Time passes in steps; daemons read where they must, and gossip.
+    /// Runs rounds of 250 ms: due reads of the store, then gossip.
     fn run_rounds(
         &mut self,
         rounds: usize,
@@ -72,8 +74,8 @@
     }
 }
 
-/// Read by all, the store would be asked as often as there are daemons. One of each zone reads,
-/// and all stay ready.
+/// Guards against a load on the store that grows with the number of daemons: one daemon of each
+/// zone reads it, and all stay ready.
 #[test]
 fn one_daemon_of_a_zone_reads_the_store() {
     let mut cluster = DaemonCluster::new(DAEMONS);
@@ -82,8 +84,8 @@
     assert!((0..DAEMONS).all(|number| cluster.is_ready(number)));
 }
 
-/// The daemon that reads for its zone learns of a change; the others must get no proof before
-/// they hold it as well, or a key that was taken away would work on at them.
+/// The reading daemon of a zone receives a change. Guards against confirming the configuration of
+/// others before they have the change: a revoked key would work on there.
 #[test]
 fn a_daemon_that_lacks_a_change_is_not_confirmed() {
     let mut cluster = DaemonCluster::new(DAEMONS);
@@ -94,7 +96,7 @@
     cluster.exchange_gossip();
     let plan = cluster.plan(ZONES, SharedTable::Declared);
     assert_eq!(plan, ReadPlan::CatchUp);
-    // It can't read the store, and nobody hands on the change.
+    // The daemon can't read the store, and no peer forwards the change.
     cluster.run_rounds(12, 8, |number| number < ZONES);
     assert!(!cluster.is_ready(ZONES));
     assert!(cluster.is_ready(0));
@@ -103,8 +105,7 @@
     assert!(cluster.is_ready(ZONES));
 }
 
-/// The daemon that reads for its zone dies, or the store turns it away. Another one reads, and
-/// nobody becomes unready meanwhile.
+/// The reading daemons lose the store. Others must take over before any daemon becomes unready.
 #[test]
 fn another_daemon_takes_over_reading_the_store() {
     let mut cluster = DaemonCluster::new(DAEMONS);
@@ -119,8 +120,8 @@
     assert!(readers.len() <= 2 * ZONES, "{readers:?}");
 }
 
-/// An attestation is held up on its way for seconds, by a freeze, say. It proves what was true when the
-/// message that it echoes was sent, and not a moment of its coming.
+/// An attestation is delayed for seconds, for example by a freeze. It confirms the state at the
+/// time when the message that it echoes was sent, not at the time of its receipt.
 #[test]
 fn a_delayed_attestation_does_not_extend_freshness() {
     let mut cluster = DaemonCluster::new(DAEMONS);
--- a/crates/savorywood-gateway/tests/store_restore.rs
+++ b/crates/savorywood-gateway/tests/store_restore.rs
@@ -1,4 +1,4 @@
-//! A store that is restored from a backup some seconds old.
+//! Restores of the store from a backup that is some seconds old.
 
 #[path = "common/harness.rs"]
 mod harness;
@@ -26,6 +26,7 @@
     }
 }
 
+/// Advances the clock while the configuration is confirmed.
 fn advance_confirmed(harness: &mut GatewayHarness, time: Duration) {
     let end = harness.now + time;
     while harness.now < end {
@@ -34,7 +35,7 @@
     }
 }
 
-/// A ready daemon that has seen the first era.
+/// Returns a ready daemon that has observed era 1 of the store.
 fn harness() -> GatewayHarness {
     let mut harness = GatewayHarness::ready(2);
     harness.step(GatewayEvent::StoreEraSeen(1));
@@ -56,7 +57,7 @@
     });
 }
 
-/// Guards against an evacuation that ends as the backup is older than its order.
+/// Guards against ending an evacuation because the backup is older than its order.
 #[test]
 fn an_evacuation_that_the_backup_lacks_stays_in_force() {
     let mut harness = harness();
@@ -65,13 +66,14 @@
     read_evacuations(&mut harness, &[], position(2, 30));
     advance_confirmed(&mut harness, Duration::from_secs(3));
     assert!(is_evacuated(&harness));
-    // The operator writes it again, under a version that was given out before.
+    // The operator writes it again, with a version that was in use before the restore.
     harness.step(GatewayEvent::EvacuationOrdered(evacuation(2, 35)));
     advance_confirmed(&mut harness, Duration::from_secs(20));
     assert!(is_evacuated(&harness));
 }
 
-/// Guards against an evacuation that never ends as its withdrawal was lost, or put off for good.
+/// Guards against an evacuation that never ends because its withdrawal was lost or is deferred for
+/// ever.
 #[test]
 fn an_evacuation_that_is_not_written_again_ends() {
     let mut harness = harness();
@@ -82,7 +84,7 @@
     assert!(!is_evacuated(&harness));
 }
 
-/// Guards against an order that the backup brings back after it was withdrawn, for good.
+/// Guards against a withdrawn order that the backup brings back for good.
 #[test]
 fn a_withdrawal_that_the_backup_lacks_is_applied_again() {
     let mut harness = harness();
@@ -96,14 +98,14 @@
     assert!(!is_evacuated(&harness));
 }
 
-/// Guards against a row of the new era that is taken for an old one as its version was known.
+/// Guards against ignoring a row of the new era because its version was seen in the old one.
 #[test]
 fn any_position_of_a_later_era_is_later() {
     assert!(position(2, 1) > position(1, 900));
     assert!(position(2, 2) > position(2, 1));
 }
 
-/// Guards against work for an upstream that is leaving, as the backup has it ready.
+/// Guards against dispatching to a draining upstream that the backup lists as ready.
 #[test]
 fn a_draining_upstream_stays_draining_after_a_restore() {
     let mut harness = harness();
@@ -122,7 +124,7 @@
     assert!(harness.orders(second).is_empty());
 }
 
-/// Guards against work for an upstream that has left, as the backup brings it back.
+/// Guards against dispatching to a removed upstream that the backup still lists.
 #[test]
 fn a_removed_upstream_is_not_restored_from_the_backup() {
     let mut harness = harness();
@@ -140,7 +142,7 @@
         upstream(2, 1),
     ]));
     assert!(harness.gateway.fleet().get(&name).is_none());
-    // A new start under the same name is another one.
+    // A new incarnation with the same name is another upstream.
     let restarted = UpstreamEntry {
         born: 2,
         ..upstream(1, 1)
@@ -158,6 +160,7 @@
     }
 }
 
+/// Takes all effects and returns the roll-out writes.
 fn rollout_writes(harness: &mut GatewayHarness) -> Vec<RolloutWrite> {
     let effects = std::mem::take(&mut harness.effects);
     let writes = effects.into_iter().filter_map(|effect| match effect {
@@ -176,7 +179,7 @@
     }
 }
 
-/// Guards against a roll-out that was completed and begins anew, or whose end is lost.
+/// Guards against running a completed roll-out again, and against losing its completion.
 #[test]
 fn a_completed_roll_out_is_written_as_completed_again() {
     let mut harness = harness();
@@ -213,7 +216,7 @@
     );
 }
 
-/// Guards against an end of a roll-out that is lost, as it was acknowledged just before a restore.
+/// Guards against losing a roll-out status that was acknowledged just before a restore.
 #[test]
 fn a_write_that_an_earlier_era_acknowledged_is_made_again() {
     let mut harness = harness();
@@ -230,8 +233,7 @@
     assert_eq!(rollout_writes(&mut harness).len(), 1);
 }
 
-/// Guards against a row of a request that is no longer in quarantine, brought back by the backup and
-/// read at the next start.
+/// Guards against a quarantine that ended, but whose row the backup brings back for the next start.
 #[test]
 fn a_row_of_a_quarantine_that_ended_is_removed_again() {
     let mut quarantine = QuarantineBook::default();
@@ -263,7 +265,8 @@
 }
 
 quickcheck! {
-    /// Guards against eras that fall: an answer of an earlier copy may come last.
+    /// Guards against eras that decrease: a response of an earlier copy of the store may arrive
+    /// last.
     fn the_era_never_decreases(eras: Vec<u8>) -> bool {
         let mut harness = harness();
         eras.iter().all(|era| {
--- a/crates/savorywood-gateway/tests/upstream_selection.rs
+++ b/crates/savorywood-gateway/tests/upstream_selection.rs
@@ -1,4 +1,4 @@
-//! Who waits, who goes first, and where work goes.
+//! Queueing by priority, and selection of upstreams.
 
 #[path = "common/harness.rs"]
 mod harness;
@@ -10,6 +10,7 @@
 };
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
+/// Returns a summary of another daemon with its slots in use.
 fn peer(sequence: u64, slots: Vec<SlotUse>) -> Box<PeerSummary> {
     Box::new(PeerSummary {
         host: "host-b".to_owned(),
@@ -35,8 +36,8 @@
     })
 }
 
-/// Engines know no priorities: what waits in them is served in the order of arrival. So it waits
-/// here, and the urgent request that came last gets the first place that is free.
+/// Engines have no priorities and serve their queues in order of arrival. So requests are queued in
+/// the daemon, and the most urgent one gets the next free slot even if it arrived last.
 #[test]
 fn the_most_urgent_request_gets_the_next_free_slot() {
     let mut harness = GatewayHarness::ready(1);
@@ -49,8 +50,8 @@
     assert!(harness.orders(normal).is_empty());
 }
 
-/// Two daemons send to the same upstream. What the other one has there counts here as well;
-/// counted alone, both would fill it twice and its answers would be late.
+/// Guards against two daemons that each fill the same upstream: slots that a peer reports as in use
+/// must count too, or responses would be late.
 #[test]
 fn slots_in_use_by_a_peer_are_not_free() {
     let mut harness = GatewayHarness::ready(1);
@@ -66,8 +67,8 @@
     assert_eq!(harness.orders(request).len(), 1);
 }
 
-/// A daemon died with requests at an upstream. The places that it reported must come free by
-/// themselves: nobody will say that they are.
+/// A daemon ended with requests at an upstream. The slots that it reported must be freed after a
+/// while, as no further message will free them.
 #[test]
 fn slots_of_a_stale_peer_are_freed() {
     let mut harness = GatewayHarness::ready(1);
@@ -94,8 +95,8 @@
     assert_eq!(harness.refusal(third), Some(RefusalReason::ExpiredUnsent));
 }
 
-/// An upstream breaks every connection while its registration looks sound. It is left out after
-/// a few requests and tried again later; the other one serves meanwhile.
+/// An upstream breaks every connection while its registration looks healthy. It must be ejected
+/// after a few requests; the other upstream serves meanwhile.
 #[test]
 fn an_upstream_that_keeps_failing_is_ejected() {
     let mut harness = GatewayHarness::ready(2);
@@ -128,8 +129,8 @@
     );
 }
 
-/// All upstreams fail at once, so the fault is likely elsewhere. Were all of them left out, every
-/// request would be refused, also once the fault is gone.
+/// All upstreams fail at once, so the cause is probably elsewhere. Were all of them ejected, every
+/// request would be refused even after the cause is removed.
 #[test]
 fn upstreams_are_never_all_ejected() {
     let mut harness = GatewayHarness::ready(2);
@@ -150,8 +151,9 @@
     assert_eq!(harness.orders(request).len(), 1);
 }
 
-/// The store is out, and registrations expire though their owners live. They are used on for the
-/// time in which they come back; a service without any upstream would refuse everything.
+/// The store is unavailable and registrations expire though their owners are live. Guards against a
+/// service without any upstream: the registrations stay in use for the time that owners need to
+/// renew them.
 #[test]
 fn registrations_that_expire_in_a_store_outage_are_kept_for_a_grace_period() {
     let mut harness = GatewayHarness::ready(1);
@@ -166,7 +168,7 @@
     assert!(harness.orders(request).is_empty());
 }
 
-/// An upstream says that it leaves. Work that is sent there from now on is cut off.
+/// Requests that are dispatched to an upstream after it started draining would be broken off.
 #[test]
 fn a_draining_upstream_gets_no_new_requests() {
     let mut harness = GatewayHarness::ready(2);
@@ -180,7 +182,7 @@
     }
 }
 
-/// A daemon that is about to end is in no directory any more, its own included.
+/// A stopping daemon must not be listed in any directory, its own included.
 #[test]
 fn a_stopping_daemon_is_not_in_the_directory() {
     let mut harness = GatewayHarness::ready(1);
@@ -201,9 +203,9 @@
     assert!(!harness.gateway.is_ready(harness.now));
 }
 
-/// An upstream that broke every connection is mended while the others have room for everything.
-/// It gets a request now and then, and once it answers it is one of them again; left out for good,
-/// each fault would take an upstream away for ever.
+/// An upstream that broke every connection recovers while the others have free slots for
+/// everything. Guards against ejecting it for good: it gets a probe request now and then, and its
+/// full share again once it responds.
 #[test]
 fn a_recovered_upstream_gets_requests_again() {
     let mut harness = GatewayHarness::ready(2);
@@ -227,6 +229,7 @@
     );
 }
 
+/// Returns a summary of a daemon that suspects some upstreams.
 fn summary_with_suspects(host: &str, upstreams: &[&str]) -> Box<PeerSummary> {
     let mut summary = peer(1, Vec::new());
     summary.host = host.to_owned();
@@ -240,7 +243,7 @@
     )));
 }
 
-/// Upstreams of the next requests, each served at once.
+/// Sends requests, each completed at once; returns the upstreams to which they were dispatched.
 fn next_upstreams(harness: &mut GatewayHarness, count: usize) -> Vec<String> {
     let mut names = Vec::new();
     for _ in 0..count {
@@ -252,8 +255,8 @@
     names
 }
 
-/// An upstream went dark. Each of many daemons would find that out by itself, at the cost of a
-/// request or two; those that learn it of two others spare themselves that.
+/// Guards against each daemon detecting a failed upstream by itself at the cost of a request or
+/// two: reports of two peers are enough.
 #[test]
 fn an_upstream_suspected_by_two_peers_is_avoided() {
     let mut harness = GatewayHarness::ready(2);
@@ -263,7 +266,7 @@
     assert!(names.iter().all(|name| name == "upstream-2"), "{names:?}");
 }
 
-/// A single daemon that lost its way to an upstream must not make it look ill to all.
+/// Guards against one daemon that can't reach an upstream and makes all others avoid it.
 #[test]
 fn one_peer_alone_does_not_make_an_upstream_suspect() {
     let mut harness = GatewayHarness::ready(1);
@@ -271,7 +274,7 @@
     assert!(!harness.gateway.peers().suspect(&"upstream-1".into()));
 }
 
-/// Peers hold every upstream for ill. The fault is more likely on their way: requests are served.
+/// Peers suspect every upstream, so the cause is probably on their side: requests are served.
 #[test]
 fn upstreams_that_are_all_suspect_still_serve() {
     let mut harness = GatewayHarness::ready(2);
@@ -281,7 +284,7 @@
     assert_eq!(next_upstreams(&mut harness, 4).len(), 4);
 }
 
-/// The simple policies that ours is measured against do what their names say.
+/// The simple policies against which the default one is compared behave as their names state.
 #[test]
 fn baseline_policies_behave_as_named() {
     let chosen = |routing: RoutingPolicy| {
--- a/crates/savorywood-gateway/tests/warmup.rs
+++ b/crates/savorywood-gateway/tests/warmup.rs
@@ -1,4 +1,4 @@
-//! Cold upstreams: what they get within a second from all daemons together.
+//! Warm-up: the bound on requests per second that a cold upstream gets from all daemons together.
 
 #[path = "common/callers.rs"]
 mod callers;
@@ -19,6 +19,7 @@
 use std::{sync::Arc, time::Duration};
 
 const SECOND: Duration = Duration::from_secs(1);
+/// Step of the simulated clock.
 const STEP: Duration = Duration::from_millis(40);
 const SPEC: WarmupSpec = WarmupSpec {
     time: Duration::from_secs(3),
@@ -28,21 +29,23 @@
     overage: 1.5,
     slack: 5.0,
 };
-/// Requests within a second that are allowed.
+/// Most requests within any second: rate times overage, plus slack (6.6 * 1.5 + 5), rounded down.
 const MAX_PER_SECOND: usize = 14;
 /// Time between two starts of the cold upstream.
 const RESTART_INTERVAL: Duration = Duration::from_secs(4);
 
-/// Daemons with requests for one upstream that starts again and again.
+/// Daemons that dispatch to one upstream, which restarts periodically.
 struct ColdStartRun {
     cluster: DaemonCluster,
     callers: CallerGroup,
+    /// Times of dispatches while the upstream was cold.
     dispatched_at: Vec<MonotonicTime>,
     born: u64,
     started_at: MonotonicTime,
     random: SeededRandom,
 }
 
+/// Returns the registration of a start of the upstream.
 fn cold_entry(born: u64) -> UpstreamEntry {
     UpstreamEntry {
         name: UpstreamLabel::from("cold"),
@@ -71,7 +74,7 @@
         run
     }
 
-    /// A daemon knows how upstreams start, and the cold one alone.
+    /// Gives a daemon the warm-up settings and the cold upstream as the only one.
     fn configure(&mut self, number: usize) {
         let mut declared = config(7, None);
         for service in declared.services.values_mut() {
@@ -87,6 +90,7 @@
         daemon.step(GatewayEvent::UpstreamsRead(vec![entry]));
     }
 
+    /// Restarts the upstream under the same name.
     fn start_upstream(&mut self) {
         self.born += 1;
         self.started_at = self.cluster.now;
@@ -96,7 +100,7 @@
         }
     }
 
-    /// Every daemon has a request for the upstream in each step.
+    /// Advances the clock; every daemon receives a request in each step.
     fn advance(&mut self, time: Duration) {
         let end = self.cluster.now + time;
         while self.cluster.now < end {
@@ -139,6 +143,7 @@
         }
     }
 
+    /// Returns the most requests dispatched to the cold upstream within any second.
     fn max_in_a_second(&self) -> usize {
         let counts = self.dispatched_at.iter().enumerate().map(|(index, from)| {
             let later = self.dispatched_at[index..].iter();
@@ -153,7 +158,7 @@
     }
 }
 
-/// Guards against an empty upstream that every daemon takes for the best at the same moment.
+/// Guards against all daemons selecting an empty upstream as the best one at the same moment.
 #[test]
 fn all_daemons_together_keep_the_bound_of_a_cold_upstream() {
     for daemons in [8, DAEMONS] {
@@ -167,7 +172,8 @@
     }
 }
 
-/// Guards against daemons that restart, or take over from killed ones, and send the bound anew.
+/// Guards against daemons that use the bound anew after a restart, or after they take over the
+/// lease of a killed one.
 #[test]
 fn the_bound_holds_while_daemons_are_killed_and_start_again() {
     for seed in 1..=12 {
@@ -187,7 +193,7 @@
     }
 }
 
-/// Guards against daemons that are cut off from each other and each hold the lease.
+/// Guards against partitioned daemons that each take themselves for the lease holder.
 #[test]
 fn partitioned_daemons_keep_the_bound_of_a_cold_upstream() {
     for seed in 1..=8 {
@@ -205,7 +211,8 @@
     }
 }
 
-/// Guards against the head of a long stream that makes its upstream cold once more at its end.
+/// Guards against applying the metadata of a long stream's head again at its end: the upstream
+/// would count as cold once more.
 #[test]
 fn the_end_of_a_stream_does_not_make_its_upstream_cold_again() {
     let mut harness = GatewayHarness::ready(1);
@@ -227,7 +234,7 @@
 }
 
 quickcheck! {
-    /// Guards against a bound that two holders at a moment exceed.
+    /// Guards against exceeding the bound while two daemons hold the lease at the same time.
     fn two_lease_holders_keep_the_bound(rate: u8, overage: u8, slack: u8) -> TestResult {
         let per_second = f64::from(rate) / 4.0 + 0.5;
         let tolerance = WarmupTolerance {
--- a/crates/savorywood-gateway/tests/zones.rs
+++ b/crates/savorywood-gateway/tests/zones.rs
@@ -1,4 +1,4 @@
-//! Many daemons in several zones: who sends to whom, and what they keep together.
+//! Many daemons in several zones: gossip traffic, and team limits over all daemons.
 
 #[path = "common/callers.rs"]
 mod callers;
@@ -12,15 +12,15 @@
 use savorywood_gateway::{DaemonRole, UpstreamLabel};
 use std::time::Duration;
 
-/// Steps between two requests at one daemon while all callers come back.
+/// Steps between two requests at one daemon while all callers reconnect.
 const RECONNECT_INTERVAL_STEPS: u64 = 2;
 /// Daemons of a large fleet.
 const LARGE_FLEET: usize = 128;
 
-/// Time from the first read of the configuration to the first read of the list of daemons.
+/// Time from reading the configuration to reading the list of daemons after a start.
 const MEMBER_LIST_DELAY: Duration = Duration::from_millis(150);
 
-/// Sent by each daemon to each, state would cost a daemon more with every other daemon.
+/// Guards against full-mesh gossip, whose cost for each daemon grows with every other daemon.
 #[test]
 fn messages_of_a_daemon_do_not_grow_with_other_zones() {
     for count in [59, 82, 160] {
@@ -34,14 +34,15 @@
             assert_eq!(
                 received.len(),
                 ZONES - 1,
-                "zones that {receiver} received of"
+                "zones of which daemon {receiver} received digests"
             );
             assert!(received.values().all(|times| *times == 1), "{received:?}");
         }
     }
 }
 
-/// Few daemons send each other summaries: each is seen at once and exactly.
+/// Few daemons send each other summaries instead of digests, so that each has the exact state of
+/// all.
 #[test]
 fn few_daemons_exchange_summaries() {
     let mut cluster = DaemonCluster::new(8);
@@ -50,8 +51,8 @@
     assert!(round.digests_received.is_empty());
 }
 
-/// Requests of daemons in another zone count at an upstream as those of the own zone do, once, at
-/// each daemon that places requests.
+/// Requests of daemons in another zone count at an upstream like those of the own zone, exactly
+/// once, on every daemon that dispatches requests.
 #[test]
 fn slots_in_other_zones_are_counted_once() {
     let mut cluster = DaemonCluster::new(DAEMONS);
@@ -75,7 +76,8 @@
     }
 }
 
-/// Guards against slots gossiped to daemons that place nothing: they get digests without them.
+/// Guards against sending slots in use to standby daemons, which dispatch nothing: their digests
+/// omit these.
 #[test]
 fn standby_daemons_get_no_slots_of_other_zones() {
     let mut cluster = DaemonCluster::new(DAEMONS);
@@ -110,8 +112,8 @@
     }
 }
 
-/// The daemon that reported its zone dies. Others report on within two seconds, and callers of the
-/// zone are still sent to those that live.
+/// The daemon that reports its zone becomes unreachable. Another one must take over within two
+/// seconds, so that callers of the zone are still directed to live daemons.
 #[test]
 fn another_daemon_reports_a_zone_when_the_first_is_unreachable() {
     let mut cluster = DaemonCluster::new(DAEMONS);
@@ -122,12 +124,12 @@
     for number in (0..DAEMONS).filter(|number| !cluster.cut_off.contains(number)) {
         let peers = cluster.daemons[number].gateway.peers();
         let zones = peers.zones(cluster.now).count();
-        assert_eq!(zones, ZONES - 1, "zones that {number} knows");
+        assert_eq!(zones, ZONES - 1, "zones that daemon {number} tracks");
     }
 }
 
-/// A team sends three times what it may, to all of many daemons. With messages that reach each of
-/// them in turn, more than a second old, they let through more than operators tolerate.
+/// A team sends three times its limit to many daemons. Guards against usage reports that are more
+/// than a second old because they reach one daemon after the other: too much would be admitted.
 #[test]
 fn many_daemons_together_keep_a_limit() {
     let mut cluster = DaemonCluster::new(DAEMONS);
@@ -137,8 +139,8 @@
     assert!(cluster.max_units_in_window() >= least);
 }
 
-/// A third of the daemons are cut off from the others for longer than one waits for a peer, and
-/// the team goes on at all of them. Each that is cut off holds a copy of the whole burst.
+/// A third of the daemons is cut off for longer than a peer stays live, while the team goes on at
+/// all of them. Each that is cut off has a copy of the whole bucket and must use only its share.
 #[test]
 fn partitioned_daemons_keep_to_their_share_of_a_limit() {
     let mut cluster = DaemonCluster::new(DAEMONS);
@@ -150,7 +152,7 @@
     cluster.assert_limit_kept();
 }
 
-/// They are cut off while the team is quiet, with full buckets, and then it sends.
+/// The daemons are cut off while the team is idle and all buckets are full; then it sends.
 #[test]
 fn daemons_partitioned_while_idle_keep_to_their_share_of_a_limit() {
     let mut cluster = DaemonCluster::new(DAEMONS);
@@ -162,8 +164,8 @@
     cluster.assert_limit_kept();
 }
 
-/// While a team is at its limit, daemons are added. Each beginning with a part of the burst would
-/// let it through once more.
+/// Daemons are added while a team is at its limit. Guards against starting them with a share of the
+/// burst, which would admit it once more.
 #[test]
 fn joining_daemons_take_over_the_usage_of_a_team() {
     let mut cluster = DaemonCluster::new(DAEMONS);
@@ -182,8 +184,8 @@
     cluster.assert_limit_kept();
 }
 
-/// Guards against an overdraft that is written off: many daemons that each admit one large request
-/// between two digests take several bursts at once.
+/// Guards against writing off an overdraft: many daemons that each admit one large request between
+/// two digests use several bursts at once.
 #[test]
 fn large_requests_at_many_daemons_keep_a_limit() {
     let mut cluster = DaemonCluster::with_load(LARGE_FLEET, TeamLoad::large_requests(LARGE_FLEET));
@@ -193,8 +195,8 @@
     assert!(cluster.admitted_in_last(WINDOW) >= least * 0.9);
 }
 
-/// Guards against a storm of digests after a kill of all daemons: each that knows no neighbours yet
-/// would send its zone's digest to every daemon.
+/// Guards against a storm of digests after all daemons were killed: each that tracks no peers of
+/// its zone yet would send the zone's digest to every daemon.
 #[test]
 fn restarted_daemons_send_no_digests_before_they_discover_their_zone() {
     let mut cluster = DaemonCluster::new(LARGE_FLEET);
@@ -210,8 +212,8 @@
     }
 }
 
-/// Guards against restarted daemons that each spend a part of the burst before they have read how
-/// many others there are, while all callers of the team come back at once.
+/// Guards against restarted daemons that each spend a share of the burst before they have read how
+/// many daemons there are, while all callers of the team reconnect at once.
 #[test]
 fn large_requests_at_many_restarted_daemons_keep_a_limit() {
     let mut cluster = DaemonCluster::with_load(LARGE_FLEET, TeamLoad::large_requests(LARGE_FLEET));
@@ -231,7 +233,7 @@
     cluster.assert_limit_kept();
 }
 
-/// All are killed at once while a team is at its limit, and begin again a second later.
+/// All daemons are killed while a team is at its limit, and restart a second later.
 #[test]
 fn many_daemons_that_all_start_again_keep_a_limit() {
     let mut cluster = DaemonCluster::new(DAEMONS);
@@ -246,7 +248,8 @@
     cluster.assert_limit_kept();
 }
 
-/// Guards against a team whose urgent work is refused at its limit while its other work passes.
+/// Guards against refusing a team's urgent requests at its limit while its other requests are
+/// admitted.
 #[test]
 fn within_a_limit_urgent_requests_are_admitted_first() {
     let mut cluster = DaemonCluster::new(DAEMONS);
