--- a/crates/savorywood-gateway/tests/admission.rs
+++ b/crates/savorywood-gateway/tests/admission.rs
@@ -1,6 +1,6 @@
 //! Admission: readiness, routes, keys and team limits.
 
-#[path = "common/harness.rs"]
+#[path = "common/scene.rs"]
 mod harness;
 
 use harness::{GatewayHarness, REVOCATION_BOUND, arrival, config, options, route};
--- a/crates/savorywood-gateway/tests/scheduling.rs
+++ b/crates/savorywood-gateway/tests/deciding.rs
@@ -1,6 +1,6 @@
 //! Scheduling under load on several daemons and engines of different speeds: results by rank.
 
-#[path = "common/harness.rs"]
+#[path = "common/scene.rs"]
 mod harness;
 #[path = "common/load.rs"]
 mod load;
--- a/crates/savorywood-gateway/tests/evacuation.rs
+++ b/crates/savorywood-gateway/tests/evacuation.rs
@@ -1,6 +1,6 @@
 //! Evacuation of zones.
 
-#[path = "common/harness.rs"]
+#[path = "common/scene.rs"]
 mod harness;
 
 use harness::{GatewayHarness, arrival, config, options, upstream};
--- a/crates/savorywood-gateway/tests/quarantine.rs
+++ b/crates/savorywood-gateway/tests/quarantine.rs
@@ -2,13 +2,13 @@
 
 #[path = "common/callers.rs"]
 mod callers;
-#[path = "common/cluster.rs"]
+#[path = "common/field.rs"]
 mod cluster;
-#[path = "common/concurrent_requests.rs"]
+#[path = "common/bystanders.rs"]
 mod concurrent_requests;
 #[path = "common/crashes.rs"]
 mod crashes;
-#[path = "common/harness.rs"]
+#[path = "common/scene.rs"]
 mod harness;
 
 use callers::SeededRandom;
--- a/crates/savorywood-gateway/tests/rate_limits.rs
+++ b/crates/savorywood-gateway/tests/rate_limits.rs
@@ -2,9 +2,9 @@
 
 #[path = "common/callers.rs"]
 mod callers;
-#[path = "common/cluster.rs"]
+#[path = "common/field.rs"]
 mod cluster;
-#[path = "common/harness.rs"]
+#[path = "common/scene.rs"]
 mod harness;
 #[path = "common/limits.rs"]
 mod limits;
--- a/crates/savorywood-gateway/tests/regions.rs
+++ b/crates/savorywood-gateway/tests/regions.rs
@@ -1,6 +1,6 @@
 //! Home regions of routes and teams, in a deployment with two regions.
 
-#[path = "common/harness.rs"]
+#[path = "common/scene.rs"]
 mod harness;
 
 use harness::{GatewayHarness, arrival, config, options, route, upstream};
--- a/crates/savorywood-gateway/tests/store_restore.rs
+++ b/crates/savorywood-gateway/tests/restoring.rs
@@ -1,6 +1,6 @@
 //! Restores of the store from a backup that is some seconds old.
 
-#[path = "common/harness.rs"]
+#[path = "common/scene.rs"]
 mod harness;
 
 use harness::{GatewayHarness, arrival, upstream};
--- a/crates/savorywood-gateway/tests/rollouts.rs
+++ b/crates/savorywood-gateway/tests/rollouts.rs
@@ -1,6 +1,6 @@
 //! Roll-outs of a new version by several daemons.
 
-#[path = "common/harness.rs"]
+#[path = "common/scene.rs"]
 mod harness;
 
 use harness::{GatewayHarness, arrival, config, options, upstream};
--- a/crates/savorywood-gateway/tests/response_invariants.rs
+++ b/crates/savorywood-gateway/tests/truth.rs
@@ -1,6 +1,6 @@
 //! Invariants of the responses to callers under random sequences of upstream faults.
 
-#[path = "common/harness.rs"]
+#[path = "common/scene.rs"]
 mod harness;
 
 use harness::{GatewayHarness, arrival, upstream};
--- a/crates/savorywood-gateway/tests/upstream_selection.rs
+++ b/crates/savorywood-gateway/tests/waiting.rs
@@ -1,6 +1,6 @@
 //! Queueing by priority, and selection of upstreams.
 
-#[path = "common/harness.rs"]
+#[path = "common/scene.rs"]
 mod harness;
 
 use harness::{GatewayHarness, arrival, config, options, upstream};
--- a/crates/savorywood-gateway/tests/zones.rs
+++ b/crates/savorywood-gateway/tests/zones.rs
@@ -2,9 +2,9 @@
 
 #[path = "common/callers.rs"]
 mod callers;
-#[path = "common/cluster.rs"]
+#[path = "common/field.rs"]
 mod cluster;
-#[path = "common/harness.rs"]
+#[path = "common/scene.rs"]
 mod harness;
 
 use cluster::{DAEMONS, DaemonCluster, TeamLoad, UNITS_PER_REQUEST, WINDOW, ZONES};
