--- a/crates/savorywood-gateway/tests/common/field.rs
+++ b/crates/savorywood-gateway/tests/common/field.rs
@@ -251,15 +251,15 @@
 
     /// Delivers all due gossip once; daemons that are cut off neither send nor receive.
     pub fn exchange_gossip(&mut self) -> RoundTraffic {
-        let mut count = RoundTraffic::default();
+        let mut traffic = RoundTraffic::default();
         let mut messages: Vec<(usize, usize, GatewayEvent)> = Vec::new();
         for (number, daemon) in self.daemons.iter_mut().enumerate() {
             if self.frozen.contains_key(&number) {
-                count.sent.push(0);
+                traffic.sent.push(0);
                 continue;
             }
             let plan = daemon.gateway.plan_gossip(self.now);
-            count
+            traffic
                 .sent
                 .push(plan.summary_to.len() + plan.digest_to.len() + plan.brief_to.len());
             let summary = daemon.gateway.summary(self.now);
@@ -300,7 +300,7 @@
                 continue;
             }
             if matches!(event, GatewayEvent::DigestReceived(_)) {
-                let zones = count.digests_received.entry(receiver).or_default();
+                let zones = traffic.digests_received.entry(receiver).or_default();
                 *zones.entry(sender % ZONES).or_default() += 1;
             }
             match self.frozen.get_mut(&receiver) {
@@ -308,7 +308,7 @@
                 None => self.daemons[receiver].step(event),
             }
         }
-        count
+        traffic
     }
 
     /// Resumes a frozen process, which then handles the messages that its host received meanwhile.
--- a/crates/savorywood-gateway/tests/common/load.rs
+++ b/crates/savorywood-gateway/tests/common/load.rs
@@ -106,13 +106,13 @@
                 .push(EngineModel::new(&name, *slowdown, slots));
         }
         for number in 0..daemons {
-            let daemon = environment.daemon(number, daemons, slots);
+            let daemon = environment.start_daemon(number, daemons, slots);
             environment.daemons.push(daemon);
         }
         environment
     }
 
-    fn daemon(&self, number: usize, daemons: usize, slots: u32) -> GatewayHarness {
+    fn start_daemon(&self, number: usize, daemons: usize, slots: u32) -> GatewayHarness {
         let address = |number: usize| {
             let text = format!("10.0.0.{}:7600", number + 1);
             text.parse().expect("an address")
@@ -164,7 +164,7 @@
             self.steps += 1;
             self.receive_messages();
             if arrivals {
-                self.arrivals();
+                self.generate_arrivals();
             }
             self.send_due_retries();
             self.run_engines();
@@ -269,8 +269,8 @@
         };
         let kind = call.kind;
         let left = call.deadline_at.since(self.now);
-        let again = after.filter(|_| !call.retried);
-        let Some(after) = again else {
+        let retry_after = after.filter(|_| !call.retried);
+        let Some(after) = retry_after else {
             self.tallies[kind].record_unserved(&call);
             self.tallies[kind].refused += 1;
             return;
@@ -285,7 +285,7 @@
         });
     }
 
-    fn arrivals(&mut self) {
+    fn generate_arrivals(&mut self) {
         for kind in 0..self.kinds.len() {
             let per_step = self.kinds[kind].per_second * STEP.as_secs_f64();
             if self.random.next() >= per_step {
--- a/crates/savorywood-gateway/tests/quarantine.rs
+++ b/crates/savorywood-gateway/tests/quarantine.rs
@@ -227,8 +227,8 @@
     environment.advance_rounds(260);
     let mut probes = Vec::new();
     for daemon in 0..8 {
-        let name = environment.send_harmless(daemon, CRASHING_PATH);
-        probes.extend(environment.upstream_of(name).map(|_| name));
+        let id = environment.send_harmless(daemon, CRASHING_PATH);
+        probes.extend(environment.upstream_of(id).map(|_| id));
     }
     assert_eq!(probes.len(), 1, "one daemon tries it");
     environment.deliver(probes[0]);
@@ -280,9 +280,9 @@
 fn a_request_that_was_dispatched_is_never_refused_as_not_run() {
     let mut environment = CrashEnvironment::new(8);
     for round in 0..24 {
-        let name = environment.send_crashing(round % 8);
-        let ran = environment.dispatch_count(name) > 0;
-        let end = environment.ends[&name];
+        let id = environment.send_crashing(round % 8);
+        let ran = environment.dispatch_count(id) > 0;
+        let end = environment.ends[&id];
         let RequestEnd::Refused(reason) = end else {
             panic!("it can't be served");
         };
