--- a/crates/savorywood-gateway/tests/deciding.rs
+++ b/crates/savorywood-gateway/tests/deciding.rs
@@ -188,7 +188,8 @@
 }
 
 /// Slow engines have free slots while fast ones free several a second. Guards against dispatching a
-/// long prompt to a slow engine, where its first event is late and delays all concurrent requests.
+/// long prompt to a slow engine, where its first event is late and its prefill delays all
+/// concurrent requests.
 #[test]
 fn long_prompts_wait_for_an_upstream_that_reads_them_in_time() {
     let mut environment = environment(&[0.55, 0.55, 4.5, 4.5], vec![plans(9.0), chats(28.0)]);
--- a/crates/savorywood-gateway/tests/quarantine.rs
+++ b/crates/savorywood-gateway/tests/quarantine.rs
@@ -130,7 +130,7 @@
         environment.repeat_crashing(24);
         let late = environment.late_dispatches();
         println!(
-            "{} sends, {late} late at {daemons} daemons",
+            "{} dispatches, {late} late at {daemons} daemons",
             environment.dispatches.len()
         );
         assert!(late <= MAX_LATE_DISPATCHES, "{late} at {daemons} daemons");
@@ -230,7 +230,7 @@
         let id = environment.send_harmless(daemon, CRASHING_PATH);
         probes.extend(environment.upstream_of(id).map(|_| id));
     }
-    assert_eq!(probes.len(), 1, "one daemon tries it");
+    assert_eq!(probes.len(), 1, "one daemon dispatches a probe");
     environment.deliver(probes[0]);
     environment.advance_rounds(4);
     for daemon in 0..8 {
@@ -284,7 +284,7 @@
         let ran = environment.dispatch_count(id) > 0;
         let end = environment.ends[&id];
         let RequestEnd::Refused(reason) = end else {
-            panic!("it can't be served");
+            panic!("the request can't be served");
         };
         assert_eq!(ran, !reason.promises_not_run(), "{reason}");
         environment.advance_round();
--- a/crates/savorywood-gateway/tests/truth.rs
+++ b/crates/savorywood-gateway/tests/truth.rs
@@ -168,7 +168,7 @@
                 .get_mut(&request.0)
                 .ok_or("unknown request refused")?;
             if state.ended {
-                return Err(format!("a second final answer: {effect:?}"));
+                return Err(format!("a second final response: {effect:?}"));
             }
             state.ended = true;
             let may_have_executed = state.executions > 0 || state.running;
@@ -183,7 +183,7 @@
                 .get_mut(&request.0)
                 .ok_or("unknown request ended")?;
             if state.ended {
-                return Err(format!("a second final answer: {effect:?}"));
+                return Err(format!("a second final response: {effect:?}"));
             }
             state.ended = true;
         }
