--- a/crates/savorywood-front/src/edge.rs
+++ b/crates/savorywood-front/src/edge.rs
@@ -2,7 +2,7 @@
 
 use crate::wire::{AnswerHead, HeaderLine, HeaderList, RequestHead, StoreCall};
 use savorywood_gateway::{
-    AnswerMarks, DeclaredConfig, RequestArrival, RolloutOrder, RolloutStatus, RolloutWrite,
+    ResponseMetadata, DeclaredConfig, RequestArrival, RolloutOrder, RolloutStatus, RolloutWrite,
     StorePosition, TeamLabel, UpstreamEntry, UpstreamLabel, ZoneLabel,
 };
 use serde::{Deserialize, Serialize};
@@ -116,7 +116,7 @@
     /// It bears the mark of the upstream's own answers.
     pub sealed: bool,
     /// Load and the like.
-    pub marks: AnswerMarks,
+    pub marks: ResponseMetadata,
 }
 
 /// A caller's question which addresses to use.
--- a/crates/savorywood-gateway/src/event.rs
+++ b/crates/savorywood-gateway/src/event.rs
@@ -22,7 +22,7 @@
 
 /// Load of an upstream as one of its answers reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LoadFigures {
+pub struct ReportedLoad {
     /// Requests that run.
     pub running: u32,
     /// Requests that wait there.
@@ -33,9 +33,9 @@
 
 /// What an answer's head says beside the answer itself.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct AnswerMarks {
+pub struct ResponseMetadata {
     /// Load there.
-    pub load: Option<LoadFigures>,
+    pub load: Option<ReportedLoad>,
     /// The upstream ends its connections: it is leaving, or just tidies up.
     pub closing: bool,
     /// Time for which it is still cold, where it says so.
@@ -63,12 +63,12 @@
         /// Another incarnation answers at that address.
         misdirected: bool,
         /// Marks of its answer.
-        marks: AnswerMarks,
+        marks: ResponseMetadata,
     },
     /// The upstream said itself that it failed; its answer is kept and may be passed on.
     Failed {
         /// Marks of its answer.
-        marks: AnswerMarks,
+        marks: ResponseMetadata,
     },
     /// No whole answer came, and nothing of it has reached the caller.
     Broken {
@@ -80,7 +80,7 @@
     /// The whole answer reached the caller.
     Delivered {
         /// Marks of its answer.
-        marks: AnswerMarks,
+        marks: ResponseMetadata,
         /// Events of a stream.
         events: u32,
     },
@@ -138,7 +138,7 @@
         /// Which request.
         request: LocalRequest,
         /// Marks of its head.
-        marks: AnswerMarks,
+        marks: ResponseMetadata,
     },
     /// More events of a stream have reached its caller.
     AnswerMoved {
--- a/crates/savorywood-gateway/src/gateway/learning.rs
+++ b/crates/savorywood-gateway/src/gateway/learning.rs
@@ -7,7 +7,7 @@
 use crate::{
     arrival::LocalRequest,
     effect::GatewayEffect,
-    event::{AnswerMarks, AttemptOutcome},
+    event::{ResponseMetadata, AttemptOutcome},
     name::{ServiceLabel, UpstreamLabel},
     pace::PaceEstimate,
 };
@@ -62,7 +62,7 @@
         &mut self,
         now: MonotonicTime,
         request: LocalRequest,
-        marks: AnswerMarks,
+        marks: ResponseMetadata,
         effects: &mut GatewayEffects,
     ) {
         let Some(record) = self.requests.get_mut(&request) else {
@@ -107,7 +107,7 @@
         }
     }
 
-    fn mark(&mut self, now: MonotonicTime, upstream: &UpstreamLabel, marks: AnswerMarks) {
+    fn mark(&mut self, now: MonotonicTime, upstream: &UpstreamLabel, marks: ResponseMetadata) {
         let Some(state) = self.fleet.get_mut(upstream) else {
             return;
         };
--- a/crates/savorywood-gateway/tests/common/crashes.rs
+++ b/crates/savorywood-gateway/tests/common/crashes.rs
@@ -6,7 +6,7 @@
     scene::{arrival, upstream},
 };
 use savorywood_gateway::{
-    AnswerMarks, AttemptOutcome, DispatchOrder, GatewayEffect, GatewayEvent, LocalRequest,
+    ResponseMetadata, AttemptOutcome, DispatchOrder, GatewayEffect, GatewayEvent, LocalRequest,
     QuarantineRow, QuarantineWrite, RefusalReason, RequestArrival, RequestFingerprint, StoredCrash,
     UpstreamEntry, UpstreamLabel,
 };
@@ -266,7 +266,7 @@
     /// All sound requests that run are answered.
     pub fn deliver_all(&mut self) {
         for running in std::mem::take(&mut self.running) {
-            let marks = AnswerMarks::default();
+            let marks = ResponseMetadata::default();
             self.ends.insert(running.name, RequestEnd::Served);
             self.end(running.name, AttemptOutcome::Delivered { marks, events: 1 });
         }
@@ -276,7 +276,7 @@
     pub fn deliver(&mut self, name: RequestName) {
         let is_it = |running: &mut RunningRequest| running.name == name;
         if self.running.extract_if(.., is_it).count() > 0 {
-            let marks = AnswerMarks::default();
+            let marks = ResponseMetadata::default();
             self.ends.insert(name, RequestEnd::Served);
             self.end(name, AttemptOutcome::Delivered { marks, events: 1 });
         }
--- a/crates/savorywood-gateway/tests/common/limits.rs
+++ b/crates/savorywood-gateway/tests/common/limits.rs
@@ -7,7 +7,7 @@
     scene::{arrival, upstream},
 };
 use savorywood_gateway::{
-    AnswerMarks, AttemptOutcome, DispatchOrder, GatewayEffect, GatewayEvent, LocalRequest,
+    ResponseMetadata, AttemptOutcome, DispatchOrder, GatewayEffect, GatewayEvent, LocalRequest,
     RateLimit, RefusalReason, UpstreamEntry, UpstreamLabel,
 };
 use savorywood_protocol::MonotonicTime;
@@ -199,9 +199,9 @@
                 let key = (running.daemon, running.upstream.clone());
                 self.known.entry(key).or_insert(now);
             }
-            let marks = AnswerMarks {
+            let marks = ResponseMetadata {
                 limit,
-                ..AnswerMarks::default()
+                ..ResponseMetadata::default()
             };
             self.tally.served += 1;
             let outcome = AttemptOutcome::Delivered { marks, events: 0 };
--- a/crates/savorywood-gateway/tests/common/load.rs
+++ b/crates/savorywood-gateway/tests/common/load.rs
@@ -13,7 +13,7 @@
 use calls::{CallKind, CallTally, DrawSource, OpenCall};
 use engine::{EngineModel, EngineOutput, EngineRun};
 use savorywood_gateway::{
-    AnswerMarks, AttemptOutcome, DispatchOrder, GatewayEffect, GatewayEvent, LocalRequest,
+    ResponseMetadata, AttemptOutcome, DispatchOrder, GatewayEffect, GatewayEvent, LocalRequest,
     PeerContact, RepeatKind, RequestArrival, RequestSize, StreamEnd, UpstreamLabel, ZoneLabel,
 };
 use savorywood_protocol::MonotonicTime;
@@ -345,7 +345,7 @@
         call.received_at = self.now;
         call.events += 1;
         call.tokens_left = output.tokens_left;
-        let marks = AnswerMarks::default();
+        let marks = ResponseMetadata::default();
         let request = output.request;
         let event = if output.is_first {
             GatewayEvent::AnswerBegan { request, marks }
--- a/crates/savorywood-gateway/tests/common/scene.rs
+++ b/crates/savorywood-gateway/tests/common/scene.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code, reason = "each test file uses a part of the scene")]
 
 use savorywood_gateway::{
-    AnswerMarks, AttemptOutcome, ContentDigest, DeclaredConfig, DispatchOrder, Gateway,
+    ResponseMetadata, AttemptOutcome, ContentDigest, DeclaredConfig, DispatchOrder, Gateway,
     GatewayBounds, GatewayEffect, GatewayEvent, GatewayOptions, HostLabel, HostResources,
     LocalRequest, PromptPart, RefusalReason, RegionMap, RepeatKind, RequestArrival, RequestSize,
     RouteSpec, RoutingPolicy, ServiceLabel, ServiceSpec, TeamLabel, TeamLimit, TeamSpec,
@@ -176,7 +176,7 @@
 
     pub fn deliver(&mut self, request: LocalRequest) {
         let outcome = AttemptOutcome::Delivered {
-            marks: AnswerMarks::default(),
+            marks: ResponseMetadata::default(),
             events: 1,
         };
         self.end(request, outcome);
--- a/crates/savorywood-gateway/tests/rate_limits.rs
+++ b/crates/savorywood-gateway/tests/rate_limits.rs
@@ -11,15 +11,15 @@
 
 use limits::{LimitField, LimitTally};
 use savorywood_gateway::{
-    AnswerMarks, AttemptOutcome, GatewayEffect, GatewayEvent, RateLimit, UpstreamEntry,
+    ResponseMetadata, AttemptOutcome, GatewayEffect, GatewayEvent, RateLimit, UpstreamEntry,
 };
 use scene::{GatewayScene, arrival, upstream};
 use std::time::Duration;
 
-fn marks(per_second: Option<f64>) -> AnswerMarks {
-    AnswerMarks {
+fn marks(per_second: Option<f64>) -> ResponseMetadata {
+    ResponseMetadata {
         limit: per_second.and_then(RateLimit::of),
-        ..AnswerMarks::default()
+        ..ResponseMetadata::default()
     }
 }
 
--- a/crates/savorywood-gateway/tests/rollouts.rs
+++ b/crates/savorywood-gateway/tests/rollouts.rs
@@ -4,7 +4,7 @@
 mod scene;
 
 use savorywood_gateway::{
-    AnswerMarks, AttemptOutcome, GatewayEffect, GatewayEvent, RolloutOrder, RolloutPhase,
+    ResponseMetadata, AttemptOutcome, GatewayEffect, GatewayEvent, RolloutOrder, RolloutPhase,
     RolloutStatus, RolloutWrite, ServiceLabel, StorePosition, UpstreamEntry, UpstreamLabel,
     VersionLabel,
 };
@@ -70,7 +70,7 @@
         result.sent_new_after_verdict += u32::from(new && verdict);
         let bad = new && (step * 7 % 100) as f64 / 100.0 < play_options.bad_share;
         result.bad_seen += u32::from(bad);
-        let marks = AnswerMarks::default();
+        let marks = ResponseMetadata::default();
         let outcome = if bad {
             AttemptOutcome::Failed { marks }
         } else {
--- a/crates/savorywood-gateway/tests/truth.rs
+++ b/crates/savorywood-gateway/tests/truth.rs
@@ -4,7 +4,7 @@
 mod scene;
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use savorywood_gateway::{AnswerMarks, AttemptOutcome, GatewayEffect, GatewayEvent, StreamEnd};
+use savorywood_gateway::{ResponseMetadata, AttemptOutcome, GatewayEffect, GatewayEvent, StreamEnd};
 use scene::{GatewayScene, arrival, upstream};
 use std::{collections::BTreeMap, time::Duration};
 
@@ -35,7 +35,7 @@
 }
 
 fn outcome(number: u8) -> AttemptOutcome {
-    let marks = AnswerMarks::default();
+    let marks = ResponseMetadata::default();
     match number % 9 {
         0 => AttemptOutcome::NotSent,
         1 => AttemptOutcome::NotRun {
@@ -228,7 +228,7 @@
     let first = scene.orders(request)[0].upstream.clone();
     let outcome = AttemptOutcome::NotRun {
         misdirected: true,
-        marks: AnswerMarks::default(),
+        marks: ResponseMetadata::default(),
     };
     scene.end(request, outcome);
     let orders = scene.orders(request);
--- a/crates/savorywood-gateway/tests/warmup.rs
+++ b/crates/savorywood-gateway/tests/warmup.rs
@@ -11,7 +11,7 @@
 use field::{DAEMONS, DaemonField, zone};
 use quickcheck::{TestResult, quickcheck};
 use savorywood_gateway::{
-    AnswerMarks, AttemptOutcome, GatewayEvent, UpstreamEntry, UpstreamLabel, WarmupSpec,
+    ResponseMetadata, AttemptOutcome, GatewayEvent, UpstreamEntry, UpstreamLabel, WarmupSpec,
     WarmupTolerance,
 };
 use savorywood_protocol::MonotonicTime;
@@ -209,9 +209,9 @@
 #[test]
 fn the_end_of_a_stream_says_nothing_new_of_how_long_its_upstream_is_cold() {
     let mut scene = GatewayScene::ready(1);
-    let marks = AnswerMarks {
+    let marks = ResponseMetadata {
         cold: Some(SPEC.time),
-        ..AnswerMarks::default()
+        ..ResponseMetadata::default()
     };
     let request = scene.arrive(arrival("/stream/1"));
     scene.step(GatewayEvent::AnswerBegan { request, marks });
