--- a/crates/savorywood-front/src/attempt.rs
+++ b/crates/savorywood-front/src/attempt.rs
@@ -16,7 +16,7 @@
 use async_net::TcpStream;
 use events::{EventBuffer, StreamEvent};
 use futures_lite::{AsyncWriteExt, future};
-use savorywood_gateway::{AttemptOutcome, DispatchOrder, GatewayEvent, StreamEnd};
+use savorywood_gateway::{AttemptOutcome, DispatchOrder, GatewayEvent, StreamInterruption};
 use savorywood_protocol::MonotonicTime;
 use std::{cell::Cell, io, pin::pin, time::Duration};
 
@@ -372,7 +372,7 @@
 /// How an attempt ended without a whole answer.
 pub fn broken_outcome(sink: &AnswerSink, silent: bool) -> AttemptOutcome {
     if sink.has_begun() {
-        AttemptOutcome::StreamBroken(StreamEnd {
+        AttemptOutcome::StreamBroken(StreamInterruption {
             events: sink.events(),
             silent,
         })
--- a/crates/savorywood-gateway/src/event.rs
+++ b/crates/savorywood-gateway/src/event.rs
@@ -46,7 +46,7 @@
 
 /// How a stream stopped before its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct StreamEnd {
+pub struct StreamInterruption {
     /// Events passed on so far.
     pub events: u32,
     /// The upstream fell silent; otherwise the connection broke.
@@ -76,7 +76,7 @@
         silent: bool,
     },
     /// A stream of which events have reached the caller stopped early.
-    StreamBroken(StreamEnd),
+    StreamBroken(StreamInterruption),
     /// The whole answer reached the caller.
     Delivered {
         /// Marks of its answer.
--- a/crates/savorywood-gateway/src/gateway/quarantine.rs
+++ b/crates/savorywood-gateway/src/gateway/quarantine.rs
@@ -4,7 +4,7 @@
 use crate::{
     arrival::LocalRequest,
     effect::GatewayEffect,
-    event::{AttemptOutcome, StreamEnd},
+    event::{AttemptOutcome, StreamInterruption},
     name::{TeamLabel, UpstreamLabel},
     peer::name_digest,
     quarantine::{
@@ -77,7 +77,7 @@
         let fingerprint = record.fingerprint;
         let change = match outcome {
             AttemptOutcome::Broken { silent: false }
-            | AttemptOutcome::StreamBroken(StreamEnd { silent: false, .. }) => {
+            | AttemptOutcome::StreamBroken(StreamInterruption { silent: false, .. }) => {
                 let broken = BrokenAttempt {
                     fingerprint,
                     upstream: name_digest(attempt.upstream.as_str()),
--- a/crates/savorywood-gateway/src/lib.rs
+++ b/crates/savorywood-gateway/src/lib.rs
@@ -46,7 +46,7 @@
 pub use effect::{DispatchOrder, GatewayEffect};
 pub use entry::{EntryCandidate, EntrySet, HostResources, LoadPeak, select_members};
 pub use evacuation::{EvacuationBook, EvacuationOrder};
-pub use event::{ResponseMetadata, AttemptOutcome, GatewayEvent, ReportedLoad, StreamEnd};
+pub use event::{ResponseMetadata, AttemptOutcome, GatewayEvent, ReportedLoad, StreamInterruption};
 pub use freshness::{FreshnessClock, StoreExchange};
 pub use gateway::{Gateway, GatewayBounds, GatewayOptions, GatewayView};
 pub use gossip::{GossipPlan, PeerContact, PeerMessage, SlotPlan};
--- a/crates/savorywood-gateway/tests/common/load.rs
+++ b/crates/savorywood-gateway/tests/common/load.rs
@@ -14,7 +14,7 @@
 use engine::{EngineModel, EngineOutput, EngineRun};
 use savorywood_gateway::{
     ResponseMetadata, AttemptOutcome, DispatchOrder, GatewayEffect, GatewayEvent, LocalRequest,
-    PeerContact, RepeatKind, RequestArrival, RequestSize, StreamEnd, UpstreamLabel, ZoneLabel,
+    PeerContact, RepeatKind, RequestArrival, RequestSize, StreamInterruption, UpstreamLabel, ZoneLabel,
 };
 use savorywood_protocol::MonotonicTime;
 use std::{
@@ -236,7 +236,7 @@
         call.moves += 1;
         self.taken_away += u32::from(call.events > 0);
         let outcome = if call.events > 0 {
-            AttemptOutcome::StreamBroken(StreamEnd {
+            AttemptOutcome::StreamBroken(StreamInterruption {
                 events: call.events,
                 silent: true,
             })
--- a/crates/savorywood-gateway/tests/truth.rs
+++ b/crates/savorywood-gateway/tests/truth.rs
@@ -4,7 +4,7 @@
 mod scene;
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use savorywood_gateway::{ResponseMetadata, AttemptOutcome, GatewayEffect, GatewayEvent, StreamEnd};
+use savorywood_gateway::{ResponseMetadata, AttemptOutcome, GatewayEffect, GatewayEvent, StreamInterruption};
 use scene::{GatewayScene, arrival, upstream};
 use std::{collections::BTreeMap, time::Duration};
 
@@ -49,7 +49,7 @@
         3 => AttemptOutcome::Failed { marks },
         4 => AttemptOutcome::Broken { silent: false },
         5 => AttemptOutcome::Broken { silent: true },
-        6 => AttemptOutcome::StreamBroken(StreamEnd {
+        6 => AttemptOutcome::StreamBroken(StreamInterruption {
             events: 1,
             silent: false,
         }),
