--- a/crates/savorywood-front/src/attempt.rs
+++ b/crates/savorywood-front/src/attempt.rs
@@ -253,7 +253,7 @@
             .write_whole(head.status, &head.reason, &lines, &body)
             .await;
         if written.is_err() {
-            return (AttemptOutcome::CallerLeft, Some(head));
+            return (AttemptOutcome::CallerDisconnected, Some(head));
         }
         let outcome = AttemptOutcome::Delivered {
             marks: facts.marks,
@@ -281,11 +281,11 @@
                     began = true;
                     self.report_begun(facts);
                 }
-                Ok(events) => self.shared.step(GatewayEvent::AnswerMoved {
+                Ok(events) => self.shared.step(GatewayEvent::ResponseProgressed {
                     request: self.order.request,
                     events,
                 }),
-                Err(_) => return (AttemptOutcome::CallerLeft, None),
+                Err(_) => return (AttemptOutcome::CallerDisconnected, None),
             }
             if decoder.is_done() {
                 break;
@@ -300,7 +300,7 @@
             return (self.stream_broken(), None);
         }
         if self.sink.end_stream().await.is_err() {
-            return (AttemptOutcome::CallerLeft, None);
+            return (AttemptOutcome::CallerDisconnected, None);
         }
         let outcome = AttemptOutcome::Delivered {
             marks: facts.marks,
@@ -352,7 +352,7 @@
     fn report_begun(&self, facts: &AnswerFacts) {
         let elapsed = self.shared.clock.now().since(self.arrived_at);
         metrics::observe(&self.shared.metrics.first_event, self.order, elapsed);
-        self.shared.step(GatewayEvent::AnswerBegan {
+        self.shared.step(GatewayEvent::ResponseStarted {
             request: self.order.request,
             marks: facts.marks,
         });
--- a/crates/savorywood-front/src/caller.rs
+++ b/crates/savorywood-front/src/caller.rs
@@ -340,7 +340,7 @@
         };
         let gone = async {
             caller_gone(reader).await;
-            Some(AttemptOutcome::CallerLeft)
+            Some(AttemptOutcome::CallerDisconnected)
         };
         let ended = async {
             abandoned(decisions, &writing).await;
@@ -365,7 +365,7 @@
                 metrics::observe(&self.shared.metrics.whole_answer, order, elapsed);
                 Some(after(true, sink))
             }
-            AttemptOutcome::CallerLeft => {
+            AttemptOutcome::CallerDisconnected => {
                 self.count_end("caller-left");
                 Some(NextStep::Abort)
             }
--- a/crates/savorywood-front/src/feeds/quarantine.rs
+++ b/crates/savorywood-front/src/feeds/quarantine.rs
@@ -69,7 +69,7 @@
         write.fingerprint,
         write.crashes.as_ref().map_or(0, Vec::len)
     );
-    shared.step(GatewayEvent::QuarantineWritten {
+    shared.step(GatewayEvent::QuarantineWriteFinished {
         write,
         accepted,
         era,
--- a/crates/savorywood-front/src/feeds/rollouts.rs
+++ b/crates/savorywood-front/src/feeds/rollouts.rs
@@ -50,7 +50,7 @@
     if write.expected.version != 0 && write.expected.era != shared.era.get() {
         // The version that it expects may stand for another content by now.
         read_statuses(shared, link).await;
-        return shared.step(GatewayEvent::RolloutWritten {
+        return shared.step(GatewayEvent::RolloutWriteFinished {
             service: write.service,
             accepted: false,
             era: write.expected.era,
@@ -75,7 +75,7 @@
     );
     // Whatever became of it, the row is read back: an answer may be lost after the write.
     read_statuses(shared, link).await;
-    shared.step(GatewayEvent::RolloutWritten {
+    shared.step(GatewayEvent::RolloutWriteFinished {
         service: write.service,
         accepted,
         era,
@@ -92,7 +92,7 @@
     });
     for row in page.into_iter().flat_map(|page| page.rows) {
         if let Some(status) = shared.dialect.rollout_status(&row) {
-            shared.step(GatewayEvent::RolloutRead(status));
+            shared.step(GatewayEvent::RolloutStatusRead(status));
         }
     }
 }
--- a/crates/savorywood-front/src/shared.rs
+++ b/crates/savorywood-front/src/shared.rs
@@ -136,7 +136,7 @@
     /// Notes the era of a position that another daemon names.
     pub fn note_era_of(&self, position: StorePosition) {
         if self.gateway.borrow().store_era() < position.era {
-            self.step(GatewayEvent::StoreEraSeen(position.era));
+            self.step(GatewayEvent::StoreEraObserved(position.era));
         }
     }
 
@@ -149,7 +149,7 @@
         let is_known = self.era.get() >= era && known >= era;
         if !is_known || !self.knows_era.replace(true) {
             self.era.set(self.era.get().max(era));
-            self.step(GatewayEvent::StoreEraSeen(era));
+            self.step(GatewayEvent::StoreEraObserved(era));
         }
         era
     }
@@ -198,7 +198,7 @@
     /// Closes a request; one that is still open counts as left by its caller.
     pub fn close_request(&self, request: LocalRequest) {
         self.waiters.borrow_mut().remove(&request);
-        self.step(GatewayEvent::CallerLeft(request));
+        self.step(GatewayEvent::CallerDisconnected(request));
     }
 
     fn execute(&self, effect: GatewayEffect) {
--- a/crates/savorywood-gateway/src/event.rs
+++ b/crates/savorywood-gateway/src/event.rs
@@ -87,7 +87,7 @@
     /// The time for it is up.
     Expired,
     /// The caller has gone.
-    CallerLeft,
+    CallerDisconnected,
 }
 
 impl AttemptOutcome {
@@ -116,7 +116,7 @@
             Self::StreamBroken(_) => "stream-broken",
             Self::Delivered { .. } => "delivered",
             Self::Expired => "expired",
-            Self::CallerLeft => "caller-left",
+            Self::CallerDisconnected => "caller-left",
         }
     }
 }
@@ -132,16 +132,16 @@
         arrival: Box<RequestArrival>,
     },
     /// Its caller closed the connection before an attempt was under way.
-    CallerLeft(LocalRequest),
+    CallerDisconnected(LocalRequest),
     /// The first event of a stream (or the head of a plain answer) came.
-    AnswerBegan {
+    ResponseStarted {
         /// Which request.
         request: LocalRequest,
         /// Marks of its head.
         marks: ResponseMetadata,
     },
     /// More events of a stream have reached its caller.
-    AnswerMoved {
+    ResponseProgressed {
         /// Which request.
         request: LocalRequest,
         /// Events passed on together.
@@ -188,7 +188,7 @@
         revision: StorePosition,
     },
     /// An answer of the store names its era.
-    StoreEraSeen(u64),
+    StoreEraObserved(u64),
     /// Bounds were read from changed settings.
     BoundsRead(GatewayBounds),
     /// The store failed to answer a call.
@@ -196,9 +196,9 @@
     /// An operator ordered a roll-out, or changed one.
     RolloutOrdered(RolloutOrder),
     /// What the store says of a roll-out.
-    RolloutRead(RolloutStatus),
+    RolloutStatusRead(RolloutStatus),
     /// The write of a roll-out's status was answered, or not.
-    RolloutWritten {
+    RolloutWriteFinished {
         /// Which service's.
         service: ServiceLabel,
         /// It is known to be in the store.
@@ -225,7 +225,7 @@
     /// Requests in quarantine were read from the store.
     QuarantineRead(Vec<QuarantineRow>),
     /// The write of a row on a request in quarantine was answered, or not.
-    QuarantineWritten {
+    QuarantineWriteFinished {
         /// What was written.
         write: QuarantineWrite,
         /// It is known to be in the store.
--- a/crates/savorywood-gateway/src/gateway.rs
+++ b/crates/savorywood-gateway/src/gateway.rs
@@ -228,11 +228,11 @@
             GatewayEvent::Arrived { request, arrival } => {
                 self.arrive(now, request, &arrival, effects);
             }
-            GatewayEvent::CallerLeft(request) => self.caller_left(now, request, effects),
-            GatewayEvent::AnswerBegan { request, marks } => {
+            GatewayEvent::CallerDisconnected(request) => self.caller_left(now, request, effects),
+            GatewayEvent::ResponseStarted { request, marks } => {
                 self.answer_began(now, request, marks, effects);
             }
-            GatewayEvent::AnswerMoved { request, events } => {
+            GatewayEvent::ResponseProgressed { request, events } => {
                 self.answer_moved(now, request, events);
             }
             GatewayEvent::AttemptEnded { request, outcome } => {
@@ -253,7 +253,7 @@
             GatewayEvent::EvacuationsRead { orders, revision } => {
                 self.evacuations_read(now, orders, revision, effects);
             }
-            GatewayEvent::StoreEraSeen(era) => self.store_era_seen(now, era, effects),
+            GatewayEvent::StoreEraObserved(era) => self.store_era_seen(now, era, effects),
             GatewayEvent::BoundsRead(bounds) => self.bounds_read(now, bounds, effects),
             GatewayEvent::TableRead {
                 table,
@@ -265,8 +265,8 @@
                 self.reads.failed(now);
             }
             GatewayEvent::RolloutOrdered(order) => self.rollout_ordered(now, order, effects),
-            GatewayEvent::RolloutRead(status) => self.rollouts.read(&status),
-            GatewayEvent::RolloutWritten {
+            GatewayEvent::RolloutStatusRead(status) => self.rollouts.read(&status),
+            GatewayEvent::RolloutWriteFinished {
                 service,
                 accepted,
                 era,
@@ -287,7 +287,7 @@
             GatewayEvent::CrashesReported(gossip) => self.crashes_reported(now, &gossip, effects),
             GatewayEvent::LimitsReported(gossip) => self.limits_reported(now, &gossip, effects),
             GatewayEvent::QuarantineRead(rows) => self.quarantine_read(now, &rows, effects),
-            GatewayEvent::QuarantineWritten {
+            GatewayEvent::QuarantineWriteFinished {
                 write,
                 accepted,
                 era,
--- a/crates/savorywood-gateway/src/gateway/ending.rs
+++ b/crates/savorywood-gateway/src/gateway/ending.rs
@@ -28,7 +28,7 @@
                 self.close(now, request, "caller-left", effects);
             }
             RequestPlace::Running(_) => {
-                self.attempt_ended(now, request, &AttemptOutcome::CallerLeft, effects);
+                self.attempt_ended(now, request, &AttemptOutcome::CallerDisconnected, effects);
             }
         }
     }
@@ -98,7 +98,7 @@
         record.tried.push(attempt.upstream.clone());
         match outcome {
             AttemptOutcome::Delivered { .. } => return self.close(now, request, "served", effects),
-            AttemptOutcome::CallerLeft => return self.close(now, request, "caller-left", effects),
+            AttemptOutcome::CallerDisconnected => return self.close(now, request, "caller-left", effects),
             AttemptOutcome::NotSent => {
                 if record.sends < MAX_SENDS {
                     return self.requeue(now, request, outcome, effects);
--- a/crates/savorywood-gateway/src/gateway/learning.rs
+++ b/crates/savorywood-gateway/src/gateway/learning.rs
@@ -208,7 +208,7 @@
             }
             AttemptOutcome::NotRun { .. }
             | AttemptOutcome::Expired
-            | AttemptOutcome::CallerLeft => {
+            | AttemptOutcome::CallerDisconnected => {
                 outlier.unknown();
                 false
             }
@@ -265,7 +265,7 @@
             AttemptOutcome::NotSent
             | AttemptOutcome::NotRun { .. }
             | AttemptOutcome::Expired
-            | AttemptOutcome::CallerLeft => return,
+            | AttemptOutcome::CallerDisconnected => return,
         };
         if let Some(state) = self.fleet.get(&attempt.upstream) {
             self.rollouts.answered(service, &state.entry.version, bad);
--- a/crates/savorywood-gateway/tests/common/crashes.rs
+++ b/crates/savorywood-gateway/tests/common/crashes.rs
@@ -163,7 +163,7 @@
         }
         self.step(
             daemon,
-            GatewayEvent::QuarantineWritten {
+            GatewayEvent::QuarantineWriteFinished {
                 write,
                 accepted,
                 era: 0,
--- a/crates/savorywood-gateway/tests/common/load.rs
+++ b/crates/savorywood-gateway/tests/common/load.rs
@@ -348,9 +348,9 @@
         let marks = ResponseMetadata::default();
         let request = output.request;
         let event = if output.is_first {
-            GatewayEvent::AnswerBegan { request, marks }
+            GatewayEvent::ResponseStarted { request, marks }
         } else {
-            GatewayEvent::AnswerMoved { request, events: 1 }
+            GatewayEvent::ResponseProgressed { request, events: 1 }
         };
         self.step(output.daemon, event);
         if output.tokens_left > 0 {
@@ -393,13 +393,13 @@
             let event = match (engine, left) {
                 (Some(_), true) => GatewayEvent::AttemptEnded {
                     request,
-                    outcome: AttemptOutcome::CallerLeft,
+                    outcome: AttemptOutcome::CallerDisconnected,
                 },
                 (Some(_), false) => GatewayEvent::AttemptEnded {
                     request,
                     outcome: AttemptOutcome::Expired,
                 },
-                (None, _) => GatewayEvent::CallerLeft(request),
+                (None, _) => GatewayEvent::CallerDisconnected(request),
             };
             self.step(number, event);
         }
--- a/crates/savorywood-gateway/tests/evacuation.rs
+++ b/crates/savorywood-gateway/tests/evacuation.rs
@@ -56,7 +56,7 @@
         if is_sent {
             scene.deliver(request);
         } else {
-            scene.step(GatewayEvent::CallerLeft(request));
+            scene.step(GatewayEvent::CallerDisconnected(request));
         }
     }
     numbers.sort_unstable();
--- a/crates/savorywood-gateway/tests/rate_limits.rs
+++ b/crates/savorywood-gateway/tests/rate_limits.rs
@@ -59,7 +59,7 @@
 fn the_end_of_a_stream_says_nothing_new_of_a_limit() {
     let mut scene = GatewayScene::ready(2);
     let stream = scene.arrive(arrival("/stream/1"));
-    scene.step(GatewayEvent::AnswerBegan {
+    scene.step(GatewayEvent::ResponseStarted {
         request: stream,
         marks: marks(Some(2.0)),
     });
--- a/crates/savorywood-gateway/tests/restoring.rs
+++ b/crates/savorywood-gateway/tests/restoring.rs
@@ -37,7 +37,7 @@
 /// A ready daemon that has seen the first era.
 fn scene() -> GatewayScene {
     let mut scene = GatewayScene::ready(2);
-    scene.step(GatewayEvent::StoreEraSeen(1));
+    scene.step(GatewayEvent::StoreEraObserved(1));
     scene
 }
 
@@ -57,7 +57,7 @@
 fn an_evacuation_that_the_backup_lacks_stays_in_force() {
     let mut scene = scene();
     scene.step(GatewayEvent::EvacuationOrdered(evacuation(1, 40)));
-    scene.step(GatewayEvent::StoreEraSeen(2));
+    scene.step(GatewayEvent::StoreEraObserved(2));
     read_evacuations(&mut scene, &[], position(2, 30));
     pass(&mut scene, Duration::from_secs(3));
     assert!(is_evacuated(&scene));
@@ -72,7 +72,7 @@
 fn an_evacuation_that_is_not_written_again_ends() {
     let mut scene = scene();
     scene.step(GatewayEvent::EvacuationOrdered(evacuation(1, 40)));
-    scene.step(GatewayEvent::StoreEraSeen(2));
+    scene.step(GatewayEvent::StoreEraObserved(2));
     read_evacuations(&mut scene, &[], position(2, 30));
     pass(&mut scene, Duration::from_secs(8));
     assert!(!is_evacuated(&scene));
@@ -85,7 +85,7 @@
     scene.step(GatewayEvent::EvacuationOrdered(evacuation(1, 20)));
     scene.step(GatewayEvent::EvacuationWithdrawn(evacuation(1, 40)));
     assert!(!is_evacuated(&scene));
-    scene.step(GatewayEvent::StoreEraSeen(2));
+    scene.step(GatewayEvent::StoreEraObserved(2));
     read_evacuations(&mut scene, &[evacuation(2, 20)], position(2, 30));
     scene.step(GatewayEvent::EvacuationWithdrawn(evacuation(2, 31)));
     pass(&mut scene, Duration::from_secs(8));
@@ -107,7 +107,7 @@
         draining: true,
         ..upstream(1, 1)
     }));
-    scene.step(GatewayEvent::StoreEraSeen(2));
+    scene.step(GatewayEvent::StoreEraObserved(2));
     scene.step(GatewayEvent::UpstreamsRead(vec![
         upstream(1, 1),
         upstream(2, 1),
@@ -130,7 +130,7 @@
     scene.step(GatewayEvent::UpstreamWritten(leaving));
     scene.step(GatewayEvent::UpstreamRemoved(name.clone()));
     pass(&mut scene, Duration::from_secs(1));
-    scene.step(GatewayEvent::StoreEraSeen(2));
+    scene.step(GatewayEvent::StoreEraObserved(2));
     scene.step(GatewayEvent::UpstreamsRead(vec![
         upstream(1, 1),
         upstream(2, 1),
@@ -184,19 +184,19 @@
         for write in rollout_writes(&mut scene) {
             last = Some(write.phase);
             let service = service.clone();
-            scene.step(GatewayEvent::RolloutWritten {
+            scene.step(GatewayEvent::RolloutWriteFinished {
                 service,
                 accepted: true,
                 era: 1,
             });
-            scene.step(GatewayEvent::RolloutRead(status(last, position(1, 60))));
+            scene.step(GatewayEvent::RolloutStatusRead(status(last, position(1, 60))));
         }
     }
     assert_eq!(last, Some(RolloutPhase::Completed));
-    scene.step(GatewayEvent::StoreEraSeen(2));
+    scene.step(GatewayEvent::StoreEraObserved(2));
     scene.step(GatewayEvent::RolloutOrdered(rollout(2, 50)));
     let running = Some(RolloutPhase::Running);
-    scene.step(GatewayEvent::RolloutRead(status(running, position(2, 55))));
+    scene.step(GatewayEvent::RolloutStatusRead(status(running, position(2, 55))));
     pass(&mut scene, Duration::from_secs(2));
     let writes = rollout_writes(&mut scene);
     let first = writes.first().expect("it is written again");
@@ -216,8 +216,8 @@
     scene.step(GatewayEvent::RolloutOrdered(rollout(1, 50)));
     pass(&mut scene, Duration::from_secs(1));
     assert_eq!(rollout_writes(&mut scene).len(), 1);
-    scene.step(GatewayEvent::StoreEraSeen(2));
-    scene.step(GatewayEvent::RolloutWritten {
+    scene.step(GatewayEvent::StoreEraObserved(2));
+    scene.step(GatewayEvent::RolloutWriteFinished {
         service: ServiceLabel::from("engine"),
         accepted: true,
         era: 1,
@@ -264,7 +264,7 @@
         let mut scene = scene();
         eras.iter().all(|era| {
             let before = scene.gateway.store_era();
-            scene.step(GatewayEvent::StoreEraSeen(u64::from(*era)));
+            scene.step(GatewayEvent::StoreEraObserved(u64::from(*era)));
             scene.gateway.store_era() == before.max(u64::from(*era))
         })
     }
--- a/crates/savorywood-gateway/tests/rollouts.rs
+++ b/crates/savorywood-gateway/tests/rollouts.rs
@@ -132,12 +132,12 @@
         }
         let service = write.service.clone();
         let accepted = holds && !play_options.lose_writes;
-        daemon.step(GatewayEvent::RolloutWritten {
+        daemon.step(GatewayEvent::RolloutWriteFinished {
             service,
             accepted,
             era: 1,
         });
-        daemon.step(GatewayEvent::RolloutRead(status(stored.as_ref())));
+        daemon.step(GatewayEvent::RolloutStatusRead(status(stored.as_ref())));
     }
 }
 
@@ -157,7 +157,7 @@
     stored: Option<&(RolloutWrite, u64)>,
 ) {
     for index in 0..daemons.len() {
-        daemons[index].step(GatewayEvent::RolloutRead(status(stored)));
+        daemons[index].step(GatewayEvent::RolloutStatusRead(status(stored)));
         let summary = daemons[index].gateway.summary(now);
         for (other, daemon) in daemons.iter_mut().enumerate() {
             if other != index && linked {
--- a/crates/savorywood-gateway/tests/truth.rs
+++ b/crates/savorywood-gateway/tests/truth.rs
@@ -112,7 +112,7 @@
                 let request = seen.get_mut(&number).expect("an open request");
                 request.left = true;
                 request.ended = true;
-                scene.step(GatewayEvent::CallerLeft(savorywood_gateway::LocalRequest(
+                scene.step(GatewayEvent::CallerDisconnected(savorywood_gateway::LocalRequest(
                     number,
                 )));
             }
--- a/crates/savorywood-gateway/tests/warmup.rs
+++ b/crates/savorywood-gateway/tests/warmup.rs
@@ -118,7 +118,7 @@
         daemon.now = self.field.now;
         let request = daemon.arrive(arrival("/safe/1"));
         if daemon.orders(request).is_empty() {
-            daemon.step(GatewayEvent::CallerLeft(request));
+            daemon.step(GatewayEvent::CallerDisconnected(request));
             return;
         }
         if is_cold {
@@ -214,7 +214,7 @@
         ..ResponseMetadata::default()
     };
     let request = scene.arrive(arrival("/stream/1"));
-    scene.step(GatewayEvent::AnswerBegan { request, marks });
+    scene.step(GatewayEvent::ResponseStarted { request, marks });
     let is_cold = |scene: &GatewayScene| {
         let mut states = scene.gateway.fleet().iter();
         states.any(|state| state.is_cold(scene.now))
