--- a/crates/savorywood-front/src/feeds/reading.rs
+++ b/crates/savorywood-front/src/feeds/reading.rs
@@ -147,7 +147,7 @@
             self.know(&[], through, Some(at));
         }
         if self.table == StoreTable::Declared {
-            self.shared.step(GatewayEvent::Confirmed { at });
+            self.shared.step(GatewayEvent::ConfigConfirmed { at });
         }
     }
 }
--- a/crates/savorywood-gateway/src/event.rs
+++ b/crates/savorywood-gateway/src/event.rs
@@ -163,7 +163,7 @@
     /// One upstream registration was removed.
     UpstreamRemoved(UpstreamLabel),
     /// The store answered: its rows of the configuration were as known at that moment.
-    Confirmed {
+    ConfigConfirmed {
         /// When they were.
         at: MonotonicTime,
     },
--- a/crates/savorywood-gateway/src/gateway.rs
+++ b/crates/savorywood-gateway/src/gateway.rs
@@ -242,7 +242,7 @@
             GatewayEvent::UpstreamsRead(entries) => self.upstreams_read(now, entries, effects),
             GatewayEvent::UpstreamWritten(entry) => self.upstream_written(now, entry, effects),
             GatewayEvent::UpstreamRemoved(name) => self.upstream_removed(now, &name, effects),
-            GatewayEvent::Confirmed { at } => {
+            GatewayEvent::ConfigConfirmed { at } => {
                 self.proof_at = Some(self.proof_at.map_or(at, |proof| proof.max(at)));
                 self.note_readiness(now, effects);
             }
--- a/crates/savorywood-gateway/tests/common/scene.rs
+++ b/crates/savorywood-gateway/tests/common/scene.rs
@@ -146,7 +146,7 @@
 
     pub fn confirm(&mut self) {
         let at = self.now;
-        self.step(GatewayEvent::Confirmed { at });
+        self.step(GatewayEvent::ConfigConfirmed { at });
     }
 
     pub fn step(&mut self, event: GatewayEvent) {
