--- a/crates/savorywood-front/src/shared.rs
+++ b/crates/savorywood-front/src/shared.rs
@@ -217,11 +217,11 @@
                 };
                 self.send(request, decision);
             }
-            GatewayEffect::PassFailure { request } => {
+            GatewayEffect::ForwardFailure { request } => {
                 self.send(request, RequestDecision::PassFailure);
             }
-            GatewayEffect::Abandon { request } => self.send(request, RequestDecision::Abandon),
-            GatewayEffect::BreakOff { request } => self.send(request, RequestDecision::BreakOff),
+            GatewayEffect::AbandonAttempt { request } => self.send(request, RequestDecision::Abandon),
+            GatewayEffect::AbortResponse { request } => self.send(request, RequestDecision::BreakOff),
             GatewayEffect::WriteRollout(write) => {
                 // The receiver lives as long as the daemon.
                 let _ = self.rollout_writes.try_send(write);
--- a/crates/savorywood-gateway/src/effect.rs
+++ b/crates/savorywood-gateway/src/effect.rs
@@ -51,17 +51,17 @@
         retry_after: Option<Duration>,
     },
     /// Pass on the failure that the upstream gave.
-    PassFailure {
+    ForwardFailure {
         /// Which request.
         request: LocalRequest,
     },
     /// End the attempt under way: its upstream is silent, and another one has a place.
-    Abandon {
+    AbandonAttempt {
         /// Which request.
         request: LocalRequest,
     },
     /// Break off the answer that has begun.
-    BreakOff {
+    AbortResponse {
         /// Which request.
         request: LocalRequest,
     },
--- a/crates/savorywood-gateway/src/gateway/ending.rs
+++ b/crates/savorywood-gateway/src/gateway/ending.rs
@@ -187,11 +187,11 @@
             return;
         };
         if record.has_begun {
-            effects.push(GatewayEffect::BreakOff { request });
+            effects.push(GatewayEffect::AbortResponse { request });
             return self.close(now, request, "broken-off", effects);
         }
         if record.has_failure {
-            effects.push(GatewayEffect::PassFailure { request });
+            effects.push(GatewayEffect::ForwardFailure { request });
             return self.close(now, request, "failure-passed", effects);
         }
         let reason = match (record.runs > 0, reason.promises_not_run()) {
--- a/crates/savorywood-gateway/src/gateway/watching.rs
+++ b/crates/savorywood-gateway/src/gateway/watching.rs
@@ -173,6 +173,6 @@
             .with("events", attempt.events)
             .with("expected_ms", format_args!("{:.0}", attempt.expected_ms));
         effects.push(GatewayEffect::Log(line));
-        effects.push(GatewayEffect::Abandon { request });
+        effects.push(GatewayEffect::AbandonAttempt { request });
     }
 }
--- a/crates/savorywood-gateway/tests/common/load.rs
+++ b/crates/savorywood-gateway/tests/common/load.rs
@@ -189,13 +189,13 @@
                 retry_after,
                 ..
             } => self.refused(number, request, retry_after),
-            GatewayEffect::BreakOff { request } | GatewayEffect::PassFailure { request } => {
+            GatewayEffect::AbortResponse { request } | GatewayEffect::ForwardFailure { request } => {
                 if let Some(call) = self.calls.remove(&(number, request)) {
                     self.tallies[call.kind].unserved(&call);
                     self.tallies[call.kind].cut += 1;
                 }
             }
-            GatewayEffect::Abandon { request } => self.abandon(number, request),
+            GatewayEffect::AbandonAttempt { request } => self.abandon(number, request),
             GatewayEffect::WriteRollout(_)
             | GatewayEffect::WriteQuarantine(_)
             | GatewayEffect::Log(_) => {}
--- a/crates/savorywood-gateway/tests/truth.rs
+++ b/crates/savorywood-gateway/tests/truth.rs
@@ -169,14 +169,14 @@
                 return Err(format!("an untrue promise: {effect:?}"));
             }
         }
-        GatewayEffect::PassFailure { request } | GatewayEffect::BreakOff { request } => {
+        GatewayEffect::ForwardFailure { request } | GatewayEffect::AbortResponse { request } => {
             let known = seen.get_mut(&request.0).ok_or("unknown request ended")?;
             if known.ended {
                 return Err(format!("a second final answer: {effect:?}"));
             }
             known.ended = true;
         }
-        GatewayEffect::Abandon { request } => {
+        GatewayEffect::AbandonAttempt { request } => {
             let known = seen
                 .get_mut(&request.0)
                 .ok_or("unknown request abandoned")?;
