--- a/crates/savorywood-gateway/src/gateway/ending.rs
+++ b/crates/savorywood-gateway/src/gateway/ending.rs
@@ -194,15 +194,15 @@
             effects.push(GatewayEffect::ForwardFailure { request });
             return self.close(now, request, "failure-passed", effects);
         }
-        let reason = match (record.runs > 0, reason.promises_not_run()) {
+        let reason = match (record.runs > 0, reason.guarantees_not_executed()) {
             (true, true) if reason == RefusalReason::ExpiredUnsent => RefusalReason::ExpiredUnknown,
             (true, true) => RefusalReason::BrokenAnswer,
             _ => reason,
         };
         let retry_after = reason
-            .promises_not_run()
+            .guarantees_not_executed()
             .then(|| self.return_time(now, request, reason));
-        if reason.promises_not_run() {
+        if reason.guarantees_not_executed() {
             self.give_units_back(request);
         }
         effects.push(GatewayEffect::Refuse {
--- a/crates/savorywood-gateway/src/refusal.rs
+++ b/crates/savorywood-gateway/src/refusal.rs
@@ -29,13 +29,14 @@
     /// Upstreams crashed under earlier requests that asked the same.
     Quarantined,
     /// It was sent, and no whole answer came.
-    BrokenAnswer,
+    #[strum(serialize = "broken-answer")]
+    IncompleteResponse,
 }
 
 impl RefusalReason {
     /// Says whether the reason promises that the request has not run and never will.
     #[must_use]
-    pub fn promises_not_run(self) -> bool {
+    pub fn guarantees_not_executed(self) -> bool {
         match self {
             Self::NotReady
             | Self::NoRoute
@@ -46,7 +47,7 @@
             | Self::NotRun
             | Self::Quarantined
             | Self::ExpiredUnsent => true,
-            Self::ExpiredUnknown | Self::BrokenAnswer => false,
+            Self::ExpiredUnknown | Self::IncompleteResponse => false,
         }
     }
 }
--- a/crates/savorywood-gateway/tests/quarantine.rs
+++ b/crates/savorywood-gateway/tests/quarantine.rs
@@ -254,7 +254,7 @@
         let RequestEnd::Refused(reason) = end else {
             panic!("it can't be served");
         };
-        assert_eq!(ran, !reason.promises_not_run(), "{reason}");
+        assert_eq!(ran, !reason.guarantees_not_executed(), "{reason}");
         field.pass_round();
     }
 }
--- a/crates/savorywood-gateway/tests/truth.rs
+++ b/crates/savorywood-gateway/tests/truth.rs
@@ -165,7 +165,7 @@
             }
             known.ended = true;
             let ran = known.may_have_run > 0 || known.running;
-            if reason.promises_not_run() && ran {
+            if reason.guarantees_not_executed() && ran {
                 return Err(format!("an untrue promise: {effect:?}"));
             }
         }
@@ -216,7 +216,7 @@
     scene.end(request, AttemptOutcome::Broken { silent: false });
     assert_eq!(scene.orders(request).len(), 1);
     let reason = scene.refusal(request).expect("a final answer");
-    assert!(!reason.promises_not_run());
+    assert!(!reason.guarantees_not_executed());
 }
 
 /// An address was given to an upstream of another service. It says so; the request has not run
