--- a/crates/savorywood-front/src/caller.rs
+++ b/crates/savorywood-front/src/caller.rs
@@ -413,7 +413,7 @@
     async fn pass_failure(&self, sink: &mut AnswerSink, kept: Option<KeptFailure>) -> bool {
         let kept = kept.filter(|kept| !matches!(kept.status, 408 | 421 | 429 | 503));
         let Some(kept) = kept else {
-            return self.refuse(sink, RefusalReason::BrokenAnswer, None).await;
+            return self.refuse(sink, RefusalReason::IncompleteResponse, None).await;
         };
         let written = sink.write_whole(kept.status, &kept.reason, &kept.lines, &kept.body);
         written.await.is_ok()
@@ -443,7 +443,7 @@
         RefusalReason::UnknownKey => 401,
         RefusalReason::OverLimit => 429,
         RefusalReason::ExpiredUnknown => 504,
-        RefusalReason::BrokenAnswer => 502,
+        RefusalReason::IncompleteResponse => 502,
     }
 }
 
--- a/crates/savorywood-gateway/src/gateway/ending.rs
+++ b/crates/savorywood-gateway/src/gateway/ending.rs
@@ -126,7 +126,7 @@
         if again && !self.is_quarantined(fingerprint) && self.spend_try(now, request) {
             return self.requeue(now, request, outcome, effects);
         }
-        self.finish(now, request, RefusalReason::BrokenAnswer, effects);
+        self.finish(now, request, RefusalReason::IncompleteResponse, effects);
     }
 
     pub(super) fn spend_try(&mut self, now: MonotonicTime, request: LocalRequest) -> bool {
@@ -196,7 +196,7 @@
         }
         let reason = match (record.runs > 0, reason.guarantees_not_executed()) {
             (true, true) if reason == RefusalReason::ExpiredUnsent => RefusalReason::ExpiredUnknown,
-            (true, true) => RefusalReason::BrokenAnswer,
+            (true, true) => RefusalReason::IncompleteResponse,
             _ => reason,
         };
         let retry_after = reason
