--- a/crates/savorywood-gateway/src/event.rs
+++ b/crates/savorywood-gateway/src/event.rs
@@ -12,7 +12,7 @@
     position::StorePosition,
     quarantine::{CrashGossip, QuarantineRow, QuarantineWrite},
     rate_limit::{LimitGossip, RateLimit},
-    reading::{SharedTable, TableKnowledge},
+    store_reads::{SharedTable, TableKnowledge},
     rollout::{RolloutOrder, RolloutStatus},
     upstream::UpstreamEntry,
     zone::ZoneDigest,
--- a/crates/savorywood-gateway/src/gateway.rs
+++ b/crates/savorywood-gateway/src/gateway.rs
@@ -37,7 +37,7 @@
     pick::RoutingPolicy,
     quarantine::QuarantineBook,
     queue::WaitQueue,
-    reading::ReadBook,
+    store_reads::ReadBook,
     region::RegionMap,
     rollout::{RolloutBook, TrialOptions},
     upstream::UpstreamFleet,
--- a/crates/savorywood-gateway/src/gateway/gossip.rs
+++ b/crates/savorywood-gateway/src/gateway/gossip.rs
@@ -8,7 +8,7 @@
     },
     name::{ServiceLabel, ZoneLabel},
     peer::{name_digest, slot_key},
-    reading::StoreAttestation,
+    store_reads::StoreAttestation,
     zone::{ZoneDigest, ZoneMember},
 };
 use savorywood_protocol::MonotonicTime;
--- a/crates/savorywood-gateway/src/gateway/reading.rs
+++ b/crates/savorywood-gateway/src/gateway/reading.rs
@@ -1,7 +1,7 @@
 //! Who reads the store, how often, and from whom this daemon learns of a table.
 
 use super::Gateway;
-use crate::reading::{ReadPlan, SharedTable};
+use crate::store_reads::{ReadPlan, SharedTable};
 use savorywood_protocol::MonotonicTime;
 use std::time::Duration;
 
--- a/crates/savorywood-gateway/src/gateway/updates.rs
+++ b/crates/savorywood-gateway/src/gateway/updates.rs
@@ -9,7 +9,7 @@
     message::{PeerPhase, PeerSummary, TeamUse},
     name::{UpstreamLabel, ZoneLabel},
     peer::name_digest,
-    reading::SharedTable,
+    store_reads::SharedTable,
     rollout::RolloutOrder,
     upstream::{FleetChange, UpstreamEntry},
     zone::{DigestOutcome, ZoneDigest},
--- a/crates/savorywood-gateway/src/lib.rs
+++ b/crates/savorywood-gateway/src/lib.rs
@@ -28,7 +28,7 @@
 mod quarantine;
 mod queue;
 mod rate_limit;
-mod reading;
+mod store_reads;
 mod refusal;
 mod region;
 mod rendezvous;
@@ -72,7 +72,7 @@
 pub use rate_limit::{
     LimitGossip, LimitReading, LimitReport, RateLimit, ReadingSource, UpstreamLimit,
 };
-pub use reading::{
+pub use store_reads::{
     PeerEcho, ReadPlan, SharedTable, StoreAttestation, TableAttestation, TableKnowledge,
 };
 pub use refusal::RefusalReason;
--- a/crates/savorywood-gateway/src/message.rs
+++ b/crates/savorywood-gateway/src/message.rs
@@ -3,7 +3,7 @@
 use crate::{
     entry::HostResources,
     limit::MeterLevels,
-    reading::{PeerEcho, StoreAttestation},
+    store_reads::{PeerEcho, StoreAttestation},
 };
 use savorywood_protocol::MonotonicTime;
 use serde::{Deserialize, Serialize};
