--- a/crates/savorywood-front/src/feeds.rs
+++ b/crates/savorywood-front/src/feeds.rs
@@ -24,7 +24,7 @@
 use async_io::Timer;
 use futures_lite::future;
 use savorywood_gateway::{
-    FreshnessClock, GatewayEvent, ReadPlan, SharedTable, StorePosition, TableKnowledge,
+    FreshnessClock, GatewayEvent, ReadPlan, SharedTable, StorePosition, TablePosition,
 };
 use savorywood_protocol::MonotonicTime;
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
@@ -257,7 +257,7 @@
         self.revision = Some(through);
         self.has_gap = false;
         self.has_yielded = false;
-        let knowledge = TableKnowledge {
+        let knowledge = TablePosition {
             through,
             changed: self.changed,
         };
--- a/crates/savorywood-gateway/src/event.rs
+++ b/crates/savorywood-gateway/src/event.rs
@@ -12,7 +12,7 @@
     position::StorePosition,
     quarantine::{CrashGossip, QuarantineRow, QuarantineWrite},
     rate_limit::{LimitGossip, RateLimit},
-    store_reads::{SharedTable, TableKnowledge},
+    store_reads::{SharedTable, TablePosition},
     rollout::{RolloutOrder, RolloutStatus},
     upstream::UpstreamEntry,
     zone::ZoneDigest,
@@ -172,7 +172,7 @@
         /// Which.
         table: SharedTable,
         /// What is known of it now.
-        knowledge: TableKnowledge,
+        knowledge: TablePosition,
         /// When the store is proved to have said so; none for rows that were handed on.
         proof_at: Option<MonotonicTime>,
     },
--- a/crates/savorywood-gateway/src/lib.rs
+++ b/crates/savorywood-gateway/src/lib.rs
@@ -73,7 +73,7 @@
     LimitGossip, LimitReading, LimitReport, RateLimit, ReadingSource, UpstreamLimit,
 };
 pub use store_reads::{
-    PeerEcho, ReadPlan, SharedTable, StoreAttestation, TableAttestation, TableKnowledge,
+    PeerEcho, ReadPlan, SharedTable, StoreAttestation, TableAttestation, TablePosition,
 };
 pub use refusal::RefusalReason;
 pub use region::{CallerPlace, RegionMap};
--- a/crates/savorywood-gateway/src/store_reads.rs
+++ b/crates/savorywood-gateway/src/store_reads.rs
@@ -76,7 +76,7 @@
 
 /// What is known of a table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct TableKnowledge {
+pub struct TablePosition {
     /// All changes up to this position are known.
     pub through: StorePosition,
     /// Position of the last change, as far as it is known.
@@ -85,7 +85,7 @@
 
 #[derive(Debug, Clone, Copy, Default)]
 struct ReadState {
-    knowledge: TableKnowledge,
+    knowledge: TablePosition,
     proof_at: Option<MonotonicTime>,
 }
 
@@ -103,7 +103,7 @@
 
 /// Own reads, messages to be echoed, and attestations of others.
 #[derive(Debug, Clone, Default)]
-pub struct ReadBook {
+pub struct StoreReadTracker {
     declared: ReadState,
     upstreams: ReadState,
     failed_at: Option<MonotonicTime>,
@@ -115,7 +115,7 @@
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
 
-impl ReadBook {
+impl StoreReadTracker {
     fn state(&self, table: SharedTable) -> &ReadState {
         match table {
             SharedTable::Declared => &self.declared,
@@ -127,7 +127,7 @@
     pub fn read(
         &mut self,
         table: SharedTable,
-        knowledge: TableKnowledge,
+        knowledge: TablePosition,
         proof_at: Option<MonotonicTime>,
     ) {
         let state = match table {
--- a/crates/savorywood-gateway/tests/reading.rs
+++ b/crates/savorywood-gateway/tests/reading.rs
@@ -8,14 +8,14 @@
 mod scene;
 
 use field::{DAEMONS, DaemonField, ZONES};
-use savorywood_gateway::{GatewayEvent, ReadPlan, SharedTable, StorePosition, TableKnowledge};
+use savorywood_gateway::{GatewayEvent, ReadPlan, SharedTable, StorePosition, TablePosition};
 use std::{collections::BTreeSet, time::Duration};
 
 impl DaemonField {
     /// A daemon reads a table of the store itself, or is handed on what changed there.
     fn read(&mut self, number: usize, table: SharedTable, changed: u64, proved: bool) {
         let proof_at = proved.then_some(self.now);
-        let knowledge = TableKnowledge {
+        let knowledge = TablePosition {
             through: StorePosition::new(1, changed),
             changed: StorePosition::new(1, changed),
         };
