--- a/crates/savorywood-front/src/feeds.rs
+++ b/crates/savorywood-front/src/feeds.rs
@@ -129,11 +129,11 @@
                 .read_plan(now, self.shared_table());
             self.note_plan(plan);
             let result = match (self.revision, plan) {
-                (Some(after), ReadPlan::Rest) => {
+                (Some(after), ReadPlan::FollowAttestation) => {
                     self.rest_on_attestation(after).await;
                     continue;
                 }
-                (Some(_), ReadPlan::Await) => {
+                (Some(_), ReadPlan::AwaitReader) => {
                     Timer::after(REST_TIME).await;
                     continue;
                 }
--- a/crates/savorywood-gateway/src/gateway/reading.rs
+++ b/crates/savorywood-gateway/src/gateway/reading.rs
@@ -65,7 +65,7 @@
             ReadPlan::Direct
         };
         if plan == ReadPlan::Direct && self.awaits_reader(now) {
-            ReadPlan::Await
+            ReadPlan::AwaitReader
         } else {
             plan
         }
--- a/crates/savorywood-gateway/src/store_reads.rs
+++ b/crates/savorywood-gateway/src/store_reads.rs
@@ -69,9 +69,11 @@
     /// It reads once what it lacks.
     CatchUp,
     /// Another daemon attests to what it holds.
-    Rest,
+    #[strum(serialize = "rest")]
+    FollowAttestation,
     /// It waits until another daemon may attest to what it has just read.
-    Await,
+    #[strum(serialize = "await")]
+    AwaitReader,
 }
 
 /// What is known of a table.
@@ -227,7 +229,7 @@
         if self.state(table).knowledge.through < reported.changed {
             ReadPlan::CatchUp
         } else {
-            ReadPlan::Rest
+            ReadPlan::FollowAttestation
         }
     }
 
--- a/crates/savorywood-gateway/tests/reading.rs
+++ b/crates/savorywood-gateway/tests/reading.rs
@@ -31,7 +31,7 @@
         for number in 0..self.daemons.len() {
             for table in [SharedTable::Declared, SharedTable::Upstreams] {
                 let plan = self.plan(number, table);
-                if plan != ReadPlan::Rest && reaches_store(number) {
+                if plan != ReadPlan::FollowAttestation && reaches_store(number) {
                     self.read(number, table, changed, true);
                     self.daemons[number].confirm();
                 }
