--- a/crates/savorywood-gateway/src/gateway/entry.rs
+++ b/crates/savorywood-gateway/src/gateway/entry.rs
@@ -6,7 +6,7 @@
     entry::{EntryCandidate, HostResources, select_members},
     message::{DaemonRole, PeerPhase},
     name::{RegionLabel, ZoneLabel},
-    peer::{KnownPeer, name_digest},
+    peer::{PeerState, name_digest},
     region::CallerPlace,
     rendezvous::address_number,
 };
@@ -43,7 +43,7 @@
         self.started_at.get_or_insert(now);
         let zone = self.options.zone.as_str();
         let peers = self.peers.alive(now);
-        let near: Vec<&KnownPeer> = peers.filter(|peer| peer.summary.zone == zone).collect();
+        let near: Vec<&PeerState> = peers.filter(|peer| peer.summary.zone == zone).collect();
         // What hosts that stand by use goes into gossip and tables, not into callers.
         let placing = near
             .iter()
--- a/crates/savorywood-gateway/src/gossip.rs
+++ b/crates/savorywood-gateway/src/gossip.rs
@@ -3,7 +3,7 @@
 use crate::{
     message::{DaemonRole, PeerHeartbeat, PeerSummary, SlotUpdate},
     name::ZoneLabel,
-    peer::{KnownPeer, PeerTable},
+    peer::{PeerState, PeerTable},
     quarantine::CrashGossip,
     rate_limit::LimitGossip,
     rendezvous::{address_number, pair_weight},
@@ -14,7 +14,7 @@
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
 /// Up to so many daemons all send each other summaries; with more, zones exchange digests.
-pub const MOST_DIRECT: u32 = 13;
+pub const MAX_DIRECT_DAEMONS: u32 = 13;
 /// A contact that was neither seen nor read for this long is forgotten. The list of daemons is
 /// read more often.
 const FORGET_TIME: Duration = Duration::from_secs(75);
@@ -112,18 +112,18 @@
 
 /// Addresses of other daemons.
 #[derive(Debug, Clone)]
-pub struct ContactBook {
+pub struct ContactTable {
     own_address: SocketAddr,
     own_number: u64,
     own_zone: ZoneLabel,
     contacts: BTreeMap<SocketAddr, KnownContact>,
 }
 
-fn peer_number(peer: &KnownPeer) -> u64 {
+fn peer_number(peer: &PeerState) -> u64 {
     address_number(peer.summary.peer_address)
 }
 
-impl ContactBook {
+impl ContactTable {
     /// A book without contacts.
     #[must_use]
     pub fn new(own_address: SocketAddr, own_zone: ZoneLabel) -> Self {
@@ -161,7 +161,7 @@
     /// There are so many daemons that zones exchange digests.
     #[must_use]
     pub fn is_zoned(&self) -> bool {
-        self.daemons() > MOST_DIRECT
+        self.daemons() > MAX_DIRECT_DAEMONS
     }
 
     /// Time until the next messages.
--- a/crates/savorywood-gateway/src/lib.rs
+++ b/crates/savorywood-gateway/src/lib.rs
@@ -60,7 +60,7 @@
     HostLabel, RegionLabel, ServiceLabel, TeamLabel, UpstreamLabel, VersionLabel, ZoneLabel,
 };
 pub use outlier::OutlierState;
-pub use peer::{PeerTable, SlotSum, name_digest};
+pub use peer::{PeerTable, SlotTotal, name_digest};
 pub use pick::RoutingPolicy;
 pub use position::StorePosition;
 pub use quarantine::{
--- a/crates/savorywood-gateway/src/limit.rs
+++ b/crates/savorywood-gateway/src/limit.rs
@@ -6,7 +6,7 @@
 
 pub use bucket::LimitTolerance;
 
-use crate::{declared::TeamLimit, gossip::MOST_DIRECT};
+use crate::{declared::TeamLimit, gossip::MAX_DIRECT_DAEMONS};
 use bucket::{KNOWING_PART, TokenBucket, ZONED_KNOWING_PART, strict_bucket, tolerated_bucket};
 use savorywood_protocol::MonotonicTime;
 use serde::{Deserialize, Serialize};
@@ -353,7 +353,7 @@
     }
 
     fn knowing_part(&self) -> f64 {
-        if self.expected > MOST_DIRECT {
+        if self.expected > MAX_DIRECT_DAEMONS {
             ZONED_KNOWING_PART
         } else {
             KNOWING_PART
--- a/crates/savorywood-gateway/src/peer.rs
+++ b/crates/savorywood-gateway/src/peer.rs
@@ -3,7 +3,7 @@
 use crate::{
     message::{DaemonRole, PeerHeartbeat, PeerPhase, PeerSummary, SlotScope, SlotUpdate, SlotUse},
     name::{HostLabel, UpstreamLabel, ZoneLabel},
-    zone::{DigestOutcome, KnownZone, ZoneDigest},
+    zone::{DigestOutcome, ZoneState, ZoneDigest},
 };
 use savorywood_protocol::MonotonicTime;
 use std::{
@@ -41,7 +41,7 @@
 
 /// Requests at one upstream as the sum of what was reported.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct SlotSum {
+pub struct SlotTotal {
     /// Requests there.
     pub running: u32,
     /// Prompt tokens of those of which no event has come yet.
@@ -50,7 +50,7 @@
 
 /// A peer and when it was last seen.
 #[derive(Debug, Clone)]
-pub struct KnownPeer {
+pub struct PeerState {
     /// Its newest message.
     pub summary: PeerSummary,
     /// When that came.
@@ -61,7 +61,7 @@
     resumed_at: Option<MonotonicTime>,
 }
 
-impl KnownPeer {
+impl PeerState {
     /// It takes callers now.
     #[must_use]
     pub fn takes_callers(&self, now: MonotonicTime) -> bool {
@@ -107,8 +107,8 @@
 #[derive(Debug, Clone)]
 pub struct PeerTable {
     own_zone: ZoneLabel,
-    peers: BTreeMap<HostLabel, KnownPeer>,
-    zones: BTreeMap<ZoneLabel, KnownZone>,
+    peers: BTreeMap<HostLabel, PeerState>,
+    zones: BTreeMap<ZoneLabel, ZoneState>,
     /// When something changed last.
     changed_at: MonotonicTime,
     /// Sums as of then, once somebody asks for them: messages are many more than picks at a
@@ -120,7 +120,7 @@
 #[derive(Debug, Clone, Default)]
 struct PeerSums {
     /// Slots in use.
-    slots: HashMap<u32, SlotSum>,
+    slots: HashMap<u32, SlotTotal>,
     /// Peers that leave the upstream out.
     suspects: HashMap<u64, u32>,
 }
@@ -154,7 +154,7 @@
                 peer.summary = summary;
             }
             None => {
-                let peer = KnownPeer {
+                let peer = PeerState {
                     digest: name_digest(&summary.host),
                     summary,
                     received_at: now,
@@ -181,7 +181,7 @@
             match self.zones.get_mut(&zone) {
                 Some(known) => known.replace(now, digest),
                 None => {
-                    self.zones.insert(zone, KnownZone::new(now, digest));
+                    self.zones.insert(zone, ZoneState::new(now, digest));
                 }
             }
             self.note_change(now);
@@ -220,7 +220,7 @@
         &mut self,
         now: MonotonicTime,
         beat: PeerHeartbeat,
-    ) -> Option<&mut KnownPeer> {
+    ) -> Option<&mut PeerState> {
         let mut peers = self.peers.values_mut();
         let peer = peers.find(|peer| peer.digest == beat.sender)?;
         let summary = &mut peer.summary;
@@ -273,13 +273,13 @@
 
     /// Requests of all others at an upstream, as they last reported.
     #[must_use]
-    pub fn slots_at(&self, upstream: &UpstreamLabel) -> SlotSum {
+    pub fn slots_at(&self, upstream: &UpstreamLabel) -> SlotTotal {
         self.slots_of(name_digest(upstream.as_str()))
     }
 
     /// The same for an upstream by the digest of its name.
     #[must_use]
-    pub fn slots_of(&self, digest: u64) -> SlotSum {
+    pub fn slots_of(&self, digest: u64) -> SlotTotal {
         let sum = self.sums().slots.get(&slot_key(digest));
         sum.copied().unwrap_or_default()
     }
@@ -299,7 +299,7 @@
     }
 
     /// Peers that count by their own message: those of a zone of which a digest is known do not.
-    fn direct_peers(&self, now: MonotonicTime) -> impl Iterator<Item = &KnownPeer> {
+    fn direct_peers(&self, now: MonotonicTime) -> impl Iterator<Item = &PeerState> {
         let peers = self.peers.values();
         peers.filter(move |peer| self.counts(now, &peer.summary.zone))
     }
@@ -311,7 +311,7 @@
     }
 
     /// Peers that take callers, as far as they count themselves.
-    pub fn ready(&self, now: MonotonicTime) -> impl Iterator<Item = &KnownPeer> {
+    pub fn ready(&self, now: MonotonicTime) -> impl Iterator<Item = &PeerState> {
         self.direct_peers(now)
             .filter(move |peer| peer.takes_callers(now))
     }
@@ -323,7 +323,7 @@
     }
 
     /// Peers of the own zone seen lately that do not leave.
-    pub fn neighbours(&self, now: MonotonicTime) -> impl Iterator<Item = &KnownPeer> {
+    pub fn neighbours(&self, now: MonotonicTime) -> impl Iterator<Item = &PeerState> {
         let alive = self.alive(now);
         alive.filter(|peer| {
             peer.summary.zone == self.own_zone.as_str() && peer.summary.phase != PeerPhase::Leaving
@@ -336,7 +336,7 @@
         now: MonotonicTime,
         zone: &'a str,
         heartbeats: bool,
-    ) -> impl Iterator<Item = &'a KnownPeer> {
+    ) -> impl Iterator<Item = &'a PeerState> {
         let peers = self.peers.values();
         peers.filter(move |peer| peer.summary.zone == zone && peer.can_be_member(now, heartbeats))
     }
@@ -391,7 +391,7 @@
     }
 
     /// Peers seen lately.
-    pub fn alive(&self, now: MonotonicTime) -> impl Iterator<Item = &KnownPeer> {
+    pub fn alive(&self, now: MonotonicTime) -> impl Iterator<Item = &PeerState> {
         self.peers.values().filter(move |peer| peer.is_alive(now))
     }
 
@@ -405,14 +405,14 @@
 
 fn counts_itself(
     own_zone: &ZoneLabel,
-    zones: &BTreeMap<ZoneLabel, KnownZone>,
+    zones: &BTreeMap<ZoneLabel, ZoneState>,
     now: MonotonicTime,
     zone: &str,
 ) -> bool {
     zone == own_zone.as_str() || zones.get(zone).is_none_or(|known| !known.is_fresh(now))
 }
 
-fn add_slots(sums: &mut HashMap<u32, SlotSum>, slots: &[SlotUse]) {
+fn add_slots(sums: &mut HashMap<u32, SlotTotal>, slots: &[SlotUse]) {
     for slot in slots {
         let sum = sums.entry(slot_key(slot.upstream)).or_default();
         sum.running += u32::from(slot.running);
--- a/crates/savorywood-gateway/src/zone.rs
+++ b/crates/savorywood-gateway/src/zone.rs
@@ -61,7 +61,7 @@
 
 /// A zone and when it was reported.
 #[derive(Debug, Clone)]
-pub struct KnownZone {
+pub struct ZoneState {
     /// The newest message.
     pub digest: ZoneDigest,
     /// When that came.
@@ -90,7 +90,7 @@
     },
 }
 
-impl KnownZone {
+impl ZoneState {
     /// A zone's first digest.
     #[must_use]
     pub fn new(now: MonotonicTime, digest: ZoneDigest) -> Self {
