--- a/crates/savorywood-front/src/peers.rs
+++ b/crates/savorywood-front/src/peers.rs
@@ -200,10 +200,10 @@
     pub async fn keep_gossiping(self: Rc<Self>, shared: Rc<FrontShared>) {
         loop {
             self.gossip(&shared).await;
-            let pause = shared.gateway.borrow().gossip_pause(self.clock.now());
+            let pause = shared.gateway.borrow().gossip_interval(self.clock.now());
             let next = Instant::now() + pause.mul_f64(0.9 + fastrand::f64() * 0.2);
             loop {
-                let pause = shared.gateway.borrow().slot_pause();
+                let pause = shared.gateway.borrow().slot_update_interval();
                 let pause = pause.mul_f64(0.9 + fastrand::f64() * 0.2);
                 if Instant::now() + pause >= next {
                     break;
@@ -233,7 +233,7 @@
     /// Sends heartbeats while this daemon is a member of the entry set.
     pub async fn keep_heartbeats(self: Rc<Self>, shared: Rc<FrontShared>) {
         loop {
-            let pause = shared.gateway.borrow().heartbeat_pause();
+            let pause = shared.gateway.borrow().heartbeat_interval();
             Timer::after(pause.mul_f64(0.9 + fastrand::f64() * 0.2)).await;
             let due = shared.gateway.borrow_mut().heartbeat();
             if let Some((beat, receivers)) = due {
--- a/crates/savorywood-gateway/src/gateway/gossip.rs
+++ b/crates/savorywood-gateway/src/gateway/gossip.rs
@@ -229,8 +229,8 @@
 
     /// Time until the next heartbeat.
     #[must_use]
-    pub fn heartbeat_pause(&self) -> Duration {
-        self.contacts.heartbeat_pause()
+    pub fn heartbeat_interval(&self) -> Duration {
+        self.contacts.heartbeat_interval()
     }
 
     fn update_of(&self, scope: SlotScope, slots: Vec<SlotUse>) -> SlotUpdate {
@@ -261,8 +261,8 @@
 
     /// Time until the next message on slots alone.
     #[must_use]
-    pub fn slot_pause(&self) -> Duration {
-        self.contacts.slot_pause()
+    pub fn slot_update_interval(&self) -> Duration {
+        self.contacts.slot_update_interval()
     }
 
     /// Digest of this daemon's zone. `slots`: the receivers place requests.
@@ -335,7 +335,7 @@
 
     /// Time until the next round of gossip.
     #[must_use]
-    pub fn gossip_pause(&self, now: MonotonicTime) -> Duration {
+    pub fn gossip_interval(&self, now: MonotonicTime) -> Duration {
         let pause = self.contacts.pause();
         if self.contacts.is_zoned() && self.age(now) < DISCOVERY_TIME {
             pause.min(DISCOVERY_INTERVAL)
--- a/crates/savorywood-gateway/src/gossip.rs
+++ b/crates/savorywood-gateway/src/gossip.rs
@@ -172,13 +172,13 @@
 
     /// Time until the next message on slots alone, while these are scarce.
     #[must_use]
-    pub fn slot_pause(&self) -> Duration {
+    pub fn slot_update_interval(&self) -> Duration {
         SLOT_UPDATE_INTERVAL
     }
 
     /// Time until a member of the entry set sends its next heartbeat.
     #[must_use]
-    pub fn heartbeat_pause(&self) -> Duration {
+    pub fn heartbeat_interval(&self) -> Duration {
         HEARTBEAT_TIME
     }
 
--- a/crates/savorywood-gateway/tests/common/field.rs
+++ b/crates/savorywood-gateway/tests/common/field.rs
@@ -326,7 +326,7 @@
                 self.daemons[number].step(GatewayEvent::Tick);
                 self.daemons[number].effects.clear();
             }
-            let pause = self.daemons[0].gateway.gossip_pause(self.now).as_millis();
+            let pause = self.daemons[0].gateway.gossip_interval(self.now).as_millis();
             let pause = pause / CALLER_STEP.as_millis();
             if u128::from(self.steps).is_multiple_of(pause) {
                 self.talk();
@@ -402,7 +402,7 @@
                 }
             }
             let pause =
-                self.daemons[0].gateway.gossip_pause(self.now).as_millis() / STEP.as_millis();
+                self.daemons[0].gateway.gossip_interval(self.now).as_millis() / STEP.as_millis();
             if (u128::from(step) + 1).is_multiple_of(pause) {
                 self.talk();
             }
