--- a/crates/savorywood-front/src/peers.rs
+++ b/crates/savorywood-front/src/peers.rs
@@ -93,21 +93,21 @@
     pub async fn gossip(&self, shared: &FrontShared) {
         let now = self.clock.now();
         let plan = shared.gateway.borrow_mut().plan_gossip(now);
-        if !plan.summary_to.is_empty() {
+        if !plan.summary_targets.is_empty() {
             let summary = shared.gateway.borrow_mut().summary(now);
             let datagram = PeerDatagram::Message(Box::new(PeerMessage::Summary(Box::new(summary))));
-            self.send(&datagram, &plan.summary_to).await;
-            self.send_reports(shared, ReportScope::Daemon, &plan.summary_to)
+            self.send(&datagram, &plan.summary_targets).await;
+            self.send_reports(shared, ReportScope::Daemon, &plan.summary_targets)
                 .await;
         }
-        for (slots, receivers) in [(true, &plan.digest_to), (false, &plan.brief_to)] {
+        for (slots, receivers) in [(true, &plan.digest_targets), (false, &plan.slotless_digest_targets)] {
             if !receivers.is_empty() {
                 let digest = shared.gateway.borrow_mut().digest(now, slots);
                 let datagram = PeerDatagram::Message(Box::new(PeerMessage::Digest(digest)));
                 self.send(&datagram, receivers).await;
             }
         }
-        let far: Vec<SocketAddr> = [&plan.digest_to[..], &plan.brief_to[..]].concat();
+        let far: Vec<SocketAddr> = [&plan.digest_targets[..], &plan.slotless_digest_targets[..]].concat();
         if !far.is_empty() {
             self.send_reports(shared, ReportScope::Zone, &far).await;
         }
@@ -222,11 +222,11 @@
         let Some(update) = update else { return };
         let plan = shared.gateway.borrow().plan_slots(now);
         let datagram = PeerDatagram::Message(Box::new(PeerMessage::Slots(update)));
-        self.send(&datagram, &plan.own_to).await;
-        if !plan.zone_to.is_empty() {
+        self.send(&datagram, &plan.daemon_slot_targets).await;
+        if !plan.zone_slot_targets.is_empty() {
             let update = shared.gateway.borrow_mut().zone_slot_update(now);
             let datagram = PeerDatagram::Message(Box::new(PeerMessage::Slots(update)));
-            self.send(&datagram, &plan.zone_to).await;
+            self.send(&datagram, &plan.zone_slot_targets).await;
         }
     }
 
--- a/crates/savorywood-gateway/src/gateway/gossip.rs
+++ b/crates/savorywood-gateway/src/gateway/gossip.rs
@@ -327,8 +327,8 @@
         if self.stopping || !self.knows_own_zone(now) {
             // Another daemon of the zone takes over before this one is gone; and daemons that do
             // not know each other yet would all send digests to all others.
-            plan.digest_to.clear();
-            plan.brief_to.clear();
+            plan.digest_targets.clear();
+            plan.slotless_digest_targets.clear();
         }
         plan
     }
--- a/crates/savorywood-gateway/src/gossip.rs
+++ b/crates/savorywood-gateway/src/gossip.rs
@@ -64,20 +64,20 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct GossipPlan {
     /// Who gets a summary of this daemon.
-    pub summary_to: Vec<SocketAddr>,
+    pub summary_targets: Vec<SocketAddr>,
     /// Who gets a digest of this daemon's zone with its slots: daemons that place requests.
-    pub digest_to: Vec<SocketAddr>,
+    pub digest_targets: Vec<SocketAddr>,
     /// Who gets a digest without slots.
-    pub brief_to: Vec<SocketAddr>,
+    pub slotless_digest_targets: Vec<SocketAddr>,
 }
 
 /// Who gets newer slots now.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SlotPlan {
     /// Who gets those of this daemon.
-    pub own_to: Vec<SocketAddr>,
+    pub daemon_slot_targets: Vec<SocketAddr>,
     /// Who gets those of this daemon's zone.
-    pub zone_to: Vec<SocketAddr>,
+    pub zone_slot_targets: Vec<SocketAddr>,
 }
 
 /// Usual messages that so many slots are worth.
@@ -209,19 +209,19 @@
             .retain(|_, known| now.since(known.seen_at) < FORGET_TIME);
         let mut plan = GossipPlan::default();
         if !self.is_zoned() {
-            plan.summary_to = self.contacts.keys().copied().collect();
+            plan.summary_targets = self.contacts.keys().copied().collect();
             return plan;
         }
         let senders: Vec<u64> = peers.neighbours(now).map(peer_number).collect();
         let placing = peers.placing_far(now);
         for (address, contact) in &self.contacts {
             if self.is_near(contact) {
-                plan.summary_to.push(*address);
+                plan.summary_targets.push(*address);
             } else if self.sends_to(contact.number, &senders) {
                 if placing.contains(address) {
-                    plan.digest_to.push(*address);
+                    plan.digest_targets.push(*address);
                 } else {
-                    plan.brief_to.push(*address);
+                    plan.slotless_digest_targets.push(*address);
                 }
             }
         }
@@ -239,7 +239,7 @@
     ) -> SlotPlan {
         let mut plan = SlotPlan::default();
         if !self.is_zoned() {
-            plan.own_to = self.contacts.keys().copied().collect();
+            plan.daemon_slot_targets = self.contacts.keys().copied().collect();
             return plan;
         }
         let mut senders = Vec::new();
@@ -247,15 +247,15 @@
             match peer.summary.role {
                 DaemonRole::Entry => {
                     senders.push(peer_number(peer));
-                    plan.own_to.push(peer.summary.peer_address);
+                    plan.daemon_slot_targets.push(peer.summary.peer_address);
                 }
-                DaemonRole::Draining => plan.own_to.push(peer.summary.peer_address),
+                DaemonRole::Draining => plan.daemon_slot_targets.push(peer.summary.peer_address),
                 DaemonRole::Standby => {}
             }
         }
         if sent.is_some_and(|sent| sent.is_next_due(now)) {
             let far = peers.placing_far(now).into_iter();
-            plan.zone_to = far
+            plan.zone_slot_targets = far
                 .filter(|address| self.sends_to(address_number(*address), &senders))
                 .collect();
         }
--- a/crates/savorywood-gateway/tests/common/field.rs
+++ b/crates/savorywood-gateway/tests/common/field.rs
@@ -243,16 +243,16 @@
             let plan = daemon.gateway.plan_gossip(self.now);
             count
                 .sent
-                .push(plan.summary_to.len() + plan.digest_to.len() + plan.brief_to.len());
+                .push(plan.summary_targets.len() + plan.digest_targets.len() + plan.slotless_digest_targets.len());
             let summary = daemon.gateway.summary(self.now);
             let received = |address| self.addresses.get(address).copied();
-            for receiver in plan.summary_to.iter().filter_map(received) {
+            for receiver in plan.summary_targets.iter().filter_map(received) {
                 let event = GatewayEvent::SummaryReceived(Box::new(summary.clone()));
                 messages.push((number, receiver, event));
             }
-            let far: Vec<SocketAddr> = [&plan.digest_to[..], &plan.brief_to[..]].concat();
+            let far: Vec<SocketAddr> = [&plan.digest_targets[..], &plan.slotless_digest_targets[..]].concat();
             for (scope, receivers) in [
-                (ReportScope::Daemon, &plan.summary_to),
+                (ReportScope::Daemon, &plan.summary_targets),
                 (ReportScope::Zone, &far),
             ] {
                 let gossip = daemon.gateway.crash_gossip(self.now, scope);
@@ -266,7 +266,7 @@
                     messages.extend(event.map(|event| (number, receiver, event)));
                 }
             }
-            for (slots, receivers) in [(true, &plan.digest_to), (false, &plan.brief_to)] {
+            for (slots, receivers) in [(true, &plan.digest_targets), (false, &plan.slotless_digest_targets)] {
                 if receivers.is_empty() {
                     continue;
                 }
