--- a/crates/savorywood-front/src/admin.rs
+++ b/crates/savorywood-front/src/admin.rs
@@ -127,8 +127,8 @@
         metrics.peers.set(count(gateway.peers().alive(now).count()));
         metrics.ready.set(i64::from(view.ready));
         metrics.connections.set(count(shared.connections.get()));
-        metrics.entry_member.set(i64::from(gateway.is_member()));
-        metrics.entry_members.set(count(gateway.member_count()));
+        metrics.entry_member.set(i64::from(gateway.is_entry_member()));
+        metrics.entry_members.set(count(gateway.entry_member_count()));
         metrics
             .evacuated_zones
             .set(count(gateway.evacuated_zones().count()));
--- a/crates/savorywood-front/src/feeds.rs
+++ b/crates/savorywood-front/src/feeds.rs
@@ -163,7 +163,7 @@
 
     /// A whole read is first left to the daemons of the zone that go first; they pass on what changed.
     fn yields(&self, after: StorePosition) -> bool {
-        let is_first = self.shared.gateway.borrow().reads_first(BootClock.now());
+        let is_first = self.shared.gateway.borrow().is_initial_reader(BootClock.now());
         !self.has_yielded && !is_first && self.needs_whole_read(after)
     }
 
@@ -220,7 +220,7 @@
 
     fn wait(&self) -> Duration {
         match self.table {
-            StoreTable::Declared => self.shared.gateway.borrow().declared_wait(),
+            StoreTable::Declared => self.shared.gateway.borrow().config_poll_timeout(),
             _ => UPSTREAMS_WAIT,
         }
     }
@@ -272,8 +272,8 @@
         self.note_reachable(false, cause);
         self.shared.step(GatewayEvent::StoreFailed);
         let jitter = 0.5 + fastrand::f64();
-        let reads_first = self.shared.gateway.borrow().reads_first(BootClock.now());
-        let (first, longest) = if reads_first {
+        let is_initial_reader = self.shared.gateway.borrow().is_initial_reader(BootClock.now());
+        let (first, longest) = if is_initial_reader {
             (FIRST_PAUSE, LONGEST_PAUSE)
         } else {
             (FIRST_STANDBY_PAUSE, LONGEST_STANDBY_PAUSE)
--- a/crates/savorywood-front/src/feeds/members.rs
+++ b/crates/savorywood-front/src/feeds/members.rs
@@ -37,7 +37,7 @@
                 announced = true;
             }
         }
-        let zoned = shared.gateway.borrow().is_zoned();
+        let zoned = shared.gateway.borrow().uses_zone_digests();
         let pause = match (done, zoned) {
             (false, _) => LONGEST_PAUSE,
             (true, false) => MEMBERS_TIME,
--- a/crates/savorywood-front/src/feeds/rollouts.rs
+++ b/crates/savorywood-front/src/feeds/rollouts.rs
@@ -33,7 +33,7 @@
         }
         rounds += 1;
         let due = is_status_due(&shared, rounds);
-        if due && shared.gateway.borrow().follows_rollouts() {
+        if due && shared.gateway.borrow().has_active_rollouts() {
             read_statuses(&shared, &mut link).await;
         }
     }
@@ -42,8 +42,8 @@
 /// Every daemon learns by gossip how a new version does; only those that may write the status need
 /// the row at once.
 fn is_status_due(shared: &FrontShared, rounds: u32) -> bool {
-    let reads_first = shared.gateway.borrow().reads_first(shared.clock.now());
-    reads_first || rounds.is_multiple_of(STANDBY_ROUNDS)
+    let is_initial_reader = shared.gateway.borrow().is_initial_reader(shared.clock.now());
+    is_initial_reader || rounds.is_multiple_of(STANDBY_ROUNDS)
 }
 
 async fn write_status(shared: &FrontShared, link: &mut StoreLink, write: RolloutWrite) {
--- a/crates/savorywood-gateway/src/gateway.rs
+++ b/crates/savorywood-gateway/src/gateway.rs
@@ -330,8 +330,8 @@
 
     /// There are so many daemons that zones exchange digests.
     #[must_use]
-    pub fn is_zoned(&self) -> bool {
-        self.contacts.is_zoned()
+    pub fn uses_zone_digests(&self) -> bool {
+        self.contacts.uses_zone_digests()
     }
 
     /// Requests that wait or run.
@@ -348,7 +348,7 @@
 
     /// A roll-out is under way, or its end is not in the store yet.
     #[must_use]
-    pub fn follows_rollouts(&self) -> bool {
+    pub fn has_active_rollouts(&self) -> bool {
         self.rollouts.is_active()
     }
 
--- a/crates/savorywood-gateway/src/gateway/dispatch.rs
+++ b/crates/savorywood-gateway/src/gateway/dispatch.rs
@@ -124,7 +124,7 @@
             regions: &self.options.regions,
             leases: &self.leases,
             warmup: self.options.bounds.warmup,
-            spread: if self.contacts.is_zoned() {
+            spread: if self.contacts.uses_zone_digests() {
                 ZONED_SPREAD
             } else {
                 SPREAD
--- a/crates/savorywood-gateway/src/gateway/entry.rs
+++ b/crates/savorywood-gateway/src/gateway/entry.rs
@@ -58,7 +58,7 @@
         let peaks = near.iter().map(|peer| peer.summary.peak);
         self.peak.update(now, load, peaks);
         let members = self.select_members(now, zone);
-        let was_member = self.is_member();
+        let was_member = self.is_entry_member();
         let count = members.len();
         self.refresh_leases(now, &members);
         let entry_daemons = self.count_entry_daemons(now, count);
@@ -73,7 +73,7 @@
         let line = LogLine::new(LogLevel::Info, "entry-set-changed")
             .with("members", count)
             .with("daemons", daemons)
-            .with("member", self.is_member())
+            .with("member", self.is_entry_member())
             .with("was_member", was_member)
             .with("descriptors", self.peak.load().descriptors)
             .with("processor_millis", self.peak.load().processor_millis)
@@ -87,8 +87,8 @@
     /// Daemons that see few others each take themselves for the only holder of every lease, so
     /// those that do not see most daemons hold none.
     fn refresh_leases(&mut self, now: MonotonicTime, own_members: &[u64]) {
-        let is_member = own_members.contains(&name_digest(self.options.host.as_str()));
-        if !is_member || self.age(now) < LEASE_PAUSE || !self.peers.sees_most(now) {
+        let is_entry_member = own_members.contains(&name_digest(self.options.host.as_str()));
+        if !is_entry_member || self.age(now) < LEASE_PAUSE || !self.peers.sees_most(now) {
             return self.leases.release();
         }
         let is_needed =
@@ -132,20 +132,20 @@
 
     /// This daemon is a member of the entry set of its zone.
     #[must_use]
-    pub fn is_member(&self) -> bool {
+    pub fn is_entry_member(&self) -> bool {
         self.entry.contains(name_digest(self.options.host.as_str()))
     }
 
     /// Daemons of the own zone that the directory names.
     #[must_use]
-    pub fn member_count(&self) -> usize {
+    pub fn entry_member_count(&self) -> usize {
         self.entry.count()
     }
 
     /// Part of this daemon in placing requests.
     #[must_use]
     pub fn role(&self) -> DaemonRole {
-        if self.is_member() {
+        if self.is_entry_member() {
             DaemonRole::Entry
         } else if self.requests.is_empty() {
             DaemonRole::Standby
@@ -157,7 +157,7 @@
     /// Members of a zone whose daemons send summaries here.
     fn select_members(&self, now: MonotonicTime, zone: &str) -> Vec<u64> {
         let is_own = zone == self.options.zone.as_str();
-        let heartbeats = is_own && self.contacts.is_zoned();
+        let heartbeats = is_own && self.contacts.uses_zone_digests();
         // A host that just lost power must not be called in for one that was lost with it.
         let overdue = self.contacts.pause().mul_f64(OVERDUE_FACTOR);
         let mut candidates = Vec::new();
@@ -215,7 +215,7 @@
 
     /// This daemon has seen most of its zone, or should have by now.
     pub(super) fn knows_own_zone(&self, now: MonotonicTime) -> bool {
-        if self.age(now) >= DISCOVERY_TIME || !self.contacts.is_zoned() {
+        if self.age(now) >= DISCOVERY_TIME || !self.contacts.uses_zone_digests() {
             return true;
         }
         let received = self.peers.neighbours(now).count();
--- a/crates/savorywood-gateway/src/gateway/gossip.rs
+++ b/crates/savorywood-gateway/src/gateway/gossip.rs
@@ -126,7 +126,7 @@
 
     /// A daemon that stops leaves the reading to others.
     fn attestation(&self, now: MonotonicTime) -> Option<StoreAttestation> {
-        let attestations = self.contacts.is_zoned() && !self.stopping;
+        let attestations = self.contacts.uses_zone_digests() && !self.stopping;
         attestations.then(|| self.reads.attestation(now)).flatten()
     }
 
@@ -208,14 +208,14 @@
     /// Who gets newer slots now.
     #[must_use]
     pub fn plan_slots(&self, now: MonotonicTime) -> SlotPlan {
-        let sent = self.is_member().then_some(self.sent_zone_slots);
+        let sent = self.is_entry_member().then_some(self.sent_zone_slots);
         self.contacts.plan_slots(now, &self.peers, sent)
     }
 
     /// Heartbeat of a member of the entry set, and who gets it: daemons of its zone, so that they
     /// replace it soon after it fails. Few daemons send each other summaries as often.
     pub fn heartbeat(&mut self) -> Option<(PeerHeartbeat, Vec<SocketAddr>)> {
-        if !self.contacts.is_zoned() || !self.is_member() {
+        if !self.contacts.uses_zone_digests() || !self.is_entry_member() {
             return None;
         }
         self.sequence += 1;
@@ -337,7 +337,7 @@
     #[must_use]
     pub fn gossip_interval(&self, now: MonotonicTime) -> Duration {
         let pause = self.contacts.pause();
-        if self.contacts.is_zoned() && self.age(now) < DISCOVERY_TIME {
+        if self.contacts.uses_zone_digests() && self.age(now) < DISCOVERY_TIME {
             pause.min(DISCOVERY_INTERVAL)
         } else {
             pause
--- a/crates/savorywood-gateway/src/gateway/reading.rs
+++ b/crates/savorywood-gateway/src/gateway/reading.rs
@@ -21,8 +21,8 @@
     /// must not leave the daemon unready. One that attests to others asks more often, as its message
     /// takes time to reach them.
     #[must_use]
-    pub fn declared_wait(&self) -> Duration {
-        let part = if self.contacts.is_zoned() {
+    pub fn config_poll_timeout(&self) -> Duration {
+        let part = if self.contacts.uses_zone_digests() {
             READER_WAIT_PART
         } else {
             WAIT_PART
@@ -33,7 +33,7 @@
     /// Daemons that read the store themselves: one a zone where zones exchange digests.
     #[must_use]
     pub fn readers(&self, now: MonotonicTime) -> u32 {
-        let readers = if self.contacts.is_zoned() {
+        let readers = if self.contacts.uses_zone_digests() {
             self.peers.zones(now).count()
         } else {
             self.peers.known(now)
@@ -45,11 +45,11 @@
     /// known. The others ask more rarely: after an outage they have the proof by gossip before
     /// they could all ask, and hundreds of them would keep a store busy that is just coming back.
     #[must_use]
-    pub fn reads_first(&self, now: MonotonicTime) -> bool {
+    pub fn is_initial_reader(&self, now: MonotonicTime) -> bool {
         let own = self.options.host.as_str();
         let neighbours = self.peers.neighbours(now);
         let before = neighbours.filter(|peer| peer.summary.host.as_str() < own);
-        !self.contacts.is_zoned() || before.count() < FIRST_READERS
+        !self.contacts.uses_zone_digests() || before.count() < FIRST_READERS
     }
 
     /// How to learn of a table now.
@@ -58,7 +58,7 @@
         // A neighbour whose messages arrive may not get those of this daemon, and then echoes nothing.
         let stale = self.options.bounds.proof_bound().mul_f64(STALE_PART);
         let confirmed = self.proof_age(now) < stale;
-        let relies = self.contacts.is_zoned() && !self.stopping && confirmed;
+        let relies = self.contacts.uses_zone_digests() && !self.stopping && confirmed;
         let plan = if relies {
             self.reads.plan(now, &self.options.host, table)
         } else {
@@ -75,8 +75,8 @@
     /// for its zone.
     fn awaits_reader(&self, now: MonotonicTime) -> bool {
         let fresh = self.options.bounds.proof_bound().mul_f64(AWAIT_PART);
-        let is_reader = self.knows_own_zone(now) && self.reads_first(now);
-        let may_follow = !self.contacts_read || (self.contacts.is_zoned() && !is_reader);
+        let is_reader = self.knows_own_zone(now) && self.is_initial_reader(now);
+        let may_follow = !self.contacts_read || (self.contacts.uses_zone_digests() && !is_reader);
         !self.stopping && may_follow && self.proof_age(now) < fresh
     }
 }
--- a/crates/savorywood-gateway/src/gateway/updates.rs
+++ b/crates/savorywood-gateway/src/gateway/updates.rs
@@ -313,7 +313,7 @@
     /// Daemons among which teams' limits are shared, if this one is among them.
     fn limit_members(&self) -> Option<u32> {
         let members = u32::try_from(self.entry_daemons).unwrap_or(u32::MAX);
-        self.is_member().then_some(members)
+        self.is_entry_member().then_some(members)
     }
 
     /// Another daemon reports a zone now: what it says includes what was received before of that
--- a/crates/savorywood-gateway/src/gossip.rs
+++ b/crates/savorywood-gateway/src/gossip.rs
@@ -160,7 +160,7 @@
 
     /// There are so many daemons that zones exchange digests.
     #[must_use]
-    pub fn is_zoned(&self) -> bool {
+    pub fn uses_zone_digests(&self) -> bool {
         self.daemons() > MAX_DIRECT_DAEMONS
     }
 
@@ -208,7 +208,7 @@
         self.contacts
             .retain(|_, known| now.since(known.seen_at) < FORGET_TIME);
         let mut plan = GossipPlan::default();
-        if !self.is_zoned() {
+        if !self.uses_zone_digests() {
             plan.summary_targets = self.contacts.keys().copied().collect();
             return plan;
         }
@@ -238,7 +238,7 @@
         sent: Option<SentSlots>,
     ) -> SlotPlan {
         let mut plan = SlotPlan::default();
-        if !self.is_zoned() {
+        if !self.uses_zone_digests() {
             plan.daemon_slot_targets = self.contacts.keys().copied().collect();
             return plan;
         }
--- a/crates/savorywood-gateway/tests/common/field.rs
+++ b/crates/savorywood-gateway/tests/common/field.rs
@@ -380,9 +380,9 @@
     /// Callers of each zone use some descriptors, spread over the members.
     pub fn spread_load(&mut self, descriptors: u32) {
         for daemon in &mut self.daemons {
-            let members = u32::try_from(daemon.gateway.member_count()).expect("few members");
+            let members = u32::try_from(daemon.gateway.entry_member_count()).expect("few members");
             let share = descriptors / members.max(1);
-            let descriptors = if daemon.gateway.is_member() { share } else { 0 };
+            let descriptors = if daemon.gateway.is_entry_member() { share } else { 0 };
             daemon.step(GatewayEvent::LoadMeasured(HostResources {
                 descriptors,
                 ..HostResources::default()
--- a/crates/savorywood-gateway/tests/entry.rs
+++ b/crates/savorywood-gateway/tests/entry.rs
@@ -352,7 +352,7 @@
             let mut load = descriptors(20);
             load.processor_millis = 40;
             load.link_kbps = 7_000;
-            if daemon.gateway.is_member() {
+            if daemon.gateway.is_entry_member() {
                 load.processor_millis = 20;
                 load.link_kbps = 300;
             }
--- a/crates/savorywood-gateway/tests/zones.rs
+++ b/crates/savorywood-gateway/tests/zones.rs
@@ -83,7 +83,7 @@
         field.pass(Duration::from_millis(250));
     }
     let members: Vec<usize> = (0..DAEMONS)
-        .filter(|number| field.daemons[*number].gateway.is_member())
+        .filter(|number| field.daemons[*number].gateway.is_entry_member())
         .collect();
     assert_eq!(members.len(), ZONES * 3, "{members:?}");
     for number in &members {
