--- a/crates/savorywood-gateway/src/gateway.rs
+++ b/crates/savorywood-gateway/src/gateway.rs
@@ -277,12 +277,12 @@
             GatewayEvent::SummaryReceived(summary) => self.summary_received(now, *summary, effects),
             GatewayEvent::DigestReceived(digest) => self.digest_received(now, *digest, effects),
             GatewayEvent::SlotsReceived(update) => {
-                if self.peers.take_slots(now, update) {
+                if self.peers.apply_slot_update(now, update) {
                     self.pump_all(now, effects);
                 }
             }
             GatewayEvent::HeartbeatReceived(beat) => {
-                self.peers.take_heartbeat(now, beat);
+                self.peers.apply_heartbeat(now, beat);
             }
             GatewayEvent::CrashesReported(gossip) => self.crashes_reported(now, &gossip, effects),
             GatewayEvent::LimitsReported(gossip) => self.limits_reported(now, &gossip, effects),
--- a/crates/savorywood-gateway/src/gateway/ending.rs
+++ b/crates/savorywood-gateway/src/gateway/ending.rs
@@ -71,7 +71,7 @@
         };
         let state = self.fleet.get(&attempt.upstream);
         let own = state.map_or(0, |state| state.running.saturating_sub(1));
-        let peers = state.map_or(0, |state| self.peers.slots_of(state.digest).running);
+        let peers = state.map_or(0, |state| self.peers.slots_by_digest(state.digest).running);
         let line = LogLine::new(LogLevel::Info, "attempt-broken")
             .with("request", &record.identity)
             .with("fingerprint", record.fingerprint)
--- a/crates/savorywood-gateway/src/gateway/entry.rs
+++ b/crates/savorywood-gateway/src/gateway/entry.rs
@@ -88,7 +88,7 @@
     /// those that do not see most daemons hold none.
     fn refresh_leases(&mut self, now: MonotonicTime, own_members: &[u64]) {
         let is_entry_member = own_members.contains(&name_digest(self.options.host.as_str()));
-        if !is_entry_member || self.age(now) < LEASE_PAUSE || !self.peers.sees_most(now) {
+        if !is_entry_member || self.age(now) < LEASE_PAUSE || !self.peers.sees_majority(now) {
             return self.leases.release();
         }
         let is_needed =
--- a/crates/savorywood-gateway/src/gateway/gossip.rs
+++ b/crates/savorywood-gateway/src/gateway/gossip.rs
@@ -251,7 +251,7 @@
         let mut services: BTreeMap<&ServiceLabel, SlotCount> = BTreeMap::new();
         for state in self.fleet.iter().filter(|state| state.is_open(now)) {
             let count = services.entry(&state.entry.service).or_default();
-            let others = self.peers.slots_of(state.digest).running;
+            let others = self.peers.slots_by_digest(state.digest).running;
             count.taken += state.running + others;
             count.all += state.entry.slots;
         }
@@ -283,7 +283,7 @@
             age_ms,
             sequence: self.sequence,
             members: self.placing_members(now),
-            daemons: u32::try_from(self.peers.daemons_here()).unwrap_or(u32::MAX),
+            daemons: u32::try_from(self.peers.zone_daemon_count()).unwrap_or(u32::MAX),
             slots: if slots {
                 self.zone_slots(now)
             } else {
--- a/crates/savorywood-gateway/src/gossip.rs
+++ b/crates/savorywood-gateway/src/gossip.rs
@@ -213,7 +213,7 @@
             return plan;
         }
         let senders: Vec<u64> = peers.neighbours(now).map(peer_number).collect();
-        let placing = peers.placing_far(now);
+        let placing = peers.remote_serving_addresses(now);
         for (address, contact) in &self.contacts {
             if self.is_near(contact) {
                 plan.summary_targets.push(*address);
@@ -254,7 +254,7 @@
             }
         }
         if sent.is_some_and(|sent| sent.is_next_due(now)) {
-            let far = peers.placing_far(now).into_iter();
+            let far = peers.remote_serving_addresses(now).into_iter();
             plan.zone_slot_targets = far
                 .filter(|address| self.sends_to(address_number(*address), &senders))
                 .collect();
--- a/crates/savorywood-gateway/src/peer.rs
+++ b/crates/savorywood-gateway/src/peer.rs
@@ -64,16 +64,16 @@
 impl PeerState {
     /// It takes callers now.
     #[must_use]
-    pub fn takes_callers(&self, now: MonotonicTime) -> bool {
+    pub fn accepts_callers(&self, now: MonotonicTime) -> bool {
         self.summary.phase == PeerPhase::Ready && self.is_alive(now)
     }
 
     /// It takes callers, and sends the heartbeats that a member of the entry set owes.
     #[must_use]
-    pub fn can_be_member(&self, now: MonotonicTime, heartbeats: bool) -> bool {
+    pub fn is_member_candidate(&self, now: MonotonicTime, heartbeats: bool) -> bool {
         let owes = heartbeats && self.summary.role == DaemonRole::Entry;
         let silent = now.since(self.received_at) >= HEARTBEAT_TIMEOUT;
-        self.takes_callers(now) && !(owes && silent)
+        self.accepts_callers(now) && !(owes && silent)
     }
 
     /// Time for which it has been running without a silence that was noticed here. Silences that
@@ -190,7 +190,7 @@
     }
 
     /// Takes newer slots of a peer, or of a zone, that is known. Returns whether they were taken.
-    pub fn take_slots(&mut self, now: MonotonicTime, slots: SlotUpdate) -> bool {
+    pub fn apply_slot_update(&mut self, now: MonotonicTime, slots: SlotUpdate) -> bool {
         let taken = match slots.scope {
             SlotScope::Daemon => {
                 let beat = PeerHeartbeat {
@@ -198,7 +198,7 @@
                     incarnation: slots.incarnation,
                     sequence: slots.sequence,
                 };
-                self.take_heartbeat(now, beat).is_some_and(|peer| {
+                self.apply_heartbeat(now, beat).is_some_and(|peer| {
                     peer.summary.slots = slots.slots;
                     true
                 })
@@ -206,7 +206,7 @@
             SlotScope::Zone(zone) => {
                 let mut zones = self.zones.iter_mut();
                 let known = zones.find(|(name, _)| name_digest(name.as_str()) == zone);
-                known.is_some_and(|(_, known)| known.take_slots(now, slots))
+                known.is_some_and(|(_, known)| known.apply_slot_update(now, slots))
             }
         };
         if taken {
@@ -216,7 +216,7 @@
     }
 
     /// Takes a sign of life of a peer that is known, unless it is an old one.
-    pub fn take_heartbeat(
+    pub fn apply_heartbeat(
         &mut self,
         now: MonotonicTime,
         beat: PeerHeartbeat,
@@ -274,12 +274,12 @@
     /// Requests of all others at an upstream, as they last reported.
     #[must_use]
     pub fn slots_at(&self, upstream: &UpstreamLabel) -> SlotTotal {
-        self.slots_of(name_digest(upstream.as_str()))
+        self.slots_by_digest(name_digest(upstream.as_str()))
     }
 
     /// The same for an upstream by the digest of its name.
     #[must_use]
-    pub fn slots_of(&self, digest: u64) -> SlotTotal {
+    pub fn slots_by_digest(&self, digest: u64) -> SlotTotal {
         let sum = self.sums().slots.get(&slot_key(digest));
         sum.copied().unwrap_or_default()
     }
@@ -313,7 +313,7 @@
     /// Peers that take callers, as far as they count themselves.
     pub fn ready(&self, now: MonotonicTime) -> impl Iterator<Item = &PeerState> {
         self.direct_peers(now)
-            .filter(move |peer| peer.takes_callers(now))
+            .filter(move |peer| peer.accepts_callers(now))
     }
 
     /// Other zones of which one daemon reports.
@@ -338,7 +338,7 @@
         heartbeats: bool,
     ) -> impl Iterator<Item = &'a PeerState> {
         let peers = self.peers.values();
-        peers.filter(move |peer| peer.summary.zone == zone && peer.can_be_member(now, heartbeats))
+        peers.filter(move |peer| peer.summary.zone == zone && peer.is_member_candidate(now, heartbeats))
     }
 
     /// Zones of which the daemons count themselves, the own one included.
@@ -349,14 +349,14 @@
 
     /// Daemons of other zones that place requests, as these zones' digests name them.
     #[must_use]
-    pub fn placing_far(&self, now: MonotonicTime) -> BTreeSet<SocketAddr> {
+    pub fn remote_serving_addresses(&self, now: MonotonicTime) -> BTreeSet<SocketAddr> {
         let members = self.zones(now).flat_map(|zone| &zone.members);
         members.map(|member| member.peer_address).collect()
     }
 
     /// Daemons of the own zone that have not left, this one and silent ones included.
     #[must_use]
-    pub fn daemons_here(&self) -> usize {
+    pub fn zone_daemon_count(&self) -> usize {
         let peers = self.peers.values();
         let here = peers.filter(|peer| {
             peer.summary.zone == self.own_zone.as_str() && peer.summary.phase != PeerPhase::Leaving
@@ -367,7 +367,7 @@
     /// More than half of the daemons that are known were seen or reported lately, this one
     /// included.
     #[must_use]
-    pub fn sees_most(&self, now: MonotonicTime) -> bool {
+    pub fn sees_majority(&self, now: MonotonicTime) -> bool {
         let mut seen = 1;
         let mut known = 1;
         for peer in self.direct_peers(now) {
--- a/crates/savorywood-gateway/src/pick.rs
+++ b/crates/savorywood-gateway/src/pick.rs
@@ -216,7 +216,7 @@
         let usable = members.filter(|state| self.may_have(state, query, all_suspect));
         usable
             .map(|state| {
-                let others = self.peers.slots_of(state.digest);
+                let others = self.peers.slots_by_digest(state.digest);
                 PickCandidate {
                     state,
                     occupied: state.running + others.running,
--- a/crates/savorywood-gateway/src/zone.rs
+++ b/crates/savorywood-gateway/src/zone.rs
@@ -111,7 +111,7 @@
     }
 
     /// Takes slots of the zone, unless newer ones are known or another member sends them.
-    pub fn take_slots(&mut self, now: MonotonicTime, update: SlotUpdate) -> bool {
+    pub fn apply_slot_update(&mut self, now: MonotonicTime, update: SlotUpdate) -> bool {
         let fresh = self.has_fresh_slots(now);
         let known = self.slots.as_ref().map(|slots| &slots.update);
         let is_newer = known.is_none_or(|known| {
