--- a/crates/savorywood-gateway/src/gateway.rs
+++ b/crates/savorywood-gateway/src/gateway.rs
@@ -95,7 +95,7 @@
 impl GatewayBounds {
     /// Age at which a proof of the configuration is worth nothing.
     #[must_use]
-    pub fn proof_bound(&self) -> Duration {
+    pub fn max_confirmation_age(&self) -> Duration {
         self.revocation.unwrap_or(USUAL_PROOF_BOUND)
     }
 }
--- a/crates/savorywood-gateway/src/gateway/admission.rs
+++ b/crates/savorywood-gateway/src/gateway/admission.rs
@@ -233,7 +233,7 @@
     /// "There is no such thing" is final for a caller: a daemon that may have missed the newest
     /// configuration says "not ready" in its place.
     fn deny(&self, now: MonotonicTime, reason: RefusalReason) -> Denial {
-        if self.proof_age(now) < self.options.bounds.proof_bound().mul_f64(DENIAL_PART) {
+        if self.proof_age(now) < self.options.bounds.max_confirmation_age().mul_f64(DENIAL_PART) {
             Denial::of(reason)
         } else {
             Denial::stale()
--- a/crates/savorywood-gateway/src/gateway/gossip.rs
+++ b/crates/savorywood-gateway/src/gateway/gossip.rs
@@ -49,7 +49,7 @@
         known
             && self.knows_members()
             && !self.stopping
-            && self.proof_age(now) < self.options.bounds.proof_bound().mul_f64(READY_PART)
+            && self.proof_age(now) < self.options.bounds.max_confirmation_age().mul_f64(READY_PART)
     }
 
     /// The number of daemons is known: a daemon that starts again without it would spend much
