--- a/crates/savorywood-front/src/attempt.rs
+++ b/crates/savorywood-front/src/attempt.rs
@@ -163,13 +163,13 @@
     ) -> (AttemptOutcome, Option<AnswerHead>) {
         let (head, facts) = match self.read_own_head(reader).await {
             Ok(read) => read,
-            Err(ReadFailure) => return (AttemptOutcome::Broken { silent: false }, None),
+            Err(ReadFailure) => return (AttemptOutcome::Broken { stalled: false }, None),
         };
         if facts.not_run || facts.misdirected {
             let body = read_body(reader, head.framing, MAX_ANSWER_BYTES).await;
             let outcome = AttemptOutcome::NotRun {
                 misdirected: facts.misdirected,
-                marks: facts.marks,
+                metadata: facts.marks,
             };
             return (outcome, body.ok().map(|_| head));
         }
@@ -177,7 +177,7 @@
         // A coded body is not the upstream's own: nobody asked for a coding.
         let coded = head.headers.get("content-encoding").is_some();
         if coded || (success && !facts.sealed) {
-            return (AttemptOutcome::Broken { silent: false }, None);
+            return (AttemptOutcome::Broken { stalled: false }, None);
         }
         if success && self.order.stream && is_event_stream(&head) {
             return self.relay_stream(reader, head, &facts).await;
@@ -235,7 +235,7 @@
             head.framing
         };
         let Ok(body) = read_body(reader, framing, MAX_ANSWER_BYTES).await else {
-            return (AttemptOutcome::Broken { silent: false }, None);
+            return (AttemptOutcome::Broken { stalled: false }, None);
         };
         let lines = self.passing_lines(&head);
         if head.status >= 500 || matches!(head.status, 408 | 421 | 429) {
@@ -245,7 +245,7 @@
                 lines,
                 body,
             });
-            let outcome = AttemptOutcome::Failed { marks: facts.marks };
+            let outcome = AttemptOutcome::Failed { metadata: facts.marks };
             return (outcome, Some(head));
         }
         let written = self
@@ -256,7 +256,7 @@
             return (AttemptOutcome::CallerDisconnected, Some(head));
         }
         let outcome = AttemptOutcome::Delivered {
-            marks: facts.marks,
+            metadata: facts.marks,
             events: 0,
         };
         (outcome, Some(head))
@@ -303,7 +303,7 @@
             return (AttemptOutcome::CallerDisconnected, None);
         }
         let outcome = AttemptOutcome::Delivered {
-            marks: facts.marks,
+            metadata: facts.marks,
             events: self.sink.events(),
         };
         (outcome, Some(head))
@@ -354,7 +354,7 @@
         metrics::observe(&self.shared.metrics.first_event, self.order, elapsed);
         self.shared.step(GatewayEvent::ResponseStarted {
             request: self.order.request,
-            marks: facts.marks,
+            metadata: facts.marks,
         });
     }
 
@@ -370,14 +370,14 @@
 }
 
 /// How an attempt ended without a whole answer.
-pub fn broken_outcome(sink: &AnswerSink, silent: bool) -> AttemptOutcome {
+pub fn broken_outcome(sink: &AnswerSink, stalled: bool) -> AttemptOutcome {
     if sink.has_begun() {
         AttemptOutcome::StreamBroken(StreamInterruption {
             events: sink.events(),
-            silent,
+            stalled,
         })
     } else {
-        AttemptOutcome::Broken { silent }
+        AttemptOutcome::Broken { stalled }
     }
 }
 
--- a/crates/savorywood-front/src/feeds.rs
+++ b/crates/savorywood-front/src/feeds.rs
@@ -249,7 +249,7 @@
     }
 
     /// Notes what is known now.
-    fn know(&mut self, rows: &[StoreRow], through: StorePosition, proof_at: Option<MonotonicTime>) {
+    fn know(&mut self, rows: &[StoreRow], through: StorePosition, confirmed_at: Option<MonotonicTime>) {
         for row in rows {
             self.changed = self.changed.max(row.position);
             self.known.note(row);
@@ -257,14 +257,14 @@
         self.revision = Some(through);
         self.has_gap = false;
         self.has_yielded = false;
-        let knowledge = TablePosition {
+        let position = TablePosition {
             through,
             changed: self.changed,
         };
         self.shared.step(GatewayEvent::TableRead {
             table: self.shared_table(),
-            knowledge,
-            proof_at,
+            position,
+            confirmed_at,
         });
     }
 
--- a/crates/savorywood-gateway/src/event.rs
+++ b/crates/savorywood-gateway/src/event.rs
@@ -37,11 +37,11 @@
     /// Load there.
     pub load: Option<ReportedLoad>,
     /// The upstream ends its connections: it is leaving, or just tidies up.
-    pub closing: bool,
+    pub closes_connection: bool,
     /// Time for which it is still cold, where it says so.
-    pub cold: Option<Duration>,
+    pub cold_for: Option<Duration>,
     /// Requests that it takes from all daemons together, while it is in need.
-    pub limit: Option<RateLimit>,
+    pub rate_limit: Option<RateLimit>,
 }
 
 /// How a stream stopped before its end.
@@ -50,7 +50,7 @@
     /// Events passed on so far.
     pub events: u32,
     /// The upstream fell silent; otherwise the connection broke.
-    pub silent: bool,
+    pub stalled: bool,
 }
 
 /// How an attempt ended.
@@ -63,24 +63,24 @@
         /// Another incarnation answers at that address.
         misdirected: bool,
         /// Marks of its answer.
-        marks: ResponseMetadata,
+        metadata: ResponseMetadata,
     },
     /// The upstream said itself that it failed; its answer is kept and may be passed on.
     Failed {
         /// Marks of its answer.
-        marks: ResponseMetadata,
+        metadata: ResponseMetadata,
     },
     /// No whole answer came, and nothing of it has reached the caller.
     Broken {
         /// The upstream fell silent; otherwise the connection broke or the answer was nonsense.
-        silent: bool,
+        stalled: bool,
     },
     /// A stream of which events have reached the caller stopped early.
     StreamBroken(StreamInterruption),
     /// The whole answer reached the caller.
     Delivered {
         /// Marks of its answer.
-        marks: ResponseMetadata,
+        metadata: ResponseMetadata,
         /// Events of a stream.
         events: u32,
     },
@@ -110,9 +110,9 @@
             } => "misdirected",
             Self::NotRun { .. } => "not-run",
             Self::Failed { .. } => "failed",
-            Self::Broken { silent: true } => "silent",
+            Self::Broken { stalled: true } => "silent",
             Self::Broken { .. } => "broken",
-            Self::StreamBroken(end) if end.silent => "stream-silent",
+            Self::StreamBroken(end) if end.stalled => "stream-silent",
             Self::StreamBroken(_) => "stream-broken",
             Self::Delivered { .. } => "delivered",
             Self::Expired => "expired",
@@ -138,7 +138,7 @@
         /// Which request.
         request: LocalRequest,
         /// Marks of its head.
-        marks: ResponseMetadata,
+        metadata: ResponseMetadata,
     },
     /// More events of a stream have reached its caller.
     ResponseProgressed {
@@ -172,9 +172,9 @@
         /// Which.
         table: SharedTable,
         /// What is known of it now.
-        knowledge: TablePosition,
+        position: TablePosition,
         /// When the store is proved to have said so; none for rows that were handed on.
-        proof_at: Option<MonotonicTime>,
+        confirmed_at: Option<MonotonicTime>,
     },
     /// An operator evacuates a zone.
     EvacuationOrdered(EvacuationOrder),
--- a/crates/savorywood-gateway/src/gateway.rs
+++ b/crates/savorywood-gateway/src/gateway.rs
@@ -229,8 +229,8 @@
                 self.arrive(now, request, &arrival, effects);
             }
             GatewayEvent::CallerDisconnected(request) => self.caller_left(now, request, effects),
-            GatewayEvent::ResponseStarted { request, marks } => {
-                self.answer_began(now, request, marks, effects);
+            GatewayEvent::ResponseStarted { request, metadata } => {
+                self.answer_began(now, request, metadata, effects);
             }
             GatewayEvent::ResponseProgressed { request, events } => {
                 self.answer_moved(now, request, events);
@@ -257,9 +257,9 @@
             GatewayEvent::BoundsRead(bounds) => self.bounds_read(now, bounds, effects),
             GatewayEvent::TableRead {
                 table,
-                knowledge,
-                proof_at,
-            } => self.reads.read(table, knowledge, proof_at),
+                position,
+                confirmed_at,
+            } => self.reads.read(table, position, confirmed_at),
             GatewayEvent::StoreFailed => {
                 self.fleet.store_failed(now);
                 self.reads.failed(now);
--- a/crates/savorywood-gateway/src/gateway/learning.rs
+++ b/crates/savorywood-gateway/src/gateway/learning.rs
@@ -92,7 +92,7 @@
             }
         }
         self.note_alive(now, &upstream, sent_at);
-        self.note_limit(now, &upstream, sent_at, marks.limit, effects);
+        self.note_limit(now, &upstream, sent_at, marks.rate_limit, effects);
         self.mark(now, &upstream, marks);
     }
 
@@ -111,7 +111,7 @@
         let Some(state) = self.fleet.get_mut(upstream) else {
             return;
         };
-        if let Some(cold) = marks.cold {
+        if let Some(cold) = marks.cold_for {
             state.stay_cold(now + cold);
         }
     }
@@ -155,14 +155,14 @@
         // The head of a stream was read at its beginning, and says nothing newer at its end.
         let is_read = attempt.began_at.is_some();
         match outcome {
-            AttemptOutcome::NotRun { marks, .. }
-            | AttemptOutcome::Failed { marks }
-            | AttemptOutcome::Delivered { marks, .. }
+            AttemptOutcome::NotRun { metadata, .. }
+            | AttemptOutcome::Failed { metadata }
+            | AttemptOutcome::Delivered { metadata, .. }
                 if !is_read =>
             {
                 let sent_at = attempt.sent_at;
-                self.note_limit(now, &attempt.upstream, sent_at, marks.limit, effects);
-                self.mark(now, &attempt.upstream, *marks);
+                self.note_limit(now, &attempt.upstream, sent_at, metadata.rate_limit, effects);
+                self.mark(now, &attempt.upstream, *metadata);
             }
             _ => {}
         }
@@ -199,8 +199,8 @@
         let taken_out = match outcome {
             AttemptOutcome::NotSent => outlier.broke(now, false),
             AttemptOutcome::Failed { .. } => outlier.failed(now, usual.unwrap_or_default()),
-            AttemptOutcome::Broken { silent } => outlier.broke(now, *silent && dark),
-            AttemptOutcome::StreamBroken(end) => outlier.broke(now, end.silent && dark),
+            AttemptOutcome::Broken { stalled } => outlier.broke(now, *stalled && dark),
+            AttemptOutcome::StreamBroken(end) => outlier.broke(now, end.stalled && dark),
             AttemptOutcome::Expired if overdue => outlier.broke(now, false),
             AttemptOutcome::Delivered { .. } => {
                 is_back = outlier.succeeded(now);
@@ -221,8 +221,8 @@
         }
         let loses = match outcome {
             AttemptOutcome::NotSent => true,
-            AttemptOutcome::Broken { silent } => *silent && dark,
-            AttemptOutcome::StreamBroken(end) => end.silent && dark,
+            AttemptOutcome::Broken { stalled } => *stalled && dark,
+            AttemptOutcome::StreamBroken(end) => end.stalled && dark,
             _ => false,
         };
         state.lost |= taken_out && loses;
--- a/crates/savorywood-gateway/src/gateway/quarantine.rs
+++ b/crates/savorywood-gateway/src/gateway/quarantine.rs
@@ -76,8 +76,8 @@
         };
         let fingerprint = record.fingerprint;
         let change = match outcome {
-            AttemptOutcome::Broken { silent: false }
-            | AttemptOutcome::StreamBroken(StreamInterruption { silent: false, .. }) => {
+            AttemptOutcome::Broken { stalled: false }
+            | AttemptOutcome::StreamBroken(StreamInterruption { stalled: false, .. }) => {
                 let broken = BrokenAttempt {
                     fingerprint,
                     upstream: name_digest(attempt.upstream.as_str()),
--- a/crates/savorywood-gateway/tests/common/crashes.rs
+++ b/crates/savorywood-gateway/tests/common/crashes.rs
@@ -216,7 +216,7 @@
                 *self.sent.entry(name).or_default() += 1;
                 self.crashes.push(self.field.now);
                 self.crash(&upstream);
-                self.end(name, AttemptOutcome::Broken { silent: false });
+                self.end(name, AttemptOutcome::Broken { stalled: false });
             }
         }
     }
@@ -241,7 +241,7 @@
             .extract_if(.., |there| is_there(there))
             .collect();
         for running in broken {
-            self.end(running.name, AttemptOutcome::Broken { silent: false });
+            self.end(running.name, AttemptOutcome::Broken { stalled: false });
         }
     }
 
@@ -266,9 +266,9 @@
     /// All sound requests that run are answered.
     pub fn deliver_all(&mut self) {
         for running in std::mem::take(&mut self.running) {
-            let marks = ResponseMetadata::default();
+            let metadata = ResponseMetadata::default();
             self.ends.insert(running.name, RequestEnd::Served);
-            self.end(running.name, AttemptOutcome::Delivered { marks, events: 1 });
+            self.end(running.name, AttemptOutcome::Delivered { metadata, events: 1 });
         }
     }
 
@@ -276,9 +276,9 @@
     pub fn deliver(&mut self, name: RequestName) {
         let is_it = |running: &mut RunningRequest| running.name == name;
         if self.running.extract_if(.., is_it).count() > 0 {
-            let marks = ResponseMetadata::default();
+            let metadata = ResponseMetadata::default();
             self.ends.insert(name, RequestEnd::Served);
-            self.end(name, AttemptOutcome::Delivered { marks, events: 1 });
+            self.end(name, AttemptOutcome::Delivered { metadata, events: 1 });
         }
     }
 
--- a/crates/savorywood-gateway/tests/common/limits.rs
+++ b/crates/savorywood-gateway/tests/common/limits.rs
@@ -194,17 +194,17 @@
         };
         let due: Vec<_> = self.running.extract_if(.., is_due).collect();
         for running in due {
-            let limit = self.limits.get(&running.upstream).map(|named| named.limit);
-            if limit.is_some() {
+            let rate_limit = self.limits.get(&running.upstream).map(|named| named.limit);
+            if rate_limit.is_some() {
                 let key = (running.daemon, running.upstream.clone());
                 self.known.entry(key).or_insert(now);
             }
-            let marks = ResponseMetadata {
-                limit,
+            let metadata = ResponseMetadata {
+                rate_limit,
                 ..ResponseMetadata::default()
             };
             self.tally.served += 1;
-            let outcome = AttemptOutcome::Delivered { marks, events: 0 };
+            let outcome = AttemptOutcome::Delivered { metadata, events: 0 };
             let request = running.request;
             self.step(
                 running.daemon,
--- a/crates/savorywood-gateway/tests/common/load.rs
+++ b/crates/savorywood-gateway/tests/common/load.rs
@@ -238,10 +238,10 @@
         let outcome = if call.events > 0 {
             AttemptOutcome::StreamBroken(StreamInterruption {
                 events: call.events,
-                silent: true,
+                stalled: true,
             })
         } else {
-            AttemptOutcome::Broken { silent: true }
+            AttemptOutcome::Broken { stalled: true }
         };
         if let Some(name) = engine {
             self.engine(&name).drop_run(number, request);
@@ -345,10 +345,10 @@
         call.received_at = self.now;
         call.events += 1;
         call.tokens_left = output.tokens_left;
-        let marks = ResponseMetadata::default();
+        let metadata = ResponseMetadata::default();
         let request = output.request;
         let event = if output.is_first {
-            GatewayEvent::ResponseStarted { request, marks }
+            GatewayEvent::ResponseStarted { request, metadata }
         } else {
             GatewayEvent::ResponseProgressed { request, events: 1 }
         };
@@ -359,7 +359,7 @@
         if let Some(call) = self.calls.remove(&key) {
             self.tallies[call.kind].served(&call);
             let events = call.events;
-            let outcome = AttemptOutcome::Delivered { marks, events };
+            let outcome = AttemptOutcome::Delivered { metadata, events };
             self.step(
                 output.daemon,
                 GatewayEvent::AttemptEnded { request, outcome },
--- a/crates/savorywood-gateway/tests/common/scene.rs
+++ b/crates/savorywood-gateway/tests/common/scene.rs
@@ -176,7 +176,7 @@
 
     pub fn deliver(&mut self, request: LocalRequest) {
         let outcome = AttemptOutcome::Delivered {
-            marks: ResponseMetadata::default(),
+            metadata: ResponseMetadata::default(),
             events: 1,
         };
         self.end(request, outcome);
--- a/crates/savorywood-gateway/tests/quarantine.rs
+++ b/crates/savorywood-gateway/tests/quarantine.rs
@@ -31,7 +31,7 @@
     let team = TeamLabel::from("team");
     let fingerprint = RequestFingerprint::new(asked.content, Some(&team));
     let request = scene.arrive(asked);
-    scene.end(request, AttemptOutcome::Broken { silent: false });
+    scene.end(request, AttemptOutcome::Broken { stalled: false });
     let lines = scene.effects.iter().filter_map(|effect| match effect {
         GatewayEffect::Log(line) => Some(line.to_string()),
         _ => None,
@@ -229,7 +229,7 @@
     for _ in 0..6 {
         let request = scene.arrive(arrival("/once/1"));
         assert_eq!(scene.refusal(request), None);
-        scene.end(request, AttemptOutcome::Broken { silent: false });
+        scene.end(request, AttemptOutcome::Broken { stalled: false });
         scene.advance(Duration::from_millis(300));
         // What comes next goes to each upstream, the one of the broken connection among them.
         let others: Vec<_> = (0..4)
--- a/crates/savorywood-gateway/tests/rate_limits.rs
+++ b/crates/savorywood-gateway/tests/rate_limits.rs
@@ -18,7 +18,7 @@
 
 fn marks(per_second: Option<f64>) -> ResponseMetadata {
     ResponseMetadata {
-        limit: per_second.and_then(RateLimit::of),
+        rate_limit: per_second.and_then(RateLimit::of),
         ..ResponseMetadata::default()
     }
 }
@@ -30,7 +30,7 @@
     for per_second in [None, Some(1.2), Some(1.2), Some(3.0), None] {
         let request = scene.arrive(arrival("/safe/1"));
         let outcome = AttemptOutcome::Delivered {
-            marks: marks(per_second),
+            metadata: marks(per_second),
             events: 0,
         };
         scene.end(request, outcome);
@@ -61,7 +61,7 @@
     let stream = scene.arrive(arrival("/stream/1"));
     scene.step(GatewayEvent::ResponseStarted {
         request: stream,
-        marks: marks(Some(2.0)),
+        metadata: marks(Some(2.0)),
     });
     let limited = |scene: &GatewayScene| {
         let states = scene.gateway.fleet().iter();
@@ -69,7 +69,7 @@
     };
     assert_eq!(limited(&scene), 1);
     let outcome = AttemptOutcome::Delivered {
-        marks: marks(None),
+        metadata: marks(None),
         events: 3,
     };
     scene.end(stream, outcome);
@@ -242,7 +242,7 @@
     let mut scene = GatewayScene::ready(1);
     let request = scene.arrive(arrival("/safe/1"));
     let outcome = AttemptOutcome::Delivered {
-        marks: marks(Some(0.2)),
+        metadata: marks(Some(0.2)),
         events: 0,
     };
     scene.end(request, outcome);
--- a/crates/savorywood-gateway/tests/reading.rs
+++ b/crates/savorywood-gateway/tests/reading.rs
@@ -14,15 +14,15 @@
 impl DaemonField {
     /// A daemon reads a table of the store itself, or is handed on what changed there.
     fn read(&mut self, number: usize, table: SharedTable, changed: u64, proved: bool) {
-        let proof_at = proved.then_some(self.now);
-        let knowledge = TablePosition {
+        let confirmed_at = proved.then_some(self.now);
+        let position = TablePosition {
             through: StorePosition::new(1, changed),
             changed: StorePosition::new(1, changed),
         };
         self.daemons[number].step(GatewayEvent::TableRead {
             table,
-            knowledge,
-            proof_at,
+            position,
+            confirmed_at,
         });
     }
 
--- a/crates/savorywood-gateway/tests/rollouts.rs
+++ b/crates/savorywood-gateway/tests/rollouts.rs
@@ -70,11 +70,11 @@
         result.sent_new_after_verdict += u32::from(new && verdict);
         let bad = new && (step * 7 % 100) as f64 / 100.0 < play_options.bad_share;
         result.bad_seen += u32::from(bad);
-        let marks = ResponseMetadata::default();
+        let metadata = ResponseMetadata::default();
         let outcome = if bad {
-            AttemptOutcome::Failed { marks }
+            AttemptOutcome::Failed { metadata }
         } else {
-            AttemptOutcome::Delivered { marks, events: 0 }
+            AttemptOutcome::Delivered { metadata, events: 0 }
         };
         daemon.end(request, outcome);
         if !daemon.orders(request).is_empty() && bad {
--- a/crates/savorywood-gateway/tests/truth.rs
+++ b/crates/savorywood-gateway/tests/truth.rs
@@ -35,26 +35,26 @@
 }
 
 fn outcome(number: u8) -> AttemptOutcome {
-    let marks = ResponseMetadata::default();
+    let metadata = ResponseMetadata::default();
     match number % 9 {
         0 => AttemptOutcome::NotSent,
         1 => AttemptOutcome::NotRun {
             misdirected: false,
-            marks,
+            metadata,
         },
         2 => AttemptOutcome::NotRun {
             misdirected: true,
-            marks,
+            metadata,
         },
-        3 => AttemptOutcome::Failed { marks },
-        4 => AttemptOutcome::Broken { silent: false },
-        5 => AttemptOutcome::Broken { silent: true },
+        3 => AttemptOutcome::Failed { metadata },
+        4 => AttemptOutcome::Broken { stalled: false },
+        5 => AttemptOutcome::Broken { stalled: true },
         6 => AttemptOutcome::StreamBroken(StreamInterruption {
             events: 1,
-            silent: false,
+            stalled: false,
         }),
         7 => AttemptOutcome::Expired,
-        _ => AttemptOutcome::Delivered { marks, events: 1 },
+        _ => AttemptOutcome::Delivered { metadata, events: 1 },
     }
 }
 
@@ -213,7 +213,7 @@
 fn a_lost_answer_of_a_call_that_runs_once_is_unknown() {
     let mut scene = GatewayScene::ready(2);
     let request = scene.arrive(arrival("/once/1"));
-    scene.end(request, AttemptOutcome::Broken { silent: false });
+    scene.end(request, AttemptOutcome::Broken { stalled: false });
     assert_eq!(scene.orders(request).len(), 1);
     let reason = scene.refusal(request).expect("a final answer");
     assert!(!reason.guarantees_not_executed());
@@ -228,7 +228,7 @@
     let first = scene.orders(request)[0].upstream.clone();
     let outcome = AttemptOutcome::NotRun {
         misdirected: true,
-        marks: ResponseMetadata::default(),
+        metadata: ResponseMetadata::default(),
     };
     scene.end(request, outcome);
     let orders = scene.orders(request);
--- a/crates/savorywood-gateway/tests/waiting.rs
+++ b/crates/savorywood-gateway/tests/waiting.rs
@@ -111,7 +111,7 @@
             if order.upstream.as_str() == "upstream-1" {
                 sent_to_bad += 1;
                 let sends = orders.len();
-                scene.end(request, AttemptOutcome::Broken { silent: false });
+                scene.end(request, AttemptOutcome::Broken { stalled: false });
                 if scene.orders(request).len() == sends {
                     break;
                 }
@@ -135,7 +135,7 @@
         let request = scene.arrive(arrival("/safe/1"));
         while scene.refusal(request).is_none() && !scene.orders(request).is_empty() {
             let sends = scene.orders(request).len();
-            scene.end(request, AttemptOutcome::Broken { silent: false });
+            scene.end(request, AttemptOutcome::Broken { stalled: false });
             if scene.orders(request).len() == sends {
                 break;
             }
@@ -210,7 +210,7 @@
         let request = scene.arrive(arrival("/safe/1"));
         let order = scene.orders(request)[0].clone();
         if order.upstream.as_str() == "upstream-1" && number < 200 {
-            scene.end(request, AttemptOutcome::Broken { silent: true });
+            scene.end(request, AttemptOutcome::Broken { stalled: true });
         }
         scene.advance(Duration::from_millis(20));
         mended_runs += u32::from(order.upstream.as_str() == "upstream-1" && number >= 300);
--- a/crates/savorywood-gateway/tests/warmup.rs
+++ b/crates/savorywood-gateway/tests/warmup.rs
@@ -209,12 +209,12 @@
 #[test]
 fn the_end_of_a_stream_says_nothing_new_of_how_long_its_upstream_is_cold() {
     let mut scene = GatewayScene::ready(1);
-    let marks = ResponseMetadata {
-        cold: Some(SPEC.time),
+    let metadata = ResponseMetadata {
+        cold_for: Some(SPEC.time),
         ..ResponseMetadata::default()
     };
     let request = scene.arrive(arrival("/stream/1"));
-    scene.step(GatewayEvent::ResponseStarted { request, marks });
+    scene.step(GatewayEvent::ResponseStarted { request, metadata });
     let is_cold = |scene: &GatewayScene| {
         let mut states = scene.gateway.fleet().iter();
         states.any(|state| state.is_cold(scene.now))
@@ -222,7 +222,7 @@
     assert!(is_cold(&scene));
     scene.advance(SPEC.time);
     assert!(!is_cold(&scene));
-    scene.end(request, AttemptOutcome::Delivered { marks, events: 3 });
+    scene.end(request, AttemptOutcome::Delivered { metadata, events: 3 });
     assert!(!is_cold(&scene));
 }
 
