--- a/crates/savorywood-front/src/attempt.rs
+++ b/crates/savorywood-front/src/attempt.rs
@@ -204,7 +204,7 @@
             }
             let facts = self.shared.dialect.answer_facts(&head);
             let own = self.shared.dialect.arrival(self.head);
-            let own = own.map(|arrival| arrival.identity).unwrap_or_default();
+            let own = own.map(|arrival| arrival.request_id).unwrap_or_default();
             match &facts.identity {
                 Some(identity) if *identity != own => {
                     strays += 1;
--- a/crates/savorywood-front/src/caller.rs
+++ b/crates/savorywood-front/src/caller.rs
@@ -213,7 +213,7 @@
     let mut sink = AnswerSink::new(reader.stream().clone(), closes);
     let arrival = match shared.dialect.arrival(&request.head) {
         Ok(arrival) => RequestArrival {
-            content: content_digest(&request.head, &request.body),
+            content_digest: content_digest(&request.head, &request.body),
             ..arrival
         },
         Err(fault) => {
--- a/crates/savorywood-gateway/src/arrival.rs
+++ b/crates/savorywood-gateway/src/arrival.rs
@@ -10,9 +10,9 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct RequestSize {
     /// Tokens of the prompt.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// Tokens of the answer at most.
-    pub output: u32,
+    pub max_output_tokens: u32,
 }
 
 /// One part of a prompt, in order from its beginning.
@@ -39,21 +39,21 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestArrival {
     /// Identity that the caller gave it, for the log.
-    pub identity: String,
+    pub request_id: String,
     /// Host that the caller named, in lower case, without port.
     pub host: String,
     /// Path without query.
     pub path: String,
     /// What it asks, to recognise repeats.
-    pub content: ContentDigest,
+    pub content_digest: ContentDigest,
     /// Key that the caller showed.
-    pub key: Option<String>,
+    pub api_key: Option<String>,
     /// Time that the caller will wait.
     pub deadline: Option<Duration>,
     /// Tokens, where the request names them.
     pub size: Option<RequestSize>,
     /// Tokens of the answer as the caller guesses.
-    pub output_guess: Option<u32>,
+    pub expected_output_tokens: Option<u32>,
     /// Parts of the prompt.
-    pub parts: Vec<PromptPart>,
+    pub prompt_parts: Vec<PromptPart>,
 }
--- a/crates/savorywood-gateway/src/gateway/admission.rs
+++ b/crates/savorywood-gateway/src/gateway/admission.rs
@@ -92,7 +92,7 @@
                         record.team.as_ref().map_or("-", |team| team.name.as_str()),
                     )
                     .with("rank", record.rank.route)
-                    .with("prompt", record.size.prompt)
+                    .with("prompt", record.size.prompt_tokens)
                     .with("units", record.units)
                     .with("give_up_ms", record.give_up_at.since(now).as_millis())
                     .with("config", self.config_version())
@@ -107,10 +107,10 @@
             }
             Err(denial) => {
                 let mut line = LogLine::new(LogLevel::Info, "request-refused")
-                    .with("request", &arrival.identity)
+                    .with("request", &arrival.request_id)
                     .with(
                         "fingerprint",
-                        RequestFingerprint::new(arrival.content, denial.team.as_ref()),
+                        RequestFingerprint::new(arrival.content_digest, denial.team.as_ref()),
                     )
                     .with("reason", denial.reason)
                     .with("team", denial.team.as_ref().map_or("-", TeamLabel::as_str))
@@ -170,7 +170,7 @@
         let route = self.find_route(now, &config, arrival)?;
         let team = self.find_team(now, &config, &route, arrival)?;
         let team_name = team.as_ref().map(|team| &team.name);
-        let fingerprint = RequestFingerprint::new(arrival.content, team_name);
+        let fingerprint = RequestFingerprint::new(arrival.content_digest, team_name);
         let is_trial = self.pass_quarantine(now, fingerprint, team_name)?;
         let draw = self.draws.next();
         let service = route.choose(draw).cloned();
@@ -186,11 +186,11 @@
             team: team.as_ref().and_then(|team| team.priority).unwrap_or(0),
             route: route.priority,
         };
-        let expected = Duration::from_secs_f64(nominal_first_ms(size.prompt) / 1e3);
+        let expected = Duration::from_secs_f64(nominal_first_ms(size.prompt_tokens) / 1e3);
         let give_up_at = now + longest.saturating_sub(ANSWER_MARGIN);
         let begin_by = now + route.objective.saturating_sub(expected);
         Ok(RequestRecord {
-            identity: arrival.identity.clone(),
+            identity: arrival.request_id.clone(),
             fingerprint,
             is_trial,
             service,
@@ -198,8 +198,8 @@
             units,
             rank,
             size,
-            output: arrival.output_guess.unwrap_or(size.output),
-            parts: arrival.parts.clone(),
+            output: arrival.expected_output_tokens.unwrap_or(size.max_output_tokens),
+            parts: arrival.prompt_parts.clone(),
             arrived_at: now,
             give_up_at,
             leave_at: give_up_at,
@@ -247,7 +247,7 @@
         route: &RouteSpec,
         arrival: &RequestArrival,
     ) -> Result<Option<Arc<TeamSpec>>, Denial> {
-        let team = arrival.key.as_deref().and_then(|key| config.team_of(key));
+        let team = arrival.api_key.as_deref().and_then(|key| config.team_of(key));
         if route.public || !config.needs_keys() {
             return Ok(team.cloned());
         }
@@ -275,7 +275,7 @@
             .get(service)
             .is_none_or(|queue| queue.len() == 0);
         let units = if limit.in_tokens {
-            let size = arrival.size.map(|size| size.prompt + size.output);
+            let size = arrival.size.map(|size| size.prompt_tokens + size.max_output_tokens);
             f64::from(size.unwrap_or(limit.plain_tokens))
         } else {
             1.0
--- a/crates/savorywood-gateway/src/gateway/dispatch.rs
+++ b/crates/savorywood-gateway/src/gateway/dispatch.rs
@@ -99,7 +99,7 @@
         let waited = now.since(record.arrived_at);
         let query = PickQuery {
             service: &record.service,
-            prompt: record.size.prompt,
+            prompt: record.size.prompt_tokens,
             output: record.output,
             slack_ms: record.route.objective.as_secs_f64() * 1e3 - waited.as_secs_f64() * 1e3,
             left_ms: record.give_up_at.since(now).as_secs_f64() * 1e3,
@@ -156,7 +156,7 @@
             return;
         };
         state.running += 1;
-        state.unread += record.size.prompt;
+        state.unread += record.size.prompt_tokens;
         self.dispatches += 1;
         state.chosen = self.dispatches;
         state.outlier.sent();
@@ -243,14 +243,14 @@
                 let Some(record) = self.requests.get(&place.request) else {
                     continue;
                 };
-                let first = usual.first_ms(&usual, record.size.prompt) * NEEDED_PART / 1e3;
+                let first = usual.first_ms(&usual, record.size.prompt_tokens) * NEEDED_PART / 1e3;
                 let stream = record.route.repeat.is_stream();
                 if stream && now + Duration::from_secs_f64(first) >= record.leave_at {
                     hopeless.push(place.request);
                     continue;
                 }
                 let needed = if record.route.repeat.is_stream() {
-                    usual.first_ms(&usual, record.size.prompt)
+                    usual.first_ms(&usual, record.size.prompt_tokens)
                         + usual.rest_ms(&usual, record.output)
                 } else {
                     usual.whole_ms(&usual)
--- a/crates/savorywood-gateway/src/gateway/learning.rs
+++ b/crates/savorywood-gateway/src/gateway/learning.rs
@@ -80,10 +80,10 @@
         self.fleet.received(now, &upstream);
         let sent_at = attempt.sent_at;
         if is_first && let Some(state) = self.fleet.get_mut(&upstream) {
-            state.unread = state.unread.saturating_sub(record.size.prompt);
+            state.unread = state.unread.saturating_sub(record.size.prompt_tokens);
         }
         if record.route.repeat.is_stream() {
-            let prompt = record.size.prompt;
+            let prompt = record.size.prompt_tokens;
             self.fleet
                 .usual_mut(&record.service)
                 .saw_first(prompt, elapsed);
@@ -133,7 +133,7 @@
         if attempt.began_at.is_none()
             && let Some(state) = self.fleet.get_mut(&attempt.upstream)
         {
-            state.unread = state.unread.saturating_sub(record.size.prompt);
+            state.unread = state.unread.saturating_sub(record.size.prompt_tokens);
         }
         let output = record.output;
         if outcome.was_received() {
--- a/crates/savorywood-gateway/tests/admission.rs
+++ b/crates/savorywood-gateway/tests/admission.rs
@@ -41,7 +41,7 @@
     let request = scene.arrive(arrival("/nowhere/"));
     assert_eq!(scene.refusal(request), Some(RefusalReason::NoRoute));
     let stranger = RequestArrival {
-        key: Some("stranger".to_owned()),
+        api_key: Some("stranger".to_owned()),
         ..arrival("/safe/1")
     };
     let request = scene.arrive(stranger.clone());
@@ -88,7 +88,7 @@
     let mut scene = GatewayScene::ready(1);
     scene.advance(60 * SECOND);
     let open = RequestArrival {
-        key: None,
+        api_key: None,
         ..arrival("/open/1")
     };
     let request = scene.arrive(open);
--- a/crates/savorywood-gateway/tests/common/field.rs
+++ b/crates/savorywood-gateway/tests/common/field.rs
@@ -420,8 +420,8 @@
         daemon.confirm();
         let mut hot = arrival(path);
         hot.size = Some(RequestSize {
-            prompt: self.units as u32 - OUTPUT,
-            output: OUTPUT,
+            prompt_tokens: self.units as u32 - OUTPUT,
+            max_output_tokens: OUTPUT,
         });
         let request = daemon.arrive(hot);
         let passes = daemon.refusal(request).is_none();
--- a/crates/savorywood-gateway/tests/common/load.rs
+++ b/crates/savorywood-gateway/tests/common/load.rs
@@ -291,11 +291,11 @@
         let mut arrival: RequestArrival = crate::scene::arrival(&format!("{}1", kind.path));
         arrival.deadline = Some(left);
         arrival.size = Some(RequestSize {
-            prompt: call.prompt,
-            output: call.guess,
+            prompt_tokens: call.prompt,
+            max_output_tokens: call.guess,
         });
-        arrival.output_guess = Some(call.guess);
-        arrival.parts = Vec::new();
+        arrival.expected_output_tokens = Some(call.guess);
+        arrival.prompt_parts = Vec::new();
         call.received_at = self.now;
         call.give_up_at = call.deadline_at;
         let request = self.daemons[number].next_request();
--- a/crates/savorywood-gateway/tests/common/scene.rs
+++ b/crates/savorywood-gateway/tests/common/scene.rs
@@ -108,18 +108,18 @@
 
 pub fn arrival(path: &str) -> RequestArrival {
     RequestArrival {
-        identity: "request".to_owned(),
+        request_id: "request".to_owned(),
         host: "api.example".to_owned(),
         path: path.to_owned(),
-        content: ContentDigest(name_digest(path)),
-        key: Some("key".to_owned()),
+        content_digest: ContentDigest(name_digest(path)),
+        api_key: Some("key".to_owned()),
         deadline: Some(Duration::from_secs(8)),
         size: Some(RequestSize {
-            prompt: 1_000,
-            output: 100,
+            prompt_tokens: 1_000,
+            max_output_tokens: 100,
         }),
-        output_guess: None,
-        parts: vec![PromptPart { id: 1, tokens: 60 }],
+        expected_output_tokens: None,
+        prompt_parts: vec![PromptPart { id: 1, tokens: 60 }],
     }
 }
 
--- a/crates/savorywood-gateway/tests/quarantine.rs
+++ b/crates/savorywood-gateway/tests/quarantine.rs
@@ -29,7 +29,7 @@
     let mut scene = GatewayScene::ready(1);
     let asked = arrival("/once/1");
     let team = TeamLabel::from("team");
-    let fingerprint = RequestFingerprint::new(asked.content, Some(&team));
+    let fingerprint = RequestFingerprint::new(asked.content_digest, Some(&team));
     let request = scene.arrive(asked);
     scene.end(request, AttemptOutcome::Broken { stalled: false });
     let lines = scene.effects.iter().filter_map(|effect| match effect {
--- a/crates/savorywood-gateway/tests/regions.rs
+++ b/crates/savorywood-gateway/tests/regions.rs
@@ -68,7 +68,7 @@
 fn zone_of(scene: &mut GatewayScene, region: &str, key: &str) -> Option<String> {
     let mut asked = arrival(&format!("/{region}/1"));
     asked.host = format!("{region}.example");
-    asked.key = Some(key.to_owned());
+    asked.api_key = Some(key.to_owned());
     let request = scene.arrive(asked);
     let sent_to = scene.orders(request).first()?.upstream.clone();
     let state = scene.gateway.fleet().get(&sent_to);
