--- a/crates/savorywood-front/src/caller.rs
+++ b/crates/savorywood-front/src/caller.rs
@@ -324,7 +324,7 @@
         order: &DispatchOrder,
         decisions: &Receiver<RequestDecision>,
     ) -> AttemptOutcome {
-        if order.number == 1 {
+        if order.attempt == 1 {
             let waited = self.shared.clock.now().since(self.arrived_at);
             metrics::observe(&self.shared.metrics.waiting_time, order, waited);
         }
--- a/crates/savorywood-gateway/src/effect.rs
+++ b/crates/savorywood-gateway/src/effect.rs
@@ -17,7 +17,7 @@
     /// Which request.
     pub request: LocalRequest,
     /// Which send this is, from 1.
-    pub number: u32,
+    pub attempt: u32,
     /// Service that it is for.
     pub service: ServiceLabel,
     /// Rank of its route, 0 is the most urgent.
--- a/crates/savorywood-gateway/src/gateway/dispatch.rs
+++ b/crates/savorywood-gateway/src/gateway/dispatch.rs
@@ -184,7 +184,7 @@
         self.rollouts.sent(&record.service, &state.entry.version);
         let order = DispatchOrder {
             request,
-            number: record.sends,
+            attempt: record.sends,
             service: record.service.clone(),
             priority: record.rank.route,
             upstream: picked.name.clone(),
