--- a/crates/savorywood-front/src/feeds.rs
+++ b/crates/savorywood-front/src/feeds.rs
@@ -249,17 +249,17 @@
     }
 
     /// Notes what is known now.
-    fn know(&mut self, rows: &[StoreRow], through: StorePosition, confirmed_at: Option<MonotonicTime>) {
+    fn know(&mut self, rows: &[StoreRow], read_through: StorePosition, confirmed_at: Option<MonotonicTime>) {
         for row in rows {
             self.changed = self.changed.max(row.position);
             self.known.note(row);
         }
-        self.revision = Some(through);
+        self.revision = Some(read_through);
         self.has_gap = false;
         self.has_yielded = false;
         let position = TablePosition {
-            through,
-            changed: self.changed,
+            read_through,
+            last_change: self.changed,
         };
         self.shared.step(GatewayEvent::TableRead {
             table: self.shared_table(),
--- a/crates/savorywood-gateway/src/gateway/gossip.rs
+++ b/crates/savorywood-gateway/src/gateway/gossip.rs
@@ -86,7 +86,7 @@
     /// Summary of this daemon.
     pub fn summary(&mut self, now: MonotonicTime) -> PeerSummary {
         self.sequence += 1;
-        let age_ms = self.age_ms(now);
+        let uptime_ms = self.age_ms(now);
         let attestation = self.attestation(now);
         for meter in self.meters.values_mut() {
             meter.reported();
@@ -99,15 +99,15 @@
         PeerSummary {
             host: self.options.host.as_str().to_owned(),
             incarnation: self.options.incarnation,
-            age_ms,
+            uptime_ms,
             sequence: self.sequence,
             zone: self.options.zone.as_str().to_owned(),
             peer_address: self.options.peer_address,
             caller_address: self.options.caller_address,
             phase: self.phase(now),
-            version: self.config_version(),
+            config_version: self.config_version(),
             slots: self.own_slots(),
-            suspects: self.own_suspects(now),
+            ejected_upstreams: self.own_suspects(now),
             usage: usage.filter(|used| used.total > 0).collect(),
             tallies: self.rollouts.tallies(),
             role: self.role(),
@@ -151,7 +151,7 @@
         let slots = states.map(|state| SlotUse {
             upstream: u64::from(slot_key(state.digest)),
             running: u16::try_from(state.running).unwrap_or(u16::MAX),
-            unread: state.unread,
+            unread_prompt_tokens: state.unread,
         });
         slots.collect()
     }
@@ -164,10 +164,10 @@
                 let sum = sums.entry(slot.upstream).or_insert(SlotUse {
                     upstream: slot.upstream,
                     running: 0,
-                    unread: 0,
+                    unread_prompt_tokens: 0,
                 });
                 sum.running = sum.running.saturating_add(slot.running);
-                sum.unread = sum.unread.saturating_add(slot.unread);
+                sum.unread_prompt_tokens = sum.unread_prompt_tokens.saturating_add(slot.unread_prompt_tokens);
             }
         };
         add(&self.own_slots());
@@ -268,7 +268,7 @@
     /// Digest of this daemon's zone. `slots`: the receivers place requests.
     pub fn digest(&mut self, now: MonotonicTime, slots: bool) -> ZoneDigest {
         self.sequence += 1;
-        let age_ms = self.age_ms(now);
+        let uptime_ms = self.age_ms(now);
         let usage = self.meters.iter().map(|(team, meter)| TeamUse {
             team: name_digest(team.as_str()),
             total: meter.zone_total(),
@@ -280,7 +280,7 @@
             zone: self.options.zone.as_str().to_owned(),
             sender: name_digest(self.options.host.as_str()),
             incarnation: self.options.incarnation,
-            age_ms,
+            uptime_ms,
             sequence: self.sequence,
             members: self.placing_members(now),
             daemons: u32::try_from(self.peers.zone_daemon_count()).unwrap_or(u32::MAX),
--- a/crates/savorywood-gateway/src/gateway/updates.rs
+++ b/crates/savorywood-gateway/src/gateway/updates.rs
@@ -201,7 +201,7 @@
             let account = PeerAccount {
                 peer,
                 incarnation: summary.incarnation,
-                age: Duration::from_millis(summary.age_ms),
+                age: Duration::from_millis(summary.uptime_ms),
                 daemons: 1,
                 near: summary.zone == self.options.zone.as_str(),
             };
@@ -225,7 +225,7 @@
     ) {
         self.reads.received(now, summary);
         if let Some(attestation) = summary.attestation {
-            let era = attestation.declared.changed.era;
+            let era = attestation.declared.last_change.era;
             self.store_era_seen(now, era, effects);
         }
         let own = name_digest(self.options.host.as_str());
@@ -236,7 +236,7 @@
         }
         let failed = summary
             .attestation
-            .and_then(|attestation| attestation.failed_ms);
+            .and_then(|attestation| attestation.store_failure_age_ms);
         if let Some(age) = failed {
             let age = Duration::from_millis(u64::from(age));
             self.fleet.store_failed(now - age);
@@ -272,7 +272,7 @@
         let account = PeerAccount {
             peer: digest.sender.rotate_left(1),
             incarnation: digest.incarnation,
-            age: Duration::from_millis(digest.age_ms),
+            age: Duration::from_millis(digest.uptime_ms),
             daemons: digest.daemons,
             near: false,
         };
--- a/crates/savorywood-gateway/src/message.rs
+++ b/crates/savorywood-gateway/src/message.rs
@@ -40,7 +40,7 @@
     /// Requests there.
     pub running: u16,
     /// Prompt tokens of those of which no event has come yet.
-    pub unread: u32,
+    pub unread_prompt_tokens: u32,
 }
 
 /// Whose slots they are.
@@ -88,19 +88,19 @@
     /// Digest of the service's name and the new version.
     pub rollout: u64,
     /// Answers of the new version.
-    pub new_answers: u32,
+    pub new_responses: u32,
     /// Bad ones among them.
     pub new_bad: u32,
     /// Answers of the old versions meanwhile.
-    pub old_answers: u32,
+    pub old_responses: u32,
     /// Bad ones among them.
     pub old_bad: u32,
     /// Requests of the service that went anywhere meanwhile.
-    pub sent: u32,
+    pub dispatched: u32,
     /// Those that went to the new version.
-    pub sent_new: u32,
+    pub dispatched_new: u32,
     /// This daemon holds the version for bad.
-    pub condemned: bool,
+    pub rejected: bool,
 }
 
 /// Summary of a daemon.
@@ -111,7 +111,7 @@
     /// Its life; a later one is larger.
     pub incarnation: u64,
     /// Age of that life in milliseconds.
-    pub age_ms: u64,
+    pub uptime_ms: u64,
     /// Grows with each summary of a life.
     pub sequence: u64,
     /// Its zone.
@@ -123,11 +123,11 @@
     /// What it does.
     pub phase: PeerPhase,
     /// Configuration version that it has in force.
-    pub version: u64,
+    pub config_version: u64,
     /// Its requests at upstreams.
     pub slots: Vec<SlotUse>,
     /// Digests of the names of upstreams that it leaves out for now.
-    pub suspects: Vec<u64>,
+    pub ejected_upstreams: Vec<u64>,
     /// What teams have used there.
     pub usage: Vec<TeamUse>,
     /// What it has seen of roll-outs.
--- a/crates/savorywood-gateway/src/peer.rs
+++ b/crates/savorywood-gateway/src/peer.rs
@@ -45,7 +45,7 @@
     /// Requests there.
     pub running: u32,
     /// Prompt tokens of those of which no event has come yet.
-    pub unread: u32,
+    pub unread_prompt_tokens: u32,
 }
 
 /// A peer and when it was last seen.
@@ -80,7 +80,7 @@
     /// ended when the observer itself went on, at `own_resumed_at`, were the observer's.
     #[must_use]
     pub fn steady(&self, now: MonotonicTime, own_resumed_at: Option<MonotonicTime>) -> Duration {
-        let age = Duration::from_millis(self.summary.age_ms) + now.since(self.received_at);
+        let age = Duration::from_millis(self.summary.uptime_ms) + now.since(self.received_at);
         let resumed = self.resumed_at.filter(|at| {
             let is_own = |own: MonotonicTime| *at >= own && at.since(own) < ALIVE_TIME;
             !own_resumed_at.is_some_and(is_own)
@@ -260,7 +260,7 @@
         for peer in peers {
             if counts_itself(&self.own_zone, &self.zones, now, &peer.summary.zone) {
                 add_slots(&mut sums.slots, &peer.summary.slots);
-                for upstream in &peer.summary.suspects {
+                for upstream in &peer.summary.ejected_upstreams {
                     *sums.suspects.entry(*upstream).or_default() += 1;
                 }
             }
@@ -416,6 +416,6 @@
     for slot in slots {
         let sum = sums.entry(slot_key(slot.upstream)).or_default();
         sum.running += u32::from(slot.running);
-        sum.unread = sum.unread.saturating_add(slot.unread);
+        sum.unread_prompt_tokens = sum.unread_prompt_tokens.saturating_add(slot.unread_prompt_tokens);
     }
 }
--- a/crates/savorywood-gateway/src/pick.rs
+++ b/crates/savorywood-gateway/src/pick.rs
@@ -221,7 +221,7 @@
                     state,
                     occupied: state.running + others.running,
                     speed: state.pace.speed(&usual),
-                    estimate: self.estimate(state, query, &usual, others.unread),
+                    estimate: self.estimate(state, query, &usual, others.unread_prompt_tokens),
                 }
             })
             .collect()
--- a/crates/savorywood-gateway/src/rollout.rs
+++ b/crates/savorywood-gateway/src/rollout.rs
@@ -105,13 +105,13 @@
         let mut total = self.own;
         let peers = self.peers.iter().filter(|(peer, _)| includes(**peer));
         for (_, tally) in peers {
-            total.new_answers += tally.new_answers;
+            total.new_responses += tally.new_responses;
             total.new_bad += tally.new_bad;
-            total.old_answers += tally.old_answers;
+            total.old_responses += tally.old_responses;
             total.old_bad += tally.old_bad;
-            total.sent += tally.sent;
-            total.sent_new += tally.sent_new;
-            total.condemned |= tally.condemned;
+            total.dispatched += tally.dispatched;
+            total.dispatched_new += tally.dispatched_new;
+            total.rejected |= tally.rejected;
         }
         total
     }
@@ -132,12 +132,12 @@
 
 /// Bad shares differ so much that chance is no explanation.
 fn is_bad(total: &VersionTally) -> bool {
-    if total.new_bad < NEEDED_BAD || total.new_answers == 0 {
+    if total.new_bad < NEEDED_BAD || total.new_responses == 0 {
         return false;
     }
-    let new = f64::from(total.new_bad) / f64::from(total.new_answers);
-    let old = f64::from(total.old_bad) / f64::from(total.old_answers.max(1));
-    let spread = (old.max(0.02) * (1.0 - old.min(0.98)) / f64::from(total.new_answers)).sqrt();
+    let new = f64::from(total.new_bad) / f64::from(total.new_responses);
+    let old = f64::from(total.old_bad) / f64::from(total.old_responses.max(1));
+    let spread = (old.max(0.02) * (1.0 - old.min(0.98)) / f64::from(total.new_responses)).sqrt();
     new > old + 3.0 * spread + 0.02
 }
 
@@ -166,13 +166,13 @@
         let known = self.states.get(&order.service);
         let own = VersionTally {
             rollout: digest(&order),
-            new_answers: 0,
+            new_responses: 0,
             new_bad: 0,
-            old_answers: 0,
+            old_responses: 0,
             old_bad: 0,
-            sent: 0,
-            sent_new: 0,
-            condemned: false,
+            dispatched: 0,
+            dispatched_new: 0,
+            rejected: false,
         };
         let position = known.map_or(StorePosition::default(), |state| state.position);
         let state = RolloutState {
@@ -250,19 +250,19 @@
             RolloutPhase::Running => {}
         }
         let total = state.total();
-        if total.condemned || is_bad(&total) {
+        if total.rejected || is_bad(&total) {
             return VersionChoice::Not(to);
         }
         let progress = state.progress(now);
         if progress >= MOVED_TIME {
             return VersionChoice::Only(to);
         }
-        let proved = total.new_answers >= NEEDED_ANSWERS;
+        let proved = total.new_responses >= NEEDED_ANSWERS;
         if progress >= TRIAL_TIME && proved {
             return VersionChoice::Any;
         }
-        let allowed = f64::from(total.sent) * options.share * TRIAL_PART + 2.0;
-        if f64::from(total.sent_new) < allowed {
+        let allowed = f64::from(total.dispatched) * options.share * TRIAL_PART + 2.0;
+        if f64::from(total.dispatched_new) < allowed {
             VersionChoice::Only(to)
         } else {
             VersionChoice::Not(to)
@@ -272,8 +272,8 @@
     /// A request went to an upstream.
     pub fn sent(&mut self, service: &ServiceLabel, version: &VersionLabel) {
         if let Some(state) = self.states.get_mut(service) {
-            state.own.sent += 1;
-            state.own.sent_new += u32::from(state.order.to == *version);
+            state.own.dispatched += 1;
+            state.own.dispatched_new += u32::from(state.order.to == *version);
         }
     }
 
@@ -281,10 +281,10 @@
     pub fn answered(&mut self, service: &ServiceLabel, version: &VersionLabel, bad: bool) {
         if let Some(state) = self.states.get_mut(service) {
             if state.order.to == *version {
-                state.own.new_answers += 1;
+                state.own.new_responses += 1;
                 state.own.new_bad += u32::from(bad);
             } else {
-                state.own.old_answers += 1;
+                state.own.old_responses += 1;
                 state.own.old_bad += u32::from(bad);
             }
         }
@@ -330,8 +330,8 @@
         for state in self.states.values_mut() {
             let total = state.total();
             if state.phase == RolloutPhase::Running {
-                if total.condemned || is_bad(&total) {
-                    state.own.condemned = true;
+                if total.rejected || is_bad(&total) {
+                    state.own.rejected = true;
                     state.phase = RolloutPhase::RolledBack;
                     state.written = false;
                 } else if state.progress(now) >= COMPLETE_TIME {
--- a/crates/savorywood-gateway/src/store_reads.rs
+++ b/crates/savorywood-gateway/src/store_reads.rs
@@ -33,9 +33,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableAttestation {
     /// Position of its last change.
-    pub changed: StorePosition,
+    pub last_change: StorePosition,
     /// Age in milliseconds of the proof that nothing changed since.
-    pub proof_age_ms: u32,
+    pub confirmation_age_ms: u32,
 }
 
 /// What a daemon that reads the store itself says of it.
@@ -46,7 +46,7 @@
     /// Registrations of upstreams.
     pub upstreams: TableAttestation,
     /// Time in milliseconds since a call to the store failed, if that was lately.
-    pub failed_ms: Option<u32>,
+    pub store_failure_age_ms: Option<u32>,
 }
 
 /// When a peer's last message was sent, by that peer's clock, and for how long it has been held here.
@@ -80,9 +80,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct TablePosition {
     /// All changes up to this position are known.
-    pub through: StorePosition,
+    pub read_through: StorePosition,
     /// Position of the last change, as far as it is known.
-    pub changed: StorePosition,
+    pub last_change: StorePosition,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
@@ -173,15 +173,15 @@
         let of = |state: &ReadState, longest: Duration| {
             let age = now.since(state.proof_at?);
             (age < longest).then(|| TableAttestation {
-                changed: state.knowledge.changed,
-                proof_age_ms: millis(age) + 1,
+                last_change: state.knowledge.last_change,
+                confirmation_age_ms: millis(age) + 1,
             })
         };
         let failed = self.failed_at.map(|at| now.since(at));
         Some(StoreAttestation {
             declared: of(&self.declared, LONGEST_PROOF)?,
             upstreams: of(&self.upstreams, LONGEST_PROOF * 2)?,
-            failed_ms: failed.filter(|age| *age < FAILURE_TIME).map(millis),
+            store_failure_age_ms: failed.filter(|age| *age < FAILURE_TIME).map(millis),
         })
     }
 
@@ -226,7 +226,7 @@
             SharedTable::Declared => attestation.declared,
             SharedTable::Upstreams => attestation.upstreams,
         };
-        if self.state(table).knowledge.through < reported.changed {
+        if self.state(table).knowledge.read_through < reported.last_change {
             ReadPlan::CatchUp
         } else {
             ReadPlan::FollowAttestation
@@ -250,12 +250,12 @@
             SharedTable::Declared => attestation.declared,
             SharedTable::Upstreams => attestation.upstreams,
         };
-        if self.state(table).knowledge.through < reported.changed {
+        if self.state(table).knowledge.read_through < reported.last_change {
             return None;
         }
         let echo = summary.echoes.iter().find(|echo| echo.peer == own)?;
         let held = Duration::from_micros(u64::from(echo.held_micros));
-        let age = Duration::from_millis(u64::from(reported.proof_age_ms));
+        let age = Duration::from_millis(u64::from(reported.confirmation_age_ms));
         Some((echo.sent + held) - age)
     }
 }
--- a/crates/savorywood-gateway/src/zone.rs
+++ b/crates/savorywood-gateway/src/zone.rs
@@ -44,7 +44,7 @@
     /// Its life; a later one is larger.
     pub incarnation: u64,
     /// Age of that life in milliseconds.
-    pub age_ms: u64,
+    pub uptime_ms: u64,
     /// Grows with each message of a life.
     pub sequence: u64,
     /// Daemons of the zone that place requests.
--- a/crates/savorywood-gateway/tests/reading.rs
+++ b/crates/savorywood-gateway/tests/reading.rs
@@ -16,8 +16,8 @@
     fn read(&mut self, number: usize, table: SharedTable, changed: u64, proved: bool) {
         let confirmed_at = proved.then_some(self.now);
         let position = TablePosition {
-            through: StorePosition::new(1, changed),
-            changed: StorePosition::new(1, changed),
+            read_through: StorePosition::new(1, changed),
+            last_change: StorePosition::new(1, changed),
         };
         self.daemons[number].step(GatewayEvent::TableRead {
             table,
--- a/crates/savorywood-gateway/tests/waiting.rs
+++ b/crates/savorywood-gateway/tests/waiting.rs
@@ -14,15 +14,15 @@
     Box::new(PeerSummary {
         host: "host-b".to_owned(),
         incarnation: 1,
-        age_ms: 60_000,
+        uptime_ms: 60_000,
         sequence,
         zone: "zone-b".to_owned(),
         peer_address: "10.0.0.2:7600".parse().expect("an address"),
         caller_address: "10.0.0.2:80".parse().expect("an address"),
         phase: PeerPhase::Ready,
-        version: 1,
+        config_version: 1,
         slots,
-        suspects: Vec::new(),
+        ejected_upstreams: Vec::new(),
         usage: Vec::new(),
         tallies: Vec::new(),
         role: DaemonRole::default(),
@@ -57,7 +57,7 @@
     let slot = SlotUse {
         upstream: name_digest("upstream-1"),
         running: 1,
-        unread: 0,
+        unread_prompt_tokens: 0,
     };
     scene.step(GatewayEvent::SummaryReceived(peer(1, vec![slot])));
     let request = scene.arrive(arrival("/safe/1"));
@@ -74,7 +74,7 @@
     let slot = SlotUse {
         upstream: name_digest("upstream-1"),
         running: 1,
-        unread: 0,
+        unread_prompt_tokens: 0,
     };
     scene.step(GatewayEvent::SummaryReceived(peer(1, vec![slot])));
     let request = scene.arrive(arrival("/safe/1"));
@@ -223,7 +223,7 @@
 fn suspecting(host: &str, upstreams: &[&str]) -> Box<PeerSummary> {
     let mut summary = peer(1, Vec::new());
     summary.host = host.to_owned();
-    summary.suspects = upstreams.iter().map(|name| name_digest(name)).collect();
+    summary.ejected_upstreams = upstreams.iter().map(|name| name_digest(name)).collect();
     summary
 }
 
