--- a/crates/savorywood-front/src/settings.rs
+++ b/crates/savorywood-front/src/settings.rs
@@ -193,19 +193,19 @@
     pub fn gateway_bounds(&self) -> GatewayBounds {
         let bounds = &self.bounds;
         GatewayBounds {
-            revocation: bounds.revocation_ms.map(Duration::from_millis),
-            budget: BudgetOptions {
+            revocation_delay: bounds.revocation_ms.map(Duration::from_millis),
+            retry_budget: BudgetOptions {
                 ratio: bounds.retry_ratio,
                 slack: bounds.retry_slack,
                 window: Duration::from_secs_f64(bounds.retry_window_s.max(0.1)),
             },
-            tolerance: LimitTolerance {
+            limit_tolerance: LimitTolerance {
                 window: Duration::from_secs_f64(bounds.limit_window_s.max(0.1)),
                 overage: bounds.limit_overage.max(0.0),
                 slack: bounds.limit_slack.max(0.0),
             },
-            exposure_share: bounds.exposure_share,
-            warmup: bounds.warmup_overage.map(|overage| WarmupTolerance {
+            max_canary_fraction: bounds.exposure_share,
+            warmup_tolerance: bounds.warmup_overage.map(|overage| WarmupTolerance {
                 overage: overage.max(0.0),
                 slack: bounds.warmup_slack.max(0.0),
             }),
--- a/crates/savorywood-gateway/src/gateway.rs
+++ b/crates/savorywood-gateway/src/gateway.rs
@@ -79,15 +79,15 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct GatewayBounds {
     /// A key must not work for longer than this after it was taken away; `None`: no such bound.
-    pub revocation: Option<Duration>,
+    pub revocation_delay: Option<Duration>,
     /// Bounds of second tries.
-    pub budget: BudgetOptions,
+    pub retry_budget: BudgetOptions,
     /// By how much teams may exceed their limits.
-    pub tolerance: LimitTolerance,
+    pub limit_tolerance: LimitTolerance,
     /// Share of traffic that an unproved version may get.
-    pub exposure_share: f64,
+    pub max_canary_fraction: f64,
     /// By how much cold upstreams' rates may be exceeded; `None`: no such bound is declared.
-    pub warmup: Option<WarmupTolerance>,
+    pub warmup_tolerance: Option<WarmupTolerance>,
 }
 
 /// Bound of proofs where keys have none.
@@ -96,7 +96,7 @@
     /// Age at which a proof of the configuration is worth nothing.
     #[must_use]
     pub fn max_confirmation_age(&self) -> Duration {
-        self.revocation.unwrap_or(USUAL_PROOF_BOUND)
+        self.revocation_delay.unwrap_or(USUAL_PROOF_BOUND)
     }
 }
 
@@ -354,7 +354,7 @@
 
     fn trial(&self) -> TrialOptions {
         TrialOptions {
-            share: self.options.bounds.exposure_share,
+            share: self.options.bounds.max_canary_fraction,
         }
     }
 
--- a/crates/savorywood-gateway/src/gateway/admission.rs
+++ b/crates/savorywood-gateway/src/gateway/admission.rs
@@ -154,7 +154,7 @@
     /// A key that was taken away must not work here after the bound, also when this daemon can't
     /// learn of it: cut off from the store it would let a shut-out caller in for ever.
     pub(super) fn keys_are_confirmed(&self, now: MonotonicTime) -> bool {
-        let bound = self.options.bounds.revocation;
+        let bound = self.options.bounds.revocation_delay;
         bound.is_none_or(|bound| self.proof_age(now) < bound.mul_f64(KEY_PART))
     }
 
@@ -281,7 +281,7 @@
             1.0
         };
         let fresh = self.options.first_start;
-        let tolerance = self.options.bounds.tolerance;
+        let tolerance = self.options.bounds.limit_tolerance;
         let meter = self
             .meters
             .entry(team.name.clone())
--- a/crates/savorywood-gateway/src/gateway/dispatch.rs
+++ b/crates/savorywood-gateway/src/gateway/dispatch.rs
@@ -123,7 +123,7 @@
             policy: self.options.routing,
             regions: &self.options.regions,
             leases: &self.leases,
-            warmup: self.options.bounds.warmup,
+            warmup: self.options.bounds.warmup_tolerance,
             spread: if self.contacts.uses_zone_digests() {
                 ZONED_SPREAD
             } else {
--- a/crates/savorywood-gateway/src/gateway/updates.rs
+++ b/crates/savorywood-gateway/src/gateway/updates.rs
@@ -73,7 +73,7 @@
                 Some(_) => {}
                 None => {
                     let fresh = !first || self.options.first_start;
-                    let tolerance = self.options.bounds.tolerance;
+                    let tolerance = self.options.bounds.limit_tolerance;
                     let mut meter = TeamMeter::new(now, limit, tolerance, fresh);
                     meter.expect(now, self.contacts.daemons(), self.contacts.pause());
                     meter.set_members(members);
@@ -97,14 +97,14 @@
         let line = LogLine::new(LogLevel::Info, "bounds-in-force")
             .with(
                 "revocation_ms",
-                bounds.revocation.unwrap_or_default().as_millis(),
+                bounds.revocation_delay.unwrap_or_default().as_millis(),
             )
-            .with("retry_ratio", bounds.budget.ratio)
-            .with("limit_slack", bounds.tolerance.slack);
+            .with("retry_ratio", bounds.retry_budget.ratio)
+            .with("limit_slack", bounds.limit_tolerance.slack);
         effects.push(GatewayEffect::Log(line));
-        if self.options.bounds.tolerance != bounds.tolerance {
+        if self.options.bounds.limit_tolerance != bounds.limit_tolerance {
             for meter in self.meters.values_mut() {
-                *meter = TeamMeter::new(now, meter.limit(), bounds.tolerance, false);
+                *meter = TeamMeter::new(now, meter.limit(), bounds.limit_tolerance, false);
             }
         }
         self.options.bounds = bounds;
--- a/crates/savorywood-gateway/tests/admission.rs
+++ b/crates/savorywood-gateway/tests/admission.rs
@@ -138,7 +138,7 @@
     let request = scene.arrive(arrival("/safe/1"));
     assert_eq!(scene.refusal(request), None);
     let mut bounds = options("host-a").bounds;
-    bounds.revocation = Some(2 * SECOND);
+    bounds.revocation_delay = Some(2 * SECOND);
     scene.step(GatewayEvent::BoundsRead(bounds));
     let request = scene.arrive(arrival("/safe/1"));
     assert_eq!(scene.refusal(request), Some(RefusalReason::NotReady));
--- a/crates/savorywood-gateway/tests/common/field.rs
+++ b/crates/savorywood-gateway/tests/common/field.rs
@@ -67,7 +67,7 @@
     options.caller_address = caller_address(number);
     options.incarnation = incarnation;
     options.first_start = incarnation == 1;
-    options.bounds.tolerance = LimitTolerance {
+    options.bounds.limit_tolerance = LimitTolerance {
         window: WINDOW,
         overage: 0.1,
         slack: 190_000.0,
--- a/crates/savorywood-gateway/tests/common/scene.rs
+++ b/crates/savorywood-gateway/tests/common/scene.rs
@@ -31,8 +31,8 @@
         caller_address: "10.0.0.1:80".parse().expect("an address"),
         first_start: true,
         bounds: GatewayBounds {
-            revocation: Some(REVOCATION),
-            exposure_share: 0.1,
+            revocation_delay: Some(REVOCATION),
+            max_canary_fraction: 0.1,
             ..GatewayBounds::default()
         },
         seed: 7,
--- a/crates/savorywood-gateway/tests/together.rs
+++ b/crates/savorywood-gateway/tests/together.rs
@@ -19,7 +19,7 @@
     let mut options = options(&format!("host-{number}"));
     options.incarnation = incarnation;
     options.first_start = incarnation == 1;
-    options.bounds.tolerance = LimitTolerance {
+    options.bounds.limit_tolerance = LimitTolerance {
         window: WINDOW,
         overage: 0.1,
         slack: 190_000.0,
--- a/crates/savorywood-gateway/tests/warmup.rs
+++ b/crates/savorywood-gateway/tests/warmup.rs
@@ -80,7 +80,7 @@
         let daemon = &mut self.field.daemons[number];
         daemon.now = self.field.now;
         let mut bounds = field::daemon_options(number, 1).bounds;
-        bounds.warmup = Some(TOLERANCE);
+        bounds.warmup_tolerance = Some(TOLERANCE);
         daemon.step(GatewayEvent::BoundsRead(bounds));
         daemon.step(GatewayEvent::ConfigRead(Arc::new(declared)));
         let entry = cold_entry(self.born);
