--- a/crates/savorywood-front/src/admin.rs
+++ b/crates/savorywood-front/src/admin.rs
@@ -106,7 +106,7 @@
             region: query.region.as_deref(),
             host: query.host.as_deref(),
         };
-        let addresses = gateway.addresses(now, caller, MOST_ADDRESSES);
+        let addresses = gateway.caller_addresses(now, caller, MOST_ADDRESSES);
         if addresses.is_empty() {
             return AdminAnswer::plain(503, "Service Unavailable");
         }
@@ -118,12 +118,12 @@
         };
     }
     if head.path() == "/metrics" {
-        let view = gateway.view(now);
+        let view = gateway.status(now);
         let metrics = &shared.metrics;
         metrics.waiting.set(count(gateway.waiting_requests()));
         metrics.running.set(count(gateway.running_requests()));
-        metrics.proof_age.set(view.proof_age.as_secs_f64());
-        metrics.config_version.set(count(view.version));
+        metrics.proof_age.set(view.time_since_confirmed.as_secs_f64());
+        metrics.config_version.set(count(view.config_version));
         metrics.peers.set(count(gateway.peers().alive(now).count()));
         metrics.ready.set(i64::from(view.ready));
         metrics.connections.set(count(shared.connections.get()));
--- a/crates/savorywood-front/src/feeds/reading.rs
+++ b/crates/savorywood-front/src/feeds/reading.rs
@@ -109,7 +109,7 @@
                 rows: page.rows,
             };
             self.sources.peers.push(&self.shared, push).await;
-            let readers = self.shared.gateway.borrow().readers(BootClock.now());
+            let readers = self.shared.gateway.borrow().store_reader_count(BootClock.now());
             let pause = CHANGE_PAUSE.saturating_mul(readers);
             Timer::after(pause.min(LONGEST_CHANGE_PAUSE)).await;
         }
--- a/crates/savorywood-front/src/peers.rs
+++ b/crates/savorywood-front/src/peers.rs
@@ -102,7 +102,7 @@
         }
         for (slots, receivers) in [(true, &plan.digest_targets), (false, &plan.slotless_digest_targets)] {
             if !receivers.is_empty() {
-                let digest = shared.gateway.borrow_mut().digest(now, slots);
+                let digest = shared.gateway.borrow_mut().zone_digest(now, slots);
                 let datagram = PeerDatagram::Message(Box::new(PeerMessage::Digest(digest)));
                 self.send(&datagram, receivers).await;
             }
@@ -138,7 +138,7 @@
     /// by its next message that they lack something, and read it.
     pub async fn push(&self, shared: &FrontShared, push: RowsPush) {
         let bytes: usize = push.rows.iter().map(row_bytes).sum();
-        let followers = shared.gateway.borrow().followers(self.clock.now());
+        let followers = shared.gateway.borrow().row_update_targets(self.clock.now());
         if !followers.is_empty() && bytes <= MAX_PUSH {
             self.send(&PeerDatagram::Rows(push), &followers).await;
         }
--- a/crates/savorywood-gateway/src/gateway.rs
+++ b/crates/savorywood-gateway/src/gateway.rs
@@ -16,7 +16,7 @@
 mod updates;
 mod watching;
 
-pub use gossip::GatewayView;
+pub use gossip::GatewayStatus;
 
 use crate::{
     affinity::PartIndex,
--- a/crates/savorywood-gateway/src/gateway/entry.rs
+++ b/crates/savorywood-gateway/src/gateway/entry.rs
@@ -231,7 +231,7 @@
     /// A caller whose zone has no members gets those of its region, then those of the home regions
     /// of the host that it calls: its requests must not pass through any other.
     #[must_use]
-    pub fn addresses(
+    pub fn caller_addresses(
         &self,
         now: MonotonicTime,
         caller: CallerPlace<'_>,
--- a/crates/savorywood-gateway/src/gateway/gossip.rs
+++ b/crates/savorywood-gateway/src/gateway/gossip.rs
@@ -32,13 +32,13 @@
 
 /// State of a gateway at a moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct GatewayView {
+pub struct GatewayStatus {
     /// It takes callers.
     pub ready: bool,
     /// Configuration version in force.
-    pub version: u64,
+    pub config_version: u64,
     /// Age of the newest proof that it is the store's.
-    pub proof_age: Duration,
+    pub time_since_confirmed: Duration,
 }
 
 impl Gateway {
@@ -60,11 +60,11 @@
 
     /// State now.
     #[must_use]
-    pub fn view(&self, now: MonotonicTime) -> GatewayView {
-        GatewayView {
+    pub fn status(&self, now: MonotonicTime) -> GatewayStatus {
+        GatewayStatus {
             ready: self.is_ready(now),
-            version: self.config_version(),
-            proof_age: self.proof_age(now),
+            config_version: self.config_version(),
+            time_since_confirmed: self.proof_age(now),
         }
     }
 
@@ -132,7 +132,7 @@
 
     /// Neighbours to whom changed rows are handed on at once.
     #[must_use]
-    pub fn followers(&self, now: MonotonicTime) -> Vec<SocketAddr> {
+    pub fn row_update_targets(&self, now: MonotonicTime) -> Vec<SocketAddr> {
         if self.attestation(now).is_none() {
             return Vec::new();
         }
@@ -266,7 +266,7 @@
     }
 
     /// Digest of this daemon's zone. `slots`: the receivers place requests.
-    pub fn digest(&mut self, now: MonotonicTime, slots: bool) -> ZoneDigest {
+    pub fn zone_digest(&mut self, now: MonotonicTime, slots: bool) -> ZoneDigest {
         self.sequence += 1;
         let uptime_ms = self.age_ms(now);
         let usage = self.meters.iter().map(|(team, meter)| TeamUse {
--- a/crates/savorywood-gateway/src/gateway/reading.rs
+++ b/crates/savorywood-gateway/src/gateway/reading.rs
@@ -32,7 +32,7 @@
 
     /// Daemons that read the store themselves: one a zone where zones exchange digests.
     #[must_use]
-    pub fn readers(&self, now: MonotonicTime) -> u32 {
+    pub fn store_reader_count(&self, now: MonotonicTime) -> u32 {
         let readers = if self.contacts.uses_zone_digests() {
             self.peers.zones(now).count()
         } else {
--- a/crates/savorywood-gateway/src/lib.rs
+++ b/crates/savorywood-gateway/src/lib.rs
@@ -48,7 +48,7 @@
 pub use evacuation::{EvacuationBook, EvacuationOrder};
 pub use event::{ResponseMetadata, AttemptOutcome, GatewayEvent, ReportedLoad, StreamInterruption};
 pub use freshness::{FreshnessClock, StoreExchange};
-pub use gateway::{Gateway, GatewayBounds, GatewayOptions, GatewayView};
+pub use gateway::{Gateway, GatewayBounds, GatewayOptions, GatewayStatus};
 pub use gossip::{GossipPlan, PeerContact, PeerMessage, SlotPlan};
 pub use lease::{LeaseShare, MemberLeases};
 pub use limit::{LimitTolerance, MeterLevels, MeterQuery, MeterVerdict, PeerReading, TeamMeter};
--- a/crates/savorywood-gateway/tests/admission.rs
+++ b/crates/savorywood-gateway/tests/admission.rs
@@ -66,7 +66,7 @@
         let request = scene.arrive(arrival("/safe/1"));
         match scene.refusal(request) {
             None => {
-                served_until = scene.gateway.view(scene.now).proof_age;
+                served_until = scene.gateway.status(scene.now).time_since_confirmed;
                 scene.deliver(request);
             }
             Some(reason) => assert_eq!(reason, RefusalReason::NotReady),
@@ -106,7 +106,7 @@
     scene.step(GatewayEvent::ConfigRead(Arc::new(config(8, None))));
     let request = scene.arrive(arrival("/safe/1"));
     assert_eq!(scene.refusal(request), Some(RefusalReason::NoRoute));
-    assert_eq!(scene.gateway.view(scene.now).version, 9);
+    assert_eq!(scene.gateway.status(scene.now).config_version, 9);
 }
 
 #[test]
--- a/crates/savorywood-gateway/tests/common/callers.rs
+++ b/crates/savorywood-gateway/tests/common/callers.rs
@@ -138,7 +138,7 @@
             let gateway = &field.daemons[daemon].gateway;
             let name = format!("zone-{zone}");
             let addresses =
-                gateway.addresses(field.now, CallerPlace::in_zone(&name), MOST_ADDRESSES);
+                gateway.caller_addresses(field.now, CallerPlace::in_zone(&name), MOST_ADDRESSES);
             if !addresses.is_empty() {
                 let numbers = addresses
                     .iter()
--- a/crates/savorywood-gateway/tests/common/field.rs
+++ b/crates/savorywood-gateway/tests/common/field.rs
@@ -270,7 +270,7 @@
                 if receivers.is_empty() {
                     continue;
                 }
-                let digest = daemon.gateway.digest(self.now, slots);
+                let digest = daemon.gateway.zone_digest(self.now, slots);
                 for receiver in receivers.iter().filter_map(received) {
                     let event = GatewayEvent::DigestReceived(Box::new(digest.clone()));
                     messages.push((number, receiver, event));
--- a/crates/savorywood-gateway/tests/regions.rs
+++ b/crates/savorywood-gateway/tests/regions.rs
@@ -145,7 +145,7 @@
             region: Some(region),
             host: Some(host),
         };
-        scene.gateway.addresses(scene.now, caller, 64)
+        scene.gateway.caller_addresses(scene.now, caller, 64)
     };
     let north = address("10.0.0.1:80");
     let south = address("10.0.0.3:80");
--- a/crates/savorywood-gateway/tests/waiting.rs
+++ b/crates/savorywood-gateway/tests/waiting.rs
@@ -185,7 +185,7 @@
     assert_eq!(
         scene
             .gateway
-            .addresses(scene.now, CallerPlace::default(), 64)
+            .caller_addresses(scene.now, CallerPlace::default(), 64)
             .len(),
         2
     );
@@ -193,7 +193,7 @@
     scene.step(GatewayEvent::StopRequested { grace });
     let addresses = scene
         .gateway
-        .addresses(scene.now, CallerPlace::in_zone("zone-a"), 64);
+        .caller_addresses(scene.now, CallerPlace::in_zone("zone-a"), 64);
     assert_eq!(addresses, vec!["10.0.0.2:80".parse().expect("an address")]);
     assert!(!scene.gateway.is_ready(scene.now));
 }
