--- a/crates/savorywood-front/src/admin.rs
+++ b/crates/savorywood-front/src/admin.rs
@@ -124,7 +124,7 @@
         metrics.running.set(count(gateway.running_requests()));
         metrics.proof_age.set(view.time_since_confirmed.as_secs_f64());
         metrics.config_version.set(count(view.config_version));
-        metrics.peers.set(count(gateway.peers().alive(now).count()));
+        metrics.peers.set(count(gateway.peers().live_peers(now).count()));
         metrics.ready.set(i64::from(view.ready));
         metrics.connections.set(count(shared.connections.get()));
         metrics.entry_member.set(i64::from(gateway.is_entry_member()));
--- a/crates/savorywood-gateway/src/gateway/ending.rs
+++ b/crates/savorywood-gateway/src/gateway/ending.rs
@@ -136,7 +136,7 @@
         if std::mem::take(&mut record.has_try) {
             return true;
         }
-        let daemons = self.peers.known(now) + 1;
+        let daemons = self.peers.peer_count(now) + 1;
         let budget = self.budgets.entry(record.service.clone()).or_default();
         budget.spend(now, &self.options.bounds.retry_budget, daemons)
     }
--- a/crates/savorywood-gateway/src/gateway/entry.rs
+++ b/crates/savorywood-gateway/src/gateway/entry.rs
@@ -42,7 +42,7 @@
         self.entry_at = now;
         self.started_at.get_or_insert(now);
         let zone = self.options.zone.as_str();
-        let peers = self.peers.alive(now);
+        let peers = self.peers.live_peers(now);
         let near: Vec<&PeerState> = peers.filter(|peer| peer.summary.zone == zone).collect();
         // What hosts that stand by use goes into gossip and tables, not into callers.
         let placing = near
@@ -107,7 +107,7 @@
             let numbers = self.member_numbers(now, zone, &selected);
             members.insert(ZoneLabel::from(zone), numbers);
         }
-        for digest in self.peers.zones(now) {
+        for digest in self.peers.zone_digests(now) {
             let entry = digest.members.iter().filter(|member| {
                 member.phase == PeerPhase::Ready && member.role == DaemonRole::Entry
             });
@@ -124,7 +124,7 @@
         if members.contains(&name_digest(self.options.host.as_str())) {
             numbers.push(address_number(self.options.peer_address));
         }
-        let peers = self.peers.candidates(now, zone, false);
+        let peers = self.peers.member_candidates(now, zone, false);
         let named = peers.filter(|peer| members.contains(&peer.digest));
         numbers.extend(named.map(|peer| address_number(peer.summary.peer_address)));
         numbers
@@ -162,7 +162,7 @@
         let overdue = self.contacts.pause().mul_f64(OVERDUE_FACTOR);
         let mut candidates = Vec::new();
         let mut load = HostResources::default();
-        for peer in self.peers.candidates(now, zone, heartbeats) {
+        for peer in self.peers.member_candidates(now, zone, heartbeats) {
             load = load.max(&peer.summary.peak);
             let is_overdue = heartbeats && now.since(peer.received_at) > overdue;
             candidates.push(EntryCandidate {
@@ -171,7 +171,7 @@
                 steady: if is_overdue {
                     Duration::ZERO
                 } else {
-                    peer.steady(now, self.resumed_at)
+                    peer.stable_for(now, self.resumed_at)
                 },
             });
         }
@@ -201,7 +201,7 @@
         let direct: usize = direct
             .map(|zone| self.select_members(now, zone).len())
             .sum();
-        let far = self.peers.zones(now).flat_map(|digest| &digest.members);
+        let far = self.peers.zone_digests(now).flat_map(|digest| &digest.members);
         let far = far
             .filter(|member| member.role == DaemonRole::Entry)
             .count();
@@ -249,7 +249,7 @@
             let addresses = by_zone.entry(direct);
             addresses.or_insert_with(|| self.member_addresses(now, direct));
         }
-        for digest in self.peers.zones(now) {
+        for digest in self.peers.zone_digests(now) {
             let members = digest.members.iter().filter(|member| {
                 member.phase == PeerPhase::Ready && member.role == DaemonRole::Entry
             });
@@ -301,7 +301,7 @@
         if members.contains(&name_digest(self.options.host.as_str())) {
             addresses.push(self.options.caller_address);
         }
-        let peers = self.peers.candidates(now, zone, false);
+        let peers = self.peers.member_candidates(now, zone, false);
         let named = peers.filter(|peer| members.contains(&peer.digest));
         addresses.extend(named.map(|peer| peer.summary.caller_address));
         addresses
--- a/crates/savorywood-gateway/src/gateway/gossip.rs
+++ b/crates/savorywood-gateway/src/gateway/gossip.rs
@@ -351,9 +351,9 @@
         let zone = self.options.zone.as_str();
         let first_here = self
             .peers
-            .ready(now)
+            .ready_peers(now)
             .all(|peer| peer.summary.host.as_str() > own);
-        let mut zones = self.peers.zones(now);
+        let mut zones = self.peers.zone_digests(now);
         let is_ready = |member: &ZoneMember| member.phase == PeerPhase::Ready;
         let first_zone =
             zones.all(|digest| digest.zone.as_str() > zone || !digest.members.iter().any(is_ready));
--- a/crates/savorywood-gateway/src/gateway/reading.rs
+++ b/crates/savorywood-gateway/src/gateway/reading.rs
@@ -34,9 +34,9 @@
     #[must_use]
     pub fn store_reader_count(&self, now: MonotonicTime) -> u32 {
         let readers = if self.contacts.uses_zone_digests() {
-            self.peers.zones(now).count()
+            self.peers.zone_digests(now).count()
         } else {
-            self.peers.known(now)
+            self.peers.peer_count(now)
         };
         u32::try_from(readers + 1).unwrap_or(u32::MAX)
     }
--- a/crates/savorywood-gateway/src/gateway/updates.rs
+++ b/crates/savorywood-gateway/src/gateway/updates.rs
@@ -176,7 +176,7 @@
         if peer == name_digest(self.options.host.as_str()) {
             return;
         }
-        let was_alive = self.peers.is_alive(now, &summary.host);
+        let was_alive = self.peers.is_live(now, &summary.host);
         if !self.peers.receive(now, summary.clone()) {
             return;
         }
@@ -197,7 +197,7 @@
             self.neighbour_received(now, &summary, effects);
         }
         // Of a zone that another daemon reports, its message alone counts, or all would count twice.
-        if self.peers.counts(now, &summary.zone) {
+        if self.peers.uses_direct_summary(now, &summary.zone) {
             let account = PeerAccount {
                 peer,
                 incarnation: summary.incarnation,
@@ -319,7 +319,7 @@
     /// Another daemon reports a zone now: what it says includes what was received before of that
     /// zone's daemons, from themselves or from the one that reported.
     fn drop_accounts(&mut self, now: MonotonicTime, zone: &ZoneLabel, before: Option<u64>) {
-        let alive = self.peers.alive(now);
+        let alive = self.peers.live_peers(now);
         let members = alive.filter(|peer| peer.summary.zone == zone.as_str());
         let mut ended: Vec<u64> = members
             .map(|peer| name_digest(&peer.summary.host))
--- a/crates/savorywood-gateway/src/peer.rs
+++ b/crates/savorywood-gateway/src/peer.rs
@@ -65,7 +65,7 @@
     /// It takes callers now.
     #[must_use]
     pub fn accepts_callers(&self, now: MonotonicTime) -> bool {
-        self.summary.phase == PeerPhase::Ready && self.is_alive(now)
+        self.summary.phase == PeerPhase::Ready && self.is_live(now)
     }
 
     /// It takes callers, and sends the heartbeats that a member of the entry set owes.
@@ -79,7 +79,7 @@
     /// Time for which it has been running without a silence that was noticed here. Silences that
     /// ended when the observer itself went on, at `own_resumed_at`, were the observer's.
     #[must_use]
-    pub fn steady(&self, now: MonotonicTime, own_resumed_at: Option<MonotonicTime>) -> Duration {
+    pub fn stable_for(&self, now: MonotonicTime, own_resumed_at: Option<MonotonicTime>) -> Duration {
         let age = Duration::from_millis(self.summary.uptime_ms) + now.since(self.received_at);
         let resumed = self.resumed_at.filter(|at| {
             let is_own = |own: MonotonicTime| *at >= own && at.since(own) < ALIVE_TIME;
@@ -89,7 +89,7 @@
     }
 
     /// Notes a message; a silence that it ends is remembered.
-    fn note_alive(&mut self, now: MonotonicTime) {
+    fn record_message(&mut self, now: MonotonicTime) {
         if now.since(self.received_at) >= ALIVE_TIME {
             self.resumed_at = Some(now);
         }
@@ -98,7 +98,7 @@
 
     /// It was seen lately.
     #[must_use]
-    pub fn is_alive(&self, now: MonotonicTime) -> bool {
+    pub fn is_live(&self, now: MonotonicTime) -> bool {
         now.since(self.received_at) < ALIVE_TIME
     }
 }
@@ -150,7 +150,7 @@
         }
         match self.peers.get_mut(&host) {
             Some(peer) => {
-                peer.note_alive(now);
+                peer.record_message(now);
                 peer.summary = summary;
             }
             None => {
@@ -228,7 +228,7 @@
             return None;
         }
         summary.sequence = beat.sequence;
-        peer.note_alive(now);
+        peer.record_message(now);
         Some(peer)
     }
 
@@ -286,7 +286,7 @@
 
     /// Several peers leave an upstream out. One alone may have lost its way there.
     #[must_use]
-    pub fn suspect(&self, upstream: &UpstreamLabel) -> bool {
+    pub fn is_ejected_by_peers(&self, upstream: &UpstreamLabel) -> bool {
         let digest = name_digest(upstream.as_str());
         let peers = self.sums().suspects.get(&digest).copied();
         peers.unwrap_or_default() >= ENOUGH_SUSPECTING
@@ -294,44 +294,44 @@
 
     /// A peer was seen lately.
     #[must_use]
-    pub fn is_alive(&self, now: MonotonicTime, host: &str) -> bool {
-        self.peers.get(host).is_some_and(|peer| peer.is_alive(now))
+    pub fn is_live(&self, now: MonotonicTime, host: &str) -> bool {
+        self.peers.get(host).is_some_and(|peer| peer.is_live(now))
     }
 
     /// Peers that count by their own message: those of a zone of which a digest is known do not.
     fn direct_peers(&self, now: MonotonicTime) -> impl Iterator<Item = &PeerState> {
         let peers = self.peers.values();
-        peers.filter(move |peer| self.counts(now, &peer.summary.zone))
+        peers.filter(move |peer| self.uses_direct_summary(now, &peer.summary.zone))
     }
 
     /// The message of this peer counts, not that of another daemon of its zone.
     #[must_use]
-    pub fn counts(&self, now: MonotonicTime, zone: &str) -> bool {
+    pub fn uses_direct_summary(&self, now: MonotonicTime, zone: &str) -> bool {
         counts_itself(&self.own_zone, &self.zones, now, zone)
     }
 
     /// Peers that take callers, as far as they count themselves.
-    pub fn ready(&self, now: MonotonicTime) -> impl Iterator<Item = &PeerState> {
+    pub fn ready_peers(&self, now: MonotonicTime) -> impl Iterator<Item = &PeerState> {
         self.direct_peers(now)
             .filter(move |peer| peer.accepts_callers(now))
     }
 
     /// Other zones of which one daemon reports.
-    pub fn zones(&self, now: MonotonicTime) -> impl Iterator<Item = &ZoneDigest> {
+    pub fn zone_digests(&self, now: MonotonicTime) -> impl Iterator<Item = &ZoneDigest> {
         let fresh = self.zones.values().filter(move |zone| zone.is_fresh(now));
         fresh.map(|zone| &zone.digest)
     }
 
     /// Peers of the own zone seen lately that do not leave.
     pub fn neighbours(&self, now: MonotonicTime) -> impl Iterator<Item = &PeerState> {
-        let alive = self.alive(now);
+        let alive = self.live_peers(now);
         alive.filter(|peer| {
             peer.summary.zone == self.own_zone.as_str() && peer.summary.phase != PeerPhase::Leaving
         })
     }
 
     /// Peers of a zone that could be members of its entry set. `heartbeats`: members send these.
-    pub fn candidates<'a>(
+    pub fn member_candidates<'a>(
         &'a self,
         now: MonotonicTime,
         zone: &'a str,
@@ -350,7 +350,7 @@
     /// Daemons of other zones that place requests, as these zones' digests name them.
     #[must_use]
     pub fn remote_serving_addresses(&self, now: MonotonicTime) -> BTreeSet<SocketAddr> {
-        let members = self.zones(now).flat_map(|zone| &zone.members);
+        let members = self.zone_digests(now).flat_map(|zone| &zone.members);
         members.map(|member| member.peer_address).collect()
     }
 
@@ -372,7 +372,7 @@
         let mut known = 1;
         for peer in self.direct_peers(now) {
             known += 1;
-            seen += u64::from(peer.is_alive(now));
+            seen += u64::from(peer.is_live(now));
         }
         for zone in self.zones.values() {
             // A zone of which no digest comes may be reported by its daemons themselves.
@@ -387,18 +387,18 @@
     }
 
     fn sees_zone(&self, now: MonotonicTime, zone: &str) -> bool {
-        self.alive(now).any(|peer| peer.summary.zone == zone)
+        self.live_peers(now).any(|peer| peer.summary.zone == zone)
     }
 
     /// Peers seen lately.
-    pub fn alive(&self, now: MonotonicTime) -> impl Iterator<Item = &PeerState> {
-        self.peers.values().filter(move |peer| peer.is_alive(now))
+    pub fn live_peers(&self, now: MonotonicTime) -> impl Iterator<Item = &PeerState> {
+        self.peers.values().filter(move |peer| peer.is_live(now))
     }
 
     /// Number of other daemons seen or reported within the last minute.
     #[must_use]
-    pub fn known(&self, now: MonotonicTime) -> usize {
-        let far = self.zones(now).map(|zone| zone.daemons as usize);
+    pub fn peer_count(&self, now: MonotonicTime) -> usize {
+        let far = self.zone_digests(now).map(|zone| zone.daemons as usize);
         self.direct_peers(now).count() + far.sum::<usize>()
     }
 }
--- a/crates/savorywood-gateway/tests/zones.rs
+++ b/crates/savorywood-gateway/tests/zones.rs
@@ -91,7 +91,7 @@
     }
     let counts = |field: &DaemonField, number: usize| -> u32 {
         let peers = field.daemons[number].gateway.peers();
-        let digests = peers.zones(field.now);
+        let digests = peers.zone_digests(field.now);
         digests
             .flat_map(|digest| &digest.slots)
             .map(|slot| u32::from(slot.running))
@@ -121,7 +121,7 @@
     }
     for number in (0..DAEMONS).filter(|number| !field.cut_off.contains(number)) {
         let peers = field.daemons[number].gateway.peers();
-        let zones = peers.zones(field.now).count();
+        let zones = peers.zone_digests(field.now).count();
         assert_eq!(zones, ZONES - 1, "zones that {number} knows");
     }
 }
