--- a/crates/savorywood-front/src/feeds/reading.rs
+++ b/crates/savorywood-front/src/feeds/reading.rs
@@ -142,7 +142,7 @@
 
     /// Only the table with keys and routes proves that these are up to date.
     fn confirm(&mut self, page: &StorePage, answer: &StoreAnswer) {
-        let at = self.freshness.proof(answer.exchange(page.store_micros));
+        let at = self.freshness.earliest_response_time(answer.exchange(page.store_micros));
         if let Some(through) = self.revision {
             self.know(&[], through, Some(at));
         }
--- a/crates/savorywood-gateway/src/freshness.rs
+++ b/crates/savorywood-gateway/src/freshness.rs
@@ -25,24 +25,24 @@
 #[derive(Debug, Clone, Default)]
 pub struct FreshnessClock {
     /// Least of the store's clock minus the time of sending.
-    upper: Option<i128>,
+    max_offset: Option<i128>,
 }
 
 impl FreshnessClock {
     /// Earliest moment at which the store can have made the answer.
-    pub fn proof(&mut self, exchange: StoreExchange) -> MonotonicTime {
+    pub fn earliest_response_time(&mut self, exchange: StoreExchange) -> MonotonicTime {
         let Some(store) = exchange.store_micros else {
             return exchange.sent;
         };
         let latest_difference = i128::from(store) + CLOCK_STEP_MICROS - i128::from(exchange.sent.0);
         let earliest_difference = i128::from(store) - i128::from(exchange.received.0);
-        let upper = match self.upper {
+        let upper = match self.max_offset {
             // The store's clock is another one than before: begin anew.
             Some(upper) if upper < earliest_difference => latest_difference,
             Some(upper) => upper.min(latest_difference),
             None => latest_difference,
         };
-        self.upper = Some(upper);
+        self.max_offset = Some(upper);
         let moment = u64::try_from(i128::from(store) - upper).unwrap_or_default();
         MonotonicTime(moment.clamp(exchange.sent.0, exchange.received.0))
     }
--- a/crates/savorywood-gateway/src/gateway.rs
+++ b/crates/savorywood-gateway/src/gateway.rs
@@ -259,10 +259,10 @@
                 table,
                 position,
                 confirmed_at,
-            } => self.reads.read(table, position, confirmed_at),
+            } => self.reads.record_read(table, position, confirmed_at),
             GatewayEvent::StoreFailed => {
                 self.fleet.store_failed(now);
-                self.reads.failed(now);
+                self.reads.record_store_failure(now);
             }
             GatewayEvent::RolloutOrdered(order) => self.rollout_ordered(now, order, effects),
             GatewayEvent::RolloutStatusRead(status) => self.rollouts.read(&status),
@@ -363,7 +363,7 @@
         self.peers.refresh(now);
         self.refresh_entry(now, effects);
         self.refill_limits(now);
-        self.reads.sweep(now);
+        self.reads.expire(now);
         self.expire_waiting(now, effects);
         self.watch_silence(now, effects);
         self.pump_all(now, effects);
--- a/crates/savorywood-gateway/src/gateway/reading.rs
+++ b/crates/savorywood-gateway/src/gateway/reading.rs
@@ -60,7 +60,7 @@
         let confirmed = self.proof_age(now) < stale;
         let relies = self.contacts.uses_zone_digests() && !self.stopping && confirmed;
         let plan = if relies {
-            self.reads.plan(now, &self.options.host, table)
+            self.reads.read_plan(now, &self.options.host, table)
         } else {
             ReadPlan::Direct
         };
--- a/crates/savorywood-gateway/src/gateway/updates.rs
+++ b/crates/savorywood-gateway/src/gateway/updates.rs
@@ -223,13 +223,13 @@
         summary: &PeerSummary,
         effects: &mut GatewayEffects,
     ) {
-        self.reads.received(now, summary);
+        self.reads.record_summary(now, summary);
         if let Some(attestation) = summary.attestation {
             let era = attestation.declared.last_change.era;
             self.store_era_seen(now, era, effects);
         }
         let own = name_digest(self.options.host.as_str());
-        let proof = self.reads.proof(own, summary, SharedTable::Declared);
+        let proof = self.reads.confirmed_at(own, summary, SharedTable::Declared);
         if let Some(at) = proof {
             self.proof_at = Some(self.proof_at.map_or(at, |known| known.max(at)));
             self.note_readiness(now, effects);
--- a/crates/savorywood-gateway/src/store_reads.rs
+++ b/crates/savorywood-gateway/src/store_reads.rs
@@ -126,7 +126,7 @@
     }
 
     /// A table was read, or rows of it were handed on; only a read proves anything.
-    pub fn read(
+    pub fn record_read(
         &mut self,
         table: SharedTable,
         knowledge: TablePosition,
@@ -141,12 +141,12 @@
     }
 
     /// A call to the store failed.
-    pub fn failed(&mut self, now: MonotonicTime) {
+    pub fn record_store_failure(&mut self, now: MonotonicTime) {
         self.failed_at = Some(now);
     }
 
     /// A neighbour's message came.
-    pub fn received(&mut self, now: MonotonicTime, summary: &PeerSummary) {
+    pub fn record_summary(&mut self, now: MonotonicTime, summary: &PeerSummary) {
         let message = HeldSummary {
             sent: summary.sent_at,
             received_at: now,
@@ -200,7 +200,7 @@
     }
 
     /// Forgets messages and attestations that are too old to matter.
-    pub fn sweep(&mut self, now: MonotonicTime) {
+    pub fn expire(&mut self, now: MonotonicTime) {
         self.held
             .retain(|_, summary| now.since(summary.received_at) < ECHO_TIME);
         self.attestations
@@ -218,7 +218,7 @@
 
     /// How to learn of a table now.
     #[must_use]
-    pub fn plan(&self, now: MonotonicTime, own: &HostLabel, table: SharedTable) -> ReadPlan {
+    pub fn read_plan(&self, now: MonotonicTime, own: &HostLabel, table: SharedTable) -> ReadPlan {
         let Some(attestation) = self.followed(now, own) else {
             return ReadPlan::Direct;
         };
@@ -239,7 +239,7 @@
     /// it echoes a message of this daemon: what it proved at a time after that message's coming was true
     /// at a time after the message's sending.
     #[must_use]
-    pub fn proof(
+    pub fn confirmed_at(
         &self,
         own: u64,
         summary: &PeerSummary,
--- a/crates/savorywood-gateway/tests/together.rs
+++ b/crates/savorywood-gateway/tests/together.rs
@@ -161,9 +161,9 @@
 fn an_answer_that_waited_out_a_freeze_is_old() {
     let mut clock = FreshnessClock::default();
     let quick = exchange(10_000_000, 10_004_000, 500_002_000);
-    clock.proof(quick);
+    clock.earliest_response_time(quick);
     let frozen = exchange(11_000_000, 19_000_000, 501_002_000);
-    let proof = clock.proof(frozen);
+    let proof = clock.earliest_response_time(frozen);
     assert!(proof < MonotonicTime(11_100_000), "{proof:?}");
 }
 
@@ -173,9 +173,9 @@
 fn a_long_poll_proves_its_end() {
     let mut clock = FreshnessClock::default();
     let quick = exchange(10_000_000, 10_004_000, 500_002_000);
-    clock.proof(quick);
+    clock.earliest_response_time(quick);
     let poll = exchange(11_000_000, 12_404_000, 502_402_000);
-    let proof = clock.proof(poll);
+    let proof = clock.earliest_response_time(poll);
     assert!(proof > MonotonicTime(12_390_000), "{proof:?}");
     assert!(proof <= MonotonicTime(12_404_000), "{proof:?}");
 }
@@ -185,10 +185,10 @@
 #[test]
 fn another_clock_of_the_store_proves_no_more_than_the_sending() {
     let mut clock = FreshnessClock::default();
-    clock.proof(exchange(10_000_000, 11_000_000, 900_000_000));
-    let proof = clock.proof(exchange(20_000_000, 21_000_000, 5_000_000_000));
+    clock.earliest_response_time(exchange(10_000_000, 11_000_000, 900_000_000));
+    let proof = clock.earliest_response_time(exchange(20_000_000, 21_000_000, 5_000_000_000));
     assert_eq!(proof, MonotonicTime(20_000_000));
-    let proof = clock.proof(exchange(30_000_000, 31_000_000, 1_000));
+    let proof = clock.earliest_response_time(exchange(30_000_000, 31_000_000, 1_000));
     assert_eq!(proof, MonotonicTime(30_000_000));
 }
 
@@ -199,9 +199,9 @@
 fn a_clock_in_whole_milliseconds_is_no_other_clock() {
     let mut clock = FreshnessClock::default();
     let quick = exchange(10_000_900, 10_000_990, 500_000_000);
-    clock.proof(quick);
+    clock.earliest_response_time(quick);
     let poll = exchange(10_001_000, 10_841_010, 500_841_000);
-    let proof = clock.proof(poll);
+    let proof = clock.earliest_response_time(poll);
     assert!(proof > MonotonicTime(10_838_000), "{proof:?}");
     assert!(proof <= MonotonicTime(10_841_010), "{proof:?}");
 }
