--- a/crates/savorywood-front/src/admin.rs
+++ b/crates/savorywood-front/src/admin.rs
@@ -122,13 +122,21 @@
         let metrics = &shared.metrics;
         metrics.waiting.set(count(gateway.waiting_requests()));
         metrics.running.set(count(gateway.running_requests()));
-        metrics.proof_age.set(view.time_since_confirmed.as_secs_f64());
+        metrics
+            .proof_age
+            .set(view.time_since_confirmed.as_secs_f64());
         metrics.config_version.set(count(view.config_version));
-        metrics.peers.set(count(gateway.peers().live_peers(now).count()));
+        metrics
+            .peers
+            .set(count(gateway.peers().live_peers(now).count()));
         metrics.ready.set(i64::from(view.ready));
         metrics.connections.set(count(shared.connections.get()));
-        metrics.entry_member.set(i64::from(gateway.is_entry_member()));
-        metrics.entry_members.set(count(gateway.entry_member_count()));
+        metrics
+            .entry_member
+            .set(i64::from(gateway.is_entry_member()));
+        metrics
+            .entry_members
+            .set(count(gateway.entry_member_count()));
         metrics
             .evacuated_zones
             .set(count(gateway.evacuated_zones().count()));
--- a/crates/savorywood-front/src/attempt.rs
+++ b/crates/savorywood-front/src/attempt.rs
@@ -245,7 +245,9 @@
                 lines,
                 body,
             });
-            let outcome = AttemptOutcome::Failed { metadata: facts.marks };
+            let outcome = AttemptOutcome::Failed {
+                metadata: facts.marks,
+            };
             return (outcome, Some(head));
         }
         let written = self
--- a/crates/savorywood-front/src/caller.rs
+++ b/crates/savorywood-front/src/caller.rs
@@ -413,7 +413,9 @@
     async fn pass_failure(&self, sink: &mut AnswerSink, kept: Option<KeptFailure>) -> bool {
         let kept = kept.filter(|kept| !matches!(kept.status, 408 | 421 | 429 | 503));
         let Some(kept) = kept else {
-            return self.refuse(sink, RefusalReason::IncompleteResponse, None).await;
+            return self
+                .refuse(sink, RefusalReason::IncompleteResponse, None)
+                .await;
         };
         let written = sink.write_whole(kept.status, &kept.reason, &kept.lines, &kept.body);
         written.await.is_ok()
--- a/crates/savorywood-front/src/edge.rs
+++ b/crates/savorywood-front/src/edge.rs
@@ -2,7 +2,7 @@
 
 use crate::wire::{AnswerHead, HeaderLine, HeaderList, RequestHead, StoreCall};
 use savorywood_gateway::{
-    ResponseMetadata, DeclaredConfig, RequestArrival, RolloutOrder, RolloutStatus, RolloutWrite,
+    DeclaredConfig, RequestArrival, ResponseMetadata, RolloutOrder, RolloutStatus, RolloutWrite,
     StorePosition, TeamLabel, UpstreamEntry, UpstreamLabel, ZoneLabel,
 };
 use serde::{Deserialize, Serialize};
--- a/crates/savorywood-front/src/feeds.rs
+++ b/crates/savorywood-front/src/feeds.rs
@@ -163,7 +163,11 @@
 
     /// A whole read is first left to the daemons of the zone that go first; they pass on what changed.
     fn yields(&self, after: StorePosition) -> bool {
-        let is_first = self.shared.gateway.borrow().is_initial_reader(BootClock.now());
+        let is_first = self
+            .shared
+            .gateway
+            .borrow()
+            .is_initial_reader(BootClock.now());
         !self.has_yielded && !is_first && self.needs_whole_read(after)
     }
 
@@ -249,7 +253,12 @@
     }
 
     /// Notes what is known now.
-    fn know(&mut self, rows: &[StoreRow], read_through: StorePosition, confirmed_at: Option<MonotonicTime>) {
+    fn know(
+        &mut self,
+        rows: &[StoreRow],
+        read_through: StorePosition,
+        confirmed_at: Option<MonotonicTime>,
+    ) {
         for row in rows {
             self.changed = self.changed.max(row.position);
             self.known.note(row);
@@ -272,7 +281,11 @@
         self.note_reachable(false, cause);
         self.shared.step(GatewayEvent::StoreFailed);
         let jitter = 0.5 + fastrand::f64();
-        let is_initial_reader = self.shared.gateway.borrow().is_initial_reader(BootClock.now());
+        let is_initial_reader = self
+            .shared
+            .gateway
+            .borrow()
+            .is_initial_reader(BootClock.now());
         let (first, longest) = if is_initial_reader {
             (FIRST_PAUSE, LONGEST_PAUSE)
         } else {
--- a/crates/savorywood-front/src/feeds/reading.rs
+++ b/crates/savorywood-front/src/feeds/reading.rs
@@ -109,7 +109,11 @@
                 rows: page.rows,
             };
             self.sources.peers.push(&self.shared, push).await;
-            let readers = self.shared.gateway.borrow().store_reader_count(BootClock.now());
+            let readers = self
+                .shared
+                .gateway
+                .borrow()
+                .store_reader_count(BootClock.now());
             let pause = CHANGE_PAUSE.saturating_mul(readers);
             Timer::after(pause.min(LONGEST_CHANGE_PAUSE)).await;
         }
@@ -142,7 +146,9 @@
 
     /// Only the table with keys and routes proves that these are up to date.
     fn confirm(&mut self, page: &StorePage, answer: &StoreAnswer) {
-        let at = self.freshness.earliest_response_time(answer.exchange(page.store_micros));
+        let at = self
+            .freshness
+            .earliest_response_time(answer.exchange(page.store_micros));
         if let Some(through) = self.revision {
             self.know(&[], through, Some(at));
         }
--- a/crates/savorywood-front/src/feeds/rollouts.rs
+++ b/crates/savorywood-front/src/feeds/rollouts.rs
@@ -42,7 +42,10 @@
 /// Every daemon learns by gossip how a new version does; only those that may write the status need
 /// the row at once.
 fn is_status_due(shared: &FrontShared, rounds: u32) -> bool {
-    let is_initial_reader = shared.gateway.borrow().is_initial_reader(shared.clock.now());
+    let is_initial_reader = shared
+        .gateway
+        .borrow()
+        .is_initial_reader(shared.clock.now());
     is_initial_reader || rounds.is_multiple_of(STANDBY_ROUNDS)
 }
 
--- a/crates/savorywood-front/src/peers.rs
+++ b/crates/savorywood-front/src/peers.rs
@@ -100,14 +100,18 @@
             self.send_reports(shared, ReportScope::Daemon, &plan.summary_targets)
                 .await;
         }
-        for (slots, receivers) in [(true, &plan.digest_targets), (false, &plan.slotless_digest_targets)] {
+        for (slots, receivers) in [
+            (true, &plan.digest_targets),
+            (false, &plan.slotless_digest_targets),
+        ] {
             if !receivers.is_empty() {
                 let digest = shared.gateway.borrow_mut().zone_digest(now, slots);
                 let datagram = PeerDatagram::Message(Box::new(PeerMessage::Digest(digest)));
                 self.send(&datagram, receivers).await;
             }
         }
-        let far: Vec<SocketAddr> = [&plan.digest_targets[..], &plan.slotless_digest_targets[..]].concat();
+        let far: Vec<SocketAddr> =
+            [&plan.digest_targets[..], &plan.slotless_digest_targets[..]].concat();
         if !far.is_empty() {
             self.send_reports(shared, ReportScope::Zone, &far).await;
         }
--- a/crates/savorywood-front/src/shared.rs
+++ b/crates/savorywood-front/src/shared.rs
@@ -220,8 +220,12 @@
             GatewayEffect::ForwardFailure { request } => {
                 self.send(request, RequestDecision::PassFailure);
             }
-            GatewayEffect::AbandonAttempt { request } => self.send(request, RequestDecision::Abandon),
-            GatewayEffect::AbortResponse { request } => self.send(request, RequestDecision::BreakOff),
+            GatewayEffect::AbandonAttempt { request } => {
+                self.send(request, RequestDecision::Abandon)
+            }
+            GatewayEffect::AbortResponse { request } => {
+                self.send(request, RequestDecision::BreakOff)
+            }
             GatewayEffect::WriteRollout(write) => {
                 // The receiver lives as long as the daemon.
                 let _ = self.rollout_writes.try_send(write);
--- a/crates/savorywood-gateway/src/event.rs
+++ b/crates/savorywood-gateway/src/event.rs
@@ -12,8 +12,8 @@
     position::StorePosition,
     quarantine::{CrashGossip, QuarantineRow, QuarantineWrite},
     rate_limit::{LimitGossip, RateLimit},
-    store_reads::{SharedTable, TablePosition},
     rollout::{RolloutOrder, RolloutStatus},
+    store_reads::{SharedTable, TablePosition},
     upstream::UpstreamEntry,
     zone::ZoneDigest,
 };
--- a/crates/savorywood-gateway/src/gateway.rs
+++ b/crates/savorywood-gateway/src/gateway.rs
@@ -37,9 +37,9 @@
     pick::RoutingPolicy,
     quarantine::QuarantineBook,
     queue::WaitQueue,
-    store_reads::StoreReadTracker,
     region::RegionMap,
     rollout::{RolloutBook, TrialOptions},
+    store_reads::StoreReadTracker,
     upstream::UpstreamFleet,
     warmup::WarmupTolerance,
 };
--- a/crates/savorywood-gateway/src/gateway/admission.rs
+++ b/crates/savorywood-gateway/src/gateway/admission.rs
@@ -198,7 +198,9 @@
             units,
             rank,
             size,
-            output: arrival.expected_output_tokens.unwrap_or(size.max_output_tokens),
+            output: arrival
+                .expected_output_tokens
+                .unwrap_or(size.max_output_tokens),
             parts: arrival.prompt_parts.clone(),
             arrived_at: now,
             give_up_at,
@@ -233,7 +235,13 @@
     /// "There is no such thing" is final for a caller: a daemon that may have missed the newest
     /// configuration says "not ready" in its place.
     fn deny(&self, now: MonotonicTime, reason: RefusalReason) -> Denial {
-        if self.proof_age(now) < self.options.bounds.max_confirmation_age().mul_f64(DENIAL_PART) {
+        if self.proof_age(now)
+            < self
+                .options
+                .bounds
+                .max_confirmation_age()
+                .mul_f64(DENIAL_PART)
+        {
             Denial::of(reason)
         } else {
             Denial::stale()
@@ -247,7 +255,10 @@
         route: &RouteSpec,
         arrival: &RequestArrival,
     ) -> Result<Option<Arc<TeamSpec>>, Denial> {
-        let team = arrival.api_key.as_deref().and_then(|key| config.team_of(key));
+        let team = arrival
+            .api_key
+            .as_deref()
+            .and_then(|key| config.team_of(key));
         if route.public || !config.needs_keys() {
             return Ok(team.cloned());
         }
@@ -275,7 +286,9 @@
             .get(service)
             .is_none_or(|queue| queue.len() == 0);
         let units = if limit.in_tokens {
-            let size = arrival.size.map(|size| size.prompt_tokens + size.max_output_tokens);
+            let size = arrival
+                .size
+                .map(|size| size.prompt_tokens + size.max_output_tokens);
             f64::from(size.unwrap_or(limit.plain_tokens))
         } else {
             1.0
--- a/crates/savorywood-gateway/src/gateway/ending.rs
+++ b/crates/savorywood-gateway/src/gateway/ending.rs
@@ -98,7 +98,9 @@
         record.tried.push(attempt.upstream.clone());
         match outcome {
             AttemptOutcome::Delivered { .. } => return self.close(now, request, "served", effects),
-            AttemptOutcome::CallerDisconnected => return self.close(now, request, "caller-left", effects),
+            AttemptOutcome::CallerDisconnected => {
+                return self.close(now, request, "caller-left", effects);
+            }
             AttemptOutcome::NotSent => {
                 if record.sends < MAX_SENDS {
                     return self.requeue(now, request, outcome, effects);
--- a/crates/savorywood-gateway/src/gateway/entry.rs
+++ b/crates/savorywood-gateway/src/gateway/entry.rs
@@ -201,7 +201,10 @@
         let direct: usize = direct
             .map(|zone| self.select_members(now, zone).len())
             .sum();
-        let far = self.peers.zone_digests(now).flat_map(|digest| &digest.members);
+        let far = self
+            .peers
+            .zone_digests(now)
+            .flat_map(|digest| &digest.members);
         let far = far
             .filter(|member| member.role == DaemonRole::Entry)
             .count();
--- a/crates/savorywood-gateway/src/gateway/gossip.rs
+++ b/crates/savorywood-gateway/src/gateway/gossip.rs
@@ -49,7 +49,12 @@
         known
             && self.knows_members()
             && !self.stopping
-            && self.proof_age(now) < self.options.bounds.max_confirmation_age().mul_f64(READY_PART)
+            && self.proof_age(now)
+                < self
+                    .options
+                    .bounds
+                    .max_confirmation_age()
+                    .mul_f64(READY_PART)
     }
 
     /// The number of daemons is known: a daemon that starts again without it would spend much
@@ -167,7 +172,9 @@
                     unread_prompt_tokens: 0,
                 });
                 sum.running = sum.running.saturating_add(slot.running);
-                sum.unread_prompt_tokens = sum.unread_prompt_tokens.saturating_add(slot.unread_prompt_tokens);
+                sum.unread_prompt_tokens = sum
+                    .unread_prompt_tokens
+                    .saturating_add(slot.unread_prompt_tokens);
             }
         };
         add(&self.own_slots());
--- a/crates/savorywood-gateway/src/gateway/learning.rs
+++ b/crates/savorywood-gateway/src/gateway/learning.rs
@@ -7,7 +7,7 @@
 use crate::{
     arrival::LocalRequest,
     effect::GatewayEffect,
-    event::{ResponseMetadata, AttemptOutcome},
+    event::{AttemptOutcome, ResponseMetadata},
     name::{ServiceLabel, UpstreamLabel},
     pace::PaceEstimate,
 };
@@ -161,7 +161,13 @@
                 if !is_read =>
             {
                 let sent_at = attempt.sent_at;
-                self.note_limit(now, &attempt.upstream, sent_at, metadata.rate_limit, effects);
+                self.note_limit(
+                    now,
+                    &attempt.upstream,
+                    sent_at,
+                    metadata.rate_limit,
+                    effects,
+                );
                 self.mark(now, &attempt.upstream, *metadata);
             }
             _ => {}
--- a/crates/savorywood-gateway/src/gateway/reading.rs
+++ b/crates/savorywood-gateway/src/gateway/reading.rs
@@ -56,7 +56,11 @@
     #[must_use]
     pub fn read_plan(&self, now: MonotonicTime, table: SharedTable) -> ReadPlan {
         // A neighbour whose messages arrive may not get those of this daemon, and then echoes nothing.
-        let stale = self.options.bounds.max_confirmation_age().mul_f64(STALE_PART);
+        let stale = self
+            .options
+            .bounds
+            .max_confirmation_age()
+            .mul_f64(STALE_PART);
         let confirmed = self.proof_age(now) < stale;
         let relies = self.contacts.uses_zone_digests() && !self.stopping && confirmed;
         let plan = if relies {
@@ -74,7 +78,11 @@
     /// What this daemon has just read is fresh enough to wait for the daemon that reads the store
     /// for its zone.
     fn awaits_reader(&self, now: MonotonicTime) -> bool {
-        let fresh = self.options.bounds.max_confirmation_age().mul_f64(AWAIT_PART);
+        let fresh = self
+            .options
+            .bounds
+            .max_confirmation_age()
+            .mul_f64(AWAIT_PART);
         let is_reader = self.knows_own_zone(now) && self.is_initial_reader(now);
         let may_follow = !self.contacts_read || (self.contacts.uses_zone_digests() && !is_reader);
         !self.stopping && may_follow && self.proof_age(now) < fresh
--- a/crates/savorywood-gateway/src/gateway/updates.rs
+++ b/crates/savorywood-gateway/src/gateway/updates.rs
@@ -9,8 +9,8 @@
     message::{PeerPhase, PeerSummary, TeamUse},
     name::{UpstreamLabel, ZoneLabel},
     peer::name_digest,
-    store_reads::SharedTable,
     rollout::RolloutOrder,
+    store_reads::SharedTable,
     upstream::{FleetChange, UpstreamEntry},
     zone::{DigestOutcome, ZoneDigest},
 };
--- a/crates/savorywood-gateway/src/gateway/watching.rs
+++ b/crates/savorywood-gateway/src/gateway/watching.rs
@@ -116,7 +116,11 @@
     /// Time for which an upstream may be silent because it reads the prompts that are still to be
     /// read there.
     fn reading_time(&self, record: &RequestRecord, state: &UpstreamState) -> Duration {
-        let unread = state.unread + self.peers.slots_by_digest(state.digest).unread_prompt_tokens;
+        let unread = state.unread
+            + self
+                .peers
+                .slots_by_digest(state.digest)
+                .unread_prompt_tokens;
         if unread == 0 {
             return Duration::ZERO;
         }
--- a/crates/savorywood-gateway/src/lib.rs
+++ b/crates/savorywood-gateway/src/lib.rs
@@ -28,11 +28,11 @@
 mod quarantine;
 mod queue;
 mod rate_limit;
-mod store_reads;
 mod refusal;
 mod region;
 mod rendezvous;
 mod rollout;
+mod store_reads;
 mod upstream;
 mod warmup;
 mod zone;
@@ -46,7 +46,7 @@
 pub use effect::{DispatchOrder, GatewayEffect};
 pub use entry::{EntryCandidate, EntrySet, HostResources, LoadPeak, select_members};
 pub use evacuation::{EvacuationBook, EvacuationOrder};
-pub use event::{ResponseMetadata, AttemptOutcome, GatewayEvent, ReportedLoad, StreamInterruption};
+pub use event::{AttemptOutcome, GatewayEvent, ReportedLoad, ResponseMetadata, StreamInterruption};
 pub use freshness::{FreshnessClock, StoreExchange};
 pub use gateway::{Gateway, GatewayBounds, GatewayOptions, GatewayStatus};
 pub use gossip::{GossipPlan, PeerContact, PeerMessage, SlotPlan};
@@ -72,12 +72,12 @@
 pub use rate_limit::{
     LimitGossip, LimitReading, LimitReport, RateLimit, ReadingSource, UpstreamLimit,
 };
-pub use store_reads::{
-    PeerEcho, ReadPlan, SharedTable, StoreAttestation, TableAttestation, TablePosition,
-};
 pub use refusal::RefusalReason;
 pub use region::{CallerPlace, RegionMap};
 pub use rollout::{RolloutOrder, RolloutPhase, RolloutStatus, RolloutWrite};
+pub use store_reads::{
+    PeerEcho, ReadPlan, SharedTable, StoreAttestation, TableAttestation, TablePosition,
+};
 pub use upstream::{UpstreamEntry, UpstreamFleet};
 pub use warmup::{WarmupSpec, WarmupTolerance};
 pub use zone::{ZoneDigest, ZoneMember};
--- a/crates/savorywood-gateway/src/peer.rs
+++ b/crates/savorywood-gateway/src/peer.rs
@@ -3,7 +3,7 @@
 use crate::{
     message::{DaemonRole, PeerHeartbeat, PeerPhase, PeerSummary, SlotScope, SlotUpdate, SlotUse},
     name::{HostLabel, UpstreamLabel, ZoneLabel},
-    zone::{DigestOutcome, ZoneState, ZoneDigest},
+    zone::{DigestOutcome, ZoneDigest, ZoneState},
 };
 use savorywood_protocol::MonotonicTime;
 use std::{
@@ -79,7 +79,11 @@
     /// Time for which it has been running without a silence that was noticed here. Silences that
     /// ended when the observer itself went on, at `own_resumed_at`, were the observer's.
     #[must_use]
-    pub fn stable_for(&self, now: MonotonicTime, own_resumed_at: Option<MonotonicTime>) -> Duration {
+    pub fn stable_for(
+        &self,
+        now: MonotonicTime,
+        own_resumed_at: Option<MonotonicTime>,
+    ) -> Duration {
         let age = Duration::from_millis(self.summary.uptime_ms) + now.since(self.received_at);
         let resumed = self.resumed_at.filter(|at| {
             let is_own = |own: MonotonicTime| *at >= own && at.since(own) < ALIVE_TIME;
@@ -338,7 +342,9 @@
         heartbeats: bool,
     ) -> impl Iterator<Item = &'a PeerState> {
         let peers = self.peers.values();
-        peers.filter(move |peer| peer.summary.zone == zone && peer.is_member_candidate(now, heartbeats))
+        peers.filter(move |peer| {
+            peer.summary.zone == zone && peer.is_member_candidate(now, heartbeats)
+        })
     }
 
     /// Zones of which the daemons count themselves, the own one included.
@@ -416,6 +422,8 @@
     for slot in slots {
         let sum = sums.entry(slot_key(slot.upstream)).or_default();
         sum.running += u32::from(slot.running);
-        sum.unread_prompt_tokens = sum.unread_prompt_tokens.saturating_add(slot.unread_prompt_tokens);
+        sum.unread_prompt_tokens = sum
+            .unread_prompt_tokens
+            .saturating_add(slot.unread_prompt_tokens);
     }
 }
--- a/crates/savorywood-gateway/src/pick.rs
+++ b/crates/savorywood-gateway/src/pick.rs
@@ -322,7 +322,9 @@
             score += ZONE_PENALTY_MS;
         }
         // What peers found out need not be found out once more, at the cost of a request each.
-        if self.peers.is_ejected_by_peers(&entry.name) && !state.outlier.was_good(self.now, OWN_MESSAGE_TIME) {
+        if self.peers.is_ejected_by_peers(&entry.name)
+            && !state.outlier.was_good(self.now, OWN_MESSAGE_TIME)
+        {
             score += SUSPECT_PENALTY_MS;
         }
         if state.outlier.is_suspect() {
--- a/crates/savorywood-gateway/tests/common/crashes.rs
+++ b/crates/savorywood-gateway/tests/common/crashes.rs
@@ -6,9 +6,9 @@
     scene::{arrival, upstream},
 };
 use savorywood_gateway::{
-    ResponseMetadata, AttemptOutcome, DispatchOrder, GatewayEffect, GatewayEvent, LocalRequest,
-    QuarantineRow, QuarantineWrite, RefusalReason, RequestArrival, RequestFingerprint, StoredCrash,
-    UpstreamEntry, UpstreamLabel,
+    AttemptOutcome, DispatchOrder, GatewayEffect, GatewayEvent, LocalRequest, QuarantineRow,
+    QuarantineWrite, RefusalReason, RequestArrival, RequestFingerprint, ResponseMetadata,
+    StoredCrash, UpstreamEntry, UpstreamLabel,
 };
 use savorywood_protocol::MonotonicTime;
 use std::{
@@ -268,7 +268,13 @@
         for running in std::mem::take(&mut self.running) {
             let metadata = ResponseMetadata::default();
             self.ends.insert(running.name, RequestEnd::Served);
-            self.end(running.name, AttemptOutcome::Delivered { metadata, events: 1 });
+            self.end(
+                running.name,
+                AttemptOutcome::Delivered {
+                    metadata,
+                    events: 1,
+                },
+            );
         }
     }
 
@@ -278,7 +284,13 @@
         if self.running.extract_if(.., is_it).count() > 0 {
             let metadata = ResponseMetadata::default();
             self.ends.insert(name, RequestEnd::Served);
-            self.end(name, AttemptOutcome::Delivered { metadata, events: 1 });
+            self.end(
+                name,
+                AttemptOutcome::Delivered {
+                    metadata,
+                    events: 1,
+                },
+            );
         }
     }
 
--- a/crates/savorywood-gateway/tests/common/field.rs
+++ b/crates/savorywood-gateway/tests/common/field.rs
@@ -241,16 +241,19 @@
                 continue;
             }
             let plan = daemon.gateway.plan_gossip(self.now);
-            count
-                .sent
-                .push(plan.summary_targets.len() + plan.digest_targets.len() + plan.slotless_digest_targets.len());
+            count.sent.push(
+                plan.summary_targets.len()
+                    + plan.digest_targets.len()
+                    + plan.slotless_digest_targets.len(),
+            );
             let summary = daemon.gateway.summary(self.now);
             let received = |address| self.addresses.get(address).copied();
             for receiver in plan.summary_targets.iter().filter_map(received) {
                 let event = GatewayEvent::SummaryReceived(Box::new(summary.clone()));
                 messages.push((number, receiver, event));
             }
-            let far: Vec<SocketAddr> = [&plan.digest_targets[..], &plan.slotless_digest_targets[..]].concat();
+            let far: Vec<SocketAddr> =
+                [&plan.digest_targets[..], &plan.slotless_digest_targets[..]].concat();
             for (scope, receivers) in [
                 (ReportScope::Daemon, &plan.summary_targets),
                 (ReportScope::Zone, &far),
@@ -266,7 +269,10 @@
                     messages.extend(event.map(|event| (number, receiver, event)));
                 }
             }
-            for (slots, receivers) in [(true, &plan.digest_targets), (false, &plan.slotless_digest_targets)] {
+            for (slots, receivers) in [
+                (true, &plan.digest_targets),
+                (false, &plan.slotless_digest_targets),
+            ] {
                 if receivers.is_empty() {
                     continue;
                 }
@@ -326,7 +332,10 @@
                 self.daemons[number].step(GatewayEvent::Tick);
                 self.daemons[number].effects.clear();
             }
-            let pause = self.daemons[0].gateway.gossip_interval(self.now).as_millis();
+            let pause = self.daemons[0]
+                .gateway
+                .gossip_interval(self.now)
+                .as_millis();
             let pause = pause / CALLER_STEP.as_millis();
             if u128::from(self.steps).is_multiple_of(pause) {
                 self.talk();
@@ -382,7 +391,11 @@
         for daemon in &mut self.daemons {
             let members = u32::try_from(daemon.gateway.entry_member_count()).expect("few members");
             let share = descriptors / members.max(1);
-            let descriptors = if daemon.gateway.is_entry_member() { share } else { 0 };
+            let descriptors = if daemon.gateway.is_entry_member() {
+                share
+            } else {
+                0
+            };
             daemon.step(GatewayEvent::LoadMeasured(HostResources {
                 descriptors,
                 ..HostResources::default()
@@ -401,8 +414,11 @@
                     self.ask(number);
                 }
             }
-            let pause =
-                self.daemons[0].gateway.gossip_interval(self.now).as_millis() / STEP.as_millis();
+            let pause = self.daemons[0]
+                .gateway
+                .gossip_interval(self.now)
+                .as_millis()
+                / STEP.as_millis();
             if (u128::from(step) + 1).is_multiple_of(pause) {
                 self.talk();
             }
--- a/crates/savorywood-gateway/tests/common/limits.rs
+++ b/crates/savorywood-gateway/tests/common/limits.rs
@@ -7,8 +7,8 @@
     scene::{arrival, upstream},
 };
 use savorywood_gateway::{
-    ResponseMetadata, AttemptOutcome, DispatchOrder, GatewayEffect, GatewayEvent, LocalRequest,
-    RateLimit, RefusalReason, UpstreamEntry, UpstreamLabel,
+    AttemptOutcome, DispatchOrder, GatewayEffect, GatewayEvent, LocalRequest, RateLimit,
+    RefusalReason, ResponseMetadata, UpstreamEntry, UpstreamLabel,
 };
 use savorywood_protocol::MonotonicTime;
 use std::{collections::BTreeMap, time::Duration};
@@ -204,7 +204,10 @@
                 ..ResponseMetadata::default()
             };
             self.tally.served += 1;
-            let outcome = AttemptOutcome::Delivered { metadata, events: 0 };
+            let outcome = AttemptOutcome::Delivered {
+                metadata,
+                events: 0,
+            };
             let request = running.request;
             self.step(
                 running.daemon,
--- a/crates/savorywood-gateway/tests/common/load.rs
+++ b/crates/savorywood-gateway/tests/common/load.rs
@@ -13,8 +13,9 @@
 use calls::{CallKind, CallTally, DrawSource, OpenCall};
 use engine::{EngineModel, EngineOutput, EngineRun};
 use savorywood_gateway::{
-    ResponseMetadata, AttemptOutcome, DispatchOrder, GatewayEffect, GatewayEvent, LocalRequest,
-    PeerContact, RepeatKind, RequestArrival, RequestSize, StreamInterruption, UpstreamLabel, ZoneLabel,
+    AttemptOutcome, DispatchOrder, GatewayEffect, GatewayEvent, LocalRequest, PeerContact,
+    RepeatKind, RequestArrival, RequestSize, ResponseMetadata, StreamInterruption, UpstreamLabel,
+    ZoneLabel,
 };
 use savorywood_protocol::MonotonicTime;
 use std::{
@@ -189,7 +190,8 @@
                 retry_after,
                 ..
             } => self.refused(number, request, retry_after),
-            GatewayEffect::AbortResponse { request } | GatewayEffect::ForwardFailure { request } => {
+            GatewayEffect::AbortResponse { request }
+            | GatewayEffect::ForwardFailure { request } => {
                 if let Some(call) = self.calls.remove(&(number, request)) {
                     self.tallies[call.kind].unserved(&call);
                     self.tallies[call.kind].cut += 1;
--- a/crates/savorywood-gateway/tests/common/scene.rs
+++ b/crates/savorywood-gateway/tests/common/scene.rs
@@ -2,11 +2,11 @@
 #![allow(dead_code, reason = "each test file uses a part of the scene")]
 
 use savorywood_gateway::{
-    ResponseMetadata, AttemptOutcome, ContentDigest, DeclaredConfig, DispatchOrder, Gateway,
-    GatewayBounds, GatewayEffect, GatewayEvent, GatewayOptions, HostLabel, HostResources,
-    LocalRequest, PromptPart, RefusalReason, RegionMap, RepeatKind, RequestArrival, RequestSize,
-    RouteSpec, RoutingPolicy, ServiceLabel, ServiceSpec, TeamLabel, TeamLimit, TeamSpec,
-    TrafficShare, UpstreamEntry, UpstreamLabel, VersionLabel, ZoneLabel, name_digest,
+    AttemptOutcome, ContentDigest, DeclaredConfig, DispatchOrder, Gateway, GatewayBounds,
+    GatewayEffect, GatewayEvent, GatewayOptions, HostLabel, HostResources, LocalRequest,
+    PromptPart, RefusalReason, RegionMap, RepeatKind, RequestArrival, RequestSize,
+    ResponseMetadata, RouteSpec, RoutingPolicy, ServiceLabel, ServiceSpec, TeamLabel, TeamLimit,
+    TeamSpec, TrafficShare, UpstreamEntry, UpstreamLabel, VersionLabel, ZoneLabel, name_digest,
 };
 use savorywood_protocol::MonotonicTime;
 use std::{sync::Arc, time::Duration};
--- a/crates/savorywood-gateway/tests/entry.rs
+++ b/crates/savorywood-gateway/tests/entry.rs
@@ -64,10 +64,11 @@
     let mut members = vec![BTreeSet::new(); ZONES];
     for number in (0..field.daemons.len()).filter(|number| !field.down.contains(number)) {
         let zone = format!("zone-{}", number % ZONES);
-        let addresses =
-            field.daemons[number]
-                .gateway
-                .caller_addresses(field.now, CallerPlace::in_zone(&zone), 64);
+        let addresses = field.daemons[number].gateway.caller_addresses(
+            field.now,
+            CallerPlace::in_zone(&zone),
+            64,
+        );
         let numbers = addresses
             .iter()
             .filter_map(|address| field.number_of(*address));
@@ -283,10 +284,11 @@
         "{:?}",
         callers.tally
     );
-    let named =
-        field.daemons[ZONES]
-            .gateway
-            .caller_addresses(field.now, CallerPlace::in_zone("zone-0"), 64);
+    let named = field.daemons[ZONES].gateway.caller_addresses(
+        field.now,
+        CallerPlace::in_zone("zone-0"),
+        64,
+    );
     let named: Vec<_> = named.iter().filter_map(|at| field.number_of(*at)).collect();
     assert_eq!(named.len(), 3);
     assert!(!named.contains(&cut_off), "{named:?}");
--- a/crates/savorywood-gateway/tests/rate_limits.rs
+++ b/crates/savorywood-gateway/tests/rate_limits.rs
@@ -11,7 +11,7 @@
 
 use limits::{LimitField, LimitTally};
 use savorywood_gateway::{
-    ResponseMetadata, AttemptOutcome, GatewayEffect, GatewayEvent, RateLimit, UpstreamEntry,
+    AttemptOutcome, GatewayEffect, GatewayEvent, RateLimit, ResponseMetadata, UpstreamEntry,
 };
 use scene::{GatewayScene, arrival, upstream};
 use std::time::Duration;
--- a/crates/savorywood-gateway/tests/restoring.rs
+++ b/crates/savorywood-gateway/tests/restoring.rs
@@ -189,14 +189,20 @@
                 accepted: true,
                 era: 1,
             });
-            scene.step(GatewayEvent::RolloutStatusRead(status(last, position(1, 60))));
+            scene.step(GatewayEvent::RolloutStatusRead(status(
+                last,
+                position(1, 60),
+            )));
         }
     }
     assert_eq!(last, Some(RolloutPhase::Completed));
     scene.step(GatewayEvent::StoreEraObserved(2));
     scene.step(GatewayEvent::RolloutOrdered(rollout(2, 50)));
     let running = Some(RolloutPhase::Running);
-    scene.step(GatewayEvent::RolloutStatusRead(status(running, position(2, 55))));
+    scene.step(GatewayEvent::RolloutStatusRead(status(
+        running,
+        position(2, 55),
+    )));
     pass(&mut scene, Duration::from_secs(2));
     let writes = rollout_writes(&mut scene);
     let first = writes.first().expect("it is written again");
--- a/crates/savorywood-gateway/tests/rollouts.rs
+++ b/crates/savorywood-gateway/tests/rollouts.rs
@@ -4,7 +4,7 @@
 mod scene;
 
 use savorywood_gateway::{
-    ResponseMetadata, AttemptOutcome, GatewayEffect, GatewayEvent, RolloutOrder, RolloutPhase,
+    AttemptOutcome, GatewayEffect, GatewayEvent, ResponseMetadata, RolloutOrder, RolloutPhase,
     RolloutStatus, RolloutWrite, ServiceLabel, StorePosition, UpstreamEntry, UpstreamLabel,
     VersionLabel,
 };
@@ -74,7 +74,10 @@
         let outcome = if bad {
             AttemptOutcome::Failed { metadata }
         } else {
-            AttemptOutcome::Delivered { metadata, events: 0 }
+            AttemptOutcome::Delivered {
+                metadata,
+                events: 0,
+            }
         };
         daemon.end(request, outcome);
         if !daemon.orders(request).is_empty() && bad {
--- a/crates/savorywood-gateway/tests/truth.rs
+++ b/crates/savorywood-gateway/tests/truth.rs
@@ -4,7 +4,9 @@
 mod scene;
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use savorywood_gateway::{ResponseMetadata, AttemptOutcome, GatewayEffect, GatewayEvent, StreamInterruption};
+use savorywood_gateway::{
+    AttemptOutcome, GatewayEffect, GatewayEvent, ResponseMetadata, StreamInterruption,
+};
 use scene::{GatewayScene, arrival, upstream};
 use std::{collections::BTreeMap, time::Duration};
 
@@ -54,7 +56,10 @@
             stalled: false,
         }),
         7 => AttemptOutcome::Expired,
-        _ => AttemptOutcome::Delivered { metadata, events: 1 },
+        _ => AttemptOutcome::Delivered {
+            metadata,
+            events: 1,
+        },
     }
 }
 
@@ -112,9 +117,9 @@
                 let request = seen.get_mut(&number).expect("an open request");
                 request.left = true;
                 request.ended = true;
-                scene.step(GatewayEvent::CallerDisconnected(savorywood_gateway::LocalRequest(
-                    number,
-                )));
+                scene.step(GatewayEvent::CallerDisconnected(
+                    savorywood_gateway::LocalRequest(number),
+                ));
             }
             RandomStep::End(..) | RandomStep::Leave(_) => {}
             RandomStep::Wait(millis) => scene.advance(Duration::from_millis(millis.into())),
--- a/crates/savorywood-gateway/tests/waiting.rs
+++ b/crates/savorywood-gateway/tests/waiting.rs
@@ -259,7 +259,12 @@
 fn one_peer_alone_makes_no_upstream_look_ill() {
     let mut scene = GatewayScene::ready(1);
     report_suspects(&mut scene, "host-b", &["upstream-1"]);
-    assert!(!scene.gateway.peers().is_ejected_by_peers(&"upstream-1".into()));
+    assert!(
+        !scene
+            .gateway
+            .peers()
+            .is_ejected_by_peers(&"upstream-1".into())
+    );
 }
 
 /// Peers hold every upstream for ill. The fault is more likely on their way: requests are served.
--- a/crates/savorywood-gateway/tests/warmup.rs
+++ b/crates/savorywood-gateway/tests/warmup.rs
@@ -11,7 +11,7 @@
 use field::{DAEMONS, DaemonField, zone};
 use quickcheck::{TestResult, quickcheck};
 use savorywood_gateway::{
-    ResponseMetadata, AttemptOutcome, GatewayEvent, UpstreamEntry, UpstreamLabel, WarmupSpec,
+    AttemptOutcome, GatewayEvent, ResponseMetadata, UpstreamEntry, UpstreamLabel, WarmupSpec,
     WarmupTolerance,
 };
 use savorywood_protocol::MonotonicTime;
@@ -222,7 +222,13 @@
     assert!(is_cold(&scene));
     scene.advance(SPEC.time);
     assert!(!is_cold(&scene));
-    scene.end(request, AttemptOutcome::Delivered { metadata, events: 3 });
+    scene.end(
+        request,
+        AttemptOutcome::Delivered {
+            metadata,
+            events: 3,
+        },
+    );
     assert!(!is_cold(&scene));
 }
 
