--- a/crates/savorywood-gateway/src/affinity.rs
+++ b/crates/savorywood-gateway/src/affinity.rs
@@ -1,6 +1,6 @@
 //! Which upstream read a part of a prompt last.
 
-use crate::{arrival::PromptPart, name::UpstreamLabel};
+use crate::{arrival::PromptPart, label::UpstreamLabel};
 use savorywood_protocol::MonotonicTime;
 use std::{
     collections::{HashMap, VecDeque},
--- a/crates/savorywood-gateway/src/declared.rs
+++ b/crates/savorywood-gateway/src/config.rs
@@ -1,7 +1,7 @@
 //! What operators declared: routes, services, teams and limits of one configuration version.
 
 use crate::{
-    name::{RegionLabel, ServiceLabel, TeamLabel},
+    label::{RegionLabel, ServiceLabel, TeamLabel},
     warmup::WarmupSpec,
 };
 use std::{
--- a/crates/savorywood-gateway/src/effect.rs
+++ b/crates/savorywood-gateway/src/effect.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     arrival::LocalRequest,
-    name::{ServiceLabel, TeamLabel, UpstreamLabel},
+    label::{ServiceLabel, TeamLabel, UpstreamLabel},
     quarantine::QuarantineWrite,
     refusal::RefusalReason,
     rollout::RolloutWrite,
--- a/crates/savorywood-gateway/src/evacuation.rs
+++ b/crates/savorywood-gateway/src/evacuation.rs
@@ -1,6 +1,6 @@
 //! Availability zones that operators evacuate: their upstreams get nothing new.
 
-use crate::{name::ZoneLabel, position::StorePosition};
+use crate::{label::ZoneLabel, position::StorePosition};
 use std::collections::BTreeMap;
 
 /// An order of an operator to evacuate a zone.
--- a/crates/savorywood-gateway/src/event.rs
+++ b/crates/savorywood-gateway/src/event.rs
@@ -2,19 +2,19 @@
 
 use crate::{
     arrival::{LocalRequest, RequestArrival},
-    declared::DeclaredConfig,
-    entry::HostResources,
+    config::DeclaredConfig,
+    entry_set::HostResources,
     evacuation::EvacuationOrder,
     gateway::GatewayBounds,
     gossip::PeerContact,
+    label::{HostLabel, ServiceLabel, UpstreamLabel},
     message::{PeerHeartbeat, PeerSummary, SlotUpdate},
-    name::{HostLabel, ServiceLabel, UpstreamLabel},
     position::StorePosition,
     quarantine::{CrashGossip, QuarantineRow, QuarantineWrite},
-    rate_limit::{LimitGossip, RateLimit},
     reading::{SharedTable, TableKnowledge},
     rollout::{RolloutOrder, RolloutStatus},
     upstream::UpstreamEntry,
+    upstream_limit::{LimitGossip, RateLimit},
     zone::ZoneDigest,
 };
 use savorywood_protocol::MonotonicTime;
--- a/crates/savorywood-gateway/src/gateway/admission.rs
+++ b/crates/savorywood-gateway/src/gateway/admission.rs
@@ -6,14 +6,14 @@
 };
 use crate::{
     arrival::{LocalRequest, RequestArrival},
-    declared::{DeclaredConfig, RouteSpec, TeamLimit, TeamSpec},
+    config::{DeclaredConfig, RouteSpec, TeamLimit, TeamSpec},
     effect::GatewayEffect,
-    limit::{MeterLevels, MeterQuery, MeterVerdict, TeamMeter},
-    name::{ServiceLabel, TeamLabel},
-    pace::nominal_first_ms,
+    label::{ServiceLabel, TeamLabel},
+    latency::nominal_first_ms,
     quarantine::RequestFingerprint,
     queue::{QueuePlace, RequestRank},
     refusal::RefusalReason,
+    team_limit::{MeterLevels, MeterQuery, MeterVerdict, TeamMeter},
 };
 use savorywood_core::{LogLevel, LogLine};
 use savorywood_protocol::MonotonicTime;
--- a/crates/savorywood-gateway/src/gateway/dispatch.rs
+++ b/crates/savorywood-gateway/src/gateway/dispatch.rs
@@ -8,10 +8,10 @@
     arrival::LocalRequest,
     demand::UrgentArrivals,
     effect::{DispatchOrder, GatewayEffect},
-    name::{ServiceLabel, UpstreamLabel},
-    pick::{PickFailure, PickQuery, PickScene, PickedUpstream},
+    label::{ServiceLabel, UpstreamLabel},
     queue::QueuePlace,
     refusal::RefusalReason,
+    selection::{PickFailure, PickQuery, PickScene, PickedUpstream},
 };
 use savorywood_core::{LogLevel, LogLine};
 use savorywood_protocol::MonotonicTime;
--- a/crates/savorywood-gateway/src/gateway/ending.rs
+++ b/crates/savorywood-gateway/src/gateway/ending.rs
@@ -6,7 +6,7 @@
     record::{RequestPlace, RunningAttempt},
 };
 use crate::{
-    arrival::LocalRequest, effect::GatewayEffect, event::AttemptOutcome, name::ServiceLabel,
+    arrival::LocalRequest, effect::GatewayEffect, event::AttemptOutcome, label::ServiceLabel,
     queue::QueuePlace, refusal::RefusalReason,
 };
 use savorywood_core::{LogLevel, LogLine};
--- a/crates/savorywood-gateway/src/gateway/entry.rs
+++ b/crates/savorywood-gateway/src/gateway/entry.rs
@@ -3,9 +3,9 @@
 use super::{Gateway, GatewayEffects};
 use crate::{
     effect::GatewayEffect,
-    entry::{EntryCandidate, HostResources, select_members},
+    entry_set::{EntryCandidate, HostResources, select_members},
+    label::{RegionLabel, ZoneLabel},
     message::{DaemonRole, PeerPhase},
-    name::{RegionLabel, ZoneLabel},
     peer::{KnownPeer, name_digest},
     region::CallerPlace,
     rendezvous::address_number,
--- a/crates/savorywood-gateway/src/gateway/evacuation.rs
+++ b/crates/savorywood-gateway/src/gateway/evacuation.rs
@@ -2,7 +2,7 @@
 
 use super::{Gateway, GatewayEffects};
 use crate::{
-    effect::GatewayEffect, evacuation::EvacuationOrder, name::ZoneLabel, position::StorePosition,
+    effect::GatewayEffect, evacuation::EvacuationOrder, label::ZoneLabel, position::StorePosition,
 };
 use savorywood_core::{LogLevel, LogLine};
 use savorywood_protocol::MonotonicTime;
--- a/crates/savorywood-gateway/src/gateway/gossip.rs
+++ b/crates/savorywood-gateway/src/gateway/gossip.rs
@@ -3,10 +3,10 @@
 use super::{Gateway, entry::DISCOVERY_TIME, record::RequestPlace};
 use crate::{
     gossip::{GossipPlan, SentSlots, SlotPlan},
+    label::{ServiceLabel, ZoneLabel},
     message::{
         DaemonRole, PeerHeartbeat, PeerPhase, PeerSummary, SlotScope, SlotUpdate, SlotUse, TeamUse,
     },
-    name::{ServiceLabel, ZoneLabel},
     peer::{name_digest, slot_key},
     reading::StoreAttestation,
     zone::{ZoneDigest, ZoneMember},
--- a/crates/savorywood-gateway/src/gateway/learning.rs
+++ b/crates/savorywood-gateway/src/gateway/learning.rs
@@ -8,8 +8,8 @@
     arrival::LocalRequest,
     effect::GatewayEffect,
     event::{AnswerMarks, AttemptOutcome},
-    name::{ServiceLabel, UpstreamLabel},
-    pace::PaceEstimate,
+    label::{ServiceLabel, UpstreamLabel},
+    latency::PaceEstimate,
 };
 use savorywood_core::{LogLevel, LogLine};
 use savorywood_protocol::MonotonicTime;
--- a/crates/savorywood-gateway/src/gateway/quarantine.rs
+++ b/crates/savorywood-gateway/src/gateway/quarantine.rs
@@ -5,7 +5,7 @@
     arrival::LocalRequest,
     effect::GatewayEffect,
     event::{AttemptOutcome, StreamEnd},
-    name::{TeamLabel, UpstreamLabel},
+    label::{TeamLabel, UpstreamLabel},
     peer::name_digest,
     quarantine::{
         BrokenAttempt, CrashGossip, QuarantineChange, QuarantineRow, QuarantineVerdict,
--- a/crates/savorywood-gateway/src/gateway/rate_limits.rs
+++ b/crates/savorywood-gateway/src/gateway/rate_limits.rs
@@ -3,10 +3,10 @@
 use super::{Gateway, GatewayEffects};
 use crate::{
     effect::GatewayEffect,
-    name::UpstreamLabel,
+    label::UpstreamLabel,
     peer::name_digest,
     quarantine::ReportScope,
-    rate_limit::{LimitGossip, LimitReading, LimitReport, RateLimit, ReadingSource},
+    upstream_limit::{LimitGossip, LimitReading, LimitReport, RateLimit, ReadingSource},
 };
 use savorywood_core::{LogLevel, LogLine};
 use savorywood_protocol::MonotonicTime;
--- a/crates/savorywood-gateway/src/gateway/record.rs
+++ b/crates/savorywood-gateway/src/gateway/record.rs
@@ -2,8 +2,8 @@
 
 use crate::{
     arrival::{PromptPart, RequestSize},
-    declared::{RouteSpec, TeamSpec},
-    name::{ServiceLabel, UpstreamLabel},
+    config::{RouteSpec, TeamSpec},
+    label::{ServiceLabel, UpstreamLabel},
     quarantine::RequestFingerprint,
     queue::{QueuePlace, RequestRank},
 };
--- a/crates/savorywood-gateway/src/gateway/updates.rs
+++ b/crates/savorywood-gateway/src/gateway/updates.rs
@@ -2,15 +2,15 @@
 
 use super::{Gateway, GatewayBounds, GatewayEffects};
 use crate::{
-    declared::DeclaredConfig,
+    config::DeclaredConfig,
     effect::GatewayEffect,
     gossip::PeerContact,
-    limit::{PeerReading, TeamMeter},
+    label::{UpstreamLabel, ZoneLabel},
     message::{PeerPhase, PeerSummary, TeamUse},
-    name::{UpstreamLabel, ZoneLabel},
     peer::name_digest,
     reading::SharedTable,
     rollout::RolloutOrder,
+    team_limit::{PeerReading, TeamMeter},
     upstream::{FleetChange, UpstreamEntry},
     zone::{DigestOutcome, ZoneDigest},
 };
--- a/crates/savorywood-gateway/src/gossip.rs
+++ b/crates/savorywood-gateway/src/gossip.rs
@@ -1,12 +1,12 @@
 //! Who gets which messages of a daemon.
 
 use crate::{
+    label::ZoneLabel,
     message::{DaemonRole, PeerHeartbeat, PeerSummary, SlotUpdate},
-    name::ZoneLabel,
     peer::{KnownPeer, PeerTable},
     quarantine::CrashGossip,
-    rate_limit::LimitGossip,
     rendezvous::{address_number, pair_weight},
+    upstream_limit::LimitGossip,
     zone::ZoneDigest,
 };
 use savorywood_protocol::MonotonicTime;
--- a/crates/savorywood-gateway/src/lease.rs
+++ b/crates/savorywood-gateway/src/lease.rs
@@ -2,7 +2,7 @@
 //! of the entry set that it sees, without messages.
 
 use crate::{
-    name::{UpstreamLabel, ZoneLabel},
+    label::{UpstreamLabel, ZoneLabel},
     peer::name_digest,
     rendezvous::pair_weight,
 };
--- a/crates/savorywood-gateway/src/lib.rs
+++ b/crates/savorywood-gateway/src/lib.rs
@@ -5,63 +5,60 @@
 
 mod affinity;
 mod arrival;
-mod budget;
-mod declared;
+mod config;
 mod demand;
 mod effect;
-mod entry;
+mod entry_set;
 mod estimate;
 mod evacuation;
 mod event;
 mod freshness;
 mod gateway;
 mod gossip;
+mod label;
+mod latency;
 mod lease;
-mod limit;
 mod message;
-mod name;
 mod outlier;
-mod pace;
 mod peer;
-mod pick;
 mod position;
 mod quarantine;
 mod queue;
-mod rate_limit;
 mod reading;
 mod refusal;
 mod region;
 mod rendezvous;
+mod retry_budget;
 mod rollout;
+mod selection;
+mod team_limit;
 mod upstream;
+mod upstream_limit;
 mod warmup;
 mod zone;
 
 pub use arrival::{ContentDigest, LocalRequest, PromptPart, RequestArrival, RequestSize};
-pub use budget::{BudgetOptions, RetryBudget};
-pub use declared::{
+pub use config::{
     CallerLimits, DeclaredConfig, EngineSpec, RepeatKind, RouteSpec, ServiceSpec, TeamLimit,
     TeamSpec, TrafficShare,
 };
 pub use effect::{DispatchOrder, GatewayEffect};
-pub use entry::{EntryCandidate, EntrySet, HostResources, LoadPeak, select_members};
+pub use entry_set::{EntryCandidate, EntrySet, HostResources, LoadPeak, select_members};
 pub use evacuation::{EvacuationBook, EvacuationOrder};
 pub use event::{AnswerMarks, AttemptOutcome, GatewayEvent, LoadFigures, StreamEnd};
 pub use freshness::{FreshnessClock, StoreExchange};
 pub use gateway::{Gateway, GatewayBounds, GatewayOptions, GatewayView};
 pub use gossip::{GossipPlan, PeerContact, PeerMessage, SlotPlan};
+pub use label::{
+    HostLabel, RegionLabel, ServiceLabel, TeamLabel, UpstreamLabel, VersionLabel, ZoneLabel,
+};
 pub use lease::{LeaseShare, MemberLeases};
-pub use limit::{LimitTolerance, MeterLevels, MeterQuery, MeterVerdict, PeerReading, TeamMeter};
 pub use message::{
     DaemonRole, PeerHeartbeat, PeerPhase, PeerSummary, SlotScope, SlotUpdate, SlotUse, TeamUse,
     VersionTally,
 };
-pub use name::{
-    HostLabel, RegionLabel, ServiceLabel, TeamLabel, UpstreamLabel, VersionLabel, ZoneLabel,
-};
 pub use outlier::OutlierState;
 pub use peer::{PeerTable, SlotSum, name_digest};
-pub use pick::RoutingPolicy;
 pub use position::StorePosition;
 pub use quarantine::{
     BrokenAttempt, CrashAge, CrashGossip, CrashMark, CrashReport, QUARANTINE_CRASHES,
@@ -69,15 +66,20 @@
     ReportScope, RequestFingerprint, StoredCrash,
 };
 pub use queue::RequestRank;
-pub use rate_limit::{
-    LimitGossip, LimitReading, LimitReport, RateLimit, ReadingSource, UpstreamLimit,
-};
 pub use reading::{
     PeerEcho, ReadPlan, SharedTable, StoreAttestation, TableAttestation, TableKnowledge,
 };
 pub use refusal::RefusalReason;
 pub use region::{CallerPlace, RegionMap};
+pub use retry_budget::{BudgetOptions, RetryBudget};
 pub use rollout::{RolloutOrder, RolloutPhase, RolloutStatus, RolloutWrite};
+pub use selection::RoutingPolicy;
+pub use team_limit::{
+    LimitTolerance, MeterLevels, MeterQuery, MeterVerdict, PeerReading, TeamMeter,
+};
 pub use upstream::{UpstreamEntry, UpstreamFleet};
+pub use upstream_limit::{
+    LimitGossip, LimitReading, LimitReport, RateLimit, ReadingSource, UpstreamLimit,
+};
 pub use warmup::{WarmupSpec, WarmupTolerance};
 pub use zone::{ZoneDigest, ZoneMember};
--- a/crates/savorywood-gateway/src/message.rs
+++ b/crates/savorywood-gateway/src/message.rs
@@ -1,9 +1,9 @@
 //! Messages between daemons, but for digests of zones.
 
 use crate::{
-    entry::HostResources,
-    limit::MeterLevels,
+    entry_set::HostResources,
     reading::{PeerEcho, StoreAttestation},
+    team_limit::MeterLevels,
 };
 use savorywood_protocol::MonotonicTime;
 use serde::{Deserialize, Serialize};
--- a/crates/savorywood-gateway/src/peer.rs
+++ b/crates/savorywood-gateway/src/peer.rs
@@ -1,8 +1,8 @@
 //! State that daemons gossip, and what each knows of the others.
 
 use crate::{
+    label::{HostLabel, UpstreamLabel, ZoneLabel},
     message::{DaemonRole, PeerHeartbeat, PeerPhase, PeerSummary, SlotScope, SlotUpdate, SlotUse},
-    name::{HostLabel, UpstreamLabel, ZoneLabel},
     zone::{DigestOutcome, KnownZone, ZoneDigest},
 };
 use savorywood_protocol::MonotonicTime;
--- a/crates/savorywood-gateway/src/quarantine.rs
+++ b/crates/savorywood-gateway/src/quarantine.rs
@@ -10,19 +10,19 @@
 //! Requests that merely ran beside it are distinguished by what a crashing request never has: an
 //! answer. One whole answer clears a fingerprint, and covers crashes that follow soon after.
 
+mod crash_history;
 mod entry;
-mod evidence;
 mod report;
 mod row;
 mod served;
 
-pub use evidence::CrashMark;
+pub use crash_history::CrashMark;
 pub use report::{CrashAge, CrashGossip, CrashReport, ReportScope};
 pub use row::{QuarantineRow, QuarantineWrite, StoredCrash};
 
 use crate::{
     arrival::ContentDigest,
-    name::TeamLabel,
+    label::TeamLabel,
     peer::{name_digest, slot_key},
     rendezvous::pair_weight,
 };
--- a/crates/savorywood-gateway/src/quarantine/entry.rs
+++ b/crates/savorywood-gateway/src/quarantine/entry.rs
@@ -1,6 +1,6 @@
 //! One request under which upstreams crashed.
 
-use super::{QUARANTINE_CRASHES, evidence::CrashEvidence, report::ReportScope};
+use super::{QUARANTINE_CRASHES, crash_history::CrashEvidence, report::ReportScope};
 use savorywood_protocol::MonotonicTime;
 use std::time::Duration;
 
--- a/crates/savorywood-gateway/src/reading.rs
+++ b/crates/savorywood-gateway/src/reading.rs
@@ -5,7 +5,7 @@
 //! does so and attests to what the others hold; it hands on changed rows at once. Whoever sees no
 //! such daemon reads by itself.
 
-use crate::{message::PeerSummary, name::HostLabel, peer::name_digest, position::StorePosition};
+use crate::{label::HostLabel, message::PeerSummary, peer::name_digest, position::StorePosition};
 use savorywood_protocol::MonotonicTime;
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, time::Duration};
--- a/crates/savorywood-gateway/src/region.rs
+++ b/crates/savorywood-gateway/src/region.rs
@@ -1,6 +1,6 @@
 //! Regions, and the home regions that routes and teams are bound to.
 
-use crate::name::{RegionLabel, ZoneLabel};
+use crate::label::{RegionLabel, ZoneLabel};
 use std::collections::BTreeMap;
 
 /// Region of each availability zone.
--- a/crates/savorywood-gateway/src/rollout.rs
+++ b/crates/savorywood-gateway/src/rollout.rs
@@ -1,11 +1,11 @@
 //! Roll-outs: traffic moves to a new version by a time, or is taken back.
 
 use crate::{
+    label::{ServiceLabel, VersionLabel},
     message::VersionTally,
-    name::{ServiceLabel, VersionLabel},
     peer::name_digest,
-    pick::VersionChoice,
     position::StorePosition,
+    selection::VersionChoice,
 };
 use savorywood_protocol::MonotonicTime;
 use std::{collections::BTreeMap, time::Duration};
--- a/crates/savorywood-gateway/src/limit.rs
+++ b/crates/savorywood-gateway/src/team_limit.rs
@@ -1,16 +1,16 @@
 //! What teams may use, over all daemons together.
 
 mod bucket;
-mod share;
-mod silence;
+mod fair_share;
+mod staleness;
 
 pub use bucket::LimitTolerance;
 
-use crate::{declared::TeamLimit, gossip::MOST_DIRECT};
+use crate::{config::TeamLimit, gossip::MOST_DIRECT};
 use bucket::{KNOWING_PART, TokenBucket, ZONED_KNOWING_PART, strict_bucket, tolerated_bucket};
 use savorywood_protocol::MonotonicTime;
 use serde::{Deserialize, Serialize};
-use silence::{SilenceIndex, SilenceTimes, SilentPeer};
+use staleness::{SilenceIndex, SilenceTimes, SilentPeer};
 use std::{collections::BTreeMap, time::Duration};
 
 /// Time between two messages of a peer where nothing else is known.
--- a/crates/savorywood-gateway/src/limit/bucket.rs
+++ b/crates/savorywood-gateway/src/team_limit/bucket.rs
@@ -1,6 +1,6 @@
 //! Token buckets of a limit and of what is tolerated on top of it.
 
-use crate::declared::TeamLimit;
+use crate::config::TeamLimit;
 use std::time::Duration;
 
 /// By how much the sum of what all daemons admit may exceed a limit, as operators allow it.
--- a/crates/savorywood-gateway/src/upstream.rs
+++ b/crates/savorywood-gateway/src/upstream.rs
@@ -2,11 +2,11 @@
 
 use crate::{
     evacuation::{EvacuationBook, EvacuationOrder},
-    name::{ServiceLabel, UpstreamLabel, VersionLabel, ZoneLabel},
+    label::{ServiceLabel, UpstreamLabel, VersionLabel, ZoneLabel},
+    latency::PaceEstimate,
     outlier::OutlierState,
-    pace::PaceEstimate,
     peer::name_digest,
-    rate_limit::UpstreamLimit,
+    upstream_limit::UpstreamLimit,
     warmup::WarmupSpec,
 };
 use savorywood_protocol::MonotonicTime;
