--- a/crates/savorywood-gateway/src/selection.rs
+++ b/crates/savorywood-gateway/src/selection.rs
@@ -66,8 +66,12 @@
 pub enum RoutingPolicy {
     /// Expected time for this request, zones and failures in one unit.
     #[default]
+    #[serde(rename = "worth")]
+    #[strum(serialize = "worth")]
     Worth,
     /// The same, as if all upstreams were in one zone.
+    #[serde(rename = "worth-without-zones")]
+    #[strum(serialize = "worth-without-zones")]
     WorthWithoutZones,
     /// Fewest requests there.
     LeastOutstanding,
--- a/crates/savorywood-gateway/src/upstream.rs
+++ b/crates/savorywood-gateway/src/upstream.rs
@@ -141,6 +141,7 @@
     /// It is gone.
     Left,
     /// It came back under the same name, knowing nothing.
+    #[strum(serialize = "reborn")]
     Reborn,
     /// It became cold.
     Cold,
