--- a/crates/savorywood-gateway/src/affinity.rs
+++ b/crates/savorywood-gateway/src/affinity.rs
@@ -20,7 +20,7 @@
 
 /// Holders of prompt parts, newest last.
 #[derive(Debug, Clone, Default)]
-pub struct PartIndex {
+pub struct PrefixCacheIndex {
     holders: HashMap<u64, Vec<PartHolder>>,
     order: VecDeque<u64>,
 }
@@ -28,10 +28,15 @@
 /// Upstreams remembered for one part.
 const HOLDERS: usize = 4;
 
-impl PartIndex {
+impl PrefixCacheIndex {
     /// Tokens of the prompt's beginning that an upstream is expected to hold.
     #[must_use]
-    pub fn held(&self, now: MonotonicTime, parts: &[PromptPart], upstream: &UpstreamLabel) -> u32 {
+    pub fn cached_tokens(
+        &self,
+        now: MonotonicTime,
+        parts: &[PromptPart],
+        upstream: &UpstreamLabel,
+    ) -> u32 {
         let mut tokens = 0;
         for part in parts {
             let holders = self.holders.get(&part.id);
@@ -48,7 +53,12 @@
     }
 
     /// An upstream reads a prompt.
-    pub fn read(&mut self, now: MonotonicTime, parts: &[PromptPart], upstream: &UpstreamLabel) {
+    pub fn record_prompt(
+        &mut self,
+        now: MonotonicTime,
+        parts: &[PromptPart],
+        upstream: &UpstreamLabel,
+    ) {
         for part in parts {
             let holders = self.holders.entry(part.id).or_insert_with(|| {
                 self.order.push_back(part.id);
--- a/crates/savorywood-gateway/src/gateway.rs
+++ b/crates/savorywood-gateway/src/gateway.rs
@@ -19,7 +19,7 @@
 pub use gossip::GatewayView;
 
 use crate::{
-    affinity::PartIndex,
+    affinity::PrefixCacheIndex,
     arrival::LocalRequest,
     config::DeclaredConfig,
     demand::DemandBook,
@@ -129,7 +129,7 @@
     requests: BTreeMap<LocalRequest, RequestRecord>,
     queues: BTreeMap<ServiceLabel, WaitQueue>,
     demands: BTreeMap<ServiceLabel, DemandBook>,
-    parts: PartIndex,
+    parts: PrefixCacheIndex,
     peers: PeerTable,
     contacts: ContactBook,
     contacts_read: bool,
@@ -206,7 +206,7 @@
             requests: BTreeMap::new(),
             queues: BTreeMap::new(),
             demands: BTreeMap::new(),
-            parts: PartIndex::default(),
+            parts: PrefixCacheIndex::default(),
             meters: BTreeMap::new(),
             budgets: BTreeMap::new(),
             rollouts: RolloutBook::default(),
--- a/crates/savorywood-gateway/src/gateway/dispatch.rs
+++ b/crates/savorywood-gateway/src/gateway/dispatch.rs
@@ -180,7 +180,7 @@
             events: 0,
             abandoned: false,
         });
-        self.parts.read(now, &record.parts, &picked.name);
+        self.parts.record_prompt(now, &record.parts, &picked.name);
         self.rollouts.sent(&record.service, &state.entry.version);
         let order = DispatchOrder {
             request,
--- a/crates/savorywood-gateway/src/selection.rs
+++ b/crates/savorywood-gateway/src/selection.rs
@@ -1,7 +1,7 @@
 //! Which upstream gets a request.
 
 use crate::{
-    affinity::PartIndex,
+    affinity::PrefixCacheIndex,
     arrival::PromptPart,
     demand::UrgentArrivals,
     estimate::AnswerEstimate,
@@ -120,7 +120,7 @@
     /// Peers and their slots.
     pub peers: &'a PeerTable,
     /// Holders of prompt parts.
-    pub parts: &'a PartIndex,
+    pub parts: &'a PrefixCacheIndex,
     /// Own zone.
     pub zone: &'a ZoneLabel,
     /// What the choice goes by.
@@ -241,7 +241,9 @@
         if !query.stream {
             return AnswerEstimate::plain(state.pace.whole_ms(usual));
         }
-        let held = self.parts.held(self.now, query.parts, &state.entry.name);
+        let held = self
+            .parts
+            .cached_tokens(self.now, query.parts, &state.entry.name);
         let own = query.prompt.saturating_sub(held);
         let unread = own + state.unread + others_unread;
         AnswerEstimate {
