--- a/crates/savorywood-front/src/settings.rs
+++ b/crates/savorywood-front/src/settings.rs
@@ -1,7 +1,7 @@
 //! Settings of a front daemon: JSON with comments, checked at the start.
 
 use savorywood_gateway::{
-    BudgetOptions, GatewayBounds, HostResources, LimitTolerance, RegionLabel, RegionMap,
+    GatewayBounds, HostResources, LimitTolerance, RegionLabel, RegionMap, RetryBudgetOptions,
     RoutingPolicy, WarmupTolerance, ZoneLabel,
 };
 use savorywood_settings::{FaultReport, MemberPath, SourceText, decode, node::SourceNode};
@@ -194,7 +194,7 @@
         let bounds = &self.bounds;
         GatewayBounds {
             revocation: bounds.revocation_ms.map(Duration::from_millis),
-            budget: BudgetOptions {
+            budget: RetryBudgetOptions {
                 ratio: bounds.retry_ratio,
                 slack: bounds.retry_slack,
                 window: Duration::from_secs_f64(bounds.retry_window_s.max(0.1)),
--- a/crates/savorywood-gateway/src/gateway.rs
+++ b/crates/savorywood-gateway/src/gateway.rs
@@ -36,7 +36,7 @@
     queue::WaitQueue,
     reading::ReadBook,
     region::RegionMap,
-    retry_budget::{BudgetOptions, RetryBudget},
+    retry_budget::{RetryBudget, RetryBudgetOptions},
     rollout::{RolloutBook, TrialOptions},
     selection::RoutingPolicy,
     team_limit::{LimitTolerance, TeamMeter},
@@ -81,7 +81,7 @@
     /// A key must not work for longer than this after it was taken away; `None`: no such bound.
     pub revocation: Option<Duration>,
     /// Bounds of second tries.
-    pub budget: BudgetOptions,
+    pub budget: RetryBudgetOptions,
     /// By how much teams may exceed their limits.
     pub tolerance: LimitTolerance,
     /// Share of traffic that an unproved version may get.
--- a/crates/savorywood-gateway/src/gateway/admission.rs
+++ b/crates/savorywood-gateway/src/gateway/admission.rs
@@ -99,7 +99,10 @@
                     .with("proof_age_ms", self.proof_age(now).as_millis());
                 effects.push(GatewayEffect::Log(line));
                 let service = record.service.clone();
-                self.budgets.entry(service.clone()).or_default().earn(now);
+                self.budgets
+                    .entry(service.clone())
+                    .or_default()
+                    .record_request(now);
                 let demand = self.demands.entry(service.clone()).or_default();
                 demand.arrived(now, record.rank);
                 self.enqueue(request, record);
--- a/crates/savorywood-gateway/src/gateway/ending.rs
+++ b/crates/savorywood-gateway/src/gateway/ending.rs
@@ -138,7 +138,7 @@
         }
         let daemons = self.peers.known(now) + 1;
         let budget = self.budgets.entry(record.service.clone()).or_default();
-        budget.spend(now, &self.options.bounds.budget, daemons)
+        budget.try_acquire(now, &self.options.bounds.budget, daemons)
     }
 
     /// Puts a request back into its queue; it has waited and goes first in its rank.
--- a/crates/savorywood-gateway/src/lib.rs
+++ b/crates/savorywood-gateway/src/lib.rs
@@ -71,7 +71,7 @@
 };
 pub use refusal::RefusalReason;
 pub use region::{CallerPlace, RegionMap};
-pub use retry_budget::{BudgetOptions, RetryBudget};
+pub use retry_budget::{RetryBudget, RetryBudgetOptions};
 pub use rollout::{RolloutOrder, RolloutPhase, RolloutStatus, RolloutWrite};
 pub use selection::RoutingPolicy;
 pub use team_limit::{
--- a/crates/savorywood-gateway/src/retry_budget.rs
+++ b/crates/savorywood-gateway/src/retry_budget.rs
@@ -5,7 +5,7 @@
 
 /// Bounds of second tries of a service, over all daemons.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct BudgetOptions {
+pub struct RetryBudgetOptions {
     /// Second tries for each request.
     pub ratio: f64,
     /// Second tries in a window beside these.
@@ -14,7 +14,7 @@
     pub window: Duration,
 }
 
-impl Default for BudgetOptions {
+impl Default for RetryBudgetOptions {
     fn default() -> Self {
         Self {
             ratio: 0.2,
@@ -41,12 +41,17 @@
 
 impl RetryBudget {
     /// Counts a request.
-    pub fn earn(&mut self, now: MonotonicTime) {
+    pub fn record_request(&mut self, now: MonotonicTime) {
         self.requests.push_back(now);
     }
 
     /// Takes one second try, if one is left for this daemon among `daemons`.
-    pub fn spend(&mut self, now: MonotonicTime, options: &BudgetOptions, daemons: usize) -> bool {
+    pub fn try_acquire(
+        &mut self,
+        now: MonotonicTime,
+        options: &RetryBudgetOptions,
+        daemons: usize,
+    ) -> bool {
         self.forget(now, options.window);
         let earned = self.requests.len() as f64 * options.ratio * USED_RATIO;
         let share = options.slack * USED_SLACK / daemons.max(1) as f64;
--- a/crates/savorywood-gateway/tests/together.rs
+++ b/crates/savorywood-gateway/tests/together.rs
@@ -4,7 +4,7 @@
 mod scene;
 
 use savorywood_gateway::{
-    BudgetOptions, FreshnessClock, GatewayEvent, GatewayOptions, LimitTolerance, RetryBudget,
+    FreshnessClock, GatewayEvent, GatewayOptions, LimitTolerance, RetryBudget, RetryBudgetOptions,
     StoreExchange, TeamLimit,
 };
 use savorywood_protocol::MonotonicTime;
@@ -123,7 +123,7 @@
 /// what the service may get.
 #[test]
 fn second_tries_of_all_daemons_stay_within_the_budget() {
-    let options = BudgetOptions {
+    let options = RetryBudgetOptions {
         ratio: 0.2,
         slack: 54.0,
         window: Duration::from_secs(10),
@@ -135,10 +135,10 @@
         let now = MonotonicTime(step * 10_000);
         for budget in &mut budgets {
             if step % 10 == 0 {
-                budget.earn(now);
+                budget.record_request(now);
                 requests += 1;
             }
-            spent += u32::from(budget.spend(now, &options, DAEMONS));
+            spent += u32::from(budget.try_acquire(now, &options, DAEMONS));
         }
     }
     let most = f64::from(requests) * options.ratio + options.slack;
