--- a/crates/savorywood-front/src/caller.rs
+++ b/crates/savorywood-front/src/caller.rs
@@ -137,12 +137,12 @@
     let limits = limits(shared);
     skip_empty_lines(reader);
     if reader.bytes().is_empty() {
-        let first = within(limits.idle_time + IDLE_MARGIN, reader.fill()).await;
+        let first = within(limits.idle_timeout + IDLE_MARGIN, reader.fill()).await;
         if !matches!(first, Some(Ok(1..))) {
             return RequestRead::Closed;
         }
     }
-    let head = match within(limits.header_time, read_head(reader, &limits)).await {
+    let head = match within(limits.header_timeout, read_head(reader, &limits)).await {
         Some(Ok(Some(head))) => head,
         Some(Ok(None)) => return RequestRead::Closed,
         Some(Err(HeadFault::TooLarge)) => return RequestRead::Fault(431, "head too large"),
--- a/crates/savorywood-gateway/src/config.rs
+++ b/crates/savorywood-gateway/src/config.rs
@@ -12,11 +12,11 @@
 
 /// How often a request of a route may run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RepeatKind {
+pub enum RetrySafety {
     /// It may run more than once.
-    Safe,
+    Idempotent,
     /// It runs once at most.
-    Once,
+    AtMostOnce,
     /// Its answer is a stream of events.
     Stream {
         /// A broken stream may be read on at another upstream.
@@ -24,13 +24,13 @@
     },
 }
 
-impl RepeatKind {
+impl RetrySafety {
     /// Says whether the request may run again after it may have run.
     #[must_use]
     pub fn is_idempotent(self) -> bool {
         match self {
-            Self::Safe | Self::Stream { resumable: true } => true,
-            Self::Once | Self::Stream { resumable: false } => false,
+            Self::Idempotent | Self::Stream { resumable: true } => true,
+            Self::AtMostOnce | Self::Stream { resumable: false } => false,
         }
     }
 
@@ -60,7 +60,7 @@
     /// Beginning of the path; begins and ends with a slash.
     pub prefix: String,
     /// What may be repeated.
-    pub repeat: RepeatKind,
+    pub retry_safety: RetrySafety,
     /// Longest time until the whole answer.
     pub timeout: Option<Duration>,
     /// Time within which an answer (a stream: its first event) is in time.
@@ -69,7 +69,7 @@
     pub gap_objective: Option<Duration>,
     /// Silence after which callers leave, also before the first event; `None` where they wait
     /// for as long as they said.
-    pub caller_timeout: Option<Duration>,
+    pub caller_idle_timeout: Option<Duration>,
     /// Rank, 0 is the most urgent.
     pub priority: u32,
     /// Where its traffic goes.
@@ -81,13 +81,13 @@
     /// Requests with the same prompt parts are better kept together.
     pub affinity: bool,
     /// Regions whose upstreams may get its requests; any if empty.
-    pub homes: Vec<RegionLabel>,
+    pub home_regions: Vec<RegionLabel>,
 }
 
 impl RouteSpec {
     /// Service for a number drawn evenly from 0 to 1.
     #[must_use]
-    pub fn choose(&self, draw: f64) -> Option<&ServiceLabel> {
+    pub fn choose_service(&self, draw: f64) -> Option<&ServiceLabel> {
         let total: u32 = self.split.iter().map(|share| share.weight).sum();
         let mut rest = draw * f64::from(total);
         for share in &self.split {
@@ -134,7 +134,7 @@
     /// Units are tokens, not requests.
     pub in_tokens: bool,
     /// Tokens of a request that names none.
-    pub plain_tokens: u32,
+    pub default_tokens: u32,
 }
 
 /// A team.
@@ -147,7 +147,7 @@
     /// What it may use; `None` is unlimited.
     pub limit: Option<TeamLimit>,
     /// Regions whose upstreams may get its requests; any if empty. They bind beside its routes'.
-    pub homes: Vec<RegionLabel>,
+    pub home_regions: Vec<RegionLabel>,
 }
 
 /// What callers may send and how long they may take.
@@ -158,9 +158,9 @@
     /// Bytes of a body.
     pub body_bytes: usize,
     /// Time for a head once it began.
-    pub header_time: Duration,
+    pub header_timeout: Duration,
     /// Time that a connection may be idle.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for CallerLimits {
@@ -168,8 +168,8 @@
         Self {
             header_bytes: 16_384,
             body_bytes: 4 << 20,
-            header_time: Duration::from_secs(3),
-            idle_time: Duration::from_secs(15),
+            header_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
@@ -231,21 +231,21 @@
 
     /// Home regions of the routes of a host; none where one of them has none.
     #[must_use]
-    pub fn homes_of(&self, host: &str) -> BTreeSet<&RegionLabel> {
+    pub fn home_regions_of(&self, host: &str) -> BTreeSet<&RegionLabel> {
         let routes = self.hosts.get(host).into_iter().flat_map(HashMap::values);
         let mut homes = BTreeSet::new();
         for route in routes {
-            if route.homes.is_empty() {
+            if route.home_regions.is_empty() {
                 return BTreeSet::new();
             }
-            homes.extend(&route.homes);
+            homes.extend(&route.home_regions);
         }
         homes
     }
 
     /// Team that holds a key.
     #[must_use]
-    pub fn team_of(&self, key: &str) -> Option<&Arc<TeamSpec>> {
+    pub fn team_for_key(&self, key: &str) -> Option<&Arc<TeamSpec>> {
         self.keys.get(key)
     }
 
@@ -262,7 +262,7 @@
 
     /// Callers must show keys.
     #[must_use]
-    pub fn needs_keys(&self) -> bool {
+    pub fn requires_keys(&self) -> bool {
         !self.teams.is_empty()
     }
 
--- a/crates/savorywood-gateway/src/gateway/admission.rs
+++ b/crates/savorywood-gateway/src/gateway/admission.rs
@@ -176,7 +176,7 @@
         let fingerprint = RequestFingerprint::new(arrival.content, team_name);
         let is_trial = self.pass_quarantine(now, fingerprint, team_name)?;
         let draw = self.draws.next();
-        let service = route.choose(draw).cloned();
+        let service = route.choose_service(draw).cloned();
         let service = service.ok_or_else(|| Denial::of(RefusalReason::NoUpstream))?;
         let mut units = 0.0;
         if let Some(team) = &team {
@@ -250,8 +250,11 @@
         route: &RouteSpec,
         arrival: &RequestArrival,
     ) -> Result<Option<Arc<TeamSpec>>, Denial> {
-        let team = arrival.key.as_deref().and_then(|key| config.team_of(key));
-        if route.public || !config.needs_keys() {
+        let team = arrival
+            .key
+            .as_deref()
+            .and_then(|key| config.team_for_key(key));
+        if route.public || !config.requires_keys() {
             return Ok(team.cloned());
         }
         if !self.keys_are_confirmed(now) {
@@ -279,7 +282,7 @@
             .is_none_or(|queue| queue.len() == 0);
         let units = if limit.in_tokens {
             let size = arrival.size.map(|size| size.prompt + size.output);
-            f64::from(size.unwrap_or(limit.plain_tokens))
+            f64::from(size.unwrap_or(limit.default_tokens))
         } else {
             1.0
         };
--- a/crates/savorywood-gateway/src/gateway/dispatch.rs
+++ b/crates/savorywood-gateway/src/gateway/dispatch.rs
@@ -103,12 +103,12 @@
             output: record.output,
             slack_ms: record.route.objective.as_secs_f64() * 1e3 - waited.as_secs_f64() * 1e3,
             left_ms: record.give_up_at.since(now).as_secs_f64() * 1e3,
-            stream: record.route.repeat.is_stream(),
+            stream: record.route.retry_safety.is_stream(),
             parts: &record.parts,
             tried,
             homes: [
-                &record.route.homes,
-                record.team.as_ref().map_or(&[], |team| &team.homes),
+                &record.route.home_regions,
+                record.team.as_ref().map_or(&[], |team| &team.home_regions),
             ],
             versions: self.rollouts.choose(now, &record.service, self.trial()),
             urgent: self.urgent_arrivals(now, record),
@@ -191,8 +191,8 @@
             address: state.entry.address,
             team: record.team.as_ref().map(|team| team.name.clone()),
             give_up_at: record.give_up_at,
-            stream: record.route.repeat.is_stream(),
-            idempotent: record.route.repeat.is_idempotent(),
+            stream: record.route.retry_safety.is_stream(),
+            idempotent: record.route.retry_safety.is_idempotent(),
         };
         let line = LogLine::new(LogLevel::Info, "request-dispatched")
             .with("request", &record.identity)
@@ -244,12 +244,12 @@
                     continue;
                 };
                 let first = usual.first_ms(&usual, record.size.prompt) * NEEDED_PART / 1e3;
-                let stream = record.route.repeat.is_stream();
+                let stream = record.route.retry_safety.is_stream();
                 if stream && now + Duration::from_secs_f64(first) >= record.leave_at {
                     hopeless.push(place.request);
                     continue;
                 }
-                let needed = if record.route.repeat.is_stream() {
+                let needed = if record.route.retry_safety.is_stream() {
                     usual.first_ms(&usual, record.size.prompt)
                         + usual.rest_ms(&usual, record.output)
                 } else {
--- a/crates/savorywood-gateway/src/gateway/entry.rs
+++ b/crates/savorywood-gateway/src/gateway/entry.rs
@@ -287,7 +287,7 @@
         }
         let config = self.config.as_ref();
         let homes = caller.host.zip(config);
-        let homes = homes.map(|(host, config)| config.homes_of(host));
+        let homes = homes.map(|(host, config)| config.home_regions_of(host));
         match homes.filter(|homes| !homes.is_empty()) {
             Some(homes) => within(&|region| homes.contains(region)),
             None => by_zone.values().flatten().copied().collect(),
--- a/crates/savorywood-gateway/src/gateway/learning.rs
+++ b/crates/savorywood-gateway/src/gateway/learning.rs
@@ -74,7 +74,7 @@
         let is_first = attempt.began_at.is_none();
         attempt.began_at.get_or_insert(now);
         attempt.moved(now, 1);
-        record.has_begun |= record.route.repeat.is_stream();
+        record.has_begun |= record.route.retry_safety.is_stream();
         let elapsed = now.since(attempt.sent_at);
         let upstream = attempt.upstream.clone();
         self.fleet.received(now, &upstream);
@@ -82,7 +82,7 @@
         if is_first && let Some(state) = self.fleet.get_mut(&upstream) {
             state.unread = state.unread.saturating_sub(record.size.prompt);
         }
-        if record.route.repeat.is_stream() {
+        if record.route.retry_safety.is_stream() {
             let prompt = record.size.prompt;
             self.fleet
                 .usual_mut(&record.service)
@@ -129,7 +129,7 @@
             return;
         };
         let service = record.service.clone();
-        let stream = record.route.repeat.is_stream();
+        let stream = record.route.retry_safety.is_stream();
         if attempt.began_at.is_none()
             && let Some(state) = self.fleet.get_mut(&attempt.upstream)
         {
--- a/crates/savorywood-gateway/src/gateway/record.rs
+++ b/crates/savorywood-gateway/src/gateway/record.rs
@@ -104,7 +104,7 @@
 impl RequestRecord {
     /// When its caller leaves if nothing comes after this moment.
     pub fn leave_time(&self, received_at: MonotonicTime) -> MonotonicTime {
-        let caller_timeout = self.route.caller_timeout;
+        let caller_timeout = self.route.caller_idle_timeout;
         let leave_at = caller_timeout
             .map(|caller_timeout| received_at + caller_timeout.saturating_sub(LEAVING_MARGIN));
         leave_at.map_or(self.give_up_at, |at| at.min(self.give_up_at))
@@ -112,11 +112,11 @@
 
     /// The route allows one more run beside the one under way.
     pub fn may_run_once_more(&self) -> bool {
-        self.route.repeat.is_idempotent() && self.runs + 1 < self.route.max_attempts
+        self.route.retry_safety.is_idempotent() && self.runs + 1 < self.route.max_attempts
     }
 
     /// A second run is allowed by the route.
     pub fn may_run_again(&self) -> bool {
-        self.route.repeat.is_idempotent() && self.runs < self.route.max_attempts.max(1)
+        self.route.retry_safety.is_idempotent() && self.runs < self.route.max_attempts.max(1)
     }
 }
--- a/crates/savorywood-gateway/src/gateway/watching.rs
+++ b/crates/savorywood-gateway/src/gateway/watching.rs
@@ -94,7 +94,7 @@
             let objective = record.route.objective.mul_f64(OBJECTIVE_PART);
             let mut most = expected.max(objective).max(LEAST_SILENCE);
             let others_go_on = state.received_at > received_at;
-            if record.route.repeat.is_stream() && others_go_on {
+            if record.route.retry_safety.is_stream() && others_go_on {
                 // It reads the prompts that came before this one.
                 most = most.max(record.route.objective);
             }
--- a/crates/savorywood-gateway/src/lib.rs
+++ b/crates/savorywood-gateway/src/lib.rs
@@ -39,7 +39,7 @@
 
 pub use arrival::{ContentDigest, LocalRequest, PromptPart, RequestArrival, RequestSize};
 pub use config::{
-    CallerLimits, DeclaredConfig, EngineSpec, RepeatKind, RouteSpec, ServiceSpec, TeamLimit,
+    CallerLimits, DeclaredConfig, EngineSpec, RetrySafety, RouteSpec, ServiceSpec, TeamLimit,
     TeamSpec, TrafficShare,
 };
 pub use effect::{DispatchOrder, GatewayEffect};
--- a/crates/savorywood-gateway/tests/admission.rs
+++ b/crates/savorywood-gateway/tests/admission.rs
@@ -3,7 +3,7 @@
 #[path = "common/scene.rs"]
 mod scene;
 
-use savorywood_gateway::{GatewayEvent, RefusalReason, RepeatKind, RequestArrival, TeamLimit};
+use savorywood_gateway::{GatewayEvent, RefusalReason, RequestArrival, RetrySafety, TeamLimit};
 use scene::{GatewayScene, REVOCATION, arrival, config, options, route};
 use std::{sync::Arc, time::Duration};
 
@@ -22,7 +22,7 @@
 #[test]
 fn the_longest_prefix_wins() {
     let mut config = config(1, None);
-    config.add_route(route("/safe/deep/", RepeatKind::Once, 3));
+    config.add_route(route("/safe/deep/", RetrySafety::AtMostOnce, 3));
     let found = config
         .route("api.example", "/safe/deep/x")
         .expect("a route");
@@ -101,7 +101,7 @@
 fn an_older_configuration_never_comes_back() {
     let mut scene = GatewayScene::ready(1);
     let mut newer = savorywood_gateway::DeclaredConfig::new(9);
-    newer.add_route(route("/new/", RepeatKind::Safe, 1));
+    newer.add_route(route("/new/", RetrySafety::Idempotent, 1));
     scene.step(GatewayEvent::ConfigRead(Arc::new(newer)));
     scene.step(GatewayEvent::ConfigRead(Arc::new(config(8, None))));
     let request = scene.arrive(arrival("/safe/1"));
@@ -115,7 +115,7 @@
         per_second: 2_000.0,
         burst: 2_000.0,
         in_tokens: true,
-        plain_tokens: 100,
+        default_tokens: 100,
     };
     let mut scene = GatewayScene::ready(4);
     scene.step(GatewayEvent::ConfigRead(Arc::new(config(2, Some(limit)))));
--- a/crates/savorywood-gateway/tests/common/field.rs
+++ b/crates/savorywood-gateway/tests/common/field.rs
@@ -52,7 +52,7 @@
         per_second: 9_000.0 * daemons as f64,
         burst: 9_000.0 * daemons as f64,
         in_tokens: true,
-        plain_tokens: 200,
+        default_tokens: 200,
     }
 }
 
--- a/crates/savorywood-gateway/tests/common/load.rs
+++ b/crates/savorywood-gateway/tests/common/load.rs
@@ -14,7 +14,7 @@
 use engine::{EngineModel, EngineOutput, EngineRun};
 use savorywood_gateway::{
     AnswerMarks, AttemptOutcome, DispatchOrder, GatewayEffect, GatewayEvent, LocalRequest,
-    PeerContact, RepeatKind, RequestArrival, RequestSize, StreamEnd, UpstreamLabel, ZoneLabel,
+    PeerContact, RequestArrival, RequestSize, RetrySafety, StreamEnd, UpstreamLabel, ZoneLabel,
 };
 use savorywood_protocol::MonotonicTime;
 use std::{
@@ -114,13 +114,13 @@
         scene.now = self.now;
         let mut config = config(1, None);
         for kind in &self.kinds {
-            let repeat = RepeatKind::Stream {
+            let repeat = RetrySafety::Stream {
                 resumable: kind.resumable,
             };
             let mut route = route(kind.path, repeat, kind.rank);
             route.objective = kind.objective;
             route.gap_objective = Some(kind.pause);
-            route.caller_timeout = Some(kind.caller_timeout);
+            route.caller_idle_timeout = Some(kind.caller_timeout);
             route.timeout = Some(kind.deadline);
             config.add_route(route);
         }
--- a/crates/savorywood-gateway/tests/common/scene.rs
+++ b/crates/savorywood-gateway/tests/common/scene.rs
@@ -4,7 +4,7 @@
 use savorywood_gateway::{
     AnswerMarks, AttemptOutcome, ContentDigest, DeclaredConfig, DispatchOrder, Gateway,
     GatewayBounds, GatewayEffect, GatewayEvent, GatewayOptions, HostLabel, HostResources,
-    LocalRequest, PromptPart, RefusalReason, RegionMap, RepeatKind, RequestArrival, RequestSize,
+    LocalRequest, PromptPart, RefusalReason, RegionMap, RequestArrival, RequestSize, RetrySafety,
     RouteSpec, RoutingPolicy, ServiceLabel, ServiceSpec, TeamLabel, TeamLimit, TeamSpec,
     TrafficShare, UpstreamEntry, UpstreamLabel, VersionLabel, ZoneLabel, name_digest,
 };
@@ -42,16 +42,16 @@
     }
 }
 
-pub fn route(prefix: &str, repeat: RepeatKind, priority: u32) -> RouteSpec {
+pub fn route(prefix: &str, repeat: RetrySafety, priority: u32) -> RouteSpec {
     RouteSpec {
         name: prefix.trim_matches('/').to_owned(),
         host: "api.example".to_owned(),
         prefix: prefix.to_owned(),
-        repeat,
+        retry_safety: repeat,
         timeout: Some(Duration::from_secs(8)),
         objective: Duration::from_secs(1),
         gap_objective: Some(Duration::from_millis(800)),
-        caller_timeout: None,
+        caller_idle_timeout: None,
         priority,
         split: vec![TrafficShare {
             service: ServiceLabel::from("engine"),
@@ -60,18 +60,22 @@
         max_attempts: 2,
         public: false,
         affinity: true,
-        homes: Vec::new(),
+        home_regions: Vec::new(),
     }
 }
 
 /// Routes `/safe/`, `/once/`, `/stream/`, `/urgent/` and `/open/`, and a team with the key `key`.
 pub fn config(version: u64, limit: Option<TeamLimit>) -> DeclaredConfig {
     let mut config = DeclaredConfig::new(version);
-    config.add_route(route("/safe/", RepeatKind::Safe, 1));
-    config.add_route(route("/once/", RepeatKind::Once, 1));
-    config.add_route(route("/stream/", RepeatKind::Stream { resumable: true }, 1));
-    config.add_route(route("/urgent/", RepeatKind::Safe, 0));
-    let mut open = route("/open/", RepeatKind::Safe, 1);
+    config.add_route(route("/safe/", RetrySafety::Idempotent, 1));
+    config.add_route(route("/once/", RetrySafety::AtMostOnce, 1));
+    config.add_route(route(
+        "/stream/",
+        RetrySafety::Stream { resumable: true },
+        1,
+    ));
+    config.add_route(route("/urgent/", RetrySafety::Idempotent, 0));
+    let mut open = route("/open/", RetrySafety::Idempotent, 1);
     open.public = true;
     config.add_route(open);
     let service = ServiceSpec {
@@ -86,7 +90,7 @@
         name: TeamLabel::from("team"),
         priority: None,
         limit,
-        homes: Vec::new(),
+        home_regions: Vec::new(),
     };
     config.add_team(team, vec!["key".to_owned()]);
     config
--- a/crates/savorywood-gateway/tests/regions.rs
+++ b/crates/savorywood-gateway/tests/regions.rs
@@ -5,7 +5,7 @@
 
 use savorywood_gateway::{
     CallerPlace, DeclaredConfig, GatewayEvent, PeerContact, RefusalReason, RegionLabel, RegionMap,
-    RepeatKind, TeamLabel, TeamSpec, UpstreamEntry, ZoneLabel,
+    RetrySafety, TeamLabel, TeamSpec, UpstreamEntry, ZoneLabel,
 };
 use scene::{GatewayScene, arrival, config, options, route, upstream};
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
@@ -34,8 +34,8 @@
 fn declared() -> DeclaredConfig {
     let mut config = config(1, None);
     for name in ["north", "south"] {
-        let mut route = route(&format!("/{name}/"), RepeatKind::Safe, 1);
-        route.homes = homes(&[name]);
+        let mut route = route(&format!("/{name}/"), RetrySafety::Idempotent, 1);
+        route.home_regions = homes(&[name]);
         route.host = format!("{name}.example");
         config.add_route(route);
     }
@@ -43,7 +43,7 @@
         name: TeamLabel::from("southern"),
         priority: None,
         limit: None,
-        homes: homes(&["south"]),
+        home_regions: homes(&["south"]),
     };
     config.add_team(team, vec!["southern".to_owned()]);
     config
--- a/crates/savorywood-gateway/tests/together.rs
+++ b/crates/savorywood-gateway/tests/together.rs
@@ -32,7 +32,7 @@
         per_second: 58_000.0,
         burst: 58_000.0,
         in_tokens: true,
-        plain_tokens: 200,
+        default_tokens: 200,
     }
 }
 
