--- a/crates/savorywood-gateway/src/demand.rs
+++ b/crates/savorywood-gateway/src/demand.rs
@@ -38,19 +38,19 @@
 
 /// Arrivals and dispatches at one service by rank, as this daemon sees them.
 #[derive(Debug, Clone, Default)]
-pub struct DemandBook {
+pub struct DemandTracker {
     arrivals: BTreeMap<RequestRank, FadingCount>,
     dispatches: BTreeMap<RequestRank, FadingCount>,
 }
 
-impl DemandBook {
+impl DemandTracker {
     /// A request came.
-    pub fn arrived(&mut self, now: MonotonicTime, rank: RequestRank) {
+    pub fn record_arrival(&mut self, now: MonotonicTime, rank: RequestRank) {
         self.arrivals.entry(rank).or_default().add(now);
     }
 
     /// A request got a slot.
-    pub fn dispatched(&mut self, now: MonotonicTime, rank: RequestRank) {
+    pub fn record_dispatch(&mut self, now: MonotonicTime, rank: RequestRank) {
         self.dispatches.entry(rank).or_default().add(now);
     }
 
@@ -63,13 +63,18 @@
 
     /// Arrivals more urgent than a rank, at `daemons` daemons that see as many as this one.
     #[must_use]
-    pub fn urgent(&self, now: MonotonicTime, rank: RequestRank, daemons: usize) -> UrgentArrivals {
+    pub fn urgent_arrivals(
+        &self,
+        now: MonotonicTime,
+        rank: RequestRank,
+        daemons: usize,
+    ) -> UrgentArrivals {
         let urgent = self.arrivals.range(..rank);
         let mut rates = urgent.map(|(_, count)| count.per_second(now) * daemons as f64);
         let most_urgent = rates.next().unwrap_or_default();
         UrgentArrivals {
-            most_urgent,
-            all: most_urgent + rates.sum::<f64>(),
+            most_urgent_per_s: most_urgent,
+            total_per_s: most_urgent + rates.sum::<f64>(),
         }
     }
 }
@@ -78,9 +83,9 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct UrgentArrivals {
     /// Of all those ranks.
-    pub all: f64,
+    pub total_per_s: f64,
     /// Of the most urgent one.
-    pub most_urgent: f64,
+    pub most_urgent_per_s: f64,
 }
 
 impl UrgentArrivals {
@@ -97,8 +102,8 @@
     #[must_use]
     pub fn reserved_slots(&self, share: f64, slot: Duration, slots: u32) -> u32 {
         let horizon = slot.min(OVERDUE_TIME);
-        let kept = (self.all * share * horizon.as_secs_f64()).round() as u32;
-        if self.most_urgent * share * slot.as_secs_f64() < MOST_LENT {
+        let kept = (self.total_per_s * share * horizon.as_secs_f64()).round() as u32;
+        if self.most_urgent_per_s * share * slot.as_secs_f64() < MOST_LENT {
             return 0;
         }
         kept.min(slots / MOST_KEPT)
--- a/crates/savorywood-gateway/src/gateway/admission.rs
+++ b/crates/savorywood-gateway/src/gateway/admission.rs
@@ -104,7 +104,7 @@
                     .or_default()
                     .record_request(now);
                 let demand = self.demands.entry(service.clone()).or_default();
-                demand.arrived(now, record.rank);
+                demand.record_arrival(now, record.rank);
                 self.enqueue(request, record);
                 self.pump(now, &service, effects);
             }
--- a/crates/savorywood-gateway/src/gateway/dispatch.rs
+++ b/crates/savorywood-gateway/src/gateway/dispatch.rs
@@ -137,7 +137,7 @@
     fn urgent_arrivals(&self, now: MonotonicTime, record: &RequestRecord) -> UrgentArrivals {
         let demand = self.demands.get(&record.service);
         demand
-            .map(|demand| demand.urgent(now, record.rank, self.entry_daemons))
+            .map(|demand| demand.urgent_arrivals(now, record.rank, self.entry_daemons))
             .unwrap_or_default()
     }
 
@@ -168,7 +168,7 @@
             queue.remove(place);
         }
         let demand = self.demands.entry(record.service.clone()).or_default();
-        demand.dispatched(now, record.rank);
+        demand.record_dispatch(now, record.rank);
         record.sends += 1;
         record.place = RequestPlace::Running(RunningAttempt {
             upstream: picked.name.clone(),
