--- a/crates/savorywood-gateway/src/entry_set.rs
+++ b/crates/savorywood-gateway/src/entry_set.rs
@@ -97,7 +97,7 @@
     /// What its host has.
     pub capacity: HostResources,
     /// Time for which it has been running and was seen without a gap.
-    pub steady: Duration,
+    pub stable_for: Duration,
 }
 
 /// Members of a zone for a load, the largest hosts first.
@@ -107,10 +107,10 @@
 /// started, or were just silent, come after all others: they know neither slots nor limits yet.
 #[must_use]
 pub fn select_members(mut candidates: Vec<EntryCandidate>, load: &HostResources) -> Vec<u64> {
-    let steady = candidates.iter().map(|candidate| candidate.steady);
+    let steady = candidates.iter().map(|candidate| candidate.stable_for);
     let oldest = steady.max().unwrap_or_default();
     let is_cold = |candidate: &EntryCandidate| {
-        candidate.steady < WARM_UP_TIME && candidate.steady + START_SPREAD < oldest
+        candidate.stable_for < WARM_UP_TIME && candidate.stable_for + START_SPREAD < oldest
     };
     candidates.sort_by(|one, other| {
         is_cold(one)
@@ -143,12 +143,12 @@
 /// Members must be enough for the next burst, and callers that move between daemons with each
 /// change of the set lose their connections; so the set grows with the load and shrinks slowly.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct LoadPeak {
+pub struct PeakLoad {
     amounts: [f64; 4],
     updated_at: MonotonicTime,
 }
 
-impl LoadPeak {
+impl PeakLoad {
     /// Takes the load of now, and peaks that peers remember.
     pub fn update(
         &mut self,
--- a/crates/savorywood-gateway/src/gateway.rs
+++ b/crates/savorywood-gateway/src/gateway.rs
@@ -24,7 +24,7 @@
     config::DeclaredConfig,
     demand::DemandTracker,
     effect::GatewayEffect,
-    entry_set::{EntrySet, HostResources, LoadPeak},
+    entry_set::{EntrySet, HostResources, PeakLoad},
     evacuation::EvacuationOrder,
     event::GatewayEvent,
     gossip::{ContactBook, SentSlots},
@@ -136,7 +136,7 @@
     /// What this process uses of its host.
     load: HostResources,
     /// Load of the own zone, remembered at its peak.
-    peak: LoadPeak,
+    peak: PeakLoad,
     entry: EntrySet,
     /// Daemons of all zones that the directory names.
     entry_daemons: usize,
@@ -186,7 +186,7 @@
             contacts: ContactBook::new(options.peer_address, options.zone.clone()),
             contacts_read: false,
             load: HostResources::default(),
-            peak: LoadPeak::default(),
+            peak: PeakLoad::default(),
             entry: EntrySet::default(),
             entry_daemons: 1,
             entry_at: MonotonicTime::default(),
--- a/crates/savorywood-gateway/src/gateway/entry.rs
+++ b/crates/savorywood-gateway/src/gateway/entry.rs
@@ -168,7 +168,7 @@
             candidates.push(EntryCandidate {
                 host: peer.digest,
                 capacity: peer.summary.capacity,
-                steady: if is_overdue {
+                stable_for: if is_overdue {
                     Duration::ZERO
                 } else {
                     peer.steady(now, self.resumed_at)
@@ -189,7 +189,7 @@
         EntryCandidate {
             host: name_digest(self.options.host.as_str()),
             capacity: self.options.capacity,
-            steady: steady_since.map_or(Duration::ZERO, |at| now.since(at)),
+            stable_for: steady_since.map_or(Duration::ZERO, |at| now.since(at)),
         }
     }
 
--- a/crates/savorywood-gateway/src/lib.rs
+++ b/crates/savorywood-gateway/src/lib.rs
@@ -43,7 +43,7 @@
     TeamSpec, TrafficShare,
 };
 pub use effect::{DispatchOrder, GatewayEffect};
-pub use entry_set::{EntryCandidate, EntrySet, HostResources, LoadPeak, select_members};
+pub use entry_set::{EntryCandidate, EntrySet, HostResources, PeakLoad, select_members};
 pub use evacuation::{EvacuationBook, EvacuationOrder};
 pub use event::{AnswerMarks, AttemptOutcome, GatewayEvent, LoadFigures, StreamEnd};
 pub use freshness::{FreshnessClock, StoreExchange};
--- a/crates/savorywood-gateway/tests/entry.rs
+++ b/crates/savorywood-gateway/tests/entry.rs
@@ -10,7 +10,7 @@
 use callers::CallerGroup;
 use field::{DaemonField, TeamLoad, ZONES};
 use savorywood_gateway::{
-    CallerPlace, EntryCandidate, GatewayEvent, HostResources, LoadPeak, select_members,
+    CallerPlace, EntryCandidate, GatewayEvent, HostResources, PeakLoad, select_members,
 };
 use savorywood_protocol::MonotonicTime;
 use std::{collections::BTreeSet, time::Duration};
@@ -51,7 +51,7 @@
     EntryCandidate {
         host,
         capacity,
-        steady: Duration::from_secs(60),
+        stable_for: Duration::from_secs(60),
     }
 }
 
@@ -147,7 +147,7 @@
 fn a_daemon_that_just_started_is_no_member() {
     let mut all: Vec<EntryCandidate> = (0..6).map(|host| candidate(host, small())).collect();
     let mut young = candidate(9, large());
-    young.steady = Duration::from_millis(500);
+    young.stable_for = Duration::from_millis(500);
     all.push(young);
     assert!(!select_members(all, &descriptors(10)).contains(&9));
 }
@@ -158,7 +158,7 @@
     let all = (0..6).map(|host| EntryCandidate {
         host,
         capacity: small(),
-        steady: Duration::from_millis(900 + host * 50),
+        stable_for: Duration::from_millis(900 + host * 50),
     });
     assert_eq!(select_members(all.collect(), &descriptors(10)), [0, 1, 2]);
 }
@@ -167,7 +167,7 @@
 #[test]
 fn the_set_grows_at_once_and_shrinks_slowly() {
     let start = MonotonicTime(1_000_000);
-    let mut peak = LoadPeak::default();
+    let mut peak = PeakLoad::default();
     peak.update(start, descriptors(3_000), [].into_iter());
     for step in 1..=40 {
         let now = start + Duration::from_millis(50 * step);
