--- a/crates/savorywood-gateway/src/selection.rs
+++ b/crates/savorywood-gateway/src/selection.rs
@@ -4,7 +4,7 @@
     affinity::PrefixCacheIndex,
     arrival::PromptPart,
     demand::UrgentArrivals,
-    estimate::AnswerEstimate,
+    estimate::ResponseEstimate,
     label::{RegionLabel, ServiceLabel, UpstreamLabel, VersionLabel, ZoneLabel},
     latency::PaceEstimate,
     lease::MemberLeases,
@@ -164,7 +164,7 @@
     occupied: u32,
     /// Answers a second of one slot, up to a common factor.
     speed: f64,
-    estimate: AnswerEstimate,
+    estimate: ResponseEstimate,
 }
 
 impl PickScene<'_> {
@@ -189,18 +189,18 @@
         }
         let must_fit = candidates
             .iter()
-            .any(|candidate| candidate.estimate.fits(query.left_ms));
+            .any(|candidate| candidate.estimate.fits_within(query.left_ms));
         let must_be_in_time = candidates
             .iter()
-            .any(|candidate| candidate.estimate.idle_first_ms <= query.slack_ms);
+            .any(|candidate| candidate.estimate.idle_first_event_ms <= query.slack_ms);
         let speeds: f64 = candidates.iter().map(|candidate| candidate.speed).sum();
         let mut best: Option<PickedUpstream> = None;
         for candidate in &candidates {
             let noise = draw();
             let estimate = &candidate.estimate;
             let share = candidate.speed / speeds;
-            let fits = !must_fit || estimate.fits(query.left_ms);
-            let in_time = !must_be_in_time || estimate.first_ms <= query.slack_ms;
+            let fits = !must_fit || estimate.fits_within(query.left_ms);
+            let in_time = !must_be_in_time || estimate.first_event_ms <= query.slack_ms;
             if !fits || !in_time || !self.has_slot(candidate, query, share) {
                 continue;
             }
@@ -237,26 +237,26 @@
         query: &PickQuery<'_>,
         usual: &PaceEstimate,
         others_unread: u32,
-    ) -> AnswerEstimate {
+    ) -> ResponseEstimate {
         if !query.stream {
-            return AnswerEstimate::plain(state.pace.whole_ms(usual));
+            return ResponseEstimate::non_streaming(state.pace.whole_ms(usual));
         }
         let held = self
             .parts
             .cached_tokens(self.now, query.parts, &state.entry.name);
         let own = query.prompt.saturating_sub(held);
         let unread = own + state.unread + others_unread;
-        AnswerEstimate {
-            idle_first_ms: state.pace.first_ms(usual, query.prompt),
-            first_ms: state.pace.first_ms(usual, unread),
-            rest_ms: state.pace.rest_ms(usual, query.output),
+        ResponseEstimate {
+            idle_first_event_ms: state.pace.first_ms(usual, query.prompt),
+            first_event_ms: state.pace.first_ms(usual, unread),
+            streaming_ms: state.pace.rest_ms(usual, query.output),
             stream: true,
         }
     }
 
     fn has_slot(&self, candidate: &PickCandidate<'_>, query: &PickQuery<'_>, share: f64) -> bool {
         let slots = candidate.state.entry.slots;
-        let slot = Duration::from_secs_f64(candidate.estimate.slot_ms() / 1e3);
+        let slot = Duration::from_secs_f64(candidate.estimate.slot_hold_ms() / 1e3);
         let kept = query.urgent.reserved_slots(share, slot, slots);
         candidate.occupied + kept < slots && self.is_paced(candidate.state)
     }
@@ -315,13 +315,13 @@
         } = candidate;
         let entry = &state.entry;
         let first = if query.stream {
-            estimate.first_ms
+            estimate.first_event_ms
         } else {
-            estimate.first_ms * (1.0 + f64::from(*occupied) * CROWD_SLOWDOWN)
+            estimate.first_event_ms * (1.0 + f64::from(*occupied) * CROWD_SLOWDOWN)
         };
-        let mut score = first + estimate.rest_ms * REST_WEIGHT;
+        let mut score = first + estimate.streaming_ms * REST_WEIGHT;
         // Begun where it would not end in time, it holds a slot for nothing.
-        score += (first + estimate.rest_ms - query.left_ms).max(0.0);
+        score += (first + estimate.streaming_ms - query.left_ms).max(0.0);
         let failures = state.outlier.failure_share(self.now) - HARMLESS_FAILURES;
         score += failures.max(0.0) * FAILURE_PENALTY_MS;
         if entry.zone != *self.zone && self.policy != RoutingPolicy::WorthWithoutZones {
