--- a/crates/savorywood-gateway/src/evacuation.rs
+++ b/crates/savorywood-gateway/src/evacuation.rs
@@ -20,11 +20,11 @@
 
 /// Orders by zone, those that were withdrawn included, so that an older row changes nothing.
 #[derive(Debug, Clone, Default)]
-pub struct EvacuationBook {
+pub struct EvacuationTable {
     orders: BTreeMap<ZoneLabel, KnownOrder>,
 }
 
-impl EvacuationBook {
+impl EvacuationTable {
     /// Nothing new may be sent to the zone's upstreams.
     #[must_use]
     pub fn contains(&self, zone: &ZoneLabel) -> bool {
@@ -38,7 +38,7 @@
     }
 
     /// Takes an order; whether the zone was not under evacuation before.
-    pub fn order(&mut self, order: EvacuationOrder) -> bool {
+    pub fn apply(&mut self, order: EvacuationOrder) -> bool {
         self.update(order, true)
     }
 
--- a/crates/savorywood-gateway/src/lib.rs
+++ b/crates/savorywood-gateway/src/lib.rs
@@ -44,7 +44,7 @@
 };
 pub use effect::{DispatchOrder, GatewayEffect};
 pub use entry_set::{EntryCandidate, EntrySet, HostResources, PeakLoad, select_members};
-pub use evacuation::{EvacuationBook, EvacuationOrder};
+pub use evacuation::{EvacuationOrder, EvacuationTable};
 pub use event::{AnswerMarks, AttemptOutcome, GatewayEvent, LoadFigures, StreamEnd};
 pub use freshness::{FreshnessClock, StoreExchange};
 pub use gateway::{Gateway, GatewayBounds, GatewayOptions, GatewayView};
--- a/crates/savorywood-gateway/src/upstream.rs
+++ b/crates/savorywood-gateway/src/upstream.rs
@@ -1,7 +1,7 @@
 //! Upstreams as they registered themselves, and what this daemon has seen of each.
 
 use crate::{
-    evacuation::{EvacuationBook, EvacuationOrder},
+    evacuation::{EvacuationOrder, EvacuationTable},
     label::{ServiceLabel, UpstreamLabel, VersionLabel, ZoneLabel},
     latency::PaceEstimate,
     outlier::OutlierState,
@@ -153,7 +153,7 @@
     states: BTreeMap<UpstreamLabel, UpstreamState>,
     usual: BTreeMap<ServiceLabel, PaceEstimate>,
     warmups: BTreeMap<ServiceLabel, WarmupSpec>,
-    evacuations: EvacuationBook,
+    evacuations: EvacuationTable,
     store_failed_at: Option<MonotonicTime>,
     /// Starts that left as announced.
     departed: BTreeMap<UpstreamLabel, UpstreamDeparture>,
@@ -311,14 +311,14 @@
 
     /// Zones under evacuation.
     #[must_use]
-    pub fn evacuations(&self) -> &EvacuationBook {
+    pub fn evacuations(&self) -> &EvacuationTable {
         &self.evacuations
     }
 
     /// An operator evacuates a zone; whether that is new.
     pub fn evacuate(&mut self, order: EvacuationOrder) -> bool {
         let zone = order.zone.clone();
-        let is_new = self.evacuations.order(order);
+        let is_new = self.evacuations.apply(order);
         if is_new {
             for state in self.states_in(&zone) {
                 state.evacuated = true;
