--- a/crates/savorywood-gateway/src/lease.rs
+++ b/crates/savorywood-gateway/src/lease.rs
@@ -99,7 +99,12 @@
     /// This daemon holds the lease of an upstream's start. Members of the upstream's zone go
     /// first: their requests reach it without crossing zones.
     #[must_use]
-    pub fn holds(&self, now: MonotonicTime, upstream: &UpstreamLabel, zone: &ZoneLabel) -> bool {
+    pub fn holds_warmup(
+        &self,
+        now: MonotonicTime,
+        upstream: &UpstreamLabel,
+        zone: &ZoneLabel,
+    ) -> bool {
         let Some(own) = self.own else {
             return false;
         };
--- a/crates/savorywood-gateway/src/selection.rs
+++ b/crates/savorywood-gateway/src/selection.rs
@@ -275,7 +275,7 @@
         };
         let pause = self.now.since(state.sent_at);
         pause >= warmup.interval(self.warmup)
-            && self.leases.holds(self.now, &entry.name, &entry.zone)
+            && self.leases.holds_warmup(self.now, &entry.name, &entry.zone)
     }
 
     /// When every upstream looks ill, the fault is more likely in the requests or on the way:
--- a/crates/savorywood-gateway/src/upstream.rs
+++ b/crates/savorywood-gateway/src/upstream.rs
@@ -337,7 +337,7 @@
             for state in self.states_in(&zone) {
                 state.evacuated = false;
                 if let Some(warmup) = warmups.get(&state.entry.service) {
-                    state.stay_cold(now + warmup.time);
+                    state.stay_cold(now + warmup.duration);
                 }
             }
         }
@@ -359,7 +359,7 @@
             && std::mem::take(&mut state.lost)
             && let Some(warmup) = self.warmups.get(&state.entry.service)
         {
-            state.stay_cold(now + warmup.time);
+            state.stay_cold(now + warmup.duration);
         }
     }
 
--- a/crates/savorywood-gateway/src/warmup.rs
+++ b/crates/savorywood-gateway/src/warmup.rs
@@ -19,7 +19,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WarmupSpec {
     /// Time for which an upstream is cold after its start.
-    pub time: Duration,
+    pub duration: Duration,
     /// Requests a second that a cold one bears.
     pub per_second: f64,
 }
@@ -43,6 +43,6 @@
             (bound / MOST_HOLDERS - 1.0).max(bound * LEAST_PART)
         });
         let rate = most.min(self.per_second).max(f64::MIN_POSITIVE);
-        Duration::from_secs_f64((1.0 / rate).min(self.time.as_secs_f64().max(1.0)))
+        Duration::from_secs_f64((1.0 / rate).min(self.duration.as_secs_f64().max(1.0)))
     }
 }
--- a/crates/savorywood-gateway/tests/evacuation.rs
+++ b/crates/savorywood-gateway/tests/evacuation.rs
@@ -157,7 +157,7 @@
     let mut config = config(2, None);
     for service in config.services.values_mut() {
         service.warmup = Some(WarmupSpec {
-            time: 3 * SECOND,
+            duration: 3 * SECOND,
             per_second: 6.6,
         });
     }
--- a/crates/savorywood-gateway/tests/warmup.rs
+++ b/crates/savorywood-gateway/tests/warmup.rs
@@ -21,7 +21,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 const STEP: Duration = Duration::from_millis(40);
 const SPEC: WarmupSpec = WarmupSpec {
-    time: Duration::from_secs(3),
+    duration: Duration::from_secs(3),
     per_second: 6.6,
 };
 const TOLERANCE: WarmupTolerance = WarmupTolerance {
@@ -47,7 +47,7 @@
     UpstreamEntry {
         name: UpstreamLabel::from("cold"),
         zone: zone(0),
-        cold: SPEC.time,
+        cold: SPEC.duration,
         born,
         ..upstream(200, 40)
     }
@@ -113,7 +113,7 @@
     }
 
     fn ask(&mut self, number: usize) {
-        let is_cold = self.field.now.since(self.born_at) < SPEC.time;
+        let is_cold = self.field.now.since(self.born_at) < SPEC.duration;
         let daemon = &mut self.field.daemons[number];
         daemon.now = self.field.now;
         let request = daemon.arrive(arrival("/safe/1"));
@@ -160,7 +160,7 @@
         let mut play = ColdStart::new(daemons, 1);
         play.advance(12 * SECOND);
         play.assert_bound_kept(&format!("{daemons} daemons"));
-        let cold_s = SPEC.time.as_secs_f64() * 3.0;
+        let cold_s = SPEC.duration.as_secs_f64() * 3.0;
         let least = SPEC.per_second * cold_s * 0.7;
         let sent = play.sent_at.len() as f64;
         assert!(sent >= least, "{sent} of {least} at {daemons} daemons");
@@ -210,7 +210,7 @@
 fn the_end_of_a_stream_says_nothing_new_of_how_long_its_upstream_is_cold() {
     let mut scene = GatewayScene::ready(1);
     let marks = AnswerMarks {
-        cold: Some(SPEC.time),
+        cold: Some(SPEC.duration),
         ..AnswerMarks::default()
     };
     let request = scene.arrive(arrival("/stream/1"));
@@ -220,7 +220,7 @@
         states.any(|state| state.is_cold(scene.now))
     };
     assert!(is_cold(&scene));
-    scene.advance(SPEC.time);
+    scene.advance(SPEC.duration);
     assert!(!is_cold(&scene));
     scene.end(request, AttemptOutcome::Delivered { marks, events: 3 });
     assert!(!is_cold(&scene));
@@ -238,7 +238,7 @@
         if bound < 4.0 {
             return TestResult::discard();
         }
-        let spec = WarmupSpec { time: SPEC.time, per_second };
+        let spec = WarmupSpec { duration: SPEC.duration, per_second };
         let interval = spec.interval(Some(tolerance)).as_secs_f64();
         let one_holder = (1.0 / interval + 1e-6).floor() + 1.0;
         TestResult::from_bool(2.0 * one_holder <= bound + 1e-6)
