--- a/crates/savorywood-gateway/src/gateway.rs
+++ b/crates/savorywood-gateway/src/gateway.rs
@@ -39,7 +39,7 @@
     retry_budget::{RetryBudget, RetryBudgetOptions},
     rollout::{RolloutBook, TrialOptions},
     selection::RoutingPolicy,
-    team_limit::{LimitTolerance, TeamMeter},
+    team_limit::{LimitTolerance, TeamLimiter},
     upstream::UpstreamFleet,
     warmup::WarmupTolerance,
 };
@@ -154,7 +154,7 @@
     /// When this process went on after it was frozen.
     resumed_at: Option<MonotonicTime>,
     reads: ReadBook,
-    meters: BTreeMap<TeamLabel, TeamMeter>,
+    meters: BTreeMap<TeamLabel, TeamLimiter>,
     budgets: BTreeMap<ServiceLabel, RetryBudget>,
     rollouts: RolloutBook,
     stopping: bool,
--- a/crates/savorywood-gateway/src/gateway/admission.rs
+++ b/crates/savorywood-gateway/src/gateway/admission.rs
@@ -13,7 +13,7 @@
     quarantine::RequestFingerprint,
     queue::{QueuePlace, RequestRank},
     refusal::RefusalReason,
-    team_limit::{MeterLevels, MeterQuery, MeterVerdict, TeamMeter},
+    team_limit::{BucketLevels, LimitQuery, LimitVerdict, TeamLimiter},
 };
 use savorywood_core::{LogLevel, LogLine};
 use savorywood_protocol::MonotonicTime;
@@ -49,7 +49,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct MeterFigures {
     limit: TeamLimit,
-    levels: MeterLevels,
+    levels: BucketLevels,
 }
 
 impl Denial {
@@ -291,22 +291,22 @@
         let meter = self
             .meters
             .entry(team.name.clone())
-            .or_insert_with(|| TeamMeter::new(now, limit, tolerance, fresh));
-        let query = MeterQuery {
+            .or_insert_with(|| TeamLimiter::new(now, limit, tolerance, fresh));
+        let query = LimitQuery {
             units,
             rank: route.priority,
-            draw: self.limit_draws.next(),
+            sample: self.limit_draws.next(),
         };
-        let verdict = meter.look(now, &query);
+        let verdict = meter.check(now, &query);
         let refused = match verdict {
-            MeterVerdict::Within => false,
-            MeterVerdict::Tolerated => !idle,
-            MeterVerdict::Beyond { .. } => true,
+            LimitVerdict::Within => false,
+            LimitVerdict::Tolerated => !idle,
+            LimitVerdict::Exceeded { .. } => true,
         };
         if refused {
             return Err(Denial {
                 reason: RefusalReason::OverLimit,
-                retry_after: Some(meter.wait()),
+                retry_after: Some(meter.retry_after()),
                 team: Some(team.name.clone()),
                 meter: Some(MeterFigures {
                     limit,
@@ -315,7 +315,7 @@
                 crashes: None,
             });
         }
-        meter.take(units, verdict);
+        meter.charge(units, verdict);
         Ok(units)
     }
 
--- a/crates/savorywood-gateway/src/gateway/ending.rs
+++ b/crates/savorywood-gateway/src/gateway/ending.rs
@@ -221,7 +221,7 @@
             && record.runs == 0
             && let Some(meter) = self.meters.get_mut(&team.name)
         {
-            meter.give_back(record.units);
+            meter.refund(record.units);
         }
     }
 
--- a/crates/savorywood-gateway/src/gateway/gossip.rs
+++ b/crates/savorywood-gateway/src/gateway/gossip.rs
@@ -89,7 +89,7 @@
         let age_ms = self.age_ms(now);
         let attestation = self.attestation(now);
         for meter in self.meters.values_mut() {
-            meter.reported();
+            meter.mark_reported();
         }
         let usage = self.meters.iter().map(|(team, meter)| TeamUse {
             team: name_digest(team.as_str()),
--- a/crates/savorywood-gateway/src/gateway/updates.rs
+++ b/crates/savorywood-gateway/src/gateway/updates.rs
@@ -10,7 +10,7 @@
     peer::name_digest,
     reading::SharedTable,
     rollout::RolloutOrder,
-    team_limit::{PeerReading, TeamMeter},
+    team_limit::{PeerUsage, TeamLimiter},
     upstream::{FleetChange, UpstreamEntry},
     zone::{DigestOutcome, ZoneDigest},
 };
@@ -74,8 +74,8 @@
                 None => {
                     let fresh = !first || self.options.first_start;
                     let tolerance = self.options.bounds.tolerance;
-                    let mut meter = TeamMeter::new(now, limit, tolerance, fresh);
-                    meter.expect(now, self.contacts.daemons(), self.contacts.pause());
+                    let mut meter = TeamLimiter::new(now, limit, tolerance, fresh);
+                    meter.set_expected_daemons(now, self.contacts.daemons(), self.contacts.pause());
                     meter.set_members(members);
                     self.meters.insert(team.name.clone(), meter);
                 }
@@ -104,7 +104,7 @@
         effects.push(GatewayEffect::Log(line));
         if self.options.bounds.tolerance != bounds.tolerance {
             for meter in self.meters.values_mut() {
-                *meter = TeamMeter::new(now, meter.limit(), bounds.tolerance, false);
+                *meter = TeamLimiter::new(now, meter.limit(), bounds.tolerance, false);
             }
         }
         self.options.bounds = bounds;
@@ -210,7 +210,7 @@
         }
         if summary.phase == PeerPhase::Leaving {
             for meter in self.meters.values_mut() {
-                meter.ended(now, peer);
+                meter.record_peer_ended(now, peer);
             }
         }
         self.pump_all(now, effects);
@@ -298,7 +298,7 @@
             self.contacts.learn(now, contact);
         }
         for meter in self.meters.values_mut() {
-            meter.expect(now, self.contacts.daemons(), self.contacts.pause());
+            meter.set_expected_daemons(now, self.contacts.daemons(), self.contacts.pause());
         }
     }
 
@@ -327,7 +327,7 @@
         ended.extend(before.map(|sender| sender.rotate_left(1)));
         for meter in self.meters.values_mut() {
             for peer in &ended {
-                meter.ended(now, *peer);
+                meter.record_peer_ended(now, *peer);
             }
         }
     }
@@ -337,16 +337,16 @@
         let usage: HashMap<u64, &TeamUse> = usage.iter().map(|used| (used.team, used)).collect();
         for (team, meter) in &mut self.meters {
             let used = usage.get(&name_digest(team.as_str()));
-            let reading = PeerReading {
+            let reading = PeerUsage {
                 peer: account.peer,
                 incarnation: account.incarnation,
                 age: account.age,
                 total: used.map_or(0, |used| used.total),
                 daemons: account.daemons,
-                near: account.near,
+                same_zone: account.near,
                 levels: used.map(|used| used.levels),
             };
-            meter.received(now, reading);
+            meter.record_peer_usage(now, reading);
         }
     }
 
--- a/crates/savorywood-gateway/src/lib.rs
+++ b/crates/savorywood-gateway/src/lib.rs
@@ -75,7 +75,7 @@
 pub use rollout::{RolloutOrder, RolloutPhase, RolloutStatus, RolloutWrite};
 pub use selection::RoutingPolicy;
 pub use team_limit::{
-    LimitTolerance, MeterLevels, MeterQuery, MeterVerdict, PeerReading, TeamMeter,
+    BucketLevels, LimitQuery, LimitTolerance, LimitVerdict, PeerUsage, TeamLimiter,
 };
 pub use upstream::{UpstreamEntry, UpstreamFleet};
 pub use upstream_limit::{
--- a/crates/savorywood-gateway/src/message.rs
+++ b/crates/savorywood-gateway/src/message.rs
@@ -3,7 +3,7 @@
 use crate::{
     entry_set::HostResources,
     reading::{PeerEcho, StoreAttestation},
-    team_limit::MeterLevels,
+    team_limit::BucketLevels,
 };
 use savorywood_protocol::MonotonicTime;
 use serde::{Deserialize, Serialize};
@@ -79,7 +79,7 @@
     /// Units used.
     pub total: u64,
     /// Levels of the sender's copy of the team's buckets.
-    pub levels: MeterLevels,
+    pub levels: BucketLevels,
 }
 
 /// Answers that a daemon has seen from one side of a roll-out.
--- a/crates/savorywood-gateway/src/team_limit.rs
+++ b/crates/savorywood-gateway/src/team_limit.rs
@@ -34,7 +34,7 @@
 
 /// A peer as a meter sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct PeerReading {
+pub struct PeerUsage {
     /// Digest of its name.
     pub peer: u64,
     /// Its life.
@@ -46,14 +46,14 @@
     /// Daemons whose use that is.
     pub daemons: u32,
     /// It is of this daemon's own zone.
-    pub near: bool,
+    pub same_zone: bool,
     /// Levels of its buckets, where it reports them.
-    pub levels: Option<MeterLevels>,
+    pub levels: Option<BucketLevels>,
 }
 
 /// Levels of the buckets of one team, in units; below zero they are overdrawn.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MeterLevels {
+pub struct BucketLevels {
     /// Bucket of the limit.
     pub strict: i64,
     /// Bucket of what is tolerated on top.
@@ -74,26 +74,26 @@
 
 /// A request that a team's meter is asked about.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct MeterQuery {
+pub struct LimitQuery {
     /// Units that it would take.
     pub units: f64,
     /// Rank of its route, 0 is the most urgent.
     pub rank: u32,
     /// A number drawn evenly from 0 to 1.
-    pub draw: f64,
+    pub sample: f64,
 }
 
 /// What a meter says of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum MeterVerdict {
+pub enum LimitVerdict {
     /// It is within the limit.
     Within,
     /// It is beyond the limit and within the tolerance.
     Tolerated,
     /// It is beyond both.
-    Beyond {
+    Exceeded {
         /// Time after which the limit may have room.
-        wait: Duration,
+        retry_after: Duration,
     },
 }
 
@@ -105,7 +105,7 @@
 /// within the time of a datagram overdraws the buckets once; the debt then holds all of them back
 /// until it is paid.
 #[derive(Debug, Clone)]
-pub struct TeamMeter {
+pub struct TeamLimiter {
     limit: TeamLimit,
     tolerance: LimitTolerance,
     strict: TokenBucket,
@@ -134,7 +134,7 @@
     silences: SilenceIndex,
 }
 
-impl TeamMeter {
+impl TeamLimiter {
     /// A meter of a daemon. `fresh` means that nothing can have been used before.
     ///
     /// A daemon that starts again does not know what its last life admitted. When all of them
@@ -206,36 +206,38 @@
     }
 
     /// Says whether a request may pass now; nothing is taken yet.
-    pub fn look(&mut self, now: MonotonicTime, query: &MeterQuery) -> MeterVerdict {
+    pub fn check(&mut self, now: MonotonicTime, query: &LimitQuery) -> LimitVerdict {
         self.fill(now);
         self.usual_units += (query.units - self.usual_units) * NEWEST_WEIGHT;
         // The debt of the strict bucket is cut off, that of the tolerance never is: the strict one
         // may be full again while the tolerance is all but spent.
         if !self.is_open(&self.tolerated, query) {
-            return MeterVerdict::Beyond { wait: self.wait() };
+            return LimitVerdict::Exceeded {
+                retry_after: self.retry_after(),
+            };
         }
         if self.is_open(&self.strict, query) {
-            MeterVerdict::Within
+            LimitVerdict::Within
         } else {
-            MeterVerdict::Tolerated
+            LimitVerdict::Tolerated
         }
     }
 
     /// A message reports all that was used so far.
-    pub fn reported(&mut self) {
+    pub fn mark_reported(&mut self) {
         self.unreported = 0.0;
     }
 
     /// Time after which the limit has room again.
     #[must_use]
-    pub fn wait(&self) -> Duration {
+    pub fn retry_after(&self) -> Duration {
         let wait = -self.strict.level / self.strict.rate.max(1e-6);
         Duration::from_secs_f64(wait.clamp(0.05, 30.0))
     }
 
     /// Takes units for a request. Beyond the limit they count only against the tolerance.
-    pub fn take(&mut self, units: f64, verdict: MeterVerdict) {
-        if verdict == MeterVerdict::Within {
+    pub fn charge(&mut self, units: f64, verdict: LimitVerdict) {
+        if verdict == LimitVerdict::Within {
             self.strict.level -= units;
         }
         self.tolerated.level -= units;
@@ -246,7 +248,7 @@
     }
 
     /// Gives back what a request did not use, because it never ran.
-    pub fn give_back(&mut self, units: f64) {
+    pub fn refund(&mut self, units: f64) {
         self.strict.fill(units);
         self.tolerated.fill(units);
         self.own_total = self.own_total.saturating_sub(units as u64);
@@ -254,7 +256,7 @@
     }
 
     /// A peer reports what it has used in its life.
-    pub fn received(&mut self, now: MonotonicTime, reading: PeerReading) {
+    pub fn record_peer_usage(&mut self, now: MonotonicTime, reading: PeerUsage) {
         self.fill(now);
         let known = self.peers.get(&reading.peer).copied();
         let total = reading.total as f64;
@@ -268,7 +270,7 @@
         // What was assumed while it was silent is settled against what it reports.
         let same_life = known.filter(|known| known.incarnation == reading.incarnation);
         let assumed_s = same_life.map_or(0.0, |known| self.assumed_s(known.silence, now));
-        if reading.near {
+        if reading.same_zone {
             self.zone_total += used - assumed_s * self.strict.rate;
         }
         self.others_recent += used.max(0.0);
@@ -282,7 +284,7 @@
             peer: reading.peer,
             received_at: now,
             daemons: reading.daemons,
-            near: reading.near,
+            near: reading.same_zone,
         };
         self.silences.insert(silence);
         let received = PeerUse {
@@ -304,7 +306,7 @@
     /// Each copy of the buckets is meant to be the same. Begun with a level of its own, every
     /// daemon that joins or comes back while a team is at its limit would let through a part of
     /// the burst once more; ten of them would let through several limits.
-    fn adopt(&mut self, now: MonotonicTime, reading: PeerReading) {
+    fn adopt(&mut self, now: MonotonicTime, reading: PeerUsage) {
         if now >= self.adopt_until || reading.age < ADOPT_TIME {
             return;
         }
@@ -316,8 +318,8 @@
 
     /// Levels of the buckets as of the last look.
     #[must_use]
-    pub fn levels(&self) -> MeterLevels {
-        MeterLevels {
+    pub fn levels(&self) -> BucketLevels {
+        BucketLevels {
             strict: self.strict.level as i64,
             tolerated: self.tolerated.level as i64,
         }
@@ -329,13 +331,13 @@
     }
 
     /// A peer is known to have ended.
-    pub fn ended(&mut self, now: MonotonicTime, peer: u64) {
+    pub fn record_peer_ended(&mut self, now: MonotonicTime, peer: u64) {
         self.fill(now);
         self.remove_peer(peer);
     }
 
     /// There are so many daemons, seen or not, and each sends a message after each pause.
-    pub fn expect(&mut self, now: MonotonicTime, daemons: u32, pause: Duration) {
+    pub fn set_expected_daemons(&mut self, now: MonotonicTime, daemons: u32, pause: Duration) {
         let times = SilenceTimes::of(pause);
         if self.silences.times() != times {
             self.fill(now);
--- a/crates/savorywood-gateway/src/team_limit/fair_share.rs
+++ b/crates/savorywood-gateway/src/team_limit/fair_share.rs
@@ -3,7 +3,7 @@
 //! The load that this answers: a team at its limit whose requests come to several daemons, each of
 //! which learns of the others' use a message later.
 
-use super::{MeterQuery, TeamMeter, bucket::TokenBucket};
+use super::{LimitQuery, TeamLimiter, bucket::TokenBucket};
 
 /// Part of what comes into a bucket until the next message that is spent before it: others' use of
 /// that time is learned later still.
@@ -21,7 +21,7 @@
 /// How many times its share a daemon may spend: use moves between daemons.
 const SHARE_FACTOR: f64 = 1.2;
 
-impl TeamMeter {
+impl TeamLimiter {
     /// A bucket has room for this daemon.
     ///
     /// Between two of its messages a daemon spends its share of what is left and of what comes in
@@ -29,7 +29,7 @@
     /// each other. A share that is less than a request lets one pass as often as it is worth, large
     /// ones as often as usual ones. Less urgent requests leave a part of the bucket to more urgent
     /// ones of their team, small ones less of it.
-    pub(super) fn is_open(&self, bucket: &TokenBucket, query: &MeterQuery) -> bool {
+    pub(super) fn is_open(&self, bucket: &TokenBucket, query: &LimitQuery) -> bool {
         let steps = f64::from(query.rank.min(MOST_RESERVED_RANKS));
         let size = query.units / (bucket.capacity * SMALL_PART).max(f64::MIN_POSITIVE);
         let level = bucket.level - bucket.capacity * RESERVED_PART * steps * size.min(1.0);
@@ -50,7 +50,7 @@
         let share = share.max(even);
         let left = (level + self.unreported) * (share * SHARE_FACTOR).min(1.0) + coming * share;
         let room = left - self.unreported;
-        query.draw * self.usual_units.min(query.units) < room
+        query.sample * self.usual_units.min(query.units) < room
     }
 
     /// Units that come into a bucket until the next message and may be spent before it. Daemons that
