--- a/crates/savorywood-gateway/src/gateway/dispatch.rs
+++ b/crates/savorywood-gateway/src/gateway/dispatch.rs
@@ -159,7 +159,7 @@
         state.unread += record.size.prompt;
         self.dispatches += 1;
         state.chosen = self.dispatches;
-        state.outlier.sent();
+        state.outlier.record_dispatch();
         state.sent_at = now;
         state.limit.spend();
         if let RequestPlace::Waiting(place) = &record.place
--- a/crates/savorywood-gateway/src/gateway/gossip.rs
+++ b/crates/savorywood-gateway/src/gateway/gossip.rs
@@ -142,7 +142,7 @@
 
     fn own_suspects(&self, now: MonotonicTime) -> Vec<u64> {
         let states = self.fleet.iter();
-        let failed = states.filter(|state| state.outlier.failed_lately(now));
+        let failed = states.filter(|state| state.outlier.ejected_recently(now));
         failed.map(|state| state.digest).collect()
     }
 
--- a/crates/savorywood-gateway/src/gateway/learning.rs
+++ b/crates/savorywood-gateway/src/gateway/learning.rs
@@ -197,19 +197,23 @@
         let outlier = &mut state.outlier;
         let mut is_back = false;
         let taken_out = match outcome {
-            AttemptOutcome::NotSent => outlier.broke(now, false),
-            AttemptOutcome::Failed { .. } => outlier.failed(now, usual.unwrap_or_default()),
-            AttemptOutcome::Broken { silent } => outlier.broke(now, *silent && dark),
-            AttemptOutcome::StreamBroken(end) => outlier.broke(now, end.silent && dark),
-            AttemptOutcome::Expired if overdue => outlier.broke(now, false),
+            AttemptOutcome::NotSent => outlier.record_connection_failure(now, false),
+            AttemptOutcome::Failed { .. } => outlier.record_failure(now, usual.unwrap_or_default()),
+            AttemptOutcome::Broken { silent } => {
+                outlier.record_connection_failure(now, *silent && dark)
+            }
+            AttemptOutcome::StreamBroken(end) => {
+                outlier.record_connection_failure(now, end.silent && dark)
+            }
+            AttemptOutcome::Expired if overdue => outlier.record_connection_failure(now, false),
             AttemptOutcome::Delivered { .. } => {
-                is_back = outlier.succeeded(now);
+                is_back = outlier.record_success(now);
                 false
             }
             AttemptOutcome::NotRun { .. }
             | AttemptOutcome::Expired
             | AttemptOutcome::CallerLeft => {
-                outlier.unknown();
+                outlier.cancel_probe();
                 false
             }
         };
--- a/crates/savorywood-gateway/src/outlier.rs
+++ b/crates/savorywood-gateway/src/outlier.rs
@@ -33,7 +33,7 @@
     /// Share of failures among the newest answers, 0 to 1. It fades: an upstream that gets no work
     /// could never show that it is sound again.
     #[must_use]
-    pub fn failure_share(&self, now: MonotonicTime) -> f64 {
+    pub fn failure_ratio(&self, now: MonotonicTime) -> f64 {
         let halvings = now.since(self.seen_at).as_secs_f64() / FORGET_TIME.as_secs_f64();
         self.failure_share * 0.5f64.powf(halvings)
     }
@@ -56,35 +56,35 @@
     /// It is left out for a failure that was seen a moment ago. Older ones are nothing to report:
     /// an upstream that is back would be kept out by all for as long as by the most careful.
     #[must_use]
-    pub fn failed_lately(&self, now: MonotonicTime) -> bool {
+    pub fn ejected_recently(&self, now: MonotonicTime) -> bool {
         self.times_out > 0 && now < self.out_until && now.since(self.seen_at) < REPORT_TIME
     }
 
     /// An answer of it that was good came within some time.
     #[must_use]
-    pub fn was_good(&self, now: MonotonicTime, within: Duration) -> bool {
+    pub fn succeeded_within(&self, now: MonotonicTime, within: Duration) -> bool {
         self.failures_in_a_row == 0 && now.since(self.seen_at) < within
     }
 
     /// It is out, or on trial.
     #[must_use]
-    pub fn is_suspect(&self) -> bool {
+    pub fn is_ejected(&self) -> bool {
         self.times_out > 0
     }
 
     /// Work goes there.
-    pub fn sent(&mut self) {
+    pub fn record_dispatch(&mut self) {
         self.trial_running = self.times_out > 0;
     }
 
     /// Nothing is known of what was sent: the caller left, say.
-    pub fn unknown(&mut self) {
+    pub fn cancel_probe(&mut self) {
         self.trial_running = false;
     }
 
     /// It answered well. Returns true when that brings it back in.
-    pub fn succeeded(&mut self, now: MonotonicTime) -> bool {
-        self.failure_share = self.failure_share(now) * (1.0 - NEWEST_WEIGHT);
+    pub fn record_success(&mut self, now: MonotonicTime) -> bool {
+        self.failure_share = self.failure_ratio(now) * (1.0 - NEWEST_WEIGHT);
         self.seen_at = now;
         self.failures_in_a_row = 0;
         self.trial_running = false;
@@ -93,7 +93,7 @@
 
     /// It answered with a failure of its own, which some requests deserve. `usual` is the share
     /// of failures among its peers. Returns true when that takes it out.
-    pub fn failed(&mut self, now: MonotonicTime, usual: f64) -> bool {
+    pub fn record_failure(&mut self, now: MonotonicTime, usual: f64) -> bool {
         self.count_failure(now);
         let far_worse = self.failure_share > usual * 2.0 + 0.25;
         let row = self.failures_in_a_row >= FAILURES_IN_A_ROW && self.failure_share > usual + 0.1;
@@ -104,7 +104,7 @@
     }
 
     /// It broke a connection or fell silent. Returns true when that takes it out.
-    pub fn broke(&mut self, now: MonotonicTime, certain: bool) -> bool {
+    pub fn record_connection_failure(&mut self, now: MonotonicTime, certain: bool) -> bool {
         self.count_failure(now);
         if self.times_out == 0 && !certain && self.failures_in_a_row < 2 {
             return false;
@@ -113,7 +113,7 @@
     }
 
     fn count_failure(&mut self, now: MonotonicTime) {
-        let share = self.failure_share(now);
+        let share = self.failure_ratio(now);
         self.failure_share = share + (1.0 - share) * NEWEST_WEIGHT;
         self.seen_at = now;
         self.failures_in_a_row += 1;
--- a/crates/savorywood-gateway/src/selection.rs
+++ b/crates/savorywood-gateway/src/selection.rs
@@ -283,7 +283,7 @@
     fn all_suspect(&self, query: &PickQuery<'_>) -> bool {
         let mut members = self.fleet.members(query.service);
         let open = |state: &UpstreamState| state.is_open(self.now);
-        members.all(|state| !open(state) || state.outlier.is_suspect())
+        members.all(|state| !open(state) || state.outlier.is_ejected())
     }
 
     fn may_have(&self, state: &UpstreamState, query: &PickQuery<'_>, all_suspect: bool) -> bool {
@@ -322,16 +322,18 @@
         let mut score = first + estimate.streaming_ms * REST_WEIGHT;
         // Begun where it would not end in time, it holds a slot for nothing.
         score += (first + estimate.streaming_ms - query.left_ms).max(0.0);
-        let failures = state.outlier.failure_share(self.now) - HARMLESS_FAILURES;
+        let failures = state.outlier.failure_ratio(self.now) - HARMLESS_FAILURES;
         score += failures.max(0.0) * FAILURE_PENALTY_MS;
         if entry.zone != *self.zone && self.policy != RoutingPolicy::WorthWithoutZones {
             score += ZONE_PENALTY_MS;
         }
         // What peers found out need not be found out once more, at the cost of a request each.
-        if self.peers.suspect(&entry.name) && !state.outlier.was_good(self.now, OWN_MESSAGE_TIME) {
+        if self.peers.suspect(&entry.name)
+            && !state.outlier.succeeded_within(self.now, OWN_MESSAGE_TIME)
+        {
             score += SUSPECT_PENALTY_MS;
         }
-        if state.outlier.is_suspect() {
+        if state.outlier.is_ejected() {
             let trial = query.may_try && state.outlier.is_usable(self.now, true);
             score += if trial {
                 -TRIAL_WORTH_MS
--- a/crates/savorywood-gateway/src/upstream.rs
+++ b/crates/savorywood-gateway/src/upstream.rs
@@ -227,7 +227,7 @@
     pub fn usual_failures(&self, now: MonotonicTime, service: &ServiceLabel) -> f64 {
         let members = self.members(service);
         let mut shares: Vec<f64> = members
-            .map(|state| state.outlier.failure_share(now))
+            .map(|state| state.outlier.failure_ratio(now))
             .collect();
         shares.sort_by(f64::total_cmp);
         shares.get(shares.len() / 2).copied().unwrap_or_default()
