--- a/crates/savorywood-gateway/src/gateway/admission.rs
+++ b/crates/savorywood-gateway/src/gateway/admission.rs
@@ -9,7 +9,7 @@
     config::{DeclaredConfig, RouteSpec, TeamLimit, TeamSpec},
     effect::GatewayEffect,
     label::{ServiceLabel, TeamLabel},
-    latency::nominal_first_ms,
+    latency::nominal_first_event_ms,
     quarantine::RequestFingerprint,
     queue::{QueuePlace, RequestRank},
     refusal::RefusalReason,
@@ -189,7 +189,7 @@
             team: team.as_ref().and_then(|team| team.priority).unwrap_or(0),
             route: route.priority,
         };
-        let expected = Duration::from_secs_f64(nominal_first_ms(size.prompt) / 1e3);
+        let expected = Duration::from_secs_f64(nominal_first_event_ms(size.prompt) / 1e3);
         let give_up_at = now + longest.saturating_sub(ANSWER_MARGIN);
         let begin_by = now + route.objective.saturating_sub(expected);
         Ok(RequestRecord {
--- a/crates/savorywood-gateway/src/gateway/dispatch.rs
+++ b/crates/savorywood-gateway/src/gateway/dispatch.rs
@@ -243,15 +243,15 @@
                 let Some(record) = self.requests.get(&place.request) else {
                     continue;
                 };
-                let first = usual.first_ms(&usual, record.size.prompt) * NEEDED_PART / 1e3;
+                let first = usual.first_event_ms(&usual, record.size.prompt) * NEEDED_PART / 1e3;
                 let stream = record.route.retry_safety.is_stream();
                 if stream && now + Duration::from_secs_f64(first) >= record.leave_at {
                     hopeless.push(place.request);
                     continue;
                 }
                 let needed = if record.route.retry_safety.is_stream() {
-                    usual.first_ms(&usual, record.size.prompt)
-                        + usual.rest_ms(&usual, record.output)
+                    usual.first_event_ms(&usual, record.size.prompt)
+                        + usual.streaming_ms(&usual, record.output)
                 } else {
                     usual.whole_ms(&usual)
                 };
--- a/crates/savorywood-gateway/src/gateway/learning.rs
+++ b/crates/savorywood-gateway/src/gateway/learning.rs
@@ -9,7 +9,7 @@
     effect::GatewayEffect,
     event::{AnswerMarks, AttemptOutcome},
     label::{ServiceLabel, UpstreamLabel},
-    latency::PaceEstimate,
+    latency::LatencyModel,
 };
 use savorywood_core::{LogLevel, LogLine};
 use savorywood_protocol::MonotonicTime;
@@ -39,13 +39,13 @@
 }
 
 impl SeenAnswer {
-    fn teach(&self, pace: &mut PaceEstimate) {
+    fn teach(&self, pace: &mut LatencyModel) {
         match self.events {
             Some(events) => {
-                pace.saw_stream(events, self.output, self.after_first, self.whole);
-                pace.saw_pause(self.longest_pause);
+                pace.record_stream(events, self.output, self.after_first, self.whole);
+                pace.record_longest_gap(self.longest_pause);
             }
-            None => pace.saw_answer(self.whole),
+            None => pace.record_response(self.whole),
         }
     }
 }
@@ -86,9 +86,9 @@
             let prompt = record.size.prompt;
             self.fleet
                 .usual_mut(&record.service)
-                .saw_first(prompt, elapsed);
+                .record_first_event(prompt, elapsed);
             if let Some(state) = self.fleet.get_mut(&upstream) {
-                state.pace.saw_first(prompt, elapsed);
+                state.pace.record_first_event(prompt, elapsed);
             }
         }
         self.note_alive(now, &upstream, sent_at);
--- a/crates/savorywood-gateway/src/gateway/watching.rs
+++ b/crates/savorywood-gateway/src/gateway/watching.rs
@@ -121,7 +121,7 @@
             return Duration::ZERO;
         }
         let usual = self.fleet.usual(&record.service);
-        let millis = state.pace.first_ms(&usual, unread) * READING_FACTOR;
+        let millis = state.pace.first_event_ms(&usual, unread) * READING_FACTOR;
         Duration::from_secs_f64(millis / 1e3).min(MOST_READING)
     }
 
--- a/crates/savorywood-gateway/src/latency.rs
+++ b/crates/savorywood-gateway/src/latency.rs
@@ -27,14 +27,14 @@
 
 /// Time to the first event that an upstream of ordinary speed needs for a prompt.
 #[must_use]
-pub fn nominal_first_ms(prompt: u32) -> f64 {
+pub fn nominal_first_event_ms(prompt: u32) -> f64 {
     let tokens = f64::from(prompt);
     BASE_MS + tokens * TOKEN_MS + tokens * tokens * PAIR_MS
 }
 
 /// Moving means of one upstream, or of all upstreams of a service.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct PaceEstimate {
+pub struct LatencyModel {
     /// Time to the first event against the nominal one.
     first: Option<f64>,
     /// Milliseconds between events.
@@ -56,10 +56,10 @@
     });
 }
 
-impl PaceEstimate {
+impl LatencyModel {
     /// The first event came.
-    pub fn saw_first(&mut self, prompt: u32, elapsed: Duration) {
-        let ratio = elapsed.as_secs_f64() * 1e3 / nominal_first_ms(prompt);
+    pub fn record_first_event(&mut self, prompt: u32, elapsed: Duration) {
+        let ratio = elapsed.as_secs_f64() * 1e3 / nominal_first_event_ms(prompt);
         // The median: a wait in the upstream's queue, or behind another's long prompt, says little
         // of its speed, and a mean would take such an upstream for a slow one.
         let known = self.first.get_or_insert(ratio);
@@ -71,7 +71,7 @@
     }
 
     /// A stream ended well.
-    pub fn saw_stream(
+    pub fn record_stream(
         &mut self,
         events: u32,
         expected_tokens: u32,
@@ -91,7 +91,7 @@
     }
 
     /// The longest pause of a stream that ended well.
-    pub fn saw_pause(&mut self, longest: Duration) {
+    pub fn record_longest_gap(&mut self, longest: Duration) {
         let millis = longest.as_secs_f64() * 1e3;
         let known = self.pause_ms.get_or_insert(millis);
         let weight = if millis > *known {
@@ -109,20 +109,20 @@
     }
 
     /// A plain answer ended well.
-    pub fn saw_answer(&mut self, whole: Duration) {
+    pub fn record_response(&mut self, whole: Duration) {
         blend(&mut self.whole_ms, whole.as_secs_f64() * 1e3);
     }
 
     /// Expected milliseconds to the first event; `usual` stands in for what was not seen.
     #[must_use]
-    pub fn first_ms(&self, usual: &Self, prompt: u32) -> f64 {
-        nominal_first_ms(prompt) * self.first.or(usual.first).unwrap_or(1.0)
+    pub fn first_event_ms(&self, usual: &Self, prompt: u32) -> f64 {
+        nominal_first_event_ms(prompt) * self.first.or(usual.first).unwrap_or(1.0)
     }
 
     /// Expected milliseconds from the first event to the last, for an answer of about so many
     /// tokens; zero where nobody guessed.
     #[must_use]
-    pub fn rest_ms(&self, usual: &Self, expected_tokens: u32) -> f64 {
+    pub fn streaming_ms(&self, usual: &Self, expected_tokens: u32) -> f64 {
         let gap = self.gap_ms.or(usual.gap_ms).unwrap_or(GAP_MS);
         let mean = usual.events.unwrap_or(10.0);
         let guessed = match usual.events_per_token {
@@ -140,7 +140,7 @@
 
     /// Answers a second of one slot, up to a factor that is the same for a whole service.
     #[must_use]
-    pub fn speed(&self, usual: &Self) -> f64 {
+    pub fn throughput(&self, usual: &Self) -> f64 {
         let gap = self.gap_ms.or(usual.gap_ms);
         1.0 / gap.unwrap_or_else(|| self.whole_ms(usual)).max(0.1)
     }
--- a/crates/savorywood-gateway/src/selection.rs
+++ b/crates/savorywood-gateway/src/selection.rs
@@ -6,7 +6,7 @@
     demand::UrgentArrivals,
     estimate::ResponseEstimate,
     label::{RegionLabel, ServiceLabel, UpstreamLabel, VersionLabel, ZoneLabel},
-    latency::PaceEstimate,
+    latency::LatencyModel,
     lease::MemberLeases,
     peer::PeerTable,
     region::RegionMap,
@@ -224,7 +224,7 @@
                 PickCandidate {
                     state,
                     occupied: state.running + others.running,
-                    speed: state.pace.speed(&usual),
+                    speed: state.pace.throughput(&usual),
                     estimate: self.estimate(state, query, &usual, others.unread),
                 }
             })
@@ -235,7 +235,7 @@
         &self,
         state: &UpstreamState,
         query: &PickQuery<'_>,
-        usual: &PaceEstimate,
+        usual: &LatencyModel,
         others_unread: u32,
     ) -> ResponseEstimate {
         if !query.stream {
@@ -247,9 +247,9 @@
         let own = query.prompt.saturating_sub(held);
         let unread = own + state.unread + others_unread;
         ResponseEstimate {
-            idle_first_event_ms: state.pace.first_ms(usual, query.prompt),
-            first_event_ms: state.pace.first_ms(usual, unread),
-            streaming_ms: state.pace.rest_ms(usual, query.output),
+            idle_first_event_ms: state.pace.first_event_ms(usual, query.prompt),
+            first_event_ms: state.pace.first_event_ms(usual, unread),
+            streaming_ms: state.pace.streaming_ms(usual, query.output),
             stream: true,
         }
     }
--- a/crates/savorywood-gateway/src/upstream.rs
+++ b/crates/savorywood-gateway/src/upstream.rs
@@ -3,7 +3,7 @@
 use crate::{
     evacuation::{EvacuationOrder, EvacuationTable},
     label::{ServiceLabel, UpstreamLabel, VersionLabel, ZoneLabel},
-    latency::PaceEstimate,
+    latency::LatencyModel,
     outlier::OutlierState,
     peer::name_digest,
     upstream_limit::UpstreamLimit,
@@ -64,7 +64,7 @@
     /// Failures.
     pub outlier: OutlierState,
     /// Speed.
-    pub pace: PaceEstimate,
+    pub pace: LatencyModel,
     /// When something of an answer came from it last.
     pub received_at: MonotonicTime,
     /// The registration vanished; until then it may come back.
@@ -90,7 +90,7 @@
             unread: 0,
             chosen: 0,
             outlier: OutlierState::default(),
-            pace: PaceEstimate::default(),
+            pace: LatencyModel::default(),
             received_at: MonotonicTime::default(),
             gone_at: None,
             evacuated: false,
@@ -151,7 +151,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct UpstreamFleet {
     states: BTreeMap<UpstreamLabel, UpstreamState>,
-    usual: BTreeMap<ServiceLabel, PaceEstimate>,
+    usual: BTreeMap<ServiceLabel, LatencyModel>,
     warmups: BTreeMap<ServiceLabel, WarmupSpec>,
     evacuations: EvacuationTable,
     store_failed_at: Option<MonotonicTime>,
@@ -213,12 +213,12 @@
 
     /// What is usual at a service.
     #[must_use]
-    pub fn usual(&self, service: &ServiceLabel) -> PaceEstimate {
+    pub fn usual(&self, service: &ServiceLabel) -> LatencyModel {
         self.usual.get(service).cloned().unwrap_or_default()
     }
 
     /// The same, to change it.
-    pub fn usual_mut(&mut self, service: &ServiceLabel) -> &mut PaceEstimate {
+    pub fn usual_mut(&mut self, service: &ServiceLabel) -> &mut LatencyModel {
         self.usual.entry(service.clone()).or_default()
     }
 
