--- a/crates/savorywood-gateway/src/gateway/dispatch.rs
+++ b/crates/savorywood-gateway/src/gateway/dispatch.rs
@@ -11,7 +11,7 @@
     label::{ServiceLabel, UpstreamLabel},
     queue::QueuePlace,
     refusal::RefusalReason,
-    selection::{PickFailure, PickQuery, PickScene, PickedUpstream},
+    selection::{SelectedUpstream, SelectionContext, SelectionFailure, SelectionQuery},
 };
 use savorywood_core::{LogLevel, LogLine};
 use savorywood_protocol::MonotonicTime;
@@ -64,8 +64,10 @@
             }
             match self.pick(now, record) {
                 Ok(picked) => self.dispatch(now, place.request, &picked, effects),
-                Err(PickFailure::Full) => full += 1,
-                Err(PickFailure::None) => self.without_upstream(now, place.request, effects),
+                Err(SelectionFailure::AllFull) => full += 1,
+                Err(SelectionFailure::NoCandidate) => {
+                    self.without_upstream(now, place.request, effects)
+                }
             }
         }
     }
@@ -85,7 +87,7 @@
         &self,
         now: MonotonicTime,
         record: &RequestRecord,
-    ) -> Result<PickedUpstream, PickFailure> {
+    ) -> Result<SelectedUpstream, SelectionFailure> {
         self.pick_beside(now, record, &record.tried)
     }
 
@@ -95,43 +97,44 @@
         now: MonotonicTime,
         record: &RequestRecord,
         tried: &[UpstreamLabel],
-    ) -> Result<PickedUpstream, PickFailure> {
+    ) -> Result<SelectedUpstream, SelectionFailure> {
         let waited = now.since(record.arrived_at);
-        let query = PickQuery {
+        let query = SelectionQuery {
             service: &record.service,
-            prompt: record.size.prompt,
-            output: record.output,
-            slack_ms: record.route.objective.as_secs_f64() * 1e3 - waited.as_secs_f64() * 1e3,
-            left_ms: record.give_up_at.since(now).as_secs_f64() * 1e3,
+            prompt_tokens: record.size.prompt,
+            expected_tokens: record.output,
+            first_event_budget_ms: record.route.objective.as_secs_f64() * 1e3
+                - waited.as_secs_f64() * 1e3,
+            remaining_ms: record.give_up_at.since(now).as_secs_f64() * 1e3,
             stream: record.route.retry_safety.is_stream(),
-            parts: &record.parts,
-            tried,
-            homes: [
+            prompt_parts: &record.parts,
+            attempted: tried,
+            home_regions: [
                 &record.route.home_regions,
                 record.team.as_ref().map_or(&[], |team| &team.home_regions),
             ],
             versions: self.rollouts.choose(now, &record.service, self.trial()),
-            urgent: self.urgent_arrivals(now, record),
-            may_try: record.may_run_once_more(),
+            urgent_arrivals: self.urgent_arrivals(now, record),
+            allow_probe: record.may_run_once_more(),
         };
-        let scene = PickScene {
+        let scene = SelectionContext {
             now,
             fleet: &self.fleet,
             peers: &self.peers,
-            parts: &self.parts,
+            prefix_cache: &self.parts,
             zone: &self.options.zone,
             policy: self.options.routing,
             regions: &self.options.regions,
             leases: &self.leases,
             warmup: self.options.bounds.warmup,
-            spread: if self.contacts.is_zoned() {
+            jitter: if self.contacts.is_zoned() {
                 ZONED_SPREAD
             } else {
                 SPREAD
             },
         };
         let mut draws = self.draws.clone();
-        scene.pick(&query, || draws.next())
+        scene.select(&query, || draws.next())
     }
 
     fn urgent_arrivals(&self, now: MonotonicTime, record: &RequestRecord) -> UrgentArrivals {
@@ -145,7 +148,7 @@
         &mut self,
         now: MonotonicTime,
         request: LocalRequest,
-        picked: &PickedUpstream,
+        picked: &SelectedUpstream,
         effects: &mut GatewayEffects,
     ) {
         self.draws.next();
@@ -201,7 +204,7 @@
             .with("waited_ms", now.since(record.arrived_at).as_millis())
             .with("expected_ms", format_args!("{:.0}", picked.expected_ms))
             .with("score", format_args!("{:.0}", picked.score))
-            .with("occupied", picked.occupied)
+            .with("occupied", picked.slots_in_use)
             .with("slots", state.entry.slots)
             .with("unread", state.unread)
             .with("cold_ms", state.cold_until.since(now).as_millis());
--- a/crates/savorywood-gateway/src/rollout.rs
+++ b/crates/savorywood-gateway/src/rollout.rs
@@ -5,7 +5,7 @@
     message::VersionTally,
     peer::name_digest,
     position::StorePosition,
-    selection::VersionChoice,
+    selection::VersionFilter,
 };
 use savorywood_protocol::MonotonicTime;
 use std::{collections::BTreeMap, time::Duration};
@@ -239,33 +239,33 @@
         now: MonotonicTime,
         service: &ServiceLabel,
         options: TrialOptions,
-    ) -> VersionChoice {
+    ) -> VersionFilter {
         let Some(state) = self.states.get(service) else {
-            return VersionChoice::Any;
+            return VersionFilter::Any;
         };
         let to = state.order.to.clone();
         match state.phase {
-            RolloutPhase::Completed => return VersionChoice::Only(to),
-            RolloutPhase::RolledBack => return VersionChoice::Not(to),
+            RolloutPhase::Completed => return VersionFilter::Only(to),
+            RolloutPhase::RolledBack => return VersionFilter::Except(to),
             RolloutPhase::Running => {}
         }
         let total = state.total();
         if total.condemned || is_bad(&total) {
-            return VersionChoice::Not(to);
+            return VersionFilter::Except(to);
         }
         let progress = state.progress(now);
         if progress >= MOVED_TIME {
-            return VersionChoice::Only(to);
+            return VersionFilter::Only(to);
         }
         let proved = total.new_answers >= NEEDED_ANSWERS;
         if progress >= TRIAL_TIME && proved {
-            return VersionChoice::Any;
+            return VersionFilter::Any;
         }
         let allowed = f64::from(total.sent) * options.share * TRIAL_PART + 2.0;
         if f64::from(total.sent_new) < allowed {
-            VersionChoice::Only(to)
+            VersionFilter::Only(to)
         } else {
-            VersionChoice::Not(to)
+            VersionFilter::Except(to)
         }
     }
 
--- a/crates/savorywood-gateway/src/selection.rs
+++ b/crates/savorywood-gateway/src/selection.rs
@@ -40,21 +40,21 @@
 
 /// Which versions may get a request while a roll-out is under way.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum VersionChoice {
+pub enum VersionFilter {
     /// Any.
     Any,
     /// Only this one.
     Only(VersionLabel),
     /// Any but this one.
-    Not(VersionLabel),
+    Except(VersionLabel),
 }
 
-impl VersionChoice {
+impl VersionFilter {
     fn allows(&self, version: &VersionLabel) -> bool {
         match self {
             Self::Any => true,
             Self::Only(only) => only == version,
-            Self::Not(other) => other != version,
+            Self::Except(other) => other != version,
         }
     }
 }
@@ -68,11 +68,11 @@
     #[default]
     #[serde(rename = "worth")]
     #[strum(serialize = "worth")]
-    Worth,
+    LowestCost,
     /// The same, as if all upstreams were in one zone.
     #[serde(rename = "worth-without-zones")]
     #[strum(serialize = "worth-without-zones")]
-    WorthWithoutZones,
+    LowestCostIgnoringZones,
     /// Fewest requests there.
     LeastOutstanding,
     /// The one that was chosen longest ago.
@@ -83,36 +83,36 @@
 
 /// What is asked for.
 #[derive(Debug, Clone)]
-pub struct PickQuery<'a> {
+pub struct SelectionQuery<'a> {
     /// Service.
     pub service: &'a ServiceLabel,
     /// Prompt tokens; zero for plain calls.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// Tokens of the answer as the caller expects; zero if it says nothing.
-    pub output: u32,
+    pub expected_tokens: u32,
     /// Milliseconds within which the first event is in time.
-    pub slack_ms: f64,
+    pub first_event_budget_ms: f64,
     /// Milliseconds until the answer must be whole.
-    pub left_ms: f64,
+    pub remaining_ms: f64,
     /// The answer is a stream.
     pub stream: bool,
     /// Parts of the prompt.
-    pub parts: &'a [PromptPart],
+    pub prompt_parts: &'a [PromptPart],
     /// Upstreams that have had it.
-    pub tried: &'a [UpstreamLabel],
+    pub attempted: &'a [UpstreamLabel],
     /// Home regions of its route and of its team; both bind.
-    pub homes: [&'a [RegionLabel]; 2],
+    pub home_regions: [&'a [RegionLabel]; 2],
     /// Versions that may get it.
-    pub versions: VersionChoice,
+    pub versions: VersionFilter,
     /// More urgent work that comes to all daemons.
-    pub urgent: UrgentArrivals,
+    pub urgent_arrivals: UrgentArrivals,
     /// It may run again elsewhere: upstreams on trial may have it.
-    pub may_try: bool,
+    pub allow_probe: bool,
 }
 
 /// What is looked at.
 #[derive(Debug, Clone, Copy)]
-pub struct PickScene<'a> {
+pub struct SelectionContext<'a> {
     /// Now.
     pub now: MonotonicTime,
     /// Upstreams.
@@ -120,7 +120,7 @@
     /// Peers and their slots.
     pub peers: &'a PeerTable,
     /// Holders of prompt parts.
-    pub parts: &'a PrefixCacheIndex,
+    pub prefix_cache: &'a PrefixCacheIndex,
     /// Own zone.
     pub zone: &'a ZoneLabel,
     /// What the choice goes by.
@@ -132,27 +132,27 @@
     /// By how much rates of cold upstreams may be exceeded.
     pub warmup: Option<WarmupTolerance>,
     /// Part of an upstream's cost by which it may look dearer at random.
-    pub spread: f64,
+    pub jitter: f64,
 }
 
 /// Why none was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PickFailure {
+pub enum SelectionFailure {
     /// All are full.
-    Full,
+    AllFull,
     /// There is none that may have it.
-    None,
+    NoCandidate,
 }
 
 /// An upstream chosen.
 #[derive(Debug, Clone, PartialEq)]
-pub struct PickedUpstream {
+pub struct SelectedUpstream {
     /// Who.
     pub name: UpstreamLabel,
     /// Expected milliseconds to the first event, or of the whole plain answer.
     pub expected_ms: f64,
     /// Requests counted there, of all daemons.
-    pub occupied: u32,
+    pub slots_in_use: u32,
     /// The figure that was compared.
     pub score: f64,
 }
@@ -167,7 +167,7 @@
     estimate: ResponseEstimate,
 }
 
-impl PickScene<'_> {
+impl SelectionContext<'_> {
     /// Chooses the upstream with the least expected cost among those with room.
     ///
     /// Where some upstream, be it full, would begin the answer in time and end it before it is
@@ -178,29 +178,30 @@
     /// # Errors
     ///
     /// Why there is none.
-    pub fn pick(
+    pub fn select(
         &self,
-        query: &PickQuery<'_>,
+        query: &SelectionQuery<'_>,
         mut draw: impl FnMut() -> f64,
-    ) -> Result<PickedUpstream, PickFailure> {
+    ) -> Result<SelectedUpstream, SelectionFailure> {
         let candidates = self.candidates(query);
         if candidates.is_empty() {
-            return Err(PickFailure::None);
+            return Err(SelectionFailure::NoCandidate);
         }
         let must_fit = candidates
             .iter()
-            .any(|candidate| candidate.estimate.fits_within(query.left_ms));
+            .any(|candidate| candidate.estimate.fits_within(query.remaining_ms));
         let must_be_in_time = candidates
             .iter()
-            .any(|candidate| candidate.estimate.idle_first_event_ms <= query.slack_ms);
+            .any(|candidate| candidate.estimate.idle_first_event_ms <= query.first_event_budget_ms);
         let speeds: f64 = candidates.iter().map(|candidate| candidate.speed).sum();
-        let mut best: Option<PickedUpstream> = None;
+        let mut best: Option<SelectedUpstream> = None;
         for candidate in &candidates {
             let noise = draw();
             let estimate = &candidate.estimate;
             let share = candidate.speed / speeds;
-            let fits = !must_fit || estimate.fits_within(query.left_ms);
-            let in_time = !must_be_in_time || estimate.first_event_ms <= query.slack_ms;
+            let fits = !must_fit || estimate.fits_within(query.remaining_ms);
+            let in_time =
+                !must_be_in_time || estimate.first_event_ms <= query.first_event_budget_ms;
             if !fits || !in_time || !self.has_slot(candidate, query, share) {
                 continue;
             }
@@ -209,11 +210,11 @@
                 best = Some(picked);
             }
         }
-        best.ok_or(PickFailure::Full)
+        best.ok_or(SelectionFailure::AllFull)
     }
 
     /// Upstreams that may have the request, full or not.
-    fn candidates<'q>(&'q self, query: &'q PickQuery<'q>) -> Vec<PickCandidate<'q>> {
+    fn candidates<'q>(&'q self, query: &'q SelectionQuery<'q>) -> Vec<PickCandidate<'q>> {
         let usual = self.fleet.usual(query.service);
         let all_suspect = self.all_suspect(query);
         let members = self.fleet.members(query.service);
@@ -234,7 +235,7 @@
     fn estimate(
         &self,
         state: &UpstreamState,
-        query: &PickQuery<'_>,
+        query: &SelectionQuery<'_>,
         usual: &LatencyModel,
         others_unread: u32,
     ) -> ResponseEstimate {
@@ -242,22 +243,27 @@
             return ResponseEstimate::non_streaming(state.pace.whole_ms(usual));
         }
         let held = self
-            .parts
-            .cached_tokens(self.now, query.parts, &state.entry.name);
-        let own = query.prompt.saturating_sub(held);
+            .prefix_cache
+            .cached_tokens(self.now, query.prompt_parts, &state.entry.name);
+        let own = query.prompt_tokens.saturating_sub(held);
         let unread = own + state.unread + others_unread;
         ResponseEstimate {
-            idle_first_event_ms: state.pace.first_event_ms(usual, query.prompt),
+            idle_first_event_ms: state.pace.first_event_ms(usual, query.prompt_tokens),
             first_event_ms: state.pace.first_event_ms(usual, unread),
-            streaming_ms: state.pace.streaming_ms(usual, query.output),
+            streaming_ms: state.pace.streaming_ms(usual, query.expected_tokens),
             stream: true,
         }
     }
 
-    fn has_slot(&self, candidate: &PickCandidate<'_>, query: &PickQuery<'_>, share: f64) -> bool {
+    fn has_slot(
+        &self,
+        candidate: &PickCandidate<'_>,
+        query: &SelectionQuery<'_>,
+        share: f64,
+    ) -> bool {
         let slots = candidate.state.entry.slots;
         let slot = Duration::from_secs_f64(candidate.estimate.slot_hold_ms() / 1e3);
-        let kept = query.urgent.reserved_slots(share, slot, slots);
+        let kept = query.urgent_arrivals.reserved_slots(share, slot, slots);
         candidate.occupied + kept < slots && self.is_paced(candidate.state)
     }
 
@@ -280,33 +286,38 @@
 
     /// When every upstream looks ill, the fault is more likely in the requests or on the way:
     /// leaving all of them out would turn a partial failure into a whole one.
-    fn all_suspect(&self, query: &PickQuery<'_>) -> bool {
+    fn all_suspect(&self, query: &SelectionQuery<'_>) -> bool {
         let mut members = self.fleet.members(query.service);
         let open = |state: &UpstreamState| state.is_open(self.now);
         members.all(|state| !open(state) || state.outlier.is_ejected())
     }
 
-    fn may_have(&self, state: &UpstreamState, query: &PickQuery<'_>, all_suspect: bool) -> bool {
-        let usable = all_suspect || state.outlier.is_usable(self.now, query.may_try);
+    fn may_have(
+        &self,
+        state: &UpstreamState,
+        query: &SelectionQuery<'_>,
+        all_suspect: bool,
+    ) -> bool {
+        let usable = all_suspect || state.outlier.is_usable(self.now, query.allow_probe);
         usable
             && state.is_open(self.now)
             && self.is_home(state, query)
             && query.versions.allows(&state.entry.version)
-            && !query.tried.contains(&state.entry.name)
+            && !query.attempted.contains(&state.entry.name)
     }
 
-    fn is_home(&self, state: &UpstreamState, query: &PickQuery<'_>) -> bool {
+    fn is_home(&self, state: &UpstreamState, query: &SelectionQuery<'_>) -> bool {
         let zone = state.entry.zone.as_str();
-        let mut homes = query.homes.iter();
+        let mut homes = query.home_regions.iter();
         homes.all(|homes| self.regions.is_home(zone, homes))
     }
 
     fn appraise(
         &self,
         candidate: &PickCandidate<'_>,
-        query: &PickQuery<'_>,
+        query: &SelectionQuery<'_>,
         noise: f64,
-    ) -> PickedUpstream {
+    ) -> SelectedUpstream {
         let PickCandidate {
             state,
             occupied,
@@ -321,10 +332,10 @@
         };
         let mut score = first + estimate.streaming_ms * REST_WEIGHT;
         // Begun where it would not end in time, it holds a slot for nothing.
-        score += (first + estimate.streaming_ms - query.left_ms).max(0.0);
+        score += (first + estimate.streaming_ms - query.remaining_ms).max(0.0);
         let failures = state.outlier.failure_ratio(self.now) - HARMLESS_FAILURES;
         score += failures.max(0.0) * FAILURE_PENALTY_MS;
-        if entry.zone != *self.zone && self.policy != RoutingPolicy::WorthWithoutZones {
+        if entry.zone != *self.zone && self.policy != RoutingPolicy::LowestCostIgnoringZones {
             score += ZONE_PENALTY_MS;
         }
         // What peers found out need not be found out once more, at the cost of a request each.
@@ -334,7 +345,7 @@
             score += SUSPECT_PENALTY_MS;
         }
         if state.outlier.is_ejected() {
-            let trial = query.may_try && state.outlier.is_usable(self.now, true);
+            let trial = query.allow_probe && state.outlier.is_usable(self.now, true);
             score += if trial {
                 -TRIAL_WORTH_MS
             } else {
@@ -342,17 +353,17 @@
             };
         }
         let score = match self.policy {
-            RoutingPolicy::Worth | RoutingPolicy::WorthWithoutZones => {
-                score + score.abs() * noise * self.spread
+            RoutingPolicy::LowestCost | RoutingPolicy::LowestCostIgnoringZones => {
+                score + score.abs() * noise * self.jitter
             }
             RoutingPolicy::LeastOutstanding => f64::from(*occupied) + noise,
             RoutingPolicy::RoundRobin => state.chosen as f64 + noise,
             RoutingPolicy::Random => noise,
         };
-        PickedUpstream {
+        SelectedUpstream {
             name: entry.name.clone(),
             expected_ms: first,
-            occupied: *occupied,
+            slots_in_use: *occupied,
             score,
         }
     }
--- a/crates/savorywood-gateway/tests/common/scene.rs
+++ b/crates/savorywood-gateway/tests/common/scene.rs
@@ -36,7 +36,7 @@
             ..GatewayBounds::default()
         },
         seed: 7,
-        routing: RoutingPolicy::Worth,
+        routing: RoutingPolicy::LowestCost,
         capacity: HostResources::default(),
         regions: RegionMap::default(),
     }
