--- a/crates/savorywood-gateway/src/gateway.rs
+++ b/crates/savorywood-gateway/src/gateway.rs
@@ -32,7 +32,7 @@
     lease::MemberLeases,
     message::SlotUse,
     peer::{PeerTable, name_digest},
-    quarantine::QuarantineBook,
+    quarantine::QuarantineTable,
     queue::WaitQueue,
     reading::ReadBook,
     region::RegionMap,
@@ -145,7 +145,7 @@
     leases: MemberLeases,
     leases_at: MonotonicTime,
     /// Requests under which upstreams crashed.
-    quarantine: QuarantineBook,
+    quarantine: QuarantineTable,
     store_era: Option<u64>,
     /// When the store was seen to have been restored.
     restored_at: Option<MonotonicTime>,
@@ -192,7 +192,7 @@
             entry_at: MonotonicTime::default(),
             leases: MemberLeases::default(),
             leases_at: MonotonicTime::default(),
-            quarantine: QuarantineBook::default(),
+            quarantine: QuarantineTable::default(),
             store_era: None,
             restored_at: None,
             withdrawals: Vec::new(),
@@ -293,7 +293,7 @@
                 era,
             } => {
                 let accepted = accepted && era >= self.store_era();
-                self.quarantine.written(&write, accepted);
+                self.quarantine.record_write(&write, accepted);
             }
             GatewayEvent::LoadMeasured(load) => self.load = load,
             GatewayEvent::SeedsRead(contacts) => self.learn_contacts(now, contacts),
@@ -368,7 +368,7 @@
         self.watch_silence(now, effects);
         self.pump_all(now, effects);
         self.fleet.sweep(now);
-        self.quarantine.sweep(now);
+        self.quarantine.evict_expired(now);
         self.write_quarantine(now, effects);
         self.apply_withdrawals(now, effects);
         let leads = self.leads(now);
--- a/crates/savorywood-gateway/src/gateway/entry.rs
+++ b/crates/savorywood-gateway/src/gateway/entry.rs
@@ -91,8 +91,9 @@
         if !is_member || self.age(now) < LEASE_PAUSE || !self.peers.sees_most(now) {
             return self.leases.release();
         }
-        let is_needed =
-            self.fleet.has_warmups() || self.fleet.has_limits() || self.quarantine.count() > 0;
+        let is_needed = self.fleet.has_warmups()
+            || self.fleet.has_limits()
+            || self.quarantine.quarantined_count() > 0;
         if !is_needed && now.since(self.leases_at) < LEASE_REST_TIME {
             return;
         }
--- a/crates/savorywood-gateway/src/gateway/quarantine.rs
+++ b/crates/savorywood-gateway/src/gateway/quarantine.rs
@@ -8,7 +8,7 @@
     label::{TeamLabel, UpstreamLabel},
     peer::name_digest,
     quarantine::{
-        BrokenAttempt, CrashGossip, QuarantineChange, QuarantineRow, QuarantineVerdict,
+        CrashGossip, FailedAttempt, QuarantineChange, QuarantineRow, QuarantineVerdict,
         ReportScope, RequestFingerprint,
     },
     refusal::RefusalReason,
@@ -31,11 +31,14 @@
     ) -> Result<bool, Denial> {
         let (crashes, trial_at) = match self.quarantine.verdict(fingerprint) {
             QuarantineVerdict::Clear => return Ok(false),
-            QuarantineVerdict::Held { crashes, trial_at } => (crashes, trial_at),
+            QuarantineVerdict::Quarantined {
+                crashes,
+                probe_at: trial_at,
+            } => (crashes, trial_at),
         };
         // Daemons that all tried it at the same moment would crash an upstream each.
-        if now >= trial_at && self.leases.holds_key(now, fingerprint.number()) {
-            self.quarantine.begin_trial(now, fingerprint);
+        if now >= trial_at && self.leases.holds_key(now, fingerprint.as_u64()) {
+            self.quarantine.begin_probe(now, fingerprint);
             return Ok(true);
         }
         Err(Denial {
@@ -58,7 +61,9 @@
     ) -> Duration {
         match self.quarantine.verdict(fingerprint) {
             QuarantineVerdict::Clear => LEAST_RETURN,
-            QuarantineVerdict::Held { trial_at, .. } => trial_at.since(now).max(LEAST_RETURN),
+            QuarantineVerdict::Quarantined {
+                probe_at: trial_at, ..
+            } => trial_at.since(now).max(LEAST_RETURN),
         }
     }
 
@@ -78,14 +83,16 @@
         let change = match outcome {
             AttemptOutcome::Broken { silent: false }
             | AttemptOutcome::StreamBroken(StreamEnd { silent: false, .. }) => {
-                let broken = BrokenAttempt {
+                let broken = FailedAttempt {
                     fingerprint,
                     upstream: name_digest(attempt.upstream.as_str()),
                     sent_at: attempt.sent_at,
                 };
-                self.quarantine.broke(now, broken)
+                self.quarantine.record_failed_attempt(now, broken)
+            }
+            AttemptOutcome::Delivered { .. } => {
+                self.quarantine.record_complete_response(now, fingerprint)
             }
-            AttemptOutcome::Delivered { .. } => self.quarantine.served(now, fingerprint),
             _ => return,
         };
         log_change(fingerprint, change, "own", effects);
@@ -99,7 +106,7 @@
         sent_at: MonotonicTime,
     ) {
         if let Some(state) = self.fleet.get(upstream) {
-            self.quarantine.answered(now, state.digest, sent_at);
+            self.quarantine.record_response(now, state.digest, sent_at);
         }
     }
 
@@ -133,17 +140,17 @@
         rows: &[QuarantineRow],
         effects: &mut GatewayEffects,
     ) {
-        self.quarantine.restore(now, rows);
+        self.quarantine.restore_rows(now, rows);
         let line = LogLine::new(LogLevel::Info, "quarantine-read")
             .with("rows", rows.len())
-            .with("held", self.quarantine.count());
+            .with("held", self.quarantine.quarantined_count());
         effects.push(GatewayEffect::Log(line));
     }
 
     /// Has one daemon write what must last beyond all of them.
     pub(super) fn write_quarantine(&mut self, now: MonotonicTime, effects: &mut GatewayEffects) {
         let leases = &self.leases;
-        let holds = |fingerprint: RequestFingerprint| leases.holds_key(now, fingerprint.number());
+        let holds = |fingerprint: RequestFingerprint| leases.holds_key(now, fingerprint.as_u64());
         let writes = self.quarantine.due_writes(now, holds);
         effects.extend(writes.into_iter().map(GatewayEffect::WriteQuarantine));
     }
@@ -151,7 +158,7 @@
     /// Requests in quarantine.
     #[must_use]
     pub fn quarantined_requests(&self) -> usize {
-        self.quarantine.count()
+        self.quarantine.quarantined_count()
     }
 }
 
--- a/crates/savorywood-gateway/src/gateway/restoring.rs
+++ b/crates/savorywood-gateway/src/gateway/restoring.rs
@@ -28,7 +28,7 @@
         // Registrations that the backup lacks are written again.
         self.fleet.store_failed(now);
         self.rollouts.store_restored(era);
-        self.quarantine.store_restored();
+        self.quarantine.on_store_restored();
         let line = LogLine::new(LogLevel::Warn, "store-restored")
             .with("era", era)
             .with("before", before);
--- a/crates/savorywood-gateway/src/lib.rs
+++ b/crates/savorywood-gateway/src/lib.rs
@@ -61,9 +61,9 @@
 pub use peer::{PeerTable, SlotSum, name_digest};
 pub use position::StorePosition;
 pub use quarantine::{
-    BrokenAttempt, CrashAge, CrashGossip, CrashMark, CrashReport, QUARANTINE_CRASHES,
-    QuarantineBook, QuarantineChange, QuarantineRow, QuarantineVerdict, QuarantineWrite,
-    ReportScope, RequestFingerprint, StoredCrash,
+    CrashGossip, CrashRecord, CrashReport, FailedAttempt, QUARANTINE_CRASHES, QuarantineChange,
+    QuarantineRow, QuarantineTable, QuarantineVerdict, QuarantineWrite, ReportScope, ReportedCrash,
+    RequestFingerprint, StoredCrash,
 };
 pub use queue::RequestRank;
 pub use reading::{
--- a/crates/savorywood-gateway/src/quarantine.rs
+++ b/crates/savorywood-gateway/src/quarantine.rs
@@ -16,8 +16,8 @@
 mod row;
 mod served;
 
-pub use crash_history::CrashMark;
-pub use report::{CrashAge, CrashGossip, CrashReport, ReportScope};
+pub use crash_history::CrashRecord;
+pub use report::{CrashGossip, CrashReport, ReportScope, ReportedCrash};
 pub use row::{QuarantineRow, QuarantineWrite, StoredCrash};
 
 use crate::{
@@ -69,7 +69,7 @@
 
     /// Its number.
     #[must_use]
-    pub fn number(self) -> u64 {
+    pub fn as_u64(self) -> u64 {
         self.0
     }
 }
@@ -97,17 +97,17 @@
     /// It may.
     Clear,
     /// It is refused.
-    Held {
+    Quarantined {
         /// Upstreams that crashed under it.
         crashes: u32,
         /// Earliest moment of the next trial.
-        trial_at: MonotonicTime,
+        probe_at: MonotonicTime,
     },
 }
 
 /// An attempt that broke at an upstream.
 #[derive(Debug, Clone, Copy)]
-pub struct BrokenAttempt {
+pub struct FailedAttempt {
     /// What was asked.
     pub fingerprint: RequestFingerprint,
     /// Digest of the upstream's name.
@@ -135,7 +135,7 @@
 
 /// Crashes by request, as this daemon and its peers saw them.
 #[derive(Debug, Clone, Default)]
-pub struct QuarantineBook {
+pub struct QuarantineTable {
     entries: BTreeMap<RequestFingerprint, QuarantineEntry>,
     upstreams: BTreeMap<u32, BrokenUpstream>,
     served: ServedRequests,
@@ -143,9 +143,13 @@
     repeated: Option<RequestFingerprint>,
 }
 
-impl QuarantineBook {
+impl QuarantineTable {
     /// An attempt broke.
-    pub fn broke(&mut self, now: MonotonicTime, attempt: BrokenAttempt) -> QuarantineChange {
+    pub fn record_failed_attempt(
+        &mut self,
+        now: MonotonicTime,
+        attempt: FailedAttempt,
+    ) -> QuarantineChange {
         let fingerprint = attempt.fingerprint;
         let upstream = slot_key(attempt.upstream);
         let known = self.upstreams.get(&upstream);
@@ -186,7 +190,7 @@
     }
 
     /// A request was answered in whole.
-    pub fn served(
+    pub fn record_complete_response(
         &mut self,
         now: MonotonicTime,
         fingerprint: RequestFingerprint,
@@ -203,7 +207,7 @@
 
     /// An upstream answered what was sent to it at a moment. If an attempt broke there shortly
     /// before, its connection was lost and the upstream lives.
-    pub fn answered(&mut self, now: MonotonicTime, upstream: u64, sent_at: MonotonicTime) {
+    pub fn record_response(&mut self, now: MonotonicTime, upstream: u64, sent_at: MonotonicTime) {
         let upstream = slot_key(upstream);
         let Some(broken) = self.upstreams.get_mut(&upstream) else {
             return;
@@ -224,16 +228,16 @@
     pub fn verdict(&self, fingerprint: RequestFingerprint) -> QuarantineVerdict {
         let entry = self.entries.get(&fingerprint);
         match entry.filter(|entry| entry.is_quarantined()) {
-            Some(entry) => QuarantineVerdict::Held {
+            Some(entry) => QuarantineVerdict::Quarantined {
                 crashes: entry.evidence.count(),
-                trial_at: entry.trial_at(),
+                probe_at: entry.trial_at(),
             },
             None => QuarantineVerdict::Clear,
         }
     }
 
     /// A request in quarantine is tried once.
-    pub fn begin_trial(&mut self, now: MonotonicTime, fingerprint: RequestFingerprint) {
+    pub fn begin_probe(&mut self, now: MonotonicTime, fingerprint: RequestFingerprint) {
         if let Some(entry) = self.entries.get_mut(&fingerprint) {
             entry.tried_at = now;
         }
@@ -247,10 +251,10 @@
         is_near: bool,
     ) -> QuarantineChange {
         let fingerprint = report.fingerprint;
-        let marks: Vec<CrashMark> = report
+        let marks: Vec<CrashRecord> = report
             .crashes
             .iter()
-            .map(|crash| crash.mark(now))
+            .map(|crash| crash.to_record(now))
             .filter(|mark| !self.is_refuted(*mark) && !self.served.covers(fingerprint, mark.at))
             .collect();
         if marks.len() < report.crashes.len()
@@ -288,14 +292,14 @@
         }
     }
 
-    fn is_refuted(&self, mark: CrashMark) -> bool {
+    fn is_refuted(&self, mark: CrashRecord) -> bool {
         let broken = self.upstreams.get(&mark.upstream);
         let answered_at = broken.and_then(|broken| broken.answered_at);
         answered_at.is_some_and(|answered_at| mark.at <= answered_at)
     }
 
     /// Crashes as the store keeps them.
-    pub fn restore(&mut self, now: MonotonicTime, rows: &[QuarantineRow]) {
+    pub fn restore_rows(&mut self, now: MonotonicTime, rows: &[QuarantineRow]) {
         for row in rows.iter().take(MOST_ENTRIES) {
             let entry = self.entries.entry(row.fingerprint).or_default();
             entry.row = RowState::Read;
@@ -307,7 +311,7 @@
     }
 
     /// The store was restored: rows that were written may be lost, and removed ones back.
-    pub fn store_restored(&mut self) {
+    pub fn on_store_restored(&mut self) {
         for entry in self.entries.values_mut() {
             entry.row = match entry.row {
                 RowState::Removed => RowState::Read,
@@ -340,7 +344,7 @@
     }
 
     /// A write was answered, or not.
-    pub fn written(&mut self, write: &QuarantineWrite, accepted: bool) {
+    pub fn record_write(&mut self, write: &QuarantineWrite, accepted: bool) {
         if let Some(entry) = self.entries.get_mut(&write.fingerprint)
             && accepted
         {
@@ -356,7 +360,7 @@
 
     /// Requests in quarantine.
     #[must_use]
-    pub fn count(&self) -> usize {
+    pub fn quarantined_count(&self) -> usize {
         let entries = self.entries.values();
         entries.filter(|entry| entry.is_quarantined()).count()
     }
@@ -374,7 +378,7 @@
     }
 
     /// Forgets what is old.
-    pub fn sweep(&mut self, now: MonotonicTime) {
+    pub fn evict_expired(&mut self, now: MonotonicTime) {
         let is_kept = |entry: &QuarantineEntry| {
             // Its row is removed first, or the next start would bring it back.
             !entry.is_forgotten(if entry.row.is_there() {
--- a/crates/savorywood-gateway/src/quarantine/crash_history.rs
+++ b/crates/savorywood-gateway/src/quarantine/crash_history.rs
@@ -11,7 +11,7 @@
 
 /// An upstream that crashed under a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct CrashMark {
+pub struct CrashRecord {
     /// Half of the digest of its name.
     pub upstream: u32,
     /// Which of its crashes under the request, from 1. Reports of one crash are known by it, as their
@@ -23,13 +23,13 @@
 
 /// What speaks against a request.
 #[derive(Debug, Clone, Default)]
-pub struct CrashEvidence {
-    marks: Vec<CrashMark>,
+pub struct CrashHistory {
+    marks: Vec<CrashRecord>,
     /// When the request was answered in whole last.
     served_at: Option<MonotonicTime>,
 }
 
-impl CrashEvidence {
+impl CrashHistory {
     /// An upstream crashed a moment ago; whether that was new and counts.
     pub fn add(&mut self, now: MonotonicTime, upstream: u32) -> bool {
         let there = self.marks.iter().filter(|mark| mark.upstream == upstream);
@@ -38,7 +38,7 @@
             return false;
         }
         let number = newest.map_or(0, |mark| mark.number).saturating_add(1);
-        self.take(CrashMark {
+        self.take(CrashRecord {
             upstream,
             number,
             at: now,
@@ -46,9 +46,10 @@
     }
 
     /// Takes a crash that a peer reports; whether it was new and counts.
-    pub fn take(&mut self, mark: CrashMark) -> bool {
-        let is_same =
-            |known: &&mut CrashMark| (known.upstream, known.number) == (mark.upstream, mark.number);
+    pub fn take(&mut self, mark: CrashRecord) -> bool {
+        let is_same = |known: &&mut CrashRecord| {
+            (known.upstream, known.number) == (mark.upstream, mark.number)
+        };
         if let Some(known) = self.marks.iter_mut().find(is_same) {
             known.at = known.at.min(mark.at);
             return false;
@@ -60,14 +61,14 @@
         true
     }
 
-    fn is_covered(&self, mark: CrashMark) -> bool {
+    fn is_covered(&self, mark: CrashRecord) -> bool {
         self.served_at
             .is_some_and(|served_at| mark.at < served_at + SERVED_TIME)
     }
 
     /// Drops what was taken for a crash of an upstream around a moment.
     pub fn withdraw(&mut self, upstream: u32, at: MonotonicTime) {
-        let is_it = |mark: &CrashMark| {
+        let is_it = |mark: &CrashRecord| {
             let apart = mark.at.since(at).max(at.since(mark.at));
             mark.upstream == upstream && apart < SAME_CRASH_TIME
         };
@@ -95,7 +96,7 @@
         }
         let before = self.marks.len();
         for crash in crashes {
-            self.take(CrashMark {
+            self.take(CrashRecord {
                 upstream: crash.upstream,
                 number: crash.number,
                 at: now,
@@ -122,7 +123,7 @@
 
     /// Crashes that daemons saw.
     #[must_use]
-    pub fn marks(&self) -> &[CrashMark] {
+    pub fn marks(&self) -> &[CrashRecord] {
         &self.marks
     }
 
--- a/crates/savorywood-gateway/src/quarantine/entry.rs
+++ b/crates/savorywood-gateway/src/quarantine/entry.rs
@@ -1,6 +1,6 @@
 //! One request under which upstreams crashed.
 
-use super::{QUARANTINE_CRASHES, crash_history::CrashEvidence, report::ReportScope};
+use super::{QUARANTINE_CRASHES, crash_history::CrashHistory, report::ReportScope};
 use savorywood_protocol::MonotonicTime;
 use std::time::Duration;
 
@@ -55,7 +55,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct QuarantineEntry {
     /// What speaks against it.
-    pub evidence: CrashEvidence,
+    pub evidence: CrashHistory,
     /// Changed by this daemon's own observation.
     pub own_changed_at: Option<MonotonicTime>,
     /// Changed by an observation of this daemon's zone.
--- a/crates/savorywood-gateway/src/quarantine/report.rs
+++ b/crates/savorywood-gateway/src/quarantine/report.rs
@@ -1,6 +1,6 @@
 //! What daemons send each other of crashes.
 
-use super::{CrashMark, QuarantineBook, RequestFingerprint, entry::QuarantineEntry};
+use super::{CrashRecord, QuarantineTable, RequestFingerprint, entry::QuarantineEntry};
 use savorywood_protocol::MonotonicTime;
 use serde::{Deserialize, Serialize};
 use std::{cmp::Reverse, ops::Bound, time::Duration};
@@ -24,7 +24,7 @@
 
 /// A crash as reported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CrashAge {
+pub struct ReportedCrash {
     /// Half of the digest of the upstream's name.
     pub upstream: u32,
     /// Which of its crashes under the request, from 1.
@@ -39,7 +39,7 @@
     /// Which request.
     pub fingerprint: RequestFingerprint,
     /// Upstreams that crashed under it.
-    pub crashes: Vec<CrashAge>,
+    pub crashes: Vec<ReportedCrash>,
     /// Milliseconds since it was answered in whole.
     pub served_ms: Option<u32>,
 }
@@ -57,11 +57,11 @@
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
 
-impl CrashAge {
+impl ReportedCrash {
     /// The crash on this daemon's clock.
     #[must_use]
-    pub fn mark(self, now: MonotonicTime) -> CrashMark {
-        CrashMark {
+    pub fn to_record(self, now: MonotonicTime) -> CrashRecord {
+        CrashRecord {
             upstream: self.upstream,
             number: self.number,
             at: now - Duration::from_millis(u64::from(self.age_ms)),
@@ -72,7 +72,7 @@
 impl CrashReport {
     fn new(now: MonotonicTime, fingerprint: RequestFingerprint, entry: &QuarantineEntry) -> Self {
         let evidence = &entry.evidence;
-        let crashes = evidence.marks().iter().map(|mark| CrashAge {
+        let crashes = evidence.marks().iter().map(|mark| ReportedCrash {
             upstream: mark.upstream,
             number: mark.number,
             age_ms: millis(now.since(mark.at)),
@@ -92,7 +92,7 @@
     }
 }
 
-impl QuarantineBook {
+impl QuarantineTable {
     /// What is to be reported in a round of gossip. Requests with more crashes go first where not
     /// all changes fit.
     pub fn reports(
--- a/crates/savorywood-gateway/tests/quarantine.rs
+++ b/crates/savorywood-gateway/tests/quarantine.rs
@@ -16,8 +16,8 @@
 use crashes::{CRASHING_PATH, CrashField, MOST_RETRIES, RequestEnd};
 use quickcheck::quickcheck;
 use savorywood_gateway::{
-    AttemptOutcome, BrokenAttempt, ContentDigest, CrashAge, CrashReport, GatewayEffect,
-    QuarantineBook, QuarantineRow, QuarantineVerdict, ReportScope, RequestFingerprint, TeamLabel,
+    AttemptOutcome, ContentDigest, CrashReport, FailedAttempt, GatewayEffect, QuarantineRow,
+    QuarantineTable, QuarantineVerdict, ReportScope, ReportedCrash, RequestFingerprint, TeamLabel,
 };
 use savorywood_protocol::MonotonicTime;
 use scene::{GatewayScene, arrival};
@@ -323,36 +323,36 @@
 }
 
 /// A request that was sent long ago breaks at an upstream.
-fn broke(book: &mut QuarantineBook, now: MonotonicTime, number: u64, upstream: u64) {
-    let attempt = BrokenAttempt {
+fn broke(book: &mut QuarantineTable, now: MonotonicTime, number: u64, upstream: u64) {
+    let attempt = FailedAttempt {
         fingerprint: fingerprint(number),
         upstream,
         sent_at: MonotonicTime::default(),
     };
-    book.broke(now, attempt);
+    book.record_failed_attempt(now, attempt);
 }
 
 /// Guards against requests that find upstreams down after a crash and are taken for its cause.
 #[test]
 fn what_is_sent_to_an_upstream_that_is_down_says_nothing_of_it() {
     let start = MonotonicTime(1_000_000_000);
-    let mut book = QuarantineBook::default();
+    let mut book = QuarantineTable::default();
     for upstream in 1..=3 {
         broke(&mut book, start, 0, upstream);
     }
     let round = Duration::from_millis(250);
-    let mut peer = QuarantineBook::default();
+    let mut peer = QuarantineTable::default();
     for report in book.reports(start + round, ReportScope::Daemon, round) {
         peer.merge(start + round, &report, true);
     }
-    let send_to_all = |book: &mut QuarantineBook, sent_at: MonotonicTime| {
+    let send_to_all = |book: &mut QuarantineTable, sent_at: MonotonicTime| {
         for upstream in 1..=3 {
-            let attempt = BrokenAttempt {
+            let attempt = FailedAttempt {
                 fingerprint: fingerprint(1),
                 upstream,
                 sent_at,
             };
-            book.broke(sent_at + Duration::from_millis(30), attempt);
+            book.record_failed_attempt(sent_at + Duration::from_millis(30), attempt);
         }
     };
     for book in [&mut book, &mut peer] {
@@ -368,7 +368,7 @@
 /// Guards against crowding a crashing request out of the book by crashing upstreams under others.
 #[test]
 fn many_other_crashes_do_not_end_a_quarantine() {
-    let mut book = QuarantineBook::default();
+    let mut book = QuarantineTable::default();
     let start = MonotonicTime(1_000_000_000);
     for upstream in 1..=3 {
         broke(&mut book, start, 0, upstream);
@@ -382,14 +382,14 @@
     let verdict = book.verdict(fingerprint(0));
     assert!(matches!(
         verdict,
-        QuarantineVerdict::Held { crashes: 3, .. }
+        QuarantineVerdict::Quarantined { crashes: 3, .. }
     ));
 }
 
 /// Guards against rows that the next start can't read.
 #[test]
 fn a_row_is_read_as_it_was_written() {
-    let mut book = QuarantineBook::default();
+    let mut book = QuarantineTable::default();
     let now = MonotonicTime(1_000_000_000);
     for upstream in [1, 0xffff_ffff_ffff, 3] {
         broke(&mut book, now, 0, upstream);
@@ -399,8 +399,8 @@
     let key = writes[0].fingerprint.to_string();
     let row = QuarantineRow::parse(&key, &value).expect("a row");
     assert_eq!(Some(&row.crashes), writes[0].crashes.as_ref());
-    let mut next = QuarantineBook::default();
-    next.restore(now, &[row]);
+    let mut next = QuarantineTable::default();
+    next.restore_rows(now, &[row]);
     assert_eq!(next.verdict(fingerprint(0)), book.verdict(fingerprint(0)));
     for nonsense in ["3", "x.1", "00000001.", "00000001.900", "1.1 2"] {
         assert_eq!(QuarantineRow::parse(&key, nonsense), None, "{nonsense}");
@@ -411,7 +411,7 @@
 /// Guards against messages that grow with what crashes and no longer pass links in one piece.
 #[test]
 fn a_message_on_crashes_is_bounded() {
-    let mut book = QuarantineBook::default();
+    let mut book = QuarantineTable::default();
     let now = MonotonicTime(1_000_000_000);
     for number in 0..500 {
         for upstream in 0..4 {
@@ -428,10 +428,10 @@
 #[test]
 fn a_report_that_is_read_late_counts_once() {
     let start = MonotonicTime(1_000_000_000);
-    let mut sender = QuarantineBook::default();
+    let mut sender = QuarantineTable::default();
     broke(&mut sender, start, 0, 1);
     broke(&mut sender, start, 0, 2);
-    let mut frozen = QuarantineBook::default();
+    let mut frozen = QuarantineTable::default();
     let round = Duration::from_millis(250);
     let wake = start + Duration::from_secs(9);
     for number in 0..4 {
@@ -447,7 +447,7 @@
 /// Guards against crashes of one upstream that count once, however often it starts under its name.
 #[test]
 fn each_crash_of_an_upstream_that_comes_back_counts() {
-    let mut book = QuarantineBook::default();
+    let mut book = QuarantineTable::default();
     for second in [10, 14, 18] {
         broke(&mut book, MonotonicTime(second * 1_000_000), 0, 1);
     }
@@ -463,7 +463,7 @@
             .iter()
             .map(|(number, upstream, at)| CrashReport {
                 fingerprint: fingerprint(u64::from(*number % 3)),
-                crashes: vec![CrashAge {
+                crashes: vec![ReportedCrash {
                     // One crash of each upstream: when two are the same is not a matter of order.
                     upstream: u32::from(*upstream % 4),
                     number: 1,
@@ -472,8 +472,8 @@
                 served_ms: None,
             })
             .collect();
-        let mut straight = QuarantineBook::default();
-        let mut shuffled = QuarantineBook::default();
+        let mut straight = QuarantineTable::default();
+        let mut shuffled = QuarantineTable::default();
         for report in &reports {
             straight.merge(now, report, true);
         }
@@ -486,7 +486,7 @@
             shuffled.merge(now, report, false);
         }
         (0..3).all(|number| {
-            let held = |book: &QuarantineBook| {
+            let held = |book: &QuarantineTable| {
                 book.verdict(fingerprint(number)) != QuarantineVerdict::Clear
             };
             held(&straight) == held(&shuffled)
--- a/crates/savorywood-gateway/tests/restoring.rs
+++ b/crates/savorywood-gateway/tests/restoring.rs
@@ -5,7 +5,7 @@
 
 use quickcheck::quickcheck;
 use savorywood_gateway::{
-    BrokenAttempt, ContentDigest, EvacuationOrder, GatewayEffect, GatewayEvent, QuarantineBook,
+    ContentDigest, EvacuationOrder, FailedAttempt, GatewayEffect, GatewayEvent, QuarantineTable,
     RequestFingerprint, RolloutOrder, RolloutPhase, RolloutStatus, RolloutWrite, ServiceLabel,
     StorePosition, UpstreamEntry, VersionLabel, ZoneLabel,
 };
@@ -230,31 +230,31 @@
 /// read at the next start.
 #[test]
 fn a_row_of_a_quarantine_that_ended_is_removed_again() {
-    let mut book = QuarantineBook::default();
+    let mut book = QuarantineTable::default();
     let now = MonotonicTime(1_000_000_000);
     let request = RequestFingerprint::new(ContentDigest(1), None);
     for upstream in 1..=3 {
-        let attempt = BrokenAttempt {
+        let attempt = FailedAttempt {
             fingerprint: request,
             upstream,
             sent_at: MonotonicTime::default(),
         };
-        book.broke(now, attempt);
+        book.record_failed_attempt(now, attempt);
     }
-    let write_all = |book: &mut QuarantineBook| {
+    let write_all = |book: &mut QuarantineTable| {
         let writes = book.due_writes(now, |_| true);
         for write in &writes {
-            book.written(write, true);
+            book.record_write(write, true);
         }
         let crashes = writes.iter().map(|write| write.crashes.as_ref());
         crashes.map(|all| all.map(Vec::len)).collect::<Vec<_>>()
     };
     assert_eq!(write_all(&mut book), [Some(3)]);
-    book.store_restored();
+    book.on_store_restored();
     assert_eq!(write_all(&mut book), [Some(3)]);
-    book.served(now, request);
+    book.record_complete_response(now, request);
     assert_eq!(write_all(&mut book), [None]);
-    book.store_restored();
+    book.on_store_restored();
     assert_eq!(write_all(&mut book), [None]);
 }
 
