--- a/crates/savorywood-gateway/src/gateway/admission.rs
+++ b/crates/savorywood-gateway/src/gateway/admission.rs
@@ -11,7 +11,7 @@
     label::{ServiceLabel, TeamLabel},
     latency::nominal_first_event_ms,
     quarantine::RequestFingerprint,
-    queue::{QueuePlace, RequestRank},
+    queue::{QueuePosition, RequestRank},
     refusal::RefusalReason,
     team_limit::{BucketLevels, LimitQuery, LimitVerdict, TeamLimiter},
 };
@@ -206,9 +206,9 @@
             arrived_at: now,
             give_up_at,
             leave_at: give_up_at,
-            place: RequestPlace::Waiting(QueuePlace {
+            place: RequestPlace::Waiting(QueuePosition {
                 rank,
-                begin_by,
+                start_by: begin_by,
                 request,
             }),
             tried: Vec::new(),
--- a/crates/savorywood-gateway/src/gateway/dispatch.rs
+++ b/crates/savorywood-gateway/src/gateway/dispatch.rs
@@ -9,7 +9,7 @@
     demand::UrgentArrivals,
     effect::{DispatchOrder, GatewayEffect},
     label::{ServiceLabel, UpstreamLabel},
-    queue::QueuePlace,
+    queue::QueuePosition,
     refusal::RefusalReason,
     selection::{SelectedUpstream, SelectionContext, SelectionFailure, SelectionQuery},
 };
@@ -74,12 +74,12 @@
 
     /// Most urgent rank first; within a rank those that can still be in time before those that
     /// can't: a late answer is worth little, and it would make the next one late as well.
-    fn places_in_order(&self, now: MonotonicTime, service: &ServiceLabel) -> Vec<QueuePlace> {
+    fn places_in_order(&self, now: MonotonicTime, service: &ServiceLabel) -> Vec<QueuePosition> {
         let Some(queue) = self.queues.get(service) else {
             return Vec::new();
         };
-        let mut places: Vec<QueuePlace> = queue.iter().copied().collect();
-        places.sort_by_key(|place| (place.rank, place.begin_by < now, place.begin_by));
+        let mut places: Vec<QueuePosition> = queue.iter().copied().collect();
+        places.sort_by_key(|place| (place.rank, place.start_by < now, place.start_by));
         places
     }
 
--- a/crates/savorywood-gateway/src/gateway/ending.rs
+++ b/crates/savorywood-gateway/src/gateway/ending.rs
@@ -7,7 +7,7 @@
 };
 use crate::{
     arrival::LocalRequest, effect::GatewayEffect, event::AttemptOutcome, label::ServiceLabel,
-    queue::QueuePlace, refusal::RefusalReason,
+    queue::QueuePosition, refusal::RefusalReason,
 };
 use savorywood_core::{LogLevel, LogLine};
 use savorywood_protocol::MonotonicTime;
@@ -158,9 +158,9 @@
             // Its caller's timeout begins anew with each event.
             record.leave_at = record.leave_time(moved_at);
         }
-        let place = QueuePlace {
+        let place = QueuePosition {
             rank: record.rank,
-            begin_by: now,
+            start_by: now,
             request,
         };
         record.place = RequestPlace::Waiting(place);
@@ -257,7 +257,7 @@
         effects.push(GatewayEffect::Log(line));
     }
 
-    fn unqueue(&mut self, service: &ServiceLabel, place: &QueuePlace) {
+    fn unqueue(&mut self, service: &ServiceLabel, place: &QueuePosition) {
         if let Some(queue) = self.queues.get_mut(service) {
             queue.remove(place);
         }
--- a/crates/savorywood-gateway/src/gateway/record.rs
+++ b/crates/savorywood-gateway/src/gateway/record.rs
@@ -5,7 +5,7 @@
     config::{RouteSpec, TeamSpec},
     label::{ServiceLabel, UpstreamLabel},
     quarantine::RequestFingerprint,
-    queue::{QueuePlace, RequestRank},
+    queue::{QueuePosition, RequestRank},
 };
 use savorywood_protocol::MonotonicTime;
 use std::{sync::Arc, time::Duration};
@@ -46,7 +46,7 @@
 #[derive(Debug, Clone)]
 pub enum RequestPlace {
     /// It waits.
-    Waiting(QueuePlace),
+    Waiting(QueuePosition),
     /// It runs.
     Running(RunningAttempt),
 }
--- a/crates/savorywood-gateway/src/gateway/returning.rs
+++ b/crates/savorywood-gateway/src/gateway/returning.rs
@@ -36,7 +36,9 @@
             _ => return BUSY_RETRY,
         }
         let queue = self.queues.get(&record.service);
-        let ahead = queue.map_or(0, |queue: &WaitQueue| queue.as_urgent_as(record.rank));
+        let ahead = queue.map_or(0, |queue: &WaitQueue| {
+            queue.count_at_least_as_urgent(record.rank)
+        });
         let demand = self.demands.get(&record.service);
         let rate = demand.map_or(0.0, |demand| demand.dispatch_rate(now, record.rank));
         let wait_s = ahead as f64 / rate.max(f64::MIN_POSITIVE);
--- a/crates/savorywood-gateway/src/queue.rs
+++ b/crates/savorywood-gateway/src/queue.rs
@@ -15,11 +15,11 @@
 
 /// Place of a request in its queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct QueuePlace {
+pub struct QueuePosition {
     /// Most urgent first.
     pub rank: RequestRank,
     /// Then the one that must begin first.
-    pub begin_by: MonotonicTime,
+    pub start_by: MonotonicTime,
     /// Then the one that came first.
     pub request: LocalRequest,
 }
@@ -27,28 +27,28 @@
 /// Waiting requests of one service, most urgent first.
 #[derive(Debug, Clone, Default)]
 pub struct WaitQueue {
-    places: BTreeSet<QueuePlace>,
+    places: BTreeSet<QueuePosition>,
 }
 
 impl WaitQueue {
     /// Adds a request.
-    pub fn insert(&mut self, place: QueuePlace) {
+    pub fn insert(&mut self, place: QueuePosition) {
         self.places.insert(place);
     }
 
     /// Takes a request out.
-    pub fn remove(&mut self, place: &QueuePlace) {
+    pub fn remove(&mut self, place: &QueuePosition) {
         self.places.remove(place);
     }
 
     /// All places in order.
-    pub fn iter(&self) -> impl Iterator<Item = &QueuePlace> {
+    pub fn iter(&self) -> impl Iterator<Item = &QueuePosition> {
         self.places.iter()
     }
 
     /// Requests that wait and are at least as urgent as a rank.
     #[must_use]
-    pub fn as_urgent_as(&self, rank: RequestRank) -> usize {
+    pub fn count_at_least_as_urgent(&self, rank: RequestRank) -> usize {
         let urgent = self.places.iter();
         urgent.take_while(|place| place.rank <= rank).count()
     }
