--- a/crates/savorywood-gateway/src/gateway/dispatch.rs
+++ b/crates/savorywood-gateway/src/gateway/dispatch.rs
@@ -164,7 +164,7 @@
         state.chosen = self.dispatches;
         state.outlier.record_dispatch();
         state.sent_at = now;
-        state.limit.spend();
+        state.limit.record_dispatch();
         if let RequestPlace::Waiting(place) = &record.place
             && let Some(queue) = self.queues.get_mut(&record.service)
         {
--- a/crates/savorywood-gateway/src/gateway/rate_limits.rs
+++ b/crates/savorywood-gateway/src/gateway/rate_limits.rs
@@ -6,7 +6,7 @@
     label::UpstreamLabel,
     peer::name_digest,
     quarantine::ReportScope,
-    upstream_limit::{LimitGossip, LimitReading, LimitReport, RateLimit, ReadingSource},
+    upstream_limit::{LimitGossip, LimitObservation, LimitReport, ObservationSource, RateLimit},
 };
 use savorywood_core::{LogLevel, LogLine};
 use savorywood_protocol::MonotonicTime;
@@ -33,8 +33,11 @@
         // An answer without a limit may have begun before one that names it.
         let at = if limit.is_some() { now } else { sent_at };
         let before = state.limit.limit();
-        let reading = LimitReading { limit, at };
-        if state.limit.read(now, reading, ReadingSource::Own) {
+        let reading = LimitObservation {
+            limit,
+            observed_at: at,
+        };
+        if state.limit.observe(now, reading, ObservationSource::Own) {
             effects.push(GatewayEffect::Log(limit_line(
                 upstream, before, limit, "own",
             )));
@@ -49,9 +52,9 @@
     ) {
         let is_near = gossip.zone == name_digest(self.options.zone.as_str());
         let source = if is_near {
-            ReadingSource::Zone
+            ObservationSource::Zone
         } else {
-            ReadingSource::Far
+            ObservationSource::OtherZone
         };
         let mut is_lifted = false;
         for report in &gossip.reports {
@@ -59,12 +62,12 @@
             let Some(state) = states.find(|state| state.digest == report.upstream) else {
                 continue;
             };
-            let reading = LimitReading {
+            let reading = LimitObservation {
                 limit: report.limit,
-                at: now - Duration::from_millis(u64::from(report.age_ms)),
+                observed_at: now - Duration::from_millis(u64::from(report.age_ms)),
             };
             let before = state.limit.limit();
-            if state.limit.read(now, reading, source) {
+            if state.limit.observe(now, reading, source) {
                 let name = &state.entry.name;
                 let line = limit_line(name, before, report.limit, "peer");
                 effects.push(GatewayEffect::Log(line));
@@ -82,8 +85,8 @@
         let within = self.contacts.pause().saturating_mul(REPORT_ROUNDS);
         let of_zone = scope == ReportScope::Zone;
         let reports = self.fleet.iter().filter_map(|state| {
-            let reading = state.limit.reported(now, within, of_zone)?;
-            let age = now.since(reading.at).as_millis();
+            let reading = state.limit.recent_observation(now, within, of_zone)?;
+            let age = now.since(reading.observed_at).as_millis();
             Some(LimitReport {
                 upstream: state.digest,
                 limit: reading.limit,
@@ -100,7 +103,7 @@
         let leases = &self.leases;
         for state in self.fleet.iter_mut() {
             if let Some(limit) = state.limit.limit() {
-                let share = leases.share(now, state.digest, limit.holders());
+                let share = leases.share(now, state.digest, limit.max_holders());
                 state.limit.refill(now, share);
             }
         }
--- a/crates/savorywood-gateway/src/lib.rs
+++ b/crates/savorywood-gateway/src/lib.rs
@@ -79,7 +79,7 @@
 };
 pub use upstream::{UpstreamEntry, UpstreamFleet};
 pub use upstream_limit::{
-    LimitGossip, LimitReading, LimitReport, RateLimit, ReadingSource, UpstreamLimit,
+    LimitGossip, LimitObservation, LimitReport, ObservationSource, RateLimit, UpstreamLimit,
 };
 pub use warmup::{WarmupSpec, WarmupTolerance};
 pub use zone::{ZoneDigest, ZoneMember};
--- a/crates/savorywood-gateway/src/selection.rs
+++ b/crates/savorywood-gateway/src/selection.rs
@@ -269,7 +269,7 @@
 
     /// It names no limit and is warm, or its next request of this daemon is due.
     fn is_paced(&self, state: &UpstreamState) -> bool {
-        if !state.limit.may_send() {
+        if !state.limit.allows_dispatch() {
             return false;
         }
         if !state.is_cold(self.now) {
--- a/crates/savorywood-gateway/src/upstream.rs
+++ b/crates/savorywood-gateway/src/upstream.rs
@@ -269,7 +269,7 @@
                 running,
                 unread,
                 sent_at,
-                limit: UpstreamLimit::begin(now),
+                limit: UpstreamLimit::for_new_incarnation(now),
                 ..self.begin(now, entry)
             };
             self.states.insert(reborn.entry.name.clone(), reborn);
--- a/crates/savorywood-gateway/src/upstream_limit.rs
+++ b/crates/savorywood-gateway/src/upstream_limit.rs
@@ -29,7 +29,7 @@
 impl RateLimit {
     /// A limit of so many requests a second; none for what is no number of requests.
     #[must_use]
-    pub fn of(per_second: f64) -> Option<Self> {
+    pub fn from_per_second(per_second: f64) -> Option<Self> {
         let is_number = per_second.is_finite() && per_second >= 0.0;
         // A larger one than fits binds nothing.
         is_number.then(|| Self((per_second * 1e3).round().min(f64::from(u32::MAX)) as u32))
@@ -43,7 +43,7 @@
 
     /// Daemons that hold a part of it at most.
     #[must_use]
-    pub fn holders(self) -> usize {
+    pub fn max_holders(self) -> usize {
         (self.per_second() * HOLDERS_A_REQUEST + EXTRA_HOLDERS) as usize
     }
 
@@ -55,11 +55,11 @@
 
 /// What an answer said of its upstream's limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LimitReading {
+pub struct LimitObservation {
     /// The limit; `None` where the upstream named none.
     pub limit: Option<RateLimit>,
     /// When it was in force at the earliest: newer readings replace older ones.
-    pub at: MonotonicTime,
+    pub observed_at: MonotonicTime,
 }
 
 /// A reading on its way between daemons.
@@ -84,19 +84,19 @@
 
 /// Whose reading it is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ReadingSource {
+pub enum ObservationSource {
     /// This daemon's own.
     Own,
     /// A daemon of this zone's.
     Zone,
     /// A daemon of another zone's.
-    Far,
+    OtherZone,
 }
 
 /// Limit of one upstream, and what this daemon may send of it.
 #[derive(Debug, Clone, Default)]
 pub struct UpstreamLimit {
-    reading: Option<LimitReading>,
+    reading: Option<LimitObservation>,
     /// When this daemon, and a daemon of its zone, had a reading last.
     own_at: Option<MonotonicTime>,
     zone_at: Option<MonotonicTime>,
@@ -111,11 +111,11 @@
 impl UpstreamLimit {
     /// State of an upstream that started anew: what was said of its last life counts for nothing.
     #[must_use]
-    pub fn begin(now: MonotonicTime) -> Self {
+    pub fn for_new_incarnation(now: MonotonicTime) -> Self {
         Self {
-            reading: Some(LimitReading {
+            reading: Some(LimitObservation {
                 limit: None,
-                at: now,
+                observed_at: now,
             }),
             ..Self::default()
         }
@@ -128,14 +128,14 @@
     }
 
     /// Takes a reading, unless a newer one is known; whether the limit is another one now.
-    pub fn read(
+    pub fn observe(
         &mut self,
         now: MonotonicTime,
-        reading: LimitReading,
-        source: ReadingSource,
+        reading: LimitObservation,
+        source: ObservationSource,
     ) -> bool {
         let known = self.reading;
-        if known.is_some_and(|known| known.at >= reading.at) {
+        if known.is_some_and(|known| known.observed_at >= reading.observed_at) {
             return false;
         }
         let before = self.limit();
@@ -148,21 +148,21 @@
             self.share = None;
         }
         match source {
-            ReadingSource::Own => self.own_at = Some(now),
-            ReadingSource::Zone => self.zone_at = Some(now),
-            ReadingSource::Far => {}
+            ObservationSource::Own => self.own_at = Some(now),
+            ObservationSource::Zone => self.zone_at = Some(now),
+            ObservationSource::OtherZone => {}
         }
         before != reading.limit
     }
 
     /// The reading, if it was had within a time by this daemon or, for other zones, by its zone.
     #[must_use]
-    pub fn reported(
+    pub fn recent_observation(
         &self,
         now: MonotonicTime,
         within: Duration,
         of_zone: bool,
-    ) -> Option<LimitReading> {
+    ) -> Option<LimitObservation> {
         let had_at = if of_zone {
             self.own_at.max(self.zone_at)
         } else {
@@ -197,12 +197,12 @@
 
     /// A request may be sent now.
     #[must_use]
-    pub fn may_send(&self) -> bool {
+    pub fn allows_dispatch(&self) -> bool {
         self.limit().is_none() || self.level >= 1.0
     }
 
     /// A request is sent.
-    pub fn spend(&mut self) {
+    pub fn record_dispatch(&mut self) {
         if self.limit().is_some() {
             self.level -= 1.0;
         }
--- a/crates/savorywood-gateway/tests/common/limits.rs
+++ b/crates/savorywood-gateway/tests/common/limits.rs
@@ -111,7 +111,7 @@
     /// An upstream names a limit from now on, or none any more.
     pub fn set_limit(&mut self, number: usize, per_second: Option<f64>) {
         let upstream = self.upstream(number);
-        match per_second.and_then(RateLimit::of) {
+        match per_second.and_then(RateLimit::from_per_second) {
             Some(limit) => {
                 let since = self.field.now;
                 self.limits.insert(upstream, NamedLimit { limit, since });
--- a/crates/savorywood-gateway/tests/rate_limits.rs
+++ b/crates/savorywood-gateway/tests/rate_limits.rs
@@ -18,7 +18,7 @@
 
 fn marks(per_second: Option<f64>) -> AnswerMarks {
     AnswerMarks {
-        limit: per_second.and_then(RateLimit::of),
+        limit: per_second.and_then(RateLimit::from_per_second),
         ..AnswerMarks::default()
     }
 }
