--- a/crates/savorywood-front/src/admin.rs
+++ b/crates/savorywood-front/src/admin.rs
@@ -8,7 +8,7 @@
     wire::{ByteReader, HeaderLine, RequestHead},
 };
 use async_net::{TcpListener, TcpStream};
-use savorywood_gateway::CallerPlace;
+use savorywood_gateway::CallerLocation;
 use std::{io, net::SocketAddr, rc::Rc, time::Duration};
 
 /// Longest time that a connection may be idle.
@@ -101,7 +101,7 @@
         };
     }
     if let Some(query) = shared.dialect.directory_query(head) {
-        let caller = CallerPlace {
+        let caller = CallerLocation {
             zone: query.zone.as_deref(),
             region: query.region.as_deref(),
             host: query.host.as_deref(),
--- a/crates/savorywood-gateway/src/gateway/entry.rs
+++ b/crates/savorywood-gateway/src/gateway/entry.rs
@@ -7,7 +7,7 @@
     label::{RegionLabel, ZoneLabel},
     message::{DaemonRole, PeerPhase},
     peer::{KnownPeer, name_digest},
-    region::CallerPlace,
+    region::CallerLocation,
     rendezvous::address_number,
 };
 use savorywood_core::{LogLevel, LogLine};
@@ -235,7 +235,7 @@
     pub fn addresses(
         &self,
         now: MonotonicTime,
-        caller: CallerPlace<'_>,
+        caller: CallerLocation<'_>,
         most: usize,
     ) -> Vec<SocketAddr> {
         if !self.knows_own_zone(now) {
@@ -269,7 +269,7 @@
     /// Addresses for a caller whose own zone has none.
     fn far_addresses(
         &self,
-        caller: CallerPlace<'_>,
+        caller: CallerLocation<'_>,
         by_zone: &BTreeMap<&str, Vec<SocketAddr>>,
     ) -> Vec<SocketAddr> {
         let within = |is_within: &dyn Fn(&RegionLabel) -> bool| -> Vec<SocketAddr> {
--- a/crates/savorywood-gateway/src/lib.rs
+++ b/crates/savorywood-gateway/src/lib.rs
@@ -70,7 +70,7 @@
     PeerEcho, ReadPlan, SharedTable, StoreAttestation, TableAttestation, TableKnowledge,
 };
 pub use refusal::RefusalReason;
-pub use region::{CallerPlace, RegionMap};
+pub use region::{CallerLocation, RegionMap};
 pub use retry_budget::{RetryBudget, RetryBudgetOptions};
 pub use rollout::{RolloutOrder, RolloutPhase, RolloutStatus, RolloutWrite};
 pub use selection::RoutingPolicy;
--- a/crates/savorywood-gateway/src/region.rs
+++ b/crates/savorywood-gateway/src/region.rs
@@ -35,7 +35,7 @@
 
 /// Who asks the directory for addresses.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct CallerPlace<'a> {
+pub struct CallerLocation<'a> {
     /// Zone of the caller, where it says one.
     pub zone: Option<&'a str>,
     /// Its region.
@@ -44,7 +44,7 @@
     pub host: Option<&'a str>,
 }
 
-impl<'a> CallerPlace<'a> {
+impl<'a> CallerLocation<'a> {
     /// A caller that says nothing but its zone.
     #[must_use]
     pub fn in_zone(zone: &'a str) -> Self {
--- a/crates/savorywood-gateway/tests/common/callers.rs
+++ b/crates/savorywood-gateway/tests/common/callers.rs
@@ -5,7 +5,7 @@
     field::{DaemonField, ZONES},
     scene::arrival,
 };
-use savorywood_gateway::CallerPlace;
+use savorywood_gateway::CallerLocation;
 use savorywood_protocol::MonotonicTime;
 use std::time::Duration;
 
@@ -138,7 +138,7 @@
             let gateway = &field.daemons[daemon].gateway;
             let name = format!("zone-{zone}");
             let addresses =
-                gateway.addresses(field.now, CallerPlace::in_zone(&name), MOST_ADDRESSES);
+                gateway.addresses(field.now, CallerLocation::in_zone(&name), MOST_ADDRESSES);
             if !addresses.is_empty() {
                 let numbers = addresses
                     .iter()
--- a/crates/savorywood-gateway/tests/entry.rs
+++ b/crates/savorywood-gateway/tests/entry.rs
@@ -10,7 +10,7 @@
 use callers::CallerGroup;
 use field::{DaemonField, TeamLoad, ZONES};
 use savorywood_gateway::{
-    CallerPlace, EntryCandidate, GatewayEvent, HostResources, PeakLoad, select_members,
+    CallerLocation, EntryCandidate, GatewayEvent, HostResources, PeakLoad, select_members,
 };
 use savorywood_protocol::MonotonicTime;
 use std::{collections::BTreeSet, time::Duration};
@@ -67,7 +67,7 @@
         let addresses =
             field.daemons[number]
                 .gateway
-                .addresses(field.now, CallerPlace::in_zone(&zone), 64);
+                .addresses(field.now, CallerLocation::in_zone(&zone), 64);
         let numbers = addresses
             .iter()
             .filter_map(|address| field.number_of(*address));
@@ -286,7 +286,7 @@
     let named =
         field.daemons[ZONES]
             .gateway
-            .addresses(field.now, CallerPlace::in_zone("zone-0"), 64);
+            .addresses(field.now, CallerLocation::in_zone("zone-0"), 64);
     let named: Vec<_> = named.iter().filter_map(|at| field.number_of(*at)).collect();
     assert_eq!(named.len(), 3);
     assert!(!named.contains(&cut_off), "{named:?}");
--- a/crates/savorywood-gateway/tests/regions.rs
+++ b/crates/savorywood-gateway/tests/regions.rs
@@ -4,8 +4,8 @@
 mod scene;
 
 use savorywood_gateway::{
-    CallerPlace, DeclaredConfig, GatewayEvent, PeerContact, RefusalReason, RegionLabel, RegionMap,
-    RetrySafety, TeamLabel, TeamSpec, UpstreamEntry, ZoneLabel,
+    CallerLocation, DeclaredConfig, GatewayEvent, PeerContact, RefusalReason, RegionLabel,
+    RegionMap, RetrySafety, TeamLabel, TeamSpec, UpstreamEntry, ZoneLabel,
 };
 use scene::{GatewayScene, arrival, config, options, route, upstream};
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
@@ -140,7 +140,7 @@
     scene.step(GatewayEvent::SummaryReceived(Box::new(summary)));
     scene.step(GatewayEvent::Tick);
     let named = |region: &'static str, host: &'static str| {
-        let caller = CallerPlace {
+        let caller = CallerLocation {
             zone: Some("elsewhere"),
             region: Some(region),
             host: Some(host),
--- a/crates/savorywood-gateway/tests/waiting.rs
+++ b/crates/savorywood-gateway/tests/waiting.rs
@@ -4,8 +4,8 @@
 mod scene;
 
 use savorywood_gateway::{
-    AttemptOutcome, CallerPlace, DaemonRole, GatewayEvent, HostResources, PeerPhase, PeerSummary,
-    RefusalReason, RoutingPolicy, SlotUse, name_digest,
+    AttemptOutcome, CallerLocation, DaemonRole, GatewayEvent, HostResources, PeerPhase,
+    PeerSummary, RefusalReason, RoutingPolicy, SlotUse, name_digest,
 };
 use scene::{GatewayScene, arrival, config, options, upstream};
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
@@ -185,7 +185,7 @@
     assert_eq!(
         scene
             .gateway
-            .addresses(scene.now, CallerPlace::default(), 64)
+            .addresses(scene.now, CallerLocation::default(), 64)
             .len(),
         2
     );
@@ -193,7 +193,7 @@
     scene.step(GatewayEvent::StopRequested { grace });
     let addresses = scene
         .gateway
-        .addresses(scene.now, CallerPlace::in_zone("zone-a"), 64);
+        .addresses(scene.now, CallerLocation::in_zone("zone-a"), 64);
     assert_eq!(addresses, vec!["10.0.0.2:80".parse().expect("an address")]);
     assert!(!scene.gateway.is_ready(scene.now));
 }
