--- a/crates/savorywood-gateway/src/gateway/entry.rs
+++ b/crates/savorywood-gateway/src/gateway/entry.rs
@@ -8,7 +8,7 @@
     message::{DaemonRole, PeerPhase},
     peer::{KnownPeer, name_digest},
     region::CallerLocation,
-    rendezvous::address_number,
+    rendezvous::address_hash,
 };
 use savorywood_core::{LogLevel, LogLine};
 use savorywood_protocol::MonotonicTime;
@@ -112,10 +112,10 @@
             let entry = digest.members.iter().filter(|member| {
                 member.phase == PeerPhase::Ready && member.role == DaemonRole::Entry
             });
-            let numbers = entry.map(|member| address_number(member.peer_address));
+            let numbers = entry.map(|member| address_hash(member.peer_address));
             members.insert(ZoneLabel::from(digest.zone.as_str()), numbers.collect());
         }
-        let own = address_number(self.options.peer_address);
+        let own = address_hash(self.options.peer_address);
         self.leases.update(now, own, members);
     }
 
@@ -123,11 +123,11 @@
     fn member_numbers(&self, now: MonotonicTime, zone: &str, members: &[u64]) -> Vec<u64> {
         let mut numbers = Vec::new();
         if members.contains(&name_digest(self.options.host.as_str())) {
-            numbers.push(address_number(self.options.peer_address));
+            numbers.push(address_hash(self.options.peer_address));
         }
         let peers = self.peers.candidates(now, zone, false);
         let named = peers.filter(|peer| members.contains(&peer.digest));
-        numbers.extend(named.map(|peer| address_number(peer.summary.peer_address)));
+        numbers.extend(named.map(|peer| address_hash(peer.summary.peer_address)));
         numbers
     }
 
--- a/crates/savorywood-gateway/src/gossip.rs
+++ b/crates/savorywood-gateway/src/gossip.rs
@@ -5,7 +5,7 @@
     message::{DaemonRole, PeerHeartbeat, PeerSummary, SlotUpdate},
     peer::{KnownPeer, PeerTable},
     quarantine::CrashGossip,
-    rendezvous::{address_number, pair_weight},
+    rendezvous::{address_hash, rendezvous_weight},
     upstream_limit::LimitGossip,
     zone::ZoneDigest,
 };
@@ -120,7 +120,7 @@
 }
 
 fn peer_number(peer: &KnownPeer) -> u64 {
-    address_number(peer.summary.peer_address)
+    address_hash(peer.summary.peer_address)
 }
 
 impl ContactBook {
@@ -129,7 +129,7 @@
     pub fn new(own_address: SocketAddr, own_zone: ZoneLabel) -> Self {
         Self {
             own_address,
-            own_number: address_number(own_address),
+            own_number: address_hash(own_address),
             own_zone,
             contacts: BTreeMap::new(),
         }
@@ -142,7 +142,7 @@
         }
         let known = self.contacts.entry(contact.address);
         let known = known.or_insert(KnownContact {
-            number: address_number(contact.address),
+            number: address_hash(contact.address),
             zone: None,
             seen_at: now,
         });
@@ -256,7 +256,7 @@
         if sent.is_some_and(|sent| sent.is_next_due(now)) {
             let far = peers.placing_far(now).into_iter();
             plan.zone_to = far
-                .filter(|address| self.sends_to(address_number(*address), &senders))
+                .filter(|address| self.sends_to(address_hash(*address), &senders))
                 .collect();
         }
         plan
@@ -265,8 +265,8 @@
     /// Each daemon of another zone learns of this zone from one of its daemons, chosen alike by
     /// all of them, so that the work is spread evenly.
     fn sends_to(&self, receiver: u64, senders: &[u64]) -> bool {
-        let own = pair_weight(self.own_number, receiver);
+        let own = rendezvous_weight(self.own_number, receiver);
         let mut others = senders.iter();
-        others.all(|sender| pair_weight(*sender, receiver) < own)
+        others.all(|sender| rendezvous_weight(*sender, receiver) < own)
     }
 }
--- a/crates/savorywood-gateway/src/lease.rs
+++ b/crates/savorywood-gateway/src/lease.rs
@@ -4,7 +4,7 @@
 use crate::{
     label::{UpstreamLabel, ZoneLabel},
     peer::name_digest,
-    rendezvous::pair_weight,
+    rendezvous::rendezvous_weight,
 };
 use savorywood_protocol::MonotonicTime;
 use std::{collections::BTreeMap, time::Duration};
@@ -84,11 +84,11 @@
         if !zones.clone().all(|zone| zone.is_settled(now)) {
             return None;
         }
-        let weight = pair_weight(own, key);
+        let weight = rendezvous_weight(own, key);
         let members = zones.flat_map(|zone| &zone.members);
         let before = members
             .clone()
-            .filter(|member| pair_weight(**member, key) > weight);
+            .filter(|member| rendezvous_weight(**member, key) > weight);
         let share = LeaseShare {
             rank: before.count(),
             holders: members.count().min(most),
@@ -126,6 +126,6 @@
 ) -> bool {
     let mut all = zones.clone();
     let members = zones.flat_map(|zone| &zone.members);
-    let holder = members.max_by_key(|member| pair_weight(**member, key));
+    let holder = members.max_by_key(|member| rendezvous_weight(**member, key));
     holder == Some(&own) && all.all(|zone| zone.is_settled(now))
 }
--- a/crates/savorywood-gateway/src/quarantine.rs
+++ b/crates/savorywood-gateway/src/quarantine.rs
@@ -24,7 +24,7 @@
     arrival::ContentDigest,
     label::TeamLabel,
     peer::{name_digest, slot_key},
-    rendezvous::pair_weight,
+    rendezvous::rendezvous_weight,
 };
 use entry::{QuarantineEntry, RowState, RowTimer, SUSPECT_TIME};
 use savorywood_protocol::MonotonicTime;
@@ -58,7 +58,7 @@
     #[must_use]
     pub fn new(content: ContentDigest, team: Option<&TeamLabel>) -> Self {
         let team = team.map_or(0, |team| name_digest(team.as_str()));
-        Self(pair_weight(content.0, team))
+        Self(rendezvous_weight(content.0, team))
     }
 
     /// Reads a fingerprint as it is displayed.
