--- a/crates/savorywood-front/src/feeds/rollouts.rs
+++ b/crates/savorywood-front/src/feeds/rollouts.rs
@@ -47,13 +47,13 @@
 }
 
 async fn write_status(shared: &FrontShared, link: &mut StoreLink, write: RolloutWrite) {
-    if write.expected.version != 0 && write.expected.era != shared.era.get() {
+    if write.expected_position.version != 0 && write.expected_position.era != shared.era.get() {
         // The version that it expects may stand for another content by now.
         read_statuses(shared, link).await;
         return shared.step(GatewayEvent::RolloutWritten {
             service: write.service,
             accepted: false,
-            era: write.expected.era,
+            era: write.expected_position.era,
         });
     }
     let row = shared.dialect.rollout_row(&write);
@@ -61,7 +61,7 @@
         table: StoreTable::Status,
         key: row.key,
         value: Some(row.value),
-        expected: Some(write.expected.version),
+        expected: Some(write.expected_position.version),
     };
     let call = shared.dialect.write_row(&table_write);
     let answer = link.call(&call, CALL_TIME).await;
@@ -71,7 +71,7 @@
         "event=rollout-status-written service={} state={} expected={} accepted={accepted}",
         write.service,
         write.phase,
-        write.expected
+        write.expected_position
     );
     // Whatever became of it, the row is read back: an answer may be lost after the write.
     read_statuses(shared, link).await;
--- a/crates/savorywood-gateway/src/gateway.rs
+++ b/crates/savorywood-gateway/src/gateway.rs
@@ -37,7 +37,7 @@
     reading::ReadBook,
     region::RegionMap,
     retry_budget::{RetryBudget, RetryBudgetOptions},
-    rollout::{RolloutBook, TrialOptions},
+    rollout::{CanaryOptions, RolloutTable},
     selection::RoutingPolicy,
     team_limit::{LimitTolerance, TeamLimiter},
     upstream::UpstreamFleet,
@@ -156,7 +156,7 @@
     reads: ReadBook,
     meters: BTreeMap<TeamLabel, TeamLimiter>,
     budgets: BTreeMap<ServiceLabel, RetryBudget>,
-    rollouts: RolloutBook,
+    rollouts: RolloutTable,
     stopping: bool,
     ready_logged: bool,
     sequence: u64,
@@ -209,7 +209,7 @@
             parts: PrefixCacheIndex::default(),
             meters: BTreeMap::new(),
             budgets: BTreeMap::new(),
-            rollouts: RolloutBook::default(),
+            rollouts: RolloutTable::default(),
             stopping: false,
             ready_logged: false,
             sequence: 0,
@@ -265,14 +265,14 @@
                 self.reads.failed(now);
             }
             GatewayEvent::RolloutOrdered(order) => self.rollout_ordered(now, order, effects),
-            GatewayEvent::RolloutRead(status) => self.rollouts.read(&status),
+            GatewayEvent::RolloutRead(status) => self.rollouts.apply_status(&status),
             GatewayEvent::RolloutWritten {
                 service,
                 accepted,
                 era,
             } => {
                 let accepted = accepted && era >= self.store_era();
-                self.rollouts.written(now, &service, accepted);
+                self.rollouts.record_write(now, &service, accepted);
             }
             GatewayEvent::SummaryReceived(summary) => self.summary_received(now, *summary, effects),
             GatewayEvent::DigestReceived(digest) => self.digest_received(now, *digest, effects),
@@ -352,8 +352,8 @@
         self.rollouts.is_active()
     }
 
-    fn trial(&self) -> TrialOptions {
-        TrialOptions {
+    fn trial(&self) -> CanaryOptions {
+        CanaryOptions {
             share: self.options.bounds.exposure_share,
         }
     }
@@ -375,7 +375,7 @@
         for write in self.rollouts.advance(now, leads) {
             let line = LogLine::new(LogLevel::Info, "rollout-step")
                 .with("service", &write.service)
-                .with("to", &write.to)
+                .with("to", &write.target_version)
                 .with("state", write.phase);
             effects.push(GatewayEffect::Log(line));
             effects.push(GatewayEffect::WriteRollout(write));
--- a/crates/savorywood-gateway/src/gateway/dispatch.rs
+++ b/crates/savorywood-gateway/src/gateway/dispatch.rs
@@ -113,7 +113,9 @@
                 &record.route.home_regions,
                 record.team.as_ref().map_or(&[], |team| &team.home_regions),
             ],
-            versions: self.rollouts.choose(now, &record.service, self.trial()),
+            versions: self
+                .rollouts
+                .version_filter(now, &record.service, self.trial()),
             urgent_arrivals: self.urgent_arrivals(now, record),
             allow_probe: record.may_run_once_more(),
         };
@@ -184,7 +186,8 @@
             abandoned: false,
         });
         self.parts.record_prompt(now, &record.parts, &picked.name);
-        self.rollouts.sent(&record.service, &state.entry.version);
+        self.rollouts
+            .record_dispatch(&record.service, &state.entry.version);
         let order = DispatchOrder {
             request,
             number: record.sends,
--- a/crates/savorywood-gateway/src/gateway/learning.rs
+++ b/crates/savorywood-gateway/src/gateway/learning.rs
@@ -272,7 +272,8 @@
             | AttemptOutcome::CallerLeft => return,
         };
         if let Some(state) = self.fleet.get(&attempt.upstream) {
-            self.rollouts.answered(service, &state.entry.version, bad);
+            self.rollouts
+                .record_response(service, &state.entry.version, bad);
         }
     }
 }
--- a/crates/savorywood-gateway/src/gateway/restoring.rs
+++ b/crates/savorywood-gateway/src/gateway/restoring.rs
@@ -27,7 +27,7 @@
         self.restored_at = Some(now);
         // Registrations that the backup lacks are written again.
         self.fleet.store_failed(now);
-        self.rollouts.store_restored(era);
+        self.rollouts.on_store_restored(era);
         self.quarantine.on_store_restored();
         let line = LogLine::new(LogLevel::Warn, "store-restored")
             .with("era", era)
--- a/crates/savorywood-gateway/src/gateway/updates.rs
+++ b/crates/savorywood-gateway/src/gateway/updates.rs
@@ -159,9 +159,9 @@
     ) {
         let line = LogLine::new(LogLevel::Info, "rollout-ordered")
             .with("service", &order.service)
-            .with("to", &order.to)
-            .with("within_ms", order.within.as_millis());
-        if self.rollouts.order(now, order) {
+            .with("to", &order.target_version)
+            .with("within_ms", order.time_limit.as_millis());
+        if self.rollouts.apply_order(now, order) {
             effects.push(GatewayEffect::Log(line));
         }
     }
@@ -206,7 +206,7 @@
                 near: summary.zone == self.options.zone.as_str(),
             };
             self.usage_received(now, account, &summary.usage);
-            self.rollouts.received(peer, &summary.tallies);
+            self.rollouts.record_peer_tallies(peer, &summary.tallies);
         }
         if summary.phase == PeerPhase::Leaving {
             for meter in self.meters.values_mut() {
@@ -278,7 +278,7 @@
         };
         self.usage_received(now, account, &digest.usage);
         self.rollouts
-            .received(name_digest(zone.as_str()), &digest.tallies);
+            .record_peer_tallies(name_digest(zone.as_str()), &digest.tallies);
         self.pump_all(now, effects);
     }
 
--- a/crates/savorywood-gateway/src/rollout.rs
+++ b/crates/savorywood-gateway/src/rollout.rs
@@ -17,9 +17,9 @@
     /// Whose traffic moves.
     pub service: ServiceLabel,
     /// Where to.
-    pub to: VersionLabel,
+    pub target_version: VersionLabel,
     /// Within this time.
-    pub within: Duration,
+    pub time_limit: Duration,
     /// Position of the order's row in the store.
     pub position: StorePosition,
 }
@@ -42,7 +42,7 @@
     /// Whose.
     pub service: ServiceLabel,
     /// To which version; none when the row can't be read.
-    pub to: Option<VersionLabel>,
+    pub target_version: Option<VersionLabel>,
     /// Its state.
     pub phase: Option<RolloutPhase>,
     /// Position of the row; of version zero if there is none.
@@ -55,11 +55,11 @@
     /// Whose.
     pub service: ServiceLabel,
     /// To which version.
-    pub to: VersionLabel,
+    pub target_version: VersionLabel,
     /// State.
     pub phase: RolloutPhase,
     /// Position that the row must have; of version zero: it must not exist.
-    pub expected: StorePosition,
+    pub expected_position: StorePosition,
 }
 
 /// Answers of the new version that are needed before it is held for good.
@@ -77,7 +77,7 @@
 
 /// Bounds of trials.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct TrialOptions {
+pub struct CanaryOptions {
     /// Share of a service's traffic that a version on trial may get.
     pub share: f64,
 }
@@ -120,13 +120,13 @@
     fn is_same_after_restore(&self, order: &RolloutOrder) -> bool {
         let known = &self.order;
         known.position.era < order.position.era
-            && known.to == order.to
-            && known.within == order.within
+            && known.target_version == order.target_version
+            && known.time_limit == order.time_limit
     }
 
     fn progress(&self, now: MonotonicTime) -> f64 {
         let elapsed = now.since(self.seen_at).as_secs_f64();
-        elapsed / self.order.within.as_secs_f64().max(0.001)
+        elapsed / self.order.time_limit.as_secs_f64().max(0.001)
     }
 }
 
@@ -143,17 +143,17 @@
 
 /// All roll-outs that were ordered.
 #[derive(Debug, Clone, Default)]
-pub struct RolloutBook {
+pub struct RolloutTable {
     states: BTreeMap<ServiceLabel, RolloutState>,
 }
 
 fn digest(order: &RolloutOrder) -> u64 {
-    name_digest(order.service.as_str()) ^ name_digest(order.to.as_str()).rotate_left(17)
+    name_digest(order.service.as_str()) ^ name_digest(order.target_version.as_str()).rotate_left(17)
 }
 
-impl RolloutBook {
+impl RolloutTable {
     /// An order was read.
-    pub fn order(&mut self, now: MonotonicTime, order: RolloutOrder) -> bool {
+    pub fn apply_order(&mut self, now: MonotonicTime, order: RolloutOrder) -> bool {
         if let Some(known) = self.states.get_mut(&order.service) {
             if known.order.position >= order.position {
                 return false;
@@ -191,7 +191,7 @@
     }
 
     /// The store's state of a roll-out: it stands, whoever wrote it.
-    pub fn read(&mut self, status: &RolloutStatus) {
+    pub fn apply_status(&mut self, status: &RolloutStatus) {
         let Some(state) = self.states.get_mut(&status.service) else {
             return;
         };
@@ -199,7 +199,7 @@
             return;
         }
         state.position = status.position;
-        if status.to.as_ref() != Some(&state.order.to) {
+        if status.target_version.as_ref() != Some(&state.order.target_version) {
             return;
         }
         match status.phase {
@@ -216,7 +216,7 @@
 
     /// The store was restored: what was written may be lost, and is written again where the row says
     /// something else.
-    pub fn store_restored(&mut self, era: u64) {
+    pub fn on_store_restored(&mut self, era: u64) {
         for state in self.states.values_mut() {
             state.position = StorePosition::new(era, 0);
             state.written = false;
@@ -225,7 +225,7 @@
     }
 
     /// A write was answered, or not.
-    pub fn written(&mut self, now: MonotonicTime, service: &ServiceLabel, accepted: bool) {
+    pub fn record_write(&mut self, now: MonotonicTime, service: &ServiceLabel, accepted: bool) {
         if let Some(state) = self.states.get_mut(service) {
             state.writing = false;
             state.written |= accepted;
@@ -234,16 +234,16 @@
     }
 
     /// Which versions may get the next request of a service.
-    pub fn choose(
+    pub fn version_filter(
         &self,
         now: MonotonicTime,
         service: &ServiceLabel,
-        options: TrialOptions,
+        options: CanaryOptions,
     ) -> VersionFilter {
         let Some(state) = self.states.get(service) else {
             return VersionFilter::Any;
         };
-        let to = state.order.to.clone();
+        let to = state.order.target_version.clone();
         match state.phase {
             RolloutPhase::Completed => return VersionFilter::Only(to),
             RolloutPhase::RolledBack => return VersionFilter::Except(to),
@@ -270,17 +270,17 @@
     }
 
     /// A request went to an upstream.
-    pub fn sent(&mut self, service: &ServiceLabel, version: &VersionLabel) {
+    pub fn record_dispatch(&mut self, service: &ServiceLabel, version: &VersionLabel) {
         if let Some(state) = self.states.get_mut(service) {
             state.own.sent += 1;
-            state.own.sent_new += u32::from(state.order.to == *version);
+            state.own.sent_new += u32::from(state.order.target_version == *version);
         }
     }
 
     /// An upstream answered, well or not.
-    pub fn answered(&mut self, service: &ServiceLabel, version: &VersionLabel, bad: bool) {
+    pub fn record_response(&mut self, service: &ServiceLabel, version: &VersionLabel, bad: bool) {
         if let Some(state) = self.states.get_mut(service) {
-            if state.order.to == *version {
+            if state.order.target_version == *version {
                 state.own.new_answers += 1;
                 state.own.new_bad += u32::from(bad);
             } else {
@@ -291,7 +291,7 @@
     }
 
     /// A peer reports what it saw.
-    pub fn received(&mut self, peer: u64, tallies: &[VersionTally]) {
+    pub fn record_peer_tallies(&mut self, peer: u64, tallies: &[VersionTally]) {
         for state in self.states.values_mut() {
             let own = state.own.rollout;
             if let Some(tally) = tallies.iter().find(|tally| tally.rollout == own) {
@@ -343,9 +343,9 @@
                 state.writing = true;
                 writes.push(RolloutWrite {
                     service: state.order.service.clone(),
-                    to: state.order.to.clone(),
+                    target_version: state.order.target_version.clone(),
                     phase: state.phase,
-                    expected: state.position,
+                    expected_position: state.position,
                 });
             }
         }
--- a/crates/savorywood-gateway/tests/restoring.rs
+++ b/crates/savorywood-gateway/tests/restoring.rs
@@ -148,8 +148,8 @@
 fn rollout(era: u64, version: u64) -> RolloutOrder {
     RolloutOrder {
         service: ServiceLabel::from("engine"),
-        to: VersionLabel::from("v2"),
-        within: Duration::from_secs(20),
+        target_version: VersionLabel::from("v2"),
+        time_limit: Duration::from_secs(20),
         position: position(era, version),
     }
 }
@@ -166,7 +166,7 @@
 fn status(phase: Option<RolloutPhase>, position: StorePosition) -> RolloutStatus {
     RolloutStatus {
         service: ServiceLabel::from("engine"),
-        to: phase.map(|_| VersionLabel::from("v2")),
+        target_version: phase.map(|_| VersionLabel::from("v2")),
         phase,
         position,
     }
@@ -201,7 +201,7 @@
     let writes = rollout_writes(&mut scene);
     let first = writes.first().expect("it is written again");
     assert_eq!(first.phase, RolloutPhase::Completed);
-    assert_eq!(first.expected, position(2, 55));
+    assert_eq!(first.expected_position, position(2, 55));
     assert!(
         writes
             .iter()
--- a/crates/savorywood-gateway/tests/rollouts.rs
+++ b/crates/savorywood-gateway/tests/rollouts.rs
@@ -101,8 +101,8 @@
     scene.confirm();
     scene.step(GatewayEvent::RolloutOrdered(RolloutOrder {
         service: ServiceLabel::from("engine"),
-        to: VersionLabel::from("v2"),
-        within: WITHIN,
+        target_version: VersionLabel::from("v2"),
+        time_limit: WITHIN,
         position: StorePosition::new(1, 50),
     }));
     scene
@@ -123,7 +123,7 @@
         };
         result.writes.push(write.clone());
         let version = stored.as_ref().map_or(0, |(_, version)| *version);
-        let holds = write.expected.version == version;
+        let holds = write.expected_position.version == version;
         if holds {
             if write.phase != RolloutPhase::Running {
                 result.ended.get_or_insert((write.phase, elapsed));
@@ -144,7 +144,7 @@
 fn status(stored: Option<&(RolloutWrite, u64)>) -> RolloutStatus {
     RolloutStatus {
         service: ServiceLabel::from("engine"),
-        to: stored.map(|(write, _)| write.to.clone()),
+        target_version: stored.map(|(write, _)| write.target_version.clone()),
         phase: stored.map(|(write, _)| write.phase),
         position: StorePosition::new(1, stored.map_or(0, |(_, version)| *version)),
     }
