--- a/crates/savorywood-gateway/src/gateway.rs
+++ b/crates/savorywood-gateway/src/gateway.rs
@@ -261,7 +261,7 @@
                 proof_at,
             } => self.reads.read(table, knowledge, proof_at),
             GatewayEvent::StoreFailed => {
-                self.fleet.store_failed(now);
+                self.fleet.record_store_failure(now);
                 self.reads.failed(now);
             }
             GatewayEvent::RolloutOrdered(order) => self.rollout_ordered(now, order, effects),
@@ -367,7 +367,7 @@
         self.expire_waiting(now, effects);
         self.watch_silence(now, effects);
         self.pump_all(now, effects);
-        self.fleet.sweep(now);
+        self.fleet.remove_ended(now);
         self.quarantine.evict_expired(now);
         self.write_quarantine(now, effects);
         self.apply_withdrawals(now, effects);
--- a/crates/savorywood-gateway/src/gateway/dispatch.rs
+++ b/crates/savorywood-gateway/src/gateway/dispatch.rs
@@ -161,11 +161,11 @@
             return;
         };
         state.running += 1;
-        state.unread += record.size.prompt;
+        state.unread_tokens += record.size.prompt;
         self.dispatches += 1;
-        state.chosen = self.dispatches;
+        state.last_dispatch_number = self.dispatches;
         state.outlier.record_dispatch();
-        state.sent_at = now;
+        state.last_dispatch_at = now;
         state.limit.record_dispatch();
         if let RequestPlace::Waiting(place) = &record.place
             && let Some(queue) = self.queues.get_mut(&record.service)
@@ -209,7 +209,7 @@
             .with("score", format_args!("{:.0}", picked.score))
             .with("occupied", picked.slots_in_use)
             .with("slots", state.entry.slots)
-            .with("unread", state.unread)
+            .with("unread", state.unread_tokens)
             .with("cold_ms", state.cold_until.since(now).as_millis());
         let line = match state.limit.limit() {
             Some(limit) => line.with("limit", limit.per_second()),
@@ -244,7 +244,7 @@
         let mut expired = Vec::new();
         let mut hopeless = Vec::new();
         for (service, queue) in &self.queues {
-            let usual = self.fleet.usual(service);
+            let usual = self.fleet.service_latency(service);
             for place in queue.iter() {
                 let Some(record) = self.requests.get(&place.request) else {
                     continue;
--- a/crates/savorywood-gateway/src/gateway/gossip.rs
+++ b/crates/savorywood-gateway/src/gateway/gossip.rs
@@ -151,7 +151,7 @@
         let slots = states.map(|state| SlotUse {
             upstream: u64::from(slot_key(state.digest)),
             running: u16::try_from(state.running).unwrap_or(u16::MAX),
-            unread: state.unread,
+            unread: state.unread_tokens,
         });
         slots.collect()
     }
--- a/crates/savorywood-gateway/src/gateway/learning.rs
+++ b/crates/savorywood-gateway/src/gateway/learning.rs
@@ -77,18 +77,18 @@
         record.has_begun |= record.route.retry_safety.is_stream();
         let elapsed = now.since(attempt.sent_at);
         let upstream = attempt.upstream.clone();
-        self.fleet.received(now, &upstream);
+        self.fleet.record_received(now, &upstream);
         let sent_at = attempt.sent_at;
         if is_first && let Some(state) = self.fleet.get_mut(&upstream) {
-            state.unread = state.unread.saturating_sub(record.size.prompt);
+            state.unread_tokens = state.unread_tokens.saturating_sub(record.size.prompt);
         }
         if record.route.retry_safety.is_stream() {
             let prompt = record.size.prompt;
             self.fleet
-                .usual_mut(&record.service)
+                .service_latency_mut(&record.service)
                 .record_first_event(prompt, elapsed);
             if let Some(state) = self.fleet.get_mut(&upstream) {
-                state.pace.record_first_event(prompt, elapsed);
+                state.latency.record_first_event(prompt, elapsed);
             }
         }
         self.note_alive(now, &upstream, sent_at);
@@ -103,7 +103,7 @@
         };
         if let RequestPlace::Running(attempt) = &mut record.place {
             attempt.moved(now, events);
-            self.fleet.received(now, &attempt.upstream);
+            self.fleet.record_received(now, &attempt.upstream);
         }
     }
 
@@ -112,7 +112,7 @@
             return;
         };
         if let Some(cold) = marks.cold {
-            state.stay_cold(now + cold);
+            state.extend_cold(now + cold);
         }
     }
 
@@ -133,11 +133,11 @@
         if attempt.began_at.is_none()
             && let Some(state) = self.fleet.get_mut(&attempt.upstream)
         {
-            state.unread = state.unread.saturating_sub(record.size.prompt);
+            state.unread_tokens = state.unread_tokens.saturating_sub(record.size.prompt);
         }
         let output = record.output;
         if outcome.was_received() {
-            self.fleet.received(now, &attempt.upstream);
+            self.fleet.record_received(now, &attempt.upstream);
             self.note_alive(now, &attempt.upstream, attempt.sent_at);
         }
         if let AttemptOutcome::Delivered { events, .. } = outcome {
@@ -169,9 +169,9 @@
     }
 
     fn learn_pace(&mut self, service: &ServiceLabel, upstream: &UpstreamLabel, seen: &SeenAnswer) {
-        seen.teach(self.fleet.usual_mut(service));
+        seen.teach(self.fleet.service_latency_mut(service));
         if let Some(state) = self.fleet.get_mut(upstream) {
-            seen.teach(&mut state.pace);
+            seen.teach(&mut state.latency);
         }
     }
 
@@ -186,14 +186,14 @@
     ) {
         // Only failures of its own are compared with those of the whole service.
         let is_failure = matches!(outcome, AttemptOutcome::Failed { .. });
-        let usual = is_failure.then(|| self.fleet.usual_failures(now, service));
+        let usual = is_failure.then(|| self.fleet.median_failure_ratio(now, service));
         let overdue = is_overdue(now, attempt);
         let Some(state) = self.fleet.get_mut(&attempt.upstream) else {
             return;
         };
         state.running = state.running.saturating_sub(1);
         // One answer may be lost where others go on; an upstream that says nothing is out at once.
-        let dark = state.received_at <= attempt.moved_at.unwrap_or(attempt.sent_at);
+        let dark = state.last_received_at <= attempt.moved_at.unwrap_or(attempt.sent_at);
         let outlier = &mut state.outlier;
         let mut is_back = false;
         let taken_out = match outcome {
@@ -221,7 +221,7 @@
             misdirected: true, ..
         } = outcome
         {
-            state.gone_at = Some(now);
+            state.removed_at = Some(now);
         }
         let loses = match outcome {
             AttemptOutcome::NotSent => true,
@@ -229,9 +229,9 @@
             AttemptOutcome::StreamBroken(end) => end.silent && dark,
             _ => false,
         };
-        state.lost |= taken_out && loses;
+        state.unreachable |= taken_out && loses;
         if is_back {
-            self.fleet.found_again(now, &attempt.upstream);
+            self.fleet.record_recovery(now, &attempt.upstream);
             let line =
                 LogLine::new(LogLevel::Info, "upstream-back").with("upstream", &attempt.upstream);
             effects.push(GatewayEffect::Log(line));
--- a/crates/savorywood-gateway/src/gateway/restoring.rs
+++ b/crates/savorywood-gateway/src/gateway/restoring.rs
@@ -26,7 +26,7 @@
         };
         self.restored_at = Some(now);
         // Registrations that the backup lacks are written again.
-        self.fleet.store_failed(now);
+        self.fleet.record_store_failure(now);
         self.rollouts.on_store_restored(era);
         self.quarantine.on_store_restored();
         let line = LogLine::new(LogLevel::Warn, "store-restored")
--- a/crates/savorywood-gateway/src/gateway/updates.rs
+++ b/crates/savorywood-gateway/src/gateway/updates.rs
@@ -119,7 +119,7 @@
     ) {
         let line = LogLine::new(LogLevel::Info, "upstreams-read").with("count", entries.len());
         effects.push(GatewayEffect::Log(line));
-        for (name, change) in self.fleet.replace(now, entries) {
+        for (name, change) in self.fleet.replace_all(now, entries) {
             log_change(&name, change, effects);
         }
         self.upstreams_read = true;
@@ -134,7 +134,7 @@
         effects: &mut GatewayEffects,
     ) {
         let name = entry.name.clone();
-        if let Some(change) = self.fleet.write(now, entry) {
+        if let Some(change) = self.fleet.upsert(now, entry) {
             log_change(&name, change, effects);
             self.pump_all(now, effects);
         }
@@ -239,7 +239,7 @@
             .and_then(|attestation| attestation.failed_ms);
         if let Some(age) = failed {
             let age = Duration::from_millis(u64::from(age));
-            self.fleet.store_failed(now - age);
+            self.fleet.record_store_failure(now - age);
         }
     }
 
--- a/crates/savorywood-gateway/src/gateway/watching.rs
+++ b/crates/savorywood-gateway/src/gateway/watching.rs
@@ -93,17 +93,17 @@
             let expected = Duration::from_secs_f64(attempt.expected_ms * FIRST_FACTOR / 1e3);
             let objective = record.route.objective.mul_f64(OBJECTIVE_PART);
             let mut most = expected.max(objective).max(LEAST_SILENCE);
-            let others_go_on = state.received_at > received_at;
+            let others_go_on = state.last_received_at > received_at;
             if record.route.retry_safety.is_stream() && others_go_on {
                 // It reads the prompts that came before this one.
                 most = most.max(record.route.objective);
             }
             return (own > most).then_some(SilenceKind::First);
         }
-        let usual = self.fleet.usual(&record.service);
-        let pause = Duration::from_secs_f64(state.pace.pause_ms(&usual) / 1e3);
+        let usual = self.fleet.service_latency(&record.service);
+        let pause = Duration::from_secs_f64(state.latency.pause_ms(&usual) / 1e3);
         let reading = self.reading_time(record, state);
-        let whole = now.since(state.received_at.max(received_at).max(self.awake_at));
+        let whole = now.since(state.last_received_at.max(received_at).max(self.awake_at));
         if whole > pause.mul_f64(PAUSE_FACTOR).max(LEAST_SILENCE) + reading
             && self.hears_others(now, record, state)
         {
@@ -116,12 +116,12 @@
     /// Time for which an upstream may be silent because it reads the prompts that are still to be
     /// read there.
     fn reading_time(&self, record: &RequestRecord, state: &UpstreamState) -> Duration {
-        let unread = state.unread + self.peers.slots_of(state.digest).unread;
+        let unread = state.unread_tokens + self.peers.slots_of(state.digest).unread;
         if unread == 0 {
             return Duration::ZERO;
         }
-        let usual = self.fleet.usual(&record.service);
-        let millis = state.pace.first_event_ms(&usual, unread) * READING_FACTOR;
+        let usual = self.fleet.service_latency(&record.service);
+        let millis = state.latency.first_event_ms(&usual, unread) * READING_FACTOR;
         Duration::from_secs_f64(millis / 1e3).min(MOST_READING)
     }
 
@@ -135,7 +135,7 @@
         let mut members = self.fleet.members(&record.service);
         members.any(|state| {
             state.entry.name != silent.entry.name
-                && now.since(state.received_at) < ATTESTATION_TIMEOUT
+                && now.since(state.last_received_at) < ATTESTATION_TIMEOUT
         })
     }
 
--- a/crates/savorywood-gateway/src/selection.rs
+++ b/crates/savorywood-gateway/src/selection.rs
@@ -215,7 +215,7 @@
 
     /// Upstreams that may have the request, full or not.
     fn candidates<'q>(&'q self, query: &'q SelectionQuery<'q>) -> Vec<PickCandidate<'q>> {
-        let usual = self.fleet.usual(query.service);
+        let usual = self.fleet.service_latency(query.service);
         let all_suspect = self.all_suspect(query);
         let members = self.fleet.members(query.service);
         let usable = members.filter(|state| self.may_have(state, query, all_suspect));
@@ -225,7 +225,7 @@
                 PickCandidate {
                     state,
                     occupied: state.running + others.running,
-                    speed: state.pace.throughput(&usual),
+                    speed: state.latency.throughput(&usual),
                     estimate: self.estimate(state, query, &usual, others.unread),
                 }
             })
@@ -240,17 +240,17 @@
         others_unread: u32,
     ) -> ResponseEstimate {
         if !query.stream {
-            return ResponseEstimate::non_streaming(state.pace.whole_ms(usual));
+            return ResponseEstimate::non_streaming(state.latency.whole_ms(usual));
         }
         let held = self
             .prefix_cache
             .cached_tokens(self.now, query.prompt_parts, &state.entry.name);
         let own = query.prompt_tokens.saturating_sub(held);
-        let unread = own + state.unread + others_unread;
+        let unread = own + state.unread_tokens + others_unread;
         ResponseEstimate {
-            idle_first_event_ms: state.pace.first_event_ms(usual, query.prompt_tokens),
-            first_event_ms: state.pace.first_event_ms(usual, unread),
-            streaming_ms: state.pace.streaming_ms(usual, query.expected_tokens),
+            idle_first_event_ms: state.latency.first_event_ms(usual, query.prompt_tokens),
+            first_event_ms: state.latency.first_event_ms(usual, unread),
+            streaming_ms: state.latency.streaming_ms(usual, query.expected_tokens),
             stream: true,
         }
     }
@@ -279,7 +279,7 @@
         let Some(warmup) = self.fleet.warmup(&entry.service) else {
             return true;
         };
-        let pause = self.now.since(state.sent_at);
+        let pause = self.now.since(state.last_dispatch_at);
         pause >= warmup.interval(self.warmup)
             && self.leases.holds_warmup(self.now, &entry.name, &entry.zone)
     }
@@ -357,7 +357,7 @@
                 score + score.abs() * noise * self.jitter
             }
             RoutingPolicy::LeastOutstanding => f64::from(*occupied) + noise,
-            RoutingPolicy::RoundRobin => state.chosen as f64 + noise,
+            RoutingPolicy::RoundRobin => state.last_dispatch_number as f64 + noise,
             RoutingPolicy::Random => noise,
         };
         SelectedUpstream {
--- a/crates/savorywood-gateway/src/upstream.rs
+++ b/crates/savorywood-gateway/src/upstream.rs
@@ -43,9 +43,9 @@
     /// It is about to leave.
     pub draining: bool,
     /// Its start, to distinguish a second life under the same name.
-    pub born: u64,
+    pub incarnation: u64,
     /// Time for which it was still cold when it wrote this.
-    pub cold: Duration,
+    pub cold_for: Duration,
 }
 
 /// An upstream and what was seen of it.
@@ -58,17 +58,17 @@
     /// Requests of this daemon there.
     pub running: u32,
     /// Prompt tokens of these of which no event has come yet.
-    pub unread: u32,
+    pub unread_tokens: u32,
     /// Number of this daemon's dispatch that came here last.
-    pub chosen: u64,
+    pub last_dispatch_number: u64,
     /// Failures.
     pub outlier: OutlierState,
     /// Speed.
-    pub pace: LatencyModel,
+    pub latency: LatencyModel,
     /// When something of an answer came from it last.
-    pub received_at: MonotonicTime,
+    pub last_received_at: MonotonicTime,
     /// The registration vanished; until then it may come back.
-    pub gone_at: Option<MonotonicTime>,
+    pub removed_at: Option<MonotonicTime>,
     /// Its zone is under evacuation.
     pub evacuated: bool,
     /// Until then it is cold.
@@ -76,9 +76,9 @@
     /// Rate that it takes from all daemons together.
     pub limit: UpstreamLimit,
     /// When this daemon sent something there last.
-    pub sent_at: MonotonicTime,
+    pub last_dispatch_at: MonotonicTime,
     /// Connections to it failed, or it fell silent, and no good answer has come since.
-    pub lost: bool,
+    pub unreachable: bool,
 }
 
 impl UpstreamState {
@@ -87,24 +87,24 @@
             digest: name_digest(entry.name.as_str()),
             entry,
             running: 0,
-            unread: 0,
-            chosen: 0,
+            unread_tokens: 0,
+            last_dispatch_number: 0,
             outlier: OutlierState::default(),
-            pace: LatencyModel::default(),
-            received_at: MonotonicTime::default(),
-            gone_at: None,
+            latency: LatencyModel::default(),
+            last_received_at: MonotonicTime::default(),
+            removed_at: None,
             evacuated: false,
             cold_until: MonotonicTime::default(),
             limit: UpstreamLimit::default(),
-            sent_at: MonotonicTime::default(),
-            lost: false,
+            last_dispatch_at: MonotonicTime::default(),
+            unreachable: false,
         }
     }
 
     /// It takes new work.
     #[must_use]
     pub fn is_open(&self, now: MonotonicTime) -> bool {
-        !self.entry.draining && !self.evacuated && self.gone_at.is_none_or(|at| now < at)
+        !self.entry.draining && !self.evacuated && self.removed_at.is_none_or(|at| now < at)
     }
 
     /// It has started lately and bears only a part of its load.
@@ -114,7 +114,7 @@
     }
 
     /// It is cold at least until then.
-    pub fn stay_cold(&mut self, until: MonotonicTime) {
+    pub fn extend_cold(&mut self, until: MonotonicTime) {
         self.cold_until = self.cold_until.max(until);
     }
 
@@ -124,7 +124,7 @@
     fn renew(&mut self, now: MonotonicTime, mut entry: UpstreamEntry) {
         entry.draining |= self.entry.draining;
         if entry != self.entry {
-            self.stay_cold(now + entry.cold);
+            self.extend_cold(now + entry.cold_for);
         }
         self.entry = entry;
     }
@@ -142,7 +142,7 @@
     Left,
     /// It came back under the same name, knowing nothing.
     #[strum(serialize = "reborn")]
-    Reborn,
+    Restarted,
     /// It became cold.
     Cold,
 }
@@ -179,9 +179,9 @@
     }
 
     /// Something of an answer came from an upstream.
-    pub fn received(&mut self, now: MonotonicTime, name: &UpstreamLabel) {
+    pub fn record_received(&mut self, now: MonotonicTime, name: &UpstreamLabel) {
         if let Some(state) = self.states.get_mut(name) {
-            state.received_at = now;
+            state.last_received_at = now;
         }
     }
 
@@ -213,18 +213,18 @@
 
     /// What is usual at a service.
     #[must_use]
-    pub fn usual(&self, service: &ServiceLabel) -> LatencyModel {
+    pub fn service_latency(&self, service: &ServiceLabel) -> LatencyModel {
         self.usual.get(service).cloned().unwrap_or_default()
     }
 
     /// The same, to change it.
-    pub fn usual_mut(&mut self, service: &ServiceLabel) -> &mut LatencyModel {
+    pub fn service_latency_mut(&mut self, service: &ServiceLabel) -> &mut LatencyModel {
         self.usual.entry(service.clone()).or_default()
     }
 
     /// Median share of failures at a service.
     #[must_use]
-    pub fn usual_failures(&self, now: MonotonicTime, service: &ServiceLabel) -> f64 {
+    pub fn median_failure_ratio(&self, now: MonotonicTime, service: &ServiceLabel) -> f64 {
         let members = self.members(service);
         let mut shares: Vec<f64> = members
             .map(|state| state.outlier.failure_ratio(now))
@@ -234,7 +234,7 @@
     }
 
     /// The store failed to answer.
-    pub fn store_failed(&mut self, now: MonotonicTime) {
+    pub fn record_store_failure(&mut self, now: MonotonicTime) {
         self.store_failed_at = self.store_failed_at.max(Some(now));
     }
 
@@ -244,12 +244,12 @@
     }
 
     /// A registration was written.
-    pub fn write(&mut self, now: MonotonicTime, entry: UpstreamEntry) -> Option<FleetChange> {
+    pub fn upsert(&mut self, now: MonotonicTime, entry: UpstreamEntry) -> Option<FleetChange> {
         let has_left = self
             .departed
             .get(&entry.name)
-            .is_some_and(|left| left.born == entry.born);
-        if has_left && entry.born != 0 {
+            .is_some_and(|left| left.born == entry.incarnation);
+        if has_left && entry.incarnation != 0 {
             return None;
         }
         let Some(state) = self.states.get_mut(&entry.name) else {
@@ -262,18 +262,19 @@
             self.states.insert(state.entry.name.clone(), state);
             return Some(change);
         };
-        state.gone_at = None;
-        if state.entry.born != entry.born && entry.born != 0 {
-            let (running, unread, sent_at) = (state.running, state.unread, state.sent_at);
+        state.removed_at = None;
+        if state.entry.incarnation != entry.incarnation && entry.incarnation != 0 {
+            let (running, unread, sent_at) =
+                (state.running, state.unread_tokens, state.last_dispatch_at);
             let reborn = UpstreamState {
                 running,
-                unread,
-                sent_at,
+                unread_tokens: unread,
+                last_dispatch_at: sent_at,
                 limit: UpstreamLimit::for_new_incarnation(now),
                 ..self.begin(now, entry)
             };
             self.states.insert(reborn.entry.name.clone(), reborn);
-            return Some(FleetChange::Reborn);
+            return Some(FleetChange::Restarted);
         }
         let drains = entry.draining && !state.entry.draining;
         let cools = !state.is_cold(now);
@@ -288,7 +289,7 @@
     fn begin(&self, now: MonotonicTime, entry: UpstreamEntry) -> UpstreamState {
         let mut state = UpstreamState::new(entry);
         state.evacuated = self.evacuations.contains(&state.entry.zone);
-        state.stay_cold(now + state.entry.cold);
+        state.extend_cold(now + state.entry.cold_for);
         state
     }
 
@@ -337,7 +338,7 @@
             for state in self.states_in(&zone) {
                 state.evacuated = false;
                 if let Some(warmup) = warmups.get(&state.entry.service) {
-                    state.stay_cold(now + warmup.duration);
+                    state.extend_cold(now + warmup.duration);
                 }
             }
         }
@@ -354,12 +355,12 @@
 
     /// An upstream that was lost answers again: it may have started anew, and its registration says
     /// so later than its answer.
-    pub fn found_again(&mut self, now: MonotonicTime, name: &UpstreamLabel) {
+    pub fn record_recovery(&mut self, now: MonotonicTime, name: &UpstreamLabel) {
         if let Some(state) = self.states.get_mut(name)
-            && std::mem::take(&mut state.lost)
+            && std::mem::take(&mut state.unreachable)
             && let Some(warmup) = self.warmups.get(&state.entry.service)
         {
-            state.stay_cold(now + warmup.duration);
+            state.extend_cold(now + warmup.duration);
         }
     }
 
@@ -371,7 +372,7 @@
     pub fn remove(&mut self, now: MonotonicTime, name: &UpstreamLabel) -> Option<FleetChange> {
         let settled = self.is_settled(now);
         let state = self.states.get_mut(name)?;
-        if state.gone_at.is_some() {
+        if state.removed_at.is_some() {
             return None;
         }
         let grace = if settled || state.entry.draining {
@@ -379,12 +380,12 @@
         } else {
             RETURN_TIME
         };
-        state.gone_at = Some(now + grace);
+        state.removed_at = Some(now + grace);
         Some(FleetChange::Left)
     }
 
     /// All registrations were read: whatever is not among them was removed.
-    pub fn replace(
+    pub fn replace_all(
         &mut self,
         now: MonotonicTime,
         entries: Vec<UpstreamEntry>,
@@ -399,19 +400,20 @@
         }
         for entry in entries {
             let name = entry.name.clone();
-            changes.extend(self.write(now, entry).map(|change| (name, change)));
+            changes.extend(self.upsert(now, entry).map(|change| (name, change)));
         }
         changes
     }
 
     /// Forgets upstreams that are gone and have no request left.
-    pub fn sweep(&mut self, now: MonotonicTime) {
-        let is_over =
-            |state: &UpstreamState| state.running == 0 && state.gone_at.is_some_and(|at| now >= at);
+    pub fn remove_ended(&mut self, now: MonotonicTime) {
+        let is_over = |state: &UpstreamState| {
+            state.running == 0 && state.removed_at.is_some_and(|at| now >= at)
+        };
         for state in self.states.values().filter(|state| is_over(state)) {
             if state.entry.draining {
                 let departure = UpstreamDeparture {
-                    born: state.entry.born,
+                    born: state.entry.incarnation,
                     at: now,
                 };
                 self.departed.insert(state.entry.name.clone(), departure);
--- a/crates/savorywood-gateway/tests/common/scene.rs
+++ b/crates/savorywood-gateway/tests/common/scene.rs
@@ -105,8 +105,8 @@
         version: VersionLabel::from("v1"),
         slots,
         draining: false,
-        born: 1,
-        cold: Duration::ZERO,
+        incarnation: 1,
+        cold_for: Duration::ZERO,
     }
 }
 
--- a/crates/savorywood-gateway/tests/rate_limits.rs
+++ b/crates/savorywood-gateway/tests/rate_limits.rs
@@ -249,7 +249,7 @@
     let waiting = scene.arrive(arrival("/safe/2"));
     assert!(scene.orders(waiting).is_empty());
     let reborn = UpstreamEntry {
-        born: 2,
+        incarnation: 2,
         ..upstream(1, 1)
     };
     scene.step(GatewayEvent::UpstreamWritten(reborn));
--- a/crates/savorywood-gateway/tests/restoring.rs
+++ b/crates/savorywood-gateway/tests/restoring.rs
@@ -138,7 +138,7 @@
     assert!(scene.gateway.fleet().get(&name).is_none());
     // A new start under the same name is another one.
     let reborn = UpstreamEntry {
-        born: 2,
+        incarnation: 2,
         ..upstream(1, 1)
     };
     scene.step(GatewayEvent::UpstreamWritten(reborn));
--- a/crates/savorywood-gateway/tests/warmup.rs
+++ b/crates/savorywood-gateway/tests/warmup.rs
@@ -47,8 +47,8 @@
     UpstreamEntry {
         name: UpstreamLabel::from("cold"),
         zone: zone(0),
-        cold: SPEC.duration,
-        born,
+        cold_for: SPEC.duration,
+        incarnation: born,
         ..upstream(200, 40)
     }
 }
