--- a/crates/savorywood-gateway/src/gateway.rs
+++ b/crates/savorywood-gateway/src/gateway.rs
@@ -19,27 +19,27 @@
 pub use gossip::GatewayStatus;
 
 use crate::{
-    affinity::PartIndex,
+    affinity::PrefixCacheIndex,
     arrival::LocalRequest,
-    budget::{BudgetOptions, RetryBudget},
-    declared::DeclaredConfig,
-    demand::DemandBook,
+    config::DeclaredConfig,
+    demand::DemandTracker,
     effect::GatewayEffect,
-    entry::{EntrySet, HostResources, LoadPeak},
+    entry_set::{EntrySet, HostResources, PeakLoad},
     evacuation::EvacuationOrder,
     event::GatewayEvent,
     gossip::{ContactTable, SentSlots},
+    label::{HostLabel, ServiceLabel, TeamLabel, ZoneLabel},
     lease::MemberLeases,
-    limit::{LimitTolerance, TeamMeter},
     message::SlotUse,
-    name::{HostLabel, ServiceLabel, TeamLabel, ZoneLabel},
     peer::{PeerTable, name_digest},
-    pick::RoutingPolicy,
-    quarantine::QuarantineBook,
+    quarantine::QuarantineTable,
     queue::WaitQueue,
     region::RegionMap,
-    rollout::{RolloutBook, TrialOptions},
+    retry_budget::{RetryBudget, RetryBudgetOptions},
+    rollout::{CanaryOptions, RolloutTable},
+    selection::RoutingPolicy,
     store_reads::StoreReadTracker,
+    team_limit::{LimitTolerance, TeamLimiter},
     upstream::UpstreamFleet,
     warmup::WarmupTolerance,
 };
@@ -81,7 +81,7 @@
     /// A key must not work for longer than this after it was taken away; `None`: no such bound.
     pub revocation_delay: Option<Duration>,
     /// Bounds of second tries.
-    pub retry_budget: BudgetOptions,
+    pub retry_budget: RetryBudgetOptions,
     /// By how much teams may exceed their limits.
     pub limit_tolerance: LimitTolerance,
     /// Share of traffic that an unproved version may get.
@@ -128,15 +128,15 @@
     proof_at: Option<MonotonicTime>,
     requests: BTreeMap<LocalRequest, RequestRecord>,
     queues: BTreeMap<ServiceLabel, WaitQueue>,
-    demands: BTreeMap<ServiceLabel, DemandBook>,
-    parts: PartIndex,
+    demands: BTreeMap<ServiceLabel, DemandTracker>,
+    parts: PrefixCacheIndex,
     peers: PeerTable,
     contacts: ContactTable,
     contacts_read: bool,
     /// What this process uses of its host.
     load: HostResources,
     /// Load of the own zone, remembered at its peak.
-    peak: LoadPeak,
+    peak: PeakLoad,
     entry: EntrySet,
     /// Daemons of all zones that the directory names.
     entry_daemons: usize,
@@ -145,7 +145,7 @@
     leases: MemberLeases,
     leases_at: MonotonicTime,
     /// Requests under which upstreams crashed.
-    quarantine: QuarantineBook,
+    quarantine: QuarantineTable,
     store_era: Option<u64>,
     /// When the store was seen to have been restored.
     restored_at: Option<MonotonicTime>,
@@ -154,9 +154,9 @@
     /// When this process went on after it was frozen.
     resumed_at: Option<MonotonicTime>,
     reads: StoreReadTracker,
-    meters: BTreeMap<TeamLabel, TeamMeter>,
+    meters: BTreeMap<TeamLabel, TeamLimiter>,
     budgets: BTreeMap<ServiceLabel, RetryBudget>,
-    rollouts: RolloutBook,
+    rollouts: RolloutTable,
     stopping: bool,
     ready_logged: bool,
     sequence: u64,
@@ -186,13 +186,13 @@
             contacts: ContactTable::new(options.peer_address, options.zone.clone()),
             contacts_read: false,
             load: HostResources::default(),
-            peak: LoadPeak::default(),
+            peak: PeakLoad::default(),
             entry: EntrySet::default(),
             entry_daemons: 1,
             entry_at: MonotonicTime::default(),
             leases: MemberLeases::default(),
             leases_at: MonotonicTime::default(),
-            quarantine: QuarantineBook::default(),
+            quarantine: QuarantineTable::default(),
             store_era: None,
             restored_at: None,
             withdrawals: Vec::new(),
@@ -206,10 +206,10 @@
             requests: BTreeMap::new(),
             queues: BTreeMap::new(),
             demands: BTreeMap::new(),
-            parts: PartIndex::default(),
+            parts: PrefixCacheIndex::default(),
             meters: BTreeMap::new(),
             budgets: BTreeMap::new(),
-            rollouts: RolloutBook::default(),
+            rollouts: RolloutTable::default(),
             stopping: false,
             ready_logged: false,
             sequence: 0,
@@ -261,18 +261,18 @@
                 confirmed_at,
             } => self.reads.record_read(table, position, confirmed_at),
             GatewayEvent::StoreFailed => {
-                self.fleet.store_failed(now);
+                self.fleet.record_store_failure(now);
                 self.reads.record_store_failure(now);
             }
             GatewayEvent::RolloutOrdered(order) => self.rollout_ordered(now, order, effects),
-            GatewayEvent::RolloutStatusRead(status) => self.rollouts.read(&status),
+            GatewayEvent::RolloutStatusRead(status) => self.rollouts.apply_status(&status),
             GatewayEvent::RolloutWriteFinished {
                 service,
                 accepted,
                 era,
             } => {
                 let accepted = accepted && era >= self.store_era();
-                self.rollouts.written(now, &service, accepted);
+                self.rollouts.record_write(now, &service, accepted);
             }
             GatewayEvent::SummaryReceived(summary) => self.summary_received(now, *summary, effects),
             GatewayEvent::DigestReceived(digest) => self.digest_received(now, *digest, effects),
@@ -293,7 +293,7 @@
                 era,
             } => {
                 let accepted = accepted && era >= self.store_era();
-                self.quarantine.written(&write, accepted);
+                self.quarantine.record_write(&write, accepted);
             }
             GatewayEvent::LoadMeasured(load) => self.load = load,
             GatewayEvent::SeedsRead(contacts) => self.learn_contacts(now, contacts),
@@ -352,8 +352,8 @@
         self.rollouts.is_active()
     }
 
-    fn trial(&self) -> TrialOptions {
-        TrialOptions {
+    fn trial(&self) -> CanaryOptions {
+        CanaryOptions {
             share: self.options.bounds.max_canary_fraction,
         }
     }
@@ -367,15 +367,15 @@
         self.expire_waiting(now, effects);
         self.watch_silence(now, effects);
         self.pump_all(now, effects);
-        self.fleet.sweep(now);
-        self.quarantine.sweep(now);
+        self.fleet.remove_ended(now);
+        self.quarantine.evict_expired(now);
         self.write_quarantine(now, effects);
         self.apply_withdrawals(now, effects);
         let leads = self.leads(now);
         for write in self.rollouts.advance(now, leads) {
             let line = LogLine::new(LogLevel::Info, "rollout-step")
                 .with("service", &write.service)
-                .with("to", &write.to)
+                .with("to", &write.target_version)
                 .with("state", write.phase);
             effects.push(GatewayEffect::Log(line));
             effects.push(GatewayEffect::WriteRollout(write));
--- a/crates/savorywood-gateway/src/gateway/admission.rs
+++ b/crates/savorywood-gateway/src/gateway/admission.rs
@@ -6,14 +6,14 @@
 };
 use crate::{
     arrival::{LocalRequest, RequestArrival},
-    declared::{DeclaredConfig, RouteSpec, TeamLimit, TeamSpec},
+    config::{DeclaredConfig, RouteSpec, TeamLimit, TeamSpec},
     effect::GatewayEffect,
-    limit::{MeterLevels, MeterQuery, MeterVerdict, TeamMeter},
-    name::{ServiceLabel, TeamLabel},
-    pace::nominal_first_ms,
+    label::{ServiceLabel, TeamLabel},
+    latency::nominal_first_event_ms,
     quarantine::RequestFingerprint,
-    queue::{QueuePlace, RequestRank},
+    queue::{QueuePosition, RequestRank},
     refusal::RefusalReason,
+    team_limit::{BucketLevels, LimitQuery, LimitVerdict, TeamLimiter},
 };
 use savorywood_core::{LogLevel, LogLine};
 use savorywood_protocol::MonotonicTime;
@@ -49,7 +49,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct MeterFigures {
     limit: TeamLimit,
-    levels: MeterLevels,
+    levels: BucketLevels,
 }
 
 impl Denial {
@@ -99,9 +99,12 @@
                     .with("proof_age_ms", self.proof_age(now).as_millis());
                 effects.push(GatewayEffect::Log(line));
                 let service = record.service.clone();
-                self.budgets.entry(service.clone()).or_default().earn(now);
+                self.budgets
+                    .entry(service.clone())
+                    .or_default()
+                    .record_request(now);
                 let demand = self.demands.entry(service.clone()).or_default();
-                demand.arrived(now, record.rank);
+                demand.record_arrival(now, record.rank);
                 self.enqueue(request, record);
                 self.pump(now, &service, effects);
             }
@@ -173,7 +176,7 @@
         let fingerprint = RequestFingerprint::new(arrival.content_digest, team_name);
         let is_trial = self.pass_quarantine(now, fingerprint, team_name)?;
         let draw = self.draws.next();
-        let service = route.choose(draw).cloned();
+        let service = route.choose_service(draw).cloned();
         let service = service.ok_or_else(|| Denial::of(RefusalReason::NoUpstream))?;
         let mut units = 0.0;
         if let Some(team) = &team {
@@ -186,7 +189,7 @@
             team: team.as_ref().and_then(|team| team.priority).unwrap_or(0),
             route: route.priority,
         };
-        let expected = Duration::from_secs_f64(nominal_first_ms(size.prompt_tokens) / 1e3);
+        let expected = Duration::from_secs_f64(nominal_first_event_ms(size.prompt_tokens) / 1e3);
         let give_up_at = now + longest.saturating_sub(ANSWER_MARGIN);
         let begin_by = now + route.objective.saturating_sub(expected);
         Ok(RequestRecord {
@@ -205,9 +208,9 @@
             arrived_at: now,
             give_up_at,
             leave_at: give_up_at,
-            place: RequestPlace::Waiting(QueuePlace {
+            place: RequestPlace::Waiting(QueuePosition {
                 rank,
-                begin_by,
+                start_by: begin_by,
                 request,
             }),
             tried: Vec::new(),
@@ -258,8 +261,8 @@
         let team = arrival
             .api_key
             .as_deref()
-            .and_then(|key| config.team_of(key));
-        if route.public || !config.needs_keys() {
+            .and_then(|key| config.team_for_key(key));
+        if route.public || !config.requires_keys() {
             return Ok(team.cloned());
         }
         if !self.keys_are_confirmed(now) {
@@ -289,7 +292,7 @@
             let size = arrival
                 .size
                 .map(|size| size.prompt_tokens + size.max_output_tokens);
-            f64::from(size.unwrap_or(limit.plain_tokens))
+            f64::from(size.unwrap_or(limit.default_tokens))
         } else {
             1.0
         };
@@ -298,22 +301,22 @@
         let meter = self
             .meters
             .entry(team.name.clone())
-            .or_insert_with(|| TeamMeter::new(now, limit, tolerance, fresh));
-        let query = MeterQuery {
+            .or_insert_with(|| TeamLimiter::new(now, limit, tolerance, fresh));
+        let query = LimitQuery {
             units,
             rank: route.priority,
-            draw: self.limit_draws.next(),
+            sample: self.limit_draws.next(),
         };
-        let verdict = meter.look(now, &query);
+        let verdict = meter.check(now, &query);
         let refused = match verdict {
-            MeterVerdict::Within => false,
-            MeterVerdict::Tolerated => !idle,
-            MeterVerdict::Beyond { .. } => true,
+            LimitVerdict::Within => false,
+            LimitVerdict::Tolerated => !idle,
+            LimitVerdict::Exceeded { .. } => true,
         };
         if refused {
             return Err(Denial {
                 reason: RefusalReason::OverLimit,
-                retry_after: Some(meter.wait()),
+                retry_after: Some(meter.retry_after()),
                 team: Some(team.name.clone()),
                 meter: Some(MeterFigures {
                     limit,
@@ -322,7 +325,7 @@
                 crashes: None,
             });
         }
-        meter.take(units, verdict);
+        meter.charge(units, verdict);
         Ok(units)
     }
 
--- a/crates/savorywood-gateway/src/gateway/ending.rs
+++ b/crates/savorywood-gateway/src/gateway/ending.rs
@@ -6,8 +6,8 @@
     record::{RequestPlace, RunningAttempt},
 };
 use crate::{
-    arrival::LocalRequest, effect::GatewayEffect, event::AttemptOutcome, name::ServiceLabel,
-    queue::QueuePlace, refusal::RefusalReason,
+    arrival::LocalRequest, effect::GatewayEffect, event::AttemptOutcome, label::ServiceLabel,
+    queue::QueuePosition, refusal::RefusalReason,
 };
 use savorywood_core::{LogLevel, LogLine};
 use savorywood_protocol::MonotonicTime;
@@ -140,7 +140,7 @@
         }
         let daemons = self.peers.peer_count(now) + 1;
         let budget = self.budgets.entry(record.service.clone()).or_default();
-        budget.spend(now, &self.options.bounds.retry_budget, daemons)
+        budget.try_acquire(now, &self.options.bounds.retry_budget, daemons)
     }
 
     /// Puts a request back into its queue; it has waited and goes first in its rank.
@@ -160,9 +160,9 @@
             // Its caller's timeout begins anew with each event.
             record.leave_at = record.leave_time(moved_at);
         }
-        let place = QueuePlace {
+        let place = QueuePosition {
             rank: record.rank,
-            begin_by: now,
+            start_by: now,
             request,
         };
         record.place = RequestPlace::Waiting(place);
@@ -223,7 +223,7 @@
             && record.runs == 0
             && let Some(meter) = self.meters.get_mut(&team.name)
         {
-            meter.give_back(record.units);
+            meter.refund(record.units);
         }
     }
 
@@ -259,7 +259,7 @@
         effects.push(GatewayEffect::Log(line));
     }
 
-    fn unqueue(&mut self, service: &ServiceLabel, place: &QueuePlace) {
+    fn unqueue(&mut self, service: &ServiceLabel, place: &QueuePosition) {
         if let Some(queue) = self.queues.get_mut(service) {
             queue.remove(place);
         }
--- a/crates/savorywood-gateway/src/gateway/entry.rs
+++ b/crates/savorywood-gateway/src/gateway/entry.rs
@@ -3,12 +3,12 @@
 use super::{Gateway, GatewayEffects};
 use crate::{
     effect::GatewayEffect,
-    entry::{EntryCandidate, HostResources, select_members},
+    entry_set::{EntryCandidate, HostResources, select_members},
+    label::{RegionLabel, ZoneLabel},
     message::{DaemonRole, PeerPhase},
-    name::{RegionLabel, ZoneLabel},
     peer::{PeerState, name_digest},
-    region::CallerPlace,
-    rendezvous::address_number,
+    region::CallerLocation,
+    rendezvous::address_hash,
 };
 use savorywood_core::{LogLevel, LogLine};
 use savorywood_protocol::MonotonicTime;
@@ -91,8 +91,9 @@
         if !is_entry_member || self.age(now) < LEASE_PAUSE || !self.peers.sees_majority(now) {
             return self.leases.release();
         }
-        let is_needed =
-            self.fleet.has_warmups() || self.fleet.has_limits() || self.quarantine.count() > 0;
+        let is_needed = self.fleet.has_warmups()
+            || self.fleet.has_limits()
+            || self.quarantine.quarantined_count() > 0;
         if !is_needed && now.since(self.leases_at) < LEASE_REST_TIME {
             return;
         }
@@ -111,10 +112,10 @@
             let entry = digest.members.iter().filter(|member| {
                 member.phase == PeerPhase::Ready && member.role == DaemonRole::Entry
             });
-            let numbers = entry.map(|member| address_number(member.peer_address));
+            let numbers = entry.map(|member| address_hash(member.peer_address));
             members.insert(ZoneLabel::from(digest.zone.as_str()), numbers.collect());
         }
-        let own = address_number(self.options.peer_address);
+        let own = address_hash(self.options.peer_address);
         self.leases.update(now, own, members);
     }
 
@@ -122,11 +123,11 @@
     fn member_numbers(&self, now: MonotonicTime, zone: &str, members: &[u64]) -> Vec<u64> {
         let mut numbers = Vec::new();
         if members.contains(&name_digest(self.options.host.as_str())) {
-            numbers.push(address_number(self.options.peer_address));
+            numbers.push(address_hash(self.options.peer_address));
         }
         let peers = self.peers.member_candidates(now, zone, false);
         let named = peers.filter(|peer| members.contains(&peer.digest));
-        numbers.extend(named.map(|peer| address_number(peer.summary.peer_address)));
+        numbers.extend(named.map(|peer| address_hash(peer.summary.peer_address)));
         numbers
     }
 
@@ -168,7 +169,7 @@
             candidates.push(EntryCandidate {
                 host: peer.digest,
                 capacity: peer.summary.capacity,
-                steady: if is_overdue {
+                stable_for: if is_overdue {
                     Duration::ZERO
                 } else {
                     peer.stable_for(now, self.resumed_at)
@@ -189,7 +190,7 @@
         EntryCandidate {
             host: name_digest(self.options.host.as_str()),
             capacity: self.options.capacity,
-            steady: steady_since.map_or(Duration::ZERO, |at| now.since(at)),
+            stable_for: steady_since.map_or(Duration::ZERO, |at| now.since(at)),
         }
     }
 
@@ -237,7 +238,7 @@
     pub fn caller_addresses(
         &self,
         now: MonotonicTime,
-        caller: CallerPlace<'_>,
+        caller: CallerLocation<'_>,
         most: usize,
     ) -> Vec<SocketAddr> {
         if !self.knows_own_zone(now) {
@@ -271,7 +272,7 @@
     /// Addresses for a caller whose own zone has none.
     fn far_addresses(
         &self,
-        caller: CallerPlace<'_>,
+        caller: CallerLocation<'_>,
         by_zone: &BTreeMap<&str, Vec<SocketAddr>>,
     ) -> Vec<SocketAddr> {
         let within = |is_within: &dyn Fn(&RegionLabel) -> bool| -> Vec<SocketAddr> {
@@ -290,7 +291,7 @@
         }
         let config = self.config.as_ref();
         let homes = caller.host.zip(config);
-        let homes = homes.map(|(host, config)| config.homes_of(host));
+        let homes = homes.map(|(host, config)| config.home_regions_of(host));
         match homes.filter(|homes| !homes.is_empty()) {
             Some(homes) => within(&|region| homes.contains(region)),
             None => by_zone.values().flatten().copied().collect(),
--- a/crates/savorywood-gateway/src/gateway/updates.rs
+++ b/crates/savorywood-gateway/src/gateway/updates.rs
@@ -2,15 +2,15 @@
 
 use super::{Gateway, GatewayBounds, GatewayEffects};
 use crate::{
-    declared::DeclaredConfig,
+    config::DeclaredConfig,
     effect::GatewayEffect,
     gossip::PeerContact,
-    limit::{PeerReading, TeamMeter},
+    label::{UpstreamLabel, ZoneLabel},
     message::{PeerPhase, PeerSummary, TeamUse},
-    name::{UpstreamLabel, ZoneLabel},
     peer::name_digest,
     rollout::RolloutOrder,
     store_reads::SharedTable,
+    team_limit::{PeerUsage, TeamLimiter},
     upstream::{FleetChange, UpstreamEntry},
     zone::{DigestOutcome, ZoneDigest},
 };
@@ -74,8 +74,8 @@
                 None => {
                     let fresh = !first || self.options.first_start;
                     let tolerance = self.options.bounds.limit_tolerance;
-                    let mut meter = TeamMeter::new(now, limit, tolerance, fresh);
-                    meter.expect(now, self.contacts.daemons(), self.contacts.pause());
+                    let mut meter = TeamLimiter::new(now, limit, tolerance, fresh);
+                    meter.set_expected_daemons(now, self.contacts.daemons(), self.contacts.pause());
                     meter.set_members(members);
                     self.meters.insert(team.name.clone(), meter);
                 }
@@ -104,7 +104,7 @@
         effects.push(GatewayEffect::Log(line));
         if self.options.bounds.limit_tolerance != bounds.limit_tolerance {
             for meter in self.meters.values_mut() {
-                *meter = TeamMeter::new(now, meter.limit(), bounds.limit_tolerance, false);
+                *meter = TeamLimiter::new(now, meter.limit(), bounds.limit_tolerance, false);
             }
         }
         self.options.bounds = bounds;
@@ -119,7 +119,7 @@
     ) {
         let line = LogLine::new(LogLevel::Info, "upstreams-read").with("count", entries.len());
         effects.push(GatewayEffect::Log(line));
-        for (name, change) in self.fleet.replace(now, entries) {
+        for (name, change) in self.fleet.replace_all(now, entries) {
             log_change(&name, change, effects);
         }
         self.upstreams_read = true;
@@ -134,7 +134,7 @@
         effects: &mut GatewayEffects,
     ) {
         let name = entry.name.clone();
-        if let Some(change) = self.fleet.write(now, entry) {
+        if let Some(change) = self.fleet.upsert(now, entry) {
             log_change(&name, change, effects);
             self.pump_all(now, effects);
         }
@@ -159,9 +159,9 @@
     ) {
         let line = LogLine::new(LogLevel::Info, "rollout-ordered")
             .with("service", &order.service)
-            .with("to", &order.to)
-            .with("within_ms", order.within.as_millis());
-        if self.rollouts.order(now, order) {
+            .with("to", &order.target_version)
+            .with("within_ms", order.time_limit.as_millis());
+        if self.rollouts.apply_order(now, order) {
             effects.push(GatewayEffect::Log(line));
         }
     }
@@ -206,11 +206,11 @@
                 near: summary.zone == self.options.zone.as_str(),
             };
             self.usage_received(now, account, &summary.usage);
-            self.rollouts.received(peer, &summary.tallies);
+            self.rollouts.record_peer_tallies(peer, &summary.tallies);
         }
         if summary.phase == PeerPhase::Leaving {
             for meter in self.meters.values_mut() {
-                meter.ended(now, peer);
+                meter.record_peer_ended(now, peer);
             }
         }
         self.pump_all(now, effects);
@@ -239,7 +239,7 @@
             .and_then(|attestation| attestation.store_failure_age_ms);
         if let Some(age) = failed {
             let age = Duration::from_millis(u64::from(age));
-            self.fleet.store_failed(now - age);
+            self.fleet.record_store_failure(now - age);
         }
     }
 
@@ -278,7 +278,7 @@
         };
         self.usage_received(now, account, &digest.usage);
         self.rollouts
-            .received(name_digest(zone.as_str()), &digest.tallies);
+            .record_peer_tallies(name_digest(zone.as_str()), &digest.tallies);
         self.pump_all(now, effects);
     }
 
@@ -298,7 +298,7 @@
             self.contacts.learn(now, contact);
         }
         for meter in self.meters.values_mut() {
-            meter.expect(now, self.contacts.daemons(), self.contacts.pause());
+            meter.set_expected_daemons(now, self.contacts.daemons(), self.contacts.pause());
         }
     }
 
@@ -327,7 +327,7 @@
         ended.extend(before.map(|sender| sender.rotate_left(1)));
         for meter in self.meters.values_mut() {
             for peer in &ended {
-                meter.ended(now, *peer);
+                meter.record_peer_ended(now, *peer);
             }
         }
     }
@@ -337,16 +337,16 @@
         let usage: HashMap<u64, &TeamUse> = usage.iter().map(|used| (used.team, used)).collect();
         for (team, meter) in &mut self.meters {
             let used = usage.get(&name_digest(team.as_str()));
-            let reading = PeerReading {
+            let reading = PeerUsage {
                 peer: account.peer,
                 incarnation: account.incarnation,
                 age: account.age,
                 total: used.map_or(0, |used| used.total),
                 daemons: account.daemons,
-                near: account.near,
+                same_zone: account.near,
                 levels: used.map(|used| used.levels),
             };
-            meter.received(now, reading);
+            meter.record_peer_usage(now, reading);
         }
     }
 
--- a/crates/savorywood-gateway/src/message.rs
+++ b/crates/savorywood-gateway/src/message.rs
@@ -1,9 +1,9 @@
 //! Messages between daemons, but for digests of zones.
 
 use crate::{
-    entry::HostResources,
-    limit::MeterLevels,
+    entry_set::HostResources,
     store_reads::{PeerEcho, StoreAttestation},
+    team_limit::BucketLevels,
 };
 use savorywood_protocol::MonotonicTime;
 use serde::{Deserialize, Serialize};
@@ -79,7 +79,7 @@
     /// Units used.
     pub total: u64,
     /// Levels of the sender's copy of the team's buckets.
-    pub levels: MeterLevels,
+    pub levels: BucketLevels,
 }
 
 /// Answers that a daemon has seen from one side of a roll-out.
