--- a/crates/savorywood-front/src/attempt.rs
+++ b/crates/savorywood-front/src/attempt.rs
@@ -9,7 +9,7 @@
     shared::FrontShared,
     sink::AnswerSink,
     wire::{
-        AnswerHead, BodyDecoder, BodyFraming, ByteReader, HeaderLine, RequestHead,
+        BodyDecoder, BodyFraming, ByteReader, HeaderLine, RequestHead, ResponseHead,
         read_answer_head, read_body,
     },
 };
@@ -160,7 +160,7 @@
     async fn read_answer(
         &mut self,
         reader: &mut ByteReader,
-    ) -> (AttemptOutcome, Option<AnswerHead>) {
+    ) -> (AttemptOutcome, Option<ResponseHead>) {
         let (head, facts) = match self.read_own_head(reader).await {
             Ok(read) => read,
             Err(ReadFailure) => return (AttemptOutcome::Broken { silent: false }, None),
@@ -194,7 +194,7 @@
     async fn read_own_head(
         &self,
         reader: &mut ByteReader,
-    ) -> Result<(AnswerHead, AnswerFacts), ReadFailure> {
+    ) -> Result<(ResponseHead, AnswerFacts), ReadFailure> {
         let mut strays = 0;
         loop {
             let head = read_answer_head(reader).await;
@@ -226,9 +226,9 @@
     async fn relay_whole(
         &mut self,
         reader: &mut ByteReader,
-        head: AnswerHead,
+        head: ResponseHead,
         facts: &AnswerFacts,
-    ) -> (AttemptOutcome, Option<AnswerHead>) {
+    ) -> (AttemptOutcome, Option<ResponseHead>) {
         let framing = if self.head.method == "HEAD" {
             BodyFraming::Empty
         } else {
@@ -265,9 +265,9 @@
     async fn relay_stream(
         &mut self,
         reader: &mut ByteReader,
-        head: AnswerHead,
+        head: ResponseHead,
         facts: &AnswerFacts,
-    ) -> (AttemptOutcome, Option<AnswerHead>) {
+    ) -> (AttemptOutcome, Option<ResponseHead>) {
         let mut decoder = BodyDecoder::new(head.framing);
         let mut buffer = EventBuffer::default();
         let mut began = false;
@@ -313,7 +313,7 @@
     async fn pass_events(
         &mut self,
         buffer: &mut EventBuffer,
-        head: &AnswerHead,
+        head: &ResponseHead,
     ) -> io::Result<u32> {
         let mut bytes = Vec::new();
         let mut events = 0;
@@ -362,7 +362,7 @@
         broken_outcome(self.sink, false)
     }
 
-    fn passing_lines(&self, head: &AnswerHead) -> Vec<HeaderLine> {
+    fn passing_lines(&self, head: &ResponseHead) -> Vec<HeaderLine> {
         let lines = head.headers.iter();
         let passing = lines.filter(|line| self.shared.dialect.passes_answer_header(&line.name));
         passing.cloned().collect()
@@ -381,7 +381,7 @@
     }
 }
 
-fn is_event_stream(head: &AnswerHead) -> bool {
+fn is_event_stream(head: &ResponseHead) -> bool {
     let kind = head.headers.get("content-type").unwrap_or_default();
     kind.starts_with("text/event-stream")
 }
--- a/crates/savorywood-front/src/edge.rs
+++ b/crates/savorywood-front/src/edge.rs
@@ -1,6 +1,6 @@
 //! Where the platform's way of speaking comes in: names, formats and calls, no decisions.
 
-use crate::wire::{AnswerHead, HeaderLine, HeaderList, RequestHead, StoreCall};
+use crate::wire::{HeaderLine, HeaderList, RequestHead, ResponseHead, StoreCall};
 use savorywood_gateway::{
     AnswerMarks, DeclaredConfig, RequestArrival, RolloutOrder, RolloutStatus, RolloutWrite,
     StorePosition, TeamLabel, UpstreamEntry, UpstreamLabel, ZoneLabel,
@@ -143,7 +143,7 @@
     fn upstream_headers(&self, head: &RequestHead, facts: &DispatchFacts<'_>) -> Vec<HeaderLine>;
 
     /// What an answer's head says.
-    fn answer_facts(&self, head: &AnswerHead) -> AnswerFacts;
+    fn answer_facts(&self, head: &ResponseHead) -> AnswerFacts;
 
     /// A header of an upstream's answer reaches the caller.
     fn passes_answer_header(&self, name: &str) -> bool;
--- a/crates/savorywood-front/src/lib.rs
+++ b/crates/savorywood-front/src/lib.rs
@@ -30,6 +30,6 @@
 pub use run::{FrontError, run};
 pub use settings::{BoundSettings, FrontSettings, LimitSettings, ListenSettings, StoreSettings};
 pub use wire::{
-    AnswerHead, BodyFraming, HeadFault, HeaderLine, HeaderList, RequestHead, StoreCall,
+    BodyFraming, HeadFault, HeaderLine, HeaderList, RequestHead, ResponseHead, StoreCall,
     is_hop_header,
 };
--- a/crates/savorywood-front/src/wire.rs
+++ b/crates/savorywood-front/src/wire.rs
@@ -11,7 +11,7 @@
 
 pub use body::{BodyDecoder, BodyFault, read_body};
 pub use head::{
-    AnswerHead, BodyFraming, HeadFault, HeaderLine, HeaderList, RequestHead, is_hop_header,
+    BodyFraming, HeadFault, HeaderLine, HeaderList, RequestHead, ResponseHead, is_hop_header,
 };
 pub use reader::{
     bytes_read, {ByteReader, read_answer_head},
--- a/crates/savorywood-front/src/wire/head.rs
+++ b/crates/savorywood-front/src/wire/head.rs
@@ -181,7 +181,7 @@
 
 /// Head of an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// Status.
     pub status: u16,
     /// Text beside the status.
@@ -196,7 +196,7 @@
     pub keep_alive: Option<Duration>,
 }
 
-impl AnswerHead {
+impl ResponseHead {
     /// Reads a whole head.
     ///
     /// # Errors
--- a/crates/savorywood-front/src/wire/reader.rs
+++ b/crates/savorywood-front/src/wire/reader.rs
@@ -1,6 +1,6 @@
 //! Buffered reading from a connection.
 
-use super::head::{AnswerHead, HeadFault};
+use super::head::{HeadFault, ResponseHead};
 use async_net::TcpStream;
 use futures_lite::AsyncReadExt;
 use std::{
@@ -119,11 +119,11 @@
 /// # Errors
 ///
 /// When the connection breaks or ends before it, or what came is no answer.
-pub async fn read_answer_head(reader: &mut ByteReader) -> io::Result<AnswerHead> {
+pub async fn read_answer_head(reader: &mut ByteReader) -> io::Result<ResponseHead> {
     loop {
         if let Some(end) = reader.head_end() {
             let bytes = reader.take(end);
-            return AnswerHead::parse(&bytes).map_err(invalid);
+            return ResponseHead::parse(&bytes).map_err(invalid);
         }
         // Bytes that are no answer need not end: what can't begin one is refused at once.
         let begins = reader
