--- a/crates/savorywood-front/src/attempt.rs
+++ b/crates/savorywood-front/src/attempt.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     clock::within,
-    edge::{AnswerFacts, DispatchFacts},
+    edge::{DispatchFacts, ParsedResponseHead},
     metrics,
     shared::FrontShared,
     sink::AnswerSink,
@@ -194,7 +194,7 @@
     async fn read_own_head(
         &self,
         reader: &mut ByteReader,
-    ) -> Result<(ResponseHead, AnswerFacts), ReadFailure> {
+    ) -> Result<(ResponseHead, ParsedResponseHead), ReadFailure> {
         let mut strays = 0;
         loop {
             let head = read_answer_head(reader).await;
@@ -227,7 +227,7 @@
         &mut self,
         reader: &mut ByteReader,
         head: ResponseHead,
-        facts: &AnswerFacts,
+        facts: &ParsedResponseHead,
     ) -> (AttemptOutcome, Option<ResponseHead>) {
         let framing = if self.head.method == "HEAD" {
             BodyFraming::Empty
@@ -266,7 +266,7 @@
         &mut self,
         reader: &mut ByteReader,
         head: ResponseHead,
-        facts: &AnswerFacts,
+        facts: &ParsedResponseHead,
     ) -> (AttemptOutcome, Option<ResponseHead>) {
         let mut decoder = BodyDecoder::new(head.framing);
         let mut buffer = EventBuffer::default();
@@ -349,7 +349,7 @@
         matches!((known, new), (Some(known), Some(new)) if new <= known)
     }
 
-    fn report_begun(&self, facts: &AnswerFacts) {
+    fn report_begun(&self, facts: &ParsedResponseHead) {
         let elapsed = self.shared.clock.now().since(self.arrived_at);
         metrics::observe(&self.shared.metrics.first_event, self.order, elapsed);
         self.shared.step(GatewayEvent::AnswerBegan {
--- a/crates/savorywood-front/src/edge.rs
+++ b/crates/savorywood-front/src/edge.rs
@@ -106,7 +106,7 @@
 
 /// What an answer's head says.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct AnswerFacts {
+pub struct ParsedResponseHead {
     /// Identity of the request that it answers.
     pub identity: Option<String>,
     /// The upstream says that it did not run the request.
@@ -143,7 +143,7 @@
     fn upstream_headers(&self, head: &RequestHead, facts: &DispatchFacts<'_>) -> Vec<HeaderLine>;
 
     /// What an answer's head says.
-    fn answer_facts(&self, head: &ResponseHead) -> AnswerFacts;
+    fn answer_facts(&self, head: &ResponseHead) -> ParsedResponseHead;
 
     /// A header of an upstream's answer reaches the caller.
     fn passes_answer_header(&self, name: &str) -> bool;
--- a/crates/savorywood-front/src/lib.rs
+++ b/crates/savorywood-front/src/lib.rs
@@ -24,7 +24,7 @@
 mod wire;
 
 pub use edge::{
-    AnswerFacts, ArrivalFault, DeclaredRow, DirectoryQuery, DispatchFacts, FrontDialect,
+    ArrivalFault, DeclaredRow, DirectoryQuery, DispatchFacts, FrontDialect, ParsedResponseHead,
     RolloutRow, StorePage, StoreRow, StoreTable, TableWrite,
 };
 pub use run::{FrontError, run};
