--- a/crates/savorywood-front/src/attempt.rs
+++ b/crates/savorywood-front/src/attempt.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     clock::within,
-    edge::{DispatchFacts, ParsedResponseHead},
+    edge::{DispatchContext, ParsedResponseHead},
     metrics,
     shared::FrontShared,
     sink::AnswerSink,
@@ -133,7 +133,7 @@
 
     fn request_bytes(&self) -> Vec<u8> {
         let left = self.order.give_up_at.since(self.shared.clock.now());
-        let facts = DispatchFacts {
+        let facts = DispatchContext {
             upstream: &self.order.upstream,
             team: self.order.team.as_ref(),
             left,
--- a/crates/savorywood-front/src/edge.rs
+++ b/crates/savorywood-front/src/edge.rs
@@ -93,7 +93,7 @@
 
 /// What an upstream is sent beside the caller's own head.
 #[derive(Debug, Clone, Copy)]
-pub struct DispatchFacts<'a> {
+pub struct DispatchContext<'a> {
     /// Incarnation that is meant.
     pub upstream: &'a UpstreamLabel,
     /// Team of the caller's key.
@@ -140,7 +140,7 @@
     fn arrival(&self, head: &RequestHead) -> Result<RequestArrival, ArrivalFault>;
 
     /// Header lines for the upstream, those of the caller that pass included.
-    fn upstream_headers(&self, head: &RequestHead, facts: &DispatchFacts<'_>) -> Vec<HeaderLine>;
+    fn upstream_headers(&self, head: &RequestHead, facts: &DispatchContext<'_>) -> Vec<HeaderLine>;
 
     /// What an answer's head says.
     fn answer_facts(&self, head: &ResponseHead) -> ParsedResponseHead;
--- a/crates/savorywood-front/src/lib.rs
+++ b/crates/savorywood-front/src/lib.rs
@@ -24,7 +24,7 @@
 mod wire;
 
 pub use edge::{
-    ArrivalFault, DeclaredRow, DirectoryQuery, DispatchFacts, FrontDialect, ParsedResponseHead,
+    ArrivalFault, DeclaredRow, DirectoryQuery, DispatchContext, FrontDialect, ParsedResponseHead,
     RolloutRow, StorePage, StoreRow, StoreTable, TableWrite,
 };
 pub use run::{FrontError, run};
