--- a/crates/savorywood-front/src/caller.rs
+++ b/crates/savorywood-front/src/caller.rs
@@ -7,7 +7,7 @@
     metrics,
     shared::{FrontShared, RequestDecision},
     sink::AnswerSink,
-    wire::{BodyFault, BodyFraming, ByteReader, HeadFault, HeaderLine, RequestHead, read_body},
+    wire::{BodyError, BodyFraming, ByteReader, HeadError, HeaderLine, RequestHead, read_body},
 };
 use async_channel::Receiver;
 use async_net::TcpStream;
@@ -145,8 +145,8 @@
     let head = match within(limits.header_time, read_head(reader, &limits)).await {
         Some(Ok(Some(head))) => head,
         Some(Ok(None)) => return RequestRead::Closed,
-        Some(Err(HeadFault::TooLarge)) => return RequestRead::Fault(431, "head too large"),
-        Some(Err(HeadFault::Malformed { reason })) => return RequestRead::Fault(400, reason),
+        Some(Err(HeadError::TooLarge)) => return RequestRead::Fault(431, "head too large"),
+        Some(Err(HeadError::Malformed { reason })) => return RequestRead::Fault(400, reason),
         None => return RequestRead::Fault(408, "the head did not come in time"),
     };
     if matches!(head.framing, BodyFraming::Length(length) if length > limits.body_bytes as u64) {
@@ -161,9 +161,9 @@
     let body = read_body(reader, head.framing, limits.body_bytes);
     match within(BODY_TIME, body).await {
         Some(Ok(body)) => RequestRead::Request(Box::new(WholeRequest { head, body })),
-        Some(Err(BodyFault::TooLarge)) => RequestRead::Fault(413, "body too large"),
-        Some(Err(BodyFault::BadChunk)) => RequestRead::Fault(400, "the chunks can't be read"),
-        Some(Err(BodyFault::CutOff | BodyFault::Broken { .. })) => RequestRead::Closed,
+        Some(Err(BodyError::TooLarge)) => RequestRead::Fault(413, "body too large"),
+        Some(Err(BodyError::BadChunk)) => RequestRead::Fault(400, "the chunks can't be read"),
+        Some(Err(BodyError::CutOff | BodyError::Broken { .. })) => RequestRead::Closed,
         None => RequestRead::Fault(408, "the body did not come in time"),
     }
 }
@@ -177,17 +177,17 @@
 async fn read_head(
     reader: &mut ByteReader,
     limits: &CallerLimits,
-) -> Result<Option<RequestHead>, HeadFault> {
+) -> Result<Option<RequestHead>, HeadError> {
     loop {
         skip_empty_lines(reader);
         if let Some(end) = reader.head_end() {
             if end > limits.header_bytes {
-                return Err(HeadFault::TooLarge);
+                return Err(HeadError::TooLarge);
             }
             return RequestHead::parse(&reader.take(end)).map(Some);
         }
         if reader.bytes().len() > limits.header_bytes {
-            return Err(HeadFault::TooLarge);
+            return Err(HeadError::TooLarge);
         }
         if !matches!(reader.fill().await, Ok(1..)) {
             return Ok(None);
--- a/crates/savorywood-front/src/edge.rs
+++ b/crates/savorywood-front/src/edge.rs
@@ -86,7 +86,7 @@
 /// Why a request can't be taken.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("{reason}"))]
-pub struct ArrivalFault {
+pub struct ArrivalError {
     /// What is wrong.
     pub reason: &'static str,
 }
@@ -137,7 +137,7 @@
     /// # Errors
     ///
     /// When the head lacks what every request must have.
-    fn arrival(&self, head: &RequestHead) -> Result<RequestArrival, ArrivalFault>;
+    fn arrival(&self, head: &RequestHead) -> Result<RequestArrival, ArrivalError>;
 
     /// Header lines for the upstream, those of the caller that pass included.
     fn upstream_headers(&self, head: &RequestHead, facts: &DispatchContext<'_>) -> Vec<HeaderLine>;
--- a/crates/savorywood-front/src/feeds/reading.rs
+++ b/crates/savorywood-front/src/feeds/reading.rs
@@ -5,7 +5,7 @@
     clock::BootClock,
     edge::{StorePage, StoreRow, StoreTable},
     peers::RowsPush,
-    store::{StoreAnswer, StoreFault},
+    store::{StoreAnswer, StoreError},
 };
 use async_io::Timer;
 use savorywood_gateway::{GatewayEvent, StorePosition};
@@ -116,7 +116,7 @@
         Ok(())
     }
 
-    fn accept(&self, answer: Result<StoreAnswer, StoreFault>) -> Result<StoreAnswer, String> {
+    fn accept(&self, answer: Result<StoreAnswer, StoreError>) -> Result<StoreAnswer, String> {
         let outcome = match &answer {
             Ok(answer) if answer.status == 200 => "ok",
             Ok(_) => "refused",
--- a/crates/savorywood-front/src/lib.rs
+++ b/crates/savorywood-front/src/lib.rs
@@ -24,12 +24,12 @@
 mod wire;
 
 pub use edge::{
-    ArrivalFault, DeclaredRow, DirectoryQuery, DispatchContext, FrontDialect, ParsedResponseHead,
+    ArrivalError, DeclaredRow, DirectoryQuery, DispatchContext, FrontDialect, ParsedResponseHead,
     RolloutRow, StorePage, StoreRow, StoreTable, TableWrite,
 };
 pub use run::{FrontError, run};
 pub use settings::{BoundSettings, FrontSettings, LimitSettings, ListenSettings, StoreSettings};
 pub use wire::{
-    BodyFraming, HeadFault, HeaderLine, HeaderList, RequestHead, ResponseHead, StoreCall,
+    BodyFraming, HeadError, HeaderLine, HeaderList, RequestHead, ResponseHead, StoreCall,
     is_hop_header,
 };
--- a/crates/savorywood-front/src/peers.rs
+++ b/crates/savorywood-front/src/peers.rs
@@ -2,7 +2,7 @@
 
 mod format;
 
-use self::format::DatagramFault;
+use self::format::DatagramError;
 use crate::{clock::BootClock, edge::StoreRow, shared::FrontShared};
 use async_io::Timer;
 use async_net::UdpSocket;
@@ -187,7 +187,7 @@
     }
 
     /// A datagram of another build, or of no daemon.
-    fn note_unread(&self, shared: &FrontShared, sender: SocketAddr, fault: DatagramFault) {
+    fn note_unread(&self, shared: &FrontShared, sender: SocketAddr, fault: DatagramError) {
         shared.metrics.unread_datagrams.inc();
         let mut unread = self.unread.borrow_mut();
         if unread.len() < MOST_UNREAD_SENDERS && unread.insert(sender) {
--- a/crates/savorywood-front/src/peers/format.rs
+++ b/crates/savorywood-front/src/peers/format.rs
@@ -13,7 +13,7 @@
 
 /// Why a datagram can't be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
-pub enum DatagramFault {
+pub enum DatagramError {
     /// No daemon's, or one of a build before formats had versions.
     #[snafu(display("it names no format"))]
     Unmarked,
@@ -38,13 +38,13 @@
 /// # Errors
 ///
 /// When the bytes are not of this format.
-pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, DatagramFault> {
+pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, DatagramError> {
     match bytes {
         [MARK, FORMAT_VERSION, message @ ..] => {
-            postcard::from_bytes(message).map_err(|_| DatagramFault::Malformed)
+            postcard::from_bytes(message).map_err(|_| DatagramError::Malformed)
         }
-        [MARK, version, ..] => Err(DatagramFault::OtherVersion { version: *version }),
-        _ => Err(DatagramFault::Unmarked),
+        [MARK, version, ..] => Err(DatagramError::OtherVersion { version: *version }),
+        _ => Err(DatagramError::Unmarked),
     }
 }
 
--- a/crates/savorywood-front/src/peers/format/tests.rs
+++ b/crates/savorywood-front/src/peers/format/tests.rs
@@ -1,4 +1,4 @@
-use super::{DatagramFault, decode, encode};
+use super::{DatagramError, decode, encode};
 use crate::peers::{PeerDatagram, RowsPush};
 use quickcheck::quickcheck;
 use savorywood_gateway::{SharedTable, StorePosition};
@@ -19,7 +19,7 @@
     assert_eq!(decode::<RowsPush>(&bytes), Ok(push()));
     assert_eq!(
         decode::<RowsPush>(&bytes[..3]),
-        Err(DatagramFault::Malformed)
+        Err(DatagramError::Malformed)
     );
 }
 
@@ -29,11 +29,11 @@
     let bytes = encode(&push()).expect("bytes");
     let mut other = bytes.clone();
     other[1] += 1;
-    let fault = DatagramFault::OtherVersion { version: other[1] };
+    let fault = DatagramError::OtherVersion { version: other[1] };
     assert_eq!(decode::<RowsPush>(&other), Err(fault));
     assert_eq!(
         decode::<RowsPush>(&bytes[2..]),
-        Err(DatagramFault::Unmarked)
+        Err(DatagramError::Unmarked)
     );
 }
 
@@ -43,7 +43,7 @@
         let mut marked = encode(&()).unwrap_or_default();
         marked.extend(&bytes);
         let _ = decode::<PeerDatagram>(&marked);
-        let is_unmarked = decode::<PeerDatagram>(&bytes).err() == Some(DatagramFault::Unmarked);
+        let is_unmarked = decode::<PeerDatagram>(&bytes).err() == Some(DatagramError::Unmarked);
         let is_marked = bytes.len() > 1 && bytes[0] == 0xd5;
         is_marked != is_unmarked
     }
--- a/crates/savorywood-front/src/store.rs
+++ b/crates/savorywood-front/src/store.rs
@@ -19,7 +19,7 @@
 
 /// Why a call has no answer.
 #[derive(Debug, Snafu)]
-pub enum StoreFault {
+pub enum StoreError {
     /// The connection could not be made, or broke.
     #[snafu(display("{step} at the store {address}: {source}"))]
     Broken {
@@ -98,7 +98,7 @@
         &mut self,
         call: &StoreCall,
         time: Duration,
-    ) -> Result<StoreAnswer, StoreFault> {
+    ) -> Result<StoreAnswer, StoreError> {
         let reader = self.reader.take();
         let address = self.address;
         let exchange = self.exchange(reader, call);
@@ -118,7 +118,7 @@
         &self,
         reader: Option<ByteReader>,
         call: &StoreCall,
-    ) -> Result<(StoreAnswer, Option<ByteReader>), StoreFault> {
+    ) -> Result<(StoreAnswer, Option<ByteReader>), StoreError> {
         let address = self.address;
         let mut reader = match reader {
             Some(reader) => reader,
@@ -148,7 +148,7 @@
         Ok((answer, (!head.closes).then_some(reader)))
     }
 
-    async fn connect(&self) -> Result<ByteReader, StoreFault> {
+    async fn connect(&self) -> Result<ByteReader, StoreError> {
         let address = self.address;
         let connected = within(CONNECT_TIME, TcpStream::connect(address)).await;
         let connected = connected.unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()));
--- a/crates/savorywood-front/src/wire.rs
+++ b/crates/savorywood-front/src/wire.rs
@@ -9,9 +9,9 @@
 mod head;
 mod reader;
 
-pub use body::{BodyDecoder, BodyFault, read_body};
+pub use body::{BodyDecoder, BodyError, read_body};
 pub use head::{
-    BodyFraming, HeadFault, HeaderLine, HeaderList, RequestHead, ResponseHead, is_hop_header,
+    BodyFraming, HeadError, HeaderLine, HeaderList, RequestHead, ResponseHead, is_hop_header,
 };
 pub use reader::{
     bytes_read, {ByteReader, read_answer_head},
--- a/crates/savorywood-front/src/wire/body.rs
+++ b/crates/savorywood-front/src/wire/body.rs
@@ -11,7 +11,7 @@
 
 /// What is wrong with a body.
 #[derive(Debug, Snafu)]
-pub enum BodyFault {
+pub enum BodyError {
     /// The connection broke.
     #[snafu(display("the connection broke within a body: {source}"))]
     Broken {
@@ -70,7 +70,7 @@
     /// # Errors
     ///
     /// Chunks that can't be read.
-    pub fn decode(&mut self, reader: &mut ByteReader, out: &mut Vec<u8>) -> Result<(), BodyFault> {
+    pub fn decode(&mut self, reader: &mut ByteReader, out: &mut Vec<u8>) -> Result<(), BodyError> {
         while !self.is_done() && self.advance(reader, out)? {}
         Ok(())
     }
@@ -80,18 +80,18 @@
     /// # Errors
     ///
     /// When the body is not whole.
-    pub fn ended(&mut self) -> Result<(), BodyFault> {
+    pub fn ended(&mut self) -> Result<(), BodyError> {
         if self.state == DecodeState::UntilClose {
             self.state = DecodeState::Done;
         }
         if self.is_done() {
             Ok(())
         } else {
-            Err(BodyFault::CutOff)
+            Err(BodyError::CutOff)
         }
     }
 
-    fn advance(&mut self, reader: &mut ByteReader, out: &mut Vec<u8>) -> Result<bool, BodyFault> {
+    fn advance(&mut self, reader: &mut ByteReader, out: &mut Vec<u8>) -> Result<bool, BodyError> {
         if reader.bytes().is_empty() {
             return Ok(false);
         }
@@ -130,7 +130,7 @@
                     return Ok(false);
                 };
                 if !line.is_empty() {
-                    return Err(BodyFault::BadChunk);
+                    return Err(BodyError::BadChunk);
                 }
                 self.state = DecodeState::ChunkSize;
             }
@@ -155,7 +155,7 @@
     rest - count as u64
 }
 
-fn take_line(reader: &mut ByteReader, most: usize) -> Result<Option<Vec<u8>>, BodyFault> {
+fn take_line(reader: &mut ByteReader, most: usize) -> Result<Option<Vec<u8>>, BodyError> {
     let end = reader.bytes().windows(2).position(|pair| pair == b"\r\n");
     match end {
         Some(end) if end <= most => {
@@ -164,18 +164,18 @@
             Ok(Some(line))
         }
         None if reader.bytes().len() <= most => Ok(None),
-        _ => Err(BodyFault::BadChunk),
+        _ => Err(BodyError::BadChunk),
     }
 }
 
-fn chunk_size(line: &[u8]) -> Result<u64, BodyFault> {
+fn chunk_size(line: &[u8]) -> Result<u64, BodyError> {
     let digits = line.split(|byte| *byte == b';').next().unwrap_or_default();
     let digits = digits.trim_ascii_end();
     let sound = !digits.is_empty() && digits.len() <= 15;
     let text = std::str::from_utf8(digits).ok().filter(|_| sound);
     let text = text.filter(|text| text.bytes().all(|byte| byte.is_ascii_hexdigit()));
     text.and_then(|text| u64::from_str_radix(text, 16).ok())
-        .ok_or(BodyFault::BadChunk)
+        .ok_or(BodyError::BadChunk)
 }
 
 /// Reads a whole body.
@@ -187,16 +187,16 @@
     reader: &mut ByteReader,
     framing: BodyFraming,
     limit: usize,
-) -> Result<Vec<u8>, BodyFault> {
+) -> Result<Vec<u8>, BodyError> {
     if matches!(framing, BodyFraming::Length(length) if length > limit as u64) {
-        return Err(BodyFault::TooLarge);
+        return Err(BodyError::TooLarge);
     }
     let mut decoder = BodyDecoder::new(framing);
     let mut body = Vec::new();
     loop {
         decoder.decode(reader, &mut body)?;
         if body.len() > limit {
-            return Err(BodyFault::TooLarge);
+            return Err(BodyError::TooLarge);
         }
         if decoder.is_done() {
             return Ok(body);
@@ -207,7 +207,7 @@
                 return Ok(body);
             }
             Ok(_) => {}
-            Err(source) => return Err(BodyFault::Broken { source }),
+            Err(source) => return Err(BodyError::Broken { source }),
         }
     }
 }
--- a/crates/savorywood-front/src/wire/body/tests.rs
+++ b/crates/savorywood-front/src/wire/body/tests.rs
@@ -6,7 +6,7 @@
 use quickcheck::QuickCheck;
 
 /// Sends bytes in pieces and reads a body from them.
-fn read_split(bytes: &[u8], cuts: &[u8], framing: BodyFraming) -> Result<Vec<u8>, BodyFault> {
+fn read_split(bytes: &[u8], cuts: &[u8], framing: BodyFraming) -> Result<Vec<u8>, BodyError> {
     async_io::block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
--- a/crates/savorywood-front/src/wire/head.rs
+++ b/crates/savorywood-front/src/wire/head.rs
@@ -77,7 +77,7 @@
 
 /// What is wrong with a head.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
-pub enum HeadFault {
+pub enum HeadError {
     /// It is over the limit.
     #[snafu(display("the head has more bytes than allowed"))]
     TooLarge,
@@ -89,8 +89,8 @@
     },
 }
 
-const fn malformed(reason: &'static str) -> HeadFault {
-    HeadFault::Malformed { reason }
+const fn malformed(reason: &'static str) -> HeadError {
+    HeadError::Malformed { reason }
 }
 
 /// Headers that concern one connection only.
@@ -148,7 +148,7 @@
     ///
     /// What is wrong with it. Whatever two programs might read differently is refused: what one
     /// takes for the body of a request another takes for a second request.
-    pub fn parse(bytes: &[u8]) -> Result<Self, HeadFault> {
+    pub fn parse(bytes: &[u8]) -> Result<Self, HeadError> {
         check_line_ends(bytes)?;
         let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Request::new(&mut lines);
@@ -202,7 +202,7 @@
     /// # Errors
     ///
     /// What is wrong with it.
-    pub fn parse(bytes: &[u8]) -> Result<Self, HeadFault> {
+    pub fn parse(bytes: &[u8]) -> Result<Self, HeadError> {
         let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Response::new(&mut lines);
         let status = parsed.parse(bytes);
@@ -225,7 +225,7 @@
 }
 
 /// A line that ends with a bare line feed is the end of a head to some programs only.
-fn check_line_ends(bytes: &[u8]) -> Result<(), HeadFault> {
+fn check_line_ends(bytes: &[u8]) -> Result<(), HeadError> {
     let bare = bytes.iter().enumerate().any(|(index, byte)| match byte {
         b'\n' => index == 0 || bytes[index - 1] != b'\r',
         b'\r' => bytes.get(index + 1) != Some(&b'\n'),
@@ -239,7 +239,7 @@
     Ok(())
 }
 
-fn collect(lines: &[httparse::Header<'_>]) -> Result<HeaderList, HeadFault> {
+fn collect(lines: &[httparse::Header<'_>]) -> Result<HeaderList, HeadError> {
     let mut list = Vec::with_capacity(lines.len());
     for line in lines {
         let value = std::str::from_utf8(line.value);
@@ -249,7 +249,7 @@
     Ok(HeaderList(list))
 }
 
-fn request_framing(headers: &HeaderList) -> Result<BodyFraming, HeadFault> {
+fn request_framing(headers: &HeaderList) -> Result<BodyFraming, HeadError> {
     let mut codings = headers.all("transfer-encoding");
     let mut lengths = headers.all("content-length");
     match (codings.next(), lengths.next()) {
@@ -270,7 +270,7 @@
     }
 }
 
-fn answer_framing(status: u16, headers: &HeaderList) -> Result<BodyFraming, HeadFault> {
+fn answer_framing(status: u16, headers: &HeaderList) -> Result<BodyFraming, HeadError> {
     if matches!(status, 100..=199 | 204 | 304) {
         return Ok(BodyFraming::Empty);
     }
@@ -280,7 +280,7 @@
     }
 }
 
-fn parse_length(value: &str) -> Result<BodyFraming, HeadFault> {
+fn parse_length(value: &str) -> Result<BodyFraming, HeadError> {
     let digits = !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_digit());
     let length = value.parse().ok().filter(|_| digits);
     match length.ok_or(malformed("Content-Length is not a number"))? {
--- a/crates/savorywood-front/src/wire/reader.rs
+++ b/crates/savorywood-front/src/wire/reader.rs
@@ -1,6 +1,6 @@
 //! Buffered reading from a connection.
 
-use super::head::{HeadFault, ResponseHead};
+use super::head::{HeadError, ResponseHead};
 use async_net::TcpStream;
 use futures_lite::AsyncReadExt;
 use std::{
@@ -132,12 +132,12 @@
             .zip(b"HTTP/1.")
             .all(|(got, want)| got == want);
         if !begins {
-            return Err(invalid(HeadFault::Malformed {
+            return Err(invalid(HeadError::Malformed {
                 reason: "what came is no answer",
             }));
         }
         if reader.bytes().len() > MAX_ANSWER_HEAD {
-            return Err(invalid(HeadFault::TooLarge));
+            return Err(invalid(HeadError::TooLarge));
         }
         if reader.fill().await? == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
@@ -145,6 +145,6 @@
     }
 }
 
-fn invalid(fault: HeadFault) -> io::Error {
+fn invalid(fault: HeadError) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, fault)
 }
