--- a/crates/savorywood-front/src/admin.rs
+++ b/crates/savorywood-front/src/admin.rs
@@ -93,14 +93,14 @@
 fn answer(shared: &FrontShared, head: &RequestHead) -> AdminAnswer {
     let now = shared.clock.now();
     let gateway = shared.gateway.borrow();
-    if shared.dialect.asks_readiness(head) {
+    if shared.adapter.asks_readiness(head) {
         return if gateway.is_ready(now) {
             AdminAnswer::plain(200, "OK")
         } else {
             AdminAnswer::plain(503, "Service Unavailable")
         };
     }
-    if let Some(query) = shared.dialect.directory_query(head) {
+    if let Some(query) = shared.adapter.directory_query(head) {
         let caller = CallerPlace {
             zone: query.zone.as_deref(),
             region: query.region.as_deref(),
@@ -114,7 +114,7 @@
             status: 200,
             reason: "OK",
             kind: "application/json",
-            body: shared.dialect.directory_answer(&addresses, KEEP_ADDRESSES),
+            body: shared.adapter.directory_answer(&addresses, KEEP_ADDRESSES),
         };
     }
     if head.path() == "/metrics" {
--- a/crates/savorywood-front/src/attempt.rs
+++ b/crates/savorywood-front/src/attempt.rs
@@ -139,7 +139,7 @@
             left,
             last_event: self.sink.last_event(),
         };
-        let lines = self.shared.dialect.upstream_headers(self.head, &facts);
+        let lines = self.shared.adapter.upstream_headers(self.head, &facts);
         let mut text = format!("{} {} HTTP/1.1\r\n", self.head.method, self.head.target);
         for line in &lines {
             text.push_str(&line.name);
@@ -202,8 +202,8 @@
             if head.status < 200 {
                 continue;
             }
-            let facts = self.shared.dialect.answer_facts(&head);
-            let own = self.shared.dialect.arrival(self.head);
+            let facts = self.shared.adapter.answer_facts(&head);
+            let own = self.shared.adapter.arrival(self.head);
             let own = own.map(|arrival| arrival.identity).unwrap_or_default();
             match &facts.identity {
                 Some(identity) if *identity != own => {
@@ -364,7 +364,7 @@
 
     fn passing_lines(&self, head: &ResponseHead) -> Vec<HeaderLine> {
         let lines = head.headers.iter();
-        let passing = lines.filter(|line| self.shared.dialect.passes_answer_header(&line.name));
+        let passing = lines.filter(|line| self.shared.adapter.passes_answer_header(&line.name));
         passing.cloned().collect()
     }
 }
--- a/crates/savorywood-front/src/edge.rs
+++ b/crates/savorywood-front/src/edge.rs
@@ -131,7 +131,7 @@
 }
 
 /// The platform's way of speaking.
-pub trait FrontDialect {
+pub trait FrontAdapter {
     /// What a request asks.
     ///
     /// # Errors
--- a/crates/savorywood-front/src/feeds/applying.rs
+++ b/crates/savorywood-front/src/feeds/applying.rs
@@ -13,7 +13,7 @@
             StoreTable::Upstreams => {
                 let mut entries: Vec<UpstreamEntry> = Vec::new();
                 for row in rows {
-                    match self.shared.dialect.upstream(row) {
+                    match self.shared.adapter.upstream(row) {
                         Some(entry) => entries.push(entry),
                         None => self.note_unreadable(row),
                     }
@@ -23,7 +23,7 @@
             StoreTable::Declared => {
                 self.read_evacuations(rows, revision);
                 for row in rows {
-                    if self.shared.dialect.evacuated_zone(row).is_none() {
+                    if self.shared.adapter.evacuated_zone(row).is_none() {
                         self.apply_declared(row);
                     }
                 }
@@ -35,7 +35,7 @@
     /// Orders that are missing from a full read were withdrawn.
     fn read_evacuations(&self, rows: &[StoreRow], revision: StorePosition) {
         let orders = rows.iter().filter_map(|row| {
-            let zone = self.shared.dialect.evacuated_zone(row)?;
+            let zone = self.shared.adapter.evacuated_zone(row)?;
             Some(EvacuationOrder {
                 zone,
                 position: row.position,
@@ -50,7 +50,7 @@
         match self.table {
             StoreTable::Declared => self.apply_declared(row),
             StoreTable::Upstreams => {
-                let event = match self.shared.dialect.upstream(row) {
+                let event = match self.shared.adapter.upstream(row) {
                     Some(entry) => GatewayEvent::UpstreamWritten(entry),
                     None => {
                         self.note_unreadable(row);
@@ -64,7 +64,7 @@
     }
 
     fn apply_declared(&mut self, row: &StoreRow) {
-        if let Some(zone) = self.shared.dialect.evacuated_zone(row) {
+        if let Some(zone) = self.shared.adapter.evacuated_zone(row) {
             let order = EvacuationOrder {
                 zone,
                 position: row.position,
@@ -76,7 +76,7 @@
             });
             return;
         }
-        match self.shared.dialect.declared(row) {
+        match self.shared.adapter.declared(row) {
             DeclaredRow::Config(config) => {
                 self.shared
                     .step(GatewayEvent::ConfigRead(Arc::from(config)));
--- a/crates/savorywood-front/src/feeds/members.rs
+++ b/crates/savorywood-front/src/feeds/members.rs
@@ -62,7 +62,7 @@
         value: Some(member_text(&shared.settings).into_bytes()),
         expected: None,
     };
-    let call = shared.dialect.write_row(&write);
+    let call = shared.adapter.write_row(&write);
     match link.call(&call, CALL_TIME).await {
         Ok(answer) => answer.status == 200,
         Err(fault) => {
@@ -82,14 +82,14 @@
     let mut after: Option<String> = None;
     loop {
         let call = shared
-            .dialect
+            .adapter
             .read_rows(StoreTable::Members, after.as_deref());
         let answer = link.call(&call, CALL_TIME).await.ok()?;
         if answer.status != 200 {
             return None;
         }
         let page = shared
-            .dialect
+            .adapter
             .page(shared.note_era(&answer), &answer.body)?;
         after = page.rows.last().map(|row| row.key.clone());
         for row in page.rows {
@@ -126,7 +126,7 @@
         value: None,
         expected: None,
     };
-    let call = shared.dialect.write_row(&write);
+    let call = shared.adapter.write_row(&write);
     if let Err(fault) = link.call(&call, CALL_TIME).await {
         log::warn!("event=member-unremoved cause={:?}", fault.to_string());
     }
--- a/crates/savorywood-front/src/lib.rs
+++ b/crates/savorywood-front/src/lib.rs
@@ -1,7 +1,7 @@
 //! The shell of a gateway: callers, upstreams, store, peers, logs and metrics around its
 //! decisions.
 //!
-//! What other programs call things, and how they write them, comes in through [`FrontDialect`].
+//! What other programs call things, and how they write them, comes in through [`FrontAdapter`].
 
 mod admin;
 mod attempt;
@@ -24,7 +24,7 @@
 mod wire;
 
 pub use edge::{
-    ArrivalError, DeclaredRow, DirectoryQuery, DispatchContext, FrontDialect, ParsedResponseHead,
+    ArrivalError, DeclaredRow, DirectoryQuery, DispatchContext, FrontAdapter, ParsedResponseHead,
     RolloutRow, StorePage, StoreRow, StoreTable, TableWrite,
 };
 pub use run::{FrontError, run};
--- a/crates/savorywood-front/src/run.rs
+++ b/crates/savorywood-front/src/run.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     admin, caller,
-    edge::{FrontDialect, StoreTable},
+    edge::{FrontAdapter, StoreTable},
     feeds::{TableReader, TableSources, keep_members, keep_quarantine, keep_rollouts},
     load::keep_load,
     logging::LogQueue,
@@ -70,7 +70,7 @@
 /// # Errors
 ///
 /// When the settings have faults or an address can't be had.
-pub fn run(settings_path: &Path, dialect: Box<dyn FrontDialect>) -> Result<(), FrontError> {
+pub fn run(settings_path: &Path, adapter: Box<dyn FrontAdapter>) -> Result<(), FrontError> {
     let mut signals = stop::take_signals().context(SignalsSnafu)?;
     let settings = FrontSettings::read(settings_path);
     let settings = settings.map_err(|report| SettingsSnafu { report }.build())?;
@@ -83,7 +83,7 @@
         quarantine,
     };
     let gateway = Gateway::new(gateway_options(&settings));
-    let shared = FrontShared::new(settings, dialect, gateway, log.clone(), writers);
+    let shared = FrontShared::new(settings, adapter, gateway, log.clone(), writers);
     let executor = Rc::clone(&shared.executor);
     let served = async_io::block_on(executor.run(async {
         let peers = start(&shared).await?;
--- a/crates/savorywood-front/src/shared.rs
+++ b/crates/savorywood-front/src/shared.rs
@@ -1,7 +1,7 @@
 //! What all tasks of a front daemon share, and the way of effects from decisions to tasks.
 
 use crate::{
-    clock::BootClock, edge::FrontDialect, logging::LogQueue, metrics::FrontMetrics,
+    clock::BootClock, edge::FrontAdapter, logging::LogQueue, metrics::FrontMetrics,
     peers::RowsPush, pool::UpstreamPool, settings::FrontSettings, store::StoreAnswer,
 };
 use async_channel::{Receiver, Sender};
@@ -66,7 +66,7 @@
     /// Settings at the start.
     pub settings: FrontSettings,
     /// The platform's way of speaking.
-    pub dialect: Box<dyn FrontDialect>,
+    pub adapter: Box<dyn FrontAdapter>,
     /// The clock.
     pub clock: BootClock,
     /// Decisions.
@@ -105,14 +105,14 @@
     /// Puts the parts together.
     pub fn new(
         settings: FrontSettings,
-        dialect: Box<dyn FrontDialect>,
+        adapter: Box<dyn FrontAdapter>,
         gateway: Gateway,
         log: LogQueue,
         writes: StoreWriters,
     ) -> Rc<Self> {
         Rc::new(Self {
             settings,
-            dialect,
+            adapter,
             clock: BootClock,
             gateway: RefCell::new(gateway),
             pool: UpstreamPool::default(),
@@ -143,7 +143,7 @@
     /// Notes the era that an answer of the store names, and returns it; the era known
     /// so far where it names none.
     pub fn note_era(&self, answer: &StoreAnswer) -> u64 {
-        let named = self.dialect.store_era(&answer.headers);
+        let named = self.adapter.store_era(&answer.headers);
         let known = self.gateway.borrow().store_era();
         let era = named.unwrap_or(known);
         let is_known = self.era.get() >= era && known >= era;
