--- a/crates/savorywood-front/src/admin.rs
+++ b/crates/savorywood-front/src/admin.rs
@@ -93,7 +93,7 @@
 fn answer(shared: &FrontShared, head: &RequestHead) -> AdminAnswer {
     let now = shared.clock.now();
     let gateway = shared.gateway.borrow();
-    if shared.adapter.asks_readiness(head) {
+    if shared.adapter.is_readiness_check(head) {
         return if gateway.is_ready(now) {
             AdminAnswer::plain(200, "OK")
         } else {
@@ -114,7 +114,9 @@
             status: 200,
             reason: "OK",
             kind: "application/json",
-            body: shared.adapter.directory_answer(&addresses, KEEP_ADDRESSES),
+            body: shared
+                .adapter
+                .directory_response(&addresses, KEEP_ADDRESSES),
         };
     }
     if head.path() == "/metrics" {
--- a/crates/savorywood-front/src/attempt.rs
+++ b/crates/savorywood-front/src/attempt.rs
@@ -202,8 +202,8 @@
             if head.status < 200 {
                 continue;
             }
-            let facts = self.shared.adapter.answer_facts(&head);
-            let own = self.shared.adapter.arrival(self.head);
+            let facts = self.shared.adapter.parse_response_head(&head);
+            let own = self.shared.adapter.parse_arrival(self.head);
             let own = own.map(|arrival| arrival.identity).unwrap_or_default();
             match &facts.identity {
                 Some(identity) if *identity != own => {
@@ -364,7 +364,7 @@
 
     fn passing_lines(&self, head: &ResponseHead) -> Vec<HeaderLine> {
         let lines = head.headers.iter();
-        let passing = lines.filter(|line| self.shared.adapter.passes_answer_header(&line.name));
+        let passing = lines.filter(|line| self.shared.adapter.forwards_response_header(&line.name));
         passing.cloned().collect()
     }
 }
--- a/crates/savorywood-front/src/caller.rs
+++ b/crates/savorywood-front/src/caller.rs
@@ -211,7 +211,7 @@
     shared.metrics.arrived.inc();
     let closes = request.head.closes || shared.stopping.get();
     let mut sink = AnswerSink::new(reader.stream().clone(), closes);
-    let arrival = match shared.adapter.arrival(&request.head) {
+    let arrival = match shared.adapter.parse_arrival(&request.head) {
         Ok(arrival) => RequestArrival {
             content: content_digest(&request.head, &request.body),
             ..arrival
@@ -221,7 +221,7 @@
                 "event=request-malformed status=400 reason={:?}",
                 fault.reason
             );
-            let lines = shared.adapter.own_headers(&request.head);
+            let lines = shared.adapter.local_response_headers(&request.head);
             let written = sink.write_whole(400, status_text(400), &lines, &[]).await;
             return after(written.is_ok(), &sink);
         }
@@ -397,7 +397,10 @@
         retry_after: Option<Duration>,
     ) -> bool {
         let status = refusal_status(reason);
-        let mut lines = self.shared.adapter.own_headers(&self.request.head);
+        let mut lines = self
+            .shared
+            .adapter
+            .local_response_headers(&self.request.head);
         if let Some(after) = retry_after {
             let seconds = format!("{:.2}", after.as_secs_f64());
             lines.push(HeaderLine::new("Retry-After", seconds));
--- a/crates/savorywood-front/src/edge.rs
+++ b/crates/savorywood-front/src/edge.rs
@@ -137,56 +137,56 @@
     /// # Errors
     ///
     /// When the head lacks what every request must have.
-    fn arrival(&self, head: &RequestHead) -> Result<RequestArrival, ArrivalError>;
+    fn parse_arrival(&self, head: &RequestHead) -> Result<RequestArrival, ArrivalError>;
 
     /// Header lines for the upstream, those of the caller that pass included.
     fn upstream_headers(&self, head: &RequestHead, facts: &DispatchContext<'_>) -> Vec<HeaderLine>;
 
     /// What an answer's head says.
-    fn answer_facts(&self, head: &ResponseHead) -> ParsedResponseHead;
+    fn parse_response_head(&self, head: &ResponseHead) -> ParsedResponseHead;
 
     /// A header of an upstream's answer reaches the caller.
-    fn passes_answer_header(&self, name: &str) -> bool;
+    fn forwards_response_header(&self, name: &str) -> bool;
 
     /// Header lines of answers that the daemon gives itself.
-    fn own_headers(&self, head: &RequestHead) -> Vec<HeaderLine>;
+    fn local_response_headers(&self, head: &RequestHead) -> Vec<HeaderLine>;
 
     /// The question in a call to the directory.
     fn directory_query(&self, head: &RequestHead) -> Option<DirectoryQuery>;
 
     /// The answer to it.
-    fn directory_answer(&self, addresses: &[SocketAddr], keep: Duration) -> Vec<u8>;
+    fn directory_response(&self, addresses: &[SocketAddr], keep: Duration) -> Vec<u8>;
 
     /// The call asks whether the daemon is ready.
-    fn asks_readiness(&self, head: &RequestHead) -> bool;
+    fn is_readiness_check(&self, head: &RequestHead) -> bool;
 
     /// Reads rows of a table, those after a key.
-    fn read_rows(&self, table: StoreTable, after: Option<&str>) -> StoreCall;
+    fn read_rows_call(&self, table: StoreTable, after: Option<&str>) -> StoreCall;
 
     /// Waits for rows of a table that changed after a version.
-    fn feed_rows(&self, table: StoreTable, after: u64, wait: Duration) -> StoreCall;
+    fn feed_rows_call(&self, table: StoreTable, after: u64, wait: Duration) -> StoreCall;
 
     /// Writes a row.
-    fn write_row(&self, write: &TableWrite) -> StoreCall;
+    fn write_row_call(&self, write: &TableWrite) -> StoreCall;
 
     /// Era that an answer of the store names, if it names one.
     fn store_era(&self, headers: &HeaderList) -> Option<u64>;
 
     /// Reads an answer about rows of an era; `None` when it can't be read.
-    fn page(&self, era: u64, body: &[u8]) -> Option<StorePage>;
+    fn parse_page(&self, era: u64, body: &[u8]) -> Option<StorePage>;
 
     /// Reads a declared row.
-    fn declared(&self, row: &StoreRow) -> DeclaredRow;
+    fn parse_declared(&self, row: &StoreRow) -> DeclaredRow;
 
     /// Zone whose evacuation a declared row orders while it exists; `None` for any other row.
     fn evacuated_zone(&self, row: &StoreRow) -> Option<ZoneLabel>;
 
     /// Reads a registration; `None` when it names no upstream to use.
-    fn upstream(&self, row: &StoreRow) -> Option<UpstreamEntry>;
+    fn parse_upstream(&self, row: &StoreRow) -> Option<UpstreamEntry>;
 
     /// Reads a status row.
-    fn rollout_status(&self, row: &StoreRow) -> Option<RolloutStatus>;
+    fn parse_rollout_status(&self, row: &StoreRow) -> Option<RolloutStatus>;
 
     /// Writes a status row.
-    fn rollout_row(&self, write: &RolloutWrite) -> RolloutRow;
+    fn encode_rollout_row(&self, write: &RolloutWrite) -> RolloutRow;
 }
--- a/crates/savorywood-front/src/feeds/applying.rs
+++ b/crates/savorywood-front/src/feeds/applying.rs
@@ -13,7 +13,7 @@
             StoreTable::Upstreams => {
                 let mut entries: Vec<UpstreamEntry> = Vec::new();
                 for row in rows {
-                    match self.shared.adapter.upstream(row) {
+                    match self.shared.adapter.parse_upstream(row) {
                         Some(entry) => entries.push(entry),
                         None => self.note_unreadable(row),
                     }
@@ -50,7 +50,7 @@
         match self.table {
             StoreTable::Declared => self.apply_declared(row),
             StoreTable::Upstreams => {
-                let event = match self.shared.adapter.upstream(row) {
+                let event = match self.shared.adapter.parse_upstream(row) {
                     Some(entry) => GatewayEvent::UpstreamWritten(entry),
                     None => {
                         self.note_unreadable(row);
@@ -76,7 +76,7 @@
             });
             return;
         }
-        match self.shared.adapter.declared(row) {
+        match self.shared.adapter.parse_declared(row) {
             DeclaredRow::Config(config) => {
                 self.shared
                     .step(GatewayEvent::ConfigRead(Arc::from(config)));
--- a/crates/savorywood-front/src/feeds/members.rs
+++ b/crates/savorywood-front/src/feeds/members.rs
@@ -62,7 +62,7 @@
         value: Some(member_text(&shared.settings).into_bytes()),
         expected: None,
     };
-    let call = shared.adapter.write_row(&write);
+    let call = shared.adapter.write_row_call(&write);
     match link.call(&call, CALL_TIME).await {
         Ok(answer) => answer.status == 200,
         Err(fault) => {
@@ -83,14 +83,14 @@
     loop {
         let call = shared
             .adapter
-            .read_rows(StoreTable::Members, after.as_deref());
+            .read_rows_call(StoreTable::Members, after.as_deref());
         let answer = link.call(&call, CALL_TIME).await.ok()?;
         if answer.status != 200 {
             return None;
         }
         let page = shared
             .adapter
-            .page(shared.note_era(&answer), &answer.body)?;
+            .parse_page(shared.note_era(&answer), &answer.body)?;
         after = page.rows.last().map(|row| row.key.clone());
         for row in page.rows {
             let Some(value) = row.value else { continue };
@@ -126,7 +126,7 @@
         value: None,
         expected: None,
     };
-    let call = shared.adapter.write_row(&write);
+    let call = shared.adapter.write_row_call(&write);
     if let Err(fault) = link.call(&call, CALL_TIME).await {
         log::warn!("event=member-unremoved cause={:?}", fault.to_string());
     }
--- a/crates/savorywood-front/src/feeds/quarantine.rs
+++ b/crates/savorywood-front/src/feeds/quarantine.rs
@@ -32,12 +32,12 @@
     let mut after: Option<String> = None;
     loop {
         let table = StoreTable::Quarantine;
-        let call = shared.adapter.read_rows(table, after.as_deref());
+        let call = shared.adapter.read_rows_call(table, after.as_deref());
         let answer = link.call(&call, CALL_TIME).await.ok()?;
         let page = Some(answer).filter(|answer| answer.status == 200);
         let page = page.and_then(|answer| {
             let era = shared.note_era(&answer);
-            shared.adapter.page(era, &answer.body)
+            shared.adapter.parse_page(era, &answer.body)
         })?;
         after = page.rows.last().map(|row| row.key.clone());
         rows.extend(page.rows.iter().filter_map(read_row));
@@ -60,7 +60,7 @@
         value,
         expected: None,
     };
-    let call = shared.adapter.write_row(&table_write);
+    let call = shared.adapter.write_row_call(&table_write);
     let answer = link.call(&call, CALL_TIME).await;
     let accepted = matches!(&answer, Ok(answer) if answer.status == 200);
     let era = answer.as_ref().map_or(0, |answer| shared.note_era(answer));
--- a/crates/savorywood-front/src/feeds/reading.rs
+++ b/crates/savorywood-front/src/feeds/reading.rs
@@ -18,7 +18,10 @@
         let mut first: Option<(StorePage, StoreAnswer)> = None;
         let mut after: Option<String> = None;
         loop {
-            let call = self.shared.adapter.read_rows(self.table, after.as_deref());
+            let call = self
+                .shared
+                .adapter
+                .read_rows_call(self.table, after.as_deref());
             let answer = self.link.call(&call, CALL_TIME).await;
             let answer = self.accept(answer)?;
             let mut page = self.page(&answer)?;
@@ -74,7 +77,7 @@
         let call = self
             .shared
             .adapter
-            .feed_rows(self.table, after.version, wait);
+            .feed_rows_call(self.table, after.version, wait);
         let answer = self.link.call(&call, wait + FEED_MARGIN).await;
         if matches!(&answer, Ok(answer) if answer.status == 410) {
             log::info!("event=feed-gap table={} after={after}", self.table);
@@ -136,7 +139,7 @@
         if era < self.shared.gateway.borrow().store_era() {
             return Err("an answer from before the store was restored".to_owned());
         }
-        let page = self.shared.adapter.page(era, &answer.body);
+        let page = self.shared.adapter.parse_page(era, &answer.body);
         page.ok_or_else(|| "an answer that can't be read".to_owned())
     }
 
--- a/crates/savorywood-front/src/feeds/rollouts.rs
+++ b/crates/savorywood-front/src/feeds/rollouts.rs
@@ -56,14 +56,14 @@
             era: write.expected.era,
         });
     }
-    let row = shared.adapter.rollout_row(&write);
+    let row = shared.adapter.encode_rollout_row(&write);
     let table_write = TableWrite {
         table: StoreTable::Status,
         key: row.key,
         value: Some(row.value),
         expected: Some(write.expected.version),
     };
-    let call = shared.adapter.write_row(&table_write);
+    let call = shared.adapter.write_row_call(&table_write);
     let answer = link.call(&call, CALL_TIME).await;
     let accepted = matches!(&answer, Ok(answer) if answer.status == 200);
     let era = answer.as_ref().map_or(0, |answer| shared.note_era(answer));
@@ -83,15 +83,15 @@
 }
 
 async fn read_statuses(shared: &FrontShared, link: &mut StoreLink) {
-    let call = shared.adapter.read_rows(StoreTable::Status, None);
+    let call = shared.adapter.read_rows_call(StoreTable::Status, None);
     let answer = link.call(&call, CALL_TIME).await;
     let page = answer.ok().filter(|answer| answer.status == 200);
     let page = page.and_then(|answer| {
         let era = shared.note_era(&answer);
-        shared.adapter.page(era, &answer.body)
+        shared.adapter.parse_page(era, &answer.body)
     });
     for row in page.into_iter().flat_map(|page| page.rows) {
-        if let Some(status) = shared.adapter.rollout_status(&row) {
+        if let Some(status) = shared.adapter.parse_rollout_status(&row) {
             shared.step(GatewayEvent::RolloutRead(status));
         }
     }
