--- a/crates/savorywood-front/src/attempt.rs
+++ b/crates/savorywood-front/src/attempt.rs
@@ -165,18 +165,18 @@
             Ok(read) => read,
             Err(ReadFailure) => return (AttemptOutcome::Broken { silent: false }, None),
         };
-        if facts.not_run || facts.misdirected {
+        if facts.not_executed || facts.misdirected {
             let body = read_body(reader, head.framing, MAX_ANSWER_BYTES).await;
             let outcome = AttemptOutcome::NotRun {
                 misdirected: facts.misdirected,
-                marks: facts.marks,
+                marks: facts.metadata,
             };
             return (outcome, body.ok().map(|_| head));
         }
         let success = (200..300).contains(&head.status);
         // A coded body is not the upstream's own: nobody asked for a coding.
         let coded = head.headers.get("content-encoding").is_some();
-        if coded || (success && !facts.sealed) {
+        if coded || (success && !facts.from_upstream) {
             return (AttemptOutcome::Broken { silent: false }, None);
         }
         if success && self.order.stream && is_event_stream(&head) {
@@ -205,7 +205,7 @@
             let facts = self.shared.adapter.parse_response_head(&head);
             let own = self.shared.adapter.parse_arrival(self.head);
             let own = own.map(|arrival| arrival.identity).unwrap_or_default();
-            match &facts.identity {
+            match &facts.request_id {
                 Some(identity) if *identity != own => {
                     strays += 1;
                     let framed = head.framing != BodyFraming::UntilClose;
@@ -216,7 +216,7 @@
                     skipped.map_err(|_| ReadFailure)?;
                 }
                 Some(_) => return Ok((head, facts)),
-                None if facts.not_run || facts.misdirected => return Ok((head, facts)),
+                None if facts.not_executed || facts.misdirected => return Ok((head, facts)),
                 None => return Err(ReadFailure),
             }
         }
@@ -245,7 +245,9 @@
                 lines,
                 body,
             });
-            let outcome = AttemptOutcome::Failed { marks: facts.marks };
+            let outcome = AttemptOutcome::Failed {
+                marks: facts.metadata,
+            };
             return (outcome, Some(head));
         }
         let written = self
@@ -256,7 +258,7 @@
             return (AttemptOutcome::CallerLeft, Some(head));
         }
         let outcome = AttemptOutcome::Delivered {
-            marks: facts.marks,
+            marks: facts.metadata,
             events: 0,
         };
         (outcome, Some(head))
@@ -303,7 +305,7 @@
             return (AttemptOutcome::CallerLeft, None);
         }
         let outcome = AttemptOutcome::Delivered {
-            marks: facts.marks,
+            marks: facts.metadata,
             events: self.sink.events(),
         };
         (outcome, Some(head))
@@ -354,7 +356,7 @@
         metrics::observe(&self.shared.metrics.first_event, self.order, elapsed);
         self.shared.step(GatewayEvent::AnswerBegan {
             request: self.order.request,
-            marks: facts.marks,
+            marks: facts.metadata,
         });
     }
 
--- a/crates/savorywood-front/src/edge.rs
+++ b/crates/savorywood-front/src/edge.rs
@@ -108,15 +108,15 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ParsedResponseHead {
     /// Identity of the request that it answers.
-    pub identity: Option<String>,
+    pub request_id: Option<String>,
     /// The upstream says that it did not run the request.
-    pub not_run: bool,
+    pub not_executed: bool,
     /// Another incarnation has that address.
     pub misdirected: bool,
     /// It bears the mark of the upstream's own answers.
-    pub sealed: bool,
+    pub from_upstream: bool,
     /// Load and the like.
-    pub marks: AnswerMarks,
+    pub metadata: AnswerMarks,
 }
 
 /// A caller's question which addresses to use.
