--- a/crates/savorywood-front/src/attempt.rs
+++ b/crates/savorywood-front/src/attempt.rs
@@ -132,12 +132,12 @@
     }
 
     fn request_bytes(&self) -> Vec<u8> {
-        let left = self.order.give_up_at.since(self.shared.clock.now());
+        let time_left = self.order.give_up_at.since(self.shared.clock.now());
         let facts = DispatchContext {
             upstream: &self.order.upstream,
             team: self.order.team.as_ref(),
-            left,
-            last_event: self.sink.last_event(),
+            time_left,
+            last_event_id: self.sink.last_event_id(),
         };
         let lines = self.shared.adapter.upstream_headers(self.head, &facts);
         let mut text = format!("{} {} HTTP/1.1\r\n", self.head.method, self.head.target);
@@ -343,7 +343,10 @@
 
     /// An upstream that reads a stream on may begin with an event that the caller has.
     fn is_repeated(&self, event: &StreamEvent) -> bool {
-        let known = self.sink.last_event().and_then(|id| id.parse::<u64>().ok());
+        let known = self
+            .sink
+            .last_event_id()
+            .and_then(|id| id.parse::<u64>().ok());
         let new = event
             .identity
             .as_ref()
--- a/crates/savorywood-front/src/edge.rs
+++ b/crates/savorywood-front/src/edge.rs
@@ -99,9 +99,9 @@
     /// Team of the caller's key.
     pub team: Option<&'a TeamLabel>,
     /// Time that is left.
-    pub left: Duration,
+    pub time_left: Duration,
     /// Last event that the caller has, for a stream that is read on.
-    pub last_event: Option<&'a str>,
+    pub last_event_id: Option<&'a str>,
 }
 
 /// What an answer's head says.
--- a/crates/savorywood-front/src/sink.rs
+++ b/crates/savorywood-front/src/sink.rs
@@ -12,7 +12,7 @@
     /// The connection ends after this answer.
     pub closes: bool,
     begun: bool,
-    last_event: Option<String>,
+    last_event_id: Option<String>,
     events: u32,
     /// Bytes are on their way: an attempt that ended now would leave half a piece behind.
     writing: Rc<Cell<bool>>,
@@ -26,7 +26,7 @@
             stream,
             closes,
             begun: false,
-            last_event: None,
+            last_event_id: None,
             events: 0,
             writing: Rc::default(),
         }
@@ -53,8 +53,8 @@
 
     /// Identity of the last event that was passed on.
     #[must_use]
-    pub fn last_event(&self) -> Option<&str> {
-        self.last_event.as_deref()
+    pub fn last_event_id(&self) -> Option<&str> {
+        self.last_event_id.as_deref()
     }
 
     /// Events passed on.
@@ -143,7 +143,7 @@
     pub fn note_event(&mut self, identity: Option<String>) {
         self.events += 1;
         if identity.is_some() {
-            self.last_event = identity;
+            self.last_event_id = identity;
         }
     }
 }
