--- a/crates/savorywood-front/src/edge.rs
+++ b/crates/savorywood-front/src/edge.rs
@@ -60,7 +60,7 @@
     /// Value; `None` removes the row.
     pub value: Option<Vec<u8>>,
     /// Version that the row must have; zero: it must not exist. `None`: any.
-    pub expected: Option<u64>,
+    pub expected_version: Option<u64>,
 }
 
 /// The status row of a roll-out.
--- a/crates/savorywood-front/src/feeds/members.rs
+++ b/crates/savorywood-front/src/feeds/members.rs
@@ -60,7 +60,7 @@
         table: StoreTable::Members,
         key: shared.settings.host.clone(),
         value: Some(member_text(&shared.settings).into_bytes()),
-        expected: None,
+        expected_version: None,
     };
     let call = shared.adapter.write_row_call(&write);
     match link.call(&call, CALL_TIME).await {
@@ -124,7 +124,7 @@
         table: StoreTable::Members,
         key: shared.settings.host.clone(),
         value: None,
-        expected: None,
+        expected_version: None,
     };
     let call = shared.adapter.write_row_call(&write);
     if let Err(fault) = link.call(&call, CALL_TIME).await {
--- a/crates/savorywood-front/src/feeds/quarantine.rs
+++ b/crates/savorywood-front/src/feeds/quarantine.rs
@@ -58,7 +58,7 @@
         table: StoreTable::Quarantine,
         key: write.fingerprint.to_string(),
         value,
-        expected: None,
+        expected_version: None,
     };
     let call = shared.adapter.write_row_call(&table_write);
     let answer = link.call(&call, CALL_TIME).await;
--- a/crates/savorywood-front/src/feeds/rollouts.rs
+++ b/crates/savorywood-front/src/feeds/rollouts.rs
@@ -61,7 +61,7 @@
         table: StoreTable::Status,
         key: row.key,
         value: Some(row.value),
-        expected: Some(write.expected.version),
+        expected_version: Some(write.expected.version),
     };
     let call = shared.adapter.write_row_call(&table_write);
     let answer = link.call(&call, CALL_TIME).await;
