--- a/crates/savorywood-front/src/attempt.rs
+++ b/crates/savorywood-front/src/attempt.rs
@@ -4,12 +4,11 @@
 
 use crate::{
     clock::within,
-    edge::{AnswerFacts, DispatchFacts},
+    edge::{DispatchContext, ParsedResponseHead},
     metrics,
     shared::FrontShared,
     sink::AnswerSink,
-    wire::{
-        AnswerHead, BodyDecoder, BodyFraming, ByteReader, HeaderLine, RequestHead,
+    wire::{ BodyDecoder, BodyFraming, ByteReader, HeaderLine, RequestHead, ResponseHead,
         read_answer_head, read_body,
     },
 };
@@ -132,14 +131,14 @@
     }
 
     fn request_bytes(&self) -> Vec<u8> {
-        let left = self.order.give_up_at.since(self.shared.clock.now());
-        let facts = DispatchFacts {
+        let time_left = self.order.give_up_at.since(self.shared.clock.now());
+        let facts = DispatchContext {
             upstream: &self.order.upstream,
             team: self.order.team.as_ref(),
-            left,
-            last_event: self.sink.last_event(),
+            time_left,
+            last_event_id: self.sink.last_event_id(),
         };
-        let lines = self.shared.dialect.upstream_headers(self.head, &facts);
+        let lines = self.shared.adapter.upstream_headers(self.head, &facts);
         let mut text = format!("{} {} HTTP/1.1\r\n", self.head.method, self.head.target);
         for line in &lines {
             text.push_str(&line.name);
@@ -160,23 +159,23 @@
     async fn read_answer(
         &mut self,
         reader: &mut ByteReader,
-    ) -> (AttemptOutcome, Option<AnswerHead>) {
+    ) -> (AttemptOutcome, Option<ResponseHead>) {
         let (head, facts) = match self.read_own_head(reader).await {
             Ok(read) => read,
             Err(ReadFailure) => return (AttemptOutcome::Broken { stalled: false }, None),
         };
-        if facts.not_run || facts.misdirected {
+        if facts.not_executed || facts.misdirected {
             let body = read_body(reader, head.framing, MAX_ANSWER_BYTES).await;
             let outcome = AttemptOutcome::NotRun {
                 misdirected: facts.misdirected,
-                metadata: facts.marks,
+                metadata: facts.metadata,
             };
             return (outcome, body.ok().map(|_| head));
         }
         let success = (200..300).contains(&head.status);
         // A coded body is not the upstream's own: nobody asked for a coding.
         let coded = head.headers.get("content-encoding").is_some();
-        if coded || (success && !facts.sealed) {
+        if coded || (success && !facts.from_upstream) {
             return (AttemptOutcome::Broken { stalled: false }, None);
         }
         if success && self.order.stream && is_event_stream(&head) {
@@ -194,7 +193,7 @@
     async fn read_own_head(
         &self,
         reader: &mut ByteReader,
-    ) -> Result<(AnswerHead, AnswerFacts), ReadFailure> {
+    ) -> Result<(ResponseHead, ParsedResponseHead), ReadFailure> {
         let mut strays = 0;
         loop {
             let head = read_answer_head(reader).await;
@@ -202,10 +201,10 @@
             if head.status < 200 {
                 continue;
             }
-            let facts = self.shared.dialect.answer_facts(&head);
-            let own = self.shared.dialect.arrival(self.head);
+            let facts = self.shared.adapter.parse_response_head(&head);
+            let own = self.shared.adapter.parse_arrival(self.head);
             let own = own.map(|arrival| arrival.request_id).unwrap_or_default();
-            match &facts.identity {
+            match &facts.request_id {
                 Some(identity) if *identity != own => {
                     strays += 1;
                     let framed = head.framing != BodyFraming::UntilClose;
@@ -216,7 +215,7 @@
                     skipped.map_err(|_| ReadFailure)?;
                 }
                 Some(_) => return Ok((head, facts)),
-                None if facts.not_run || facts.misdirected => return Ok((head, facts)),
+                None if facts.not_executed || facts.misdirected => return Ok((head, facts)),
                 None => return Err(ReadFailure),
             }
         }
@@ -226,9 +225,9 @@
     async fn relay_whole(
         &mut self,
         reader: &mut ByteReader,
-        head: AnswerHead,
-        facts: &AnswerFacts,
-    ) -> (AttemptOutcome, Option<AnswerHead>) {
+        head: ResponseHead,
+        facts: &ParsedResponseHead,
+    ) -> (AttemptOutcome, Option<ResponseHead>) {
         let framing = if self.head.method == "HEAD" {
             BodyFraming::Empty
         } else {
@@ -246,7 +245,7 @@
                 body,
             });
             let outcome = AttemptOutcome::Failed {
-                metadata: facts.marks,
+                metadata: facts.metadata,,
             };
             return (outcome, Some(head));
         }
@@ -258,7 +257,7 @@
             return (AttemptOutcome::CallerDisconnected, Some(head));
         }
         let outcome = AttemptOutcome::Delivered {
-            metadata: facts.marks,
+            metadata: facts.metadata,
             events: 0,
         };
         (outcome, Some(head))
@@ -267,9 +266,9 @@
     async fn relay_stream(
         &mut self,
         reader: &mut ByteReader,
-        head: AnswerHead,
-        facts: &AnswerFacts,
-    ) -> (AttemptOutcome, Option<AnswerHead>) {
+        head: ResponseHead,
+        facts: &ParsedResponseHead,
+    ) -> (AttemptOutcome, Option<ResponseHead>) {
         let mut decoder = BodyDecoder::new(head.framing);
         let mut buffer = EventBuffer::default();
         let mut began = false;
@@ -305,7 +304,7 @@
             return (AttemptOutcome::CallerDisconnected, None);
         }
         let outcome = AttemptOutcome::Delivered {
-            metadata: facts.marks,
+            metadata: facts.metadata,
             events: self.sink.events(),
         };
         (outcome, Some(head))
@@ -315,7 +314,7 @@
     async fn pass_events(
         &mut self,
         buffer: &mut EventBuffer,
-        head: &AnswerHead,
+        head: &ResponseHead,
     ) -> io::Result<u32> {
         let mut bytes = Vec::new();
         let mut events = 0;
@@ -343,7 +342,7 @@
 
     /// An upstream that reads a stream on may begin with an event that the caller has.
     fn is_repeated(&self, event: &StreamEvent) -> bool {
-        let known = self.sink.last_event().and_then(|id| id.parse::<u64>().ok());
+        let known = self.sink.last_event_id().and_then(|id| id.parse::<u64>().ok());
         let new = event
             .identity
             .as_ref()
@@ -351,12 +350,12 @@
         matches!((known, new), (Some(known), Some(new)) if new <= known)
     }
 
-    fn report_begun(&self, facts: &AnswerFacts) {
+    fn report_begun(&self, facts: &ParsedResponseHead) {
         let elapsed = self.shared.clock.now().since(self.arrived_at);
         metrics::observe(&self.shared.metrics.first_event, self.order, elapsed);
         self.shared.step(GatewayEvent::ResponseStarted {
             request: self.order.request,
-            metadata: facts.marks,
+            metadata: facts.metadata,
         });
     }
 
@@ -364,9 +363,9 @@
         broken_outcome(self.sink, false)
     }
 
-    fn passing_lines(&self, head: &AnswerHead) -> Vec<HeaderLine> {
+    fn passing_lines(&self, head: &ResponseHead) -> Vec<HeaderLine> {
         let lines = head.headers.iter();
-        let passing = lines.filter(|line| self.shared.dialect.passes_answer_header(&line.name));
+        let passing = lines.filter(|line| self.shared.adapter.forwards_response_header(&line.name));
         passing.cloned().collect()
     }
 }
@@ -383,7 +382,7 @@
     }
 }
 
-fn is_event_stream(head: &AnswerHead) -> bool {
+fn is_event_stream(head: &ResponseHead) -> bool {
     let kind = head.headers.get("content-type").unwrap_or_default();
     kind.starts_with("text/event-stream")
 }
--- a/crates/savorywood-front/src/lib.rs
+++ b/crates/savorywood-front/src/lib.rs
@@ -1,7 +1,7 @@
 //! The shell of a gateway: callers, upstreams, store, peers, logs and metrics around its
 //! decisions.
 //!
-//! What other programs call things, and how they write them, comes in through [`FrontDialect`].
+//! What other programs call things, and how they write them, comes in through [`FrontAdapter`].
 
 mod admin;
 mod attempt;
@@ -24,12 +24,12 @@
 mod wire;
 
 pub use edge::{
-    AnswerFacts, ArrivalFault, DeclaredRow, DirectoryQuery, DispatchFacts, FrontDialect,
+    ArrivalError, DeclaredRow, DirectoryQuery, DispatchContext, FrontAdapter, ParsedResponseHead,
     RolloutRow, StorePage, StoreRow, StoreTable, TableWrite,
 };
 pub use run::{FrontError, run};
 pub use settings::{BoundSettings, FrontSettings, LimitSettings, ListenSettings, StoreSettings};
 pub use wire::{
-    AnswerHead, BodyFraming, HeadFault, HeaderLine, HeaderList, RequestHead, StoreCall,
+    BodyFraming, HeadError, HeaderLine, HeaderList, RequestHead, ResponseHead, StoreCall,
     is_hop_header,
 };
