--- a/crates/savorywood-front/src/admin.rs
+++ b/crates/savorywood-front/src/admin.rs
@@ -114,7 +114,9 @@
             status: 200,
             reason: "OK",
             kind: "application/json",
-            body: shared.adapter.directory_response(&addresses, KEEP_ADDRESSES),
+            body: shared
+                .adapter
+                .directory_response(&addresses, KEEP_ADDRESSES),
         };
     }
     if head.path() == "/metrics" {
--- a/crates/savorywood-front/src/attempt.rs
+++ b/crates/savorywood-front/src/attempt.rs
@@ -8,7 +8,8 @@
     metrics,
     shared::FrontShared,
     sink::AnswerSink,
-    wire::{ BodyDecoder, BodyFraming, ByteReader, HeaderLine, RequestHead, ResponseHead,
+    wire::{
+        BodyDecoder, BodyFraming, ByteReader, HeaderLine, RequestHead, ResponseHead,
         read_answer_head, read_body,
     },
 };
@@ -245,7 +246,7 @@
                 body,
             });
             let outcome = AttemptOutcome::Failed {
-                metadata: facts.metadata,,
+                metadata: facts.metadata,
             };
             return (outcome, Some(head));
         }
@@ -342,7 +343,10 @@
 
     /// An upstream that reads a stream on may begin with an event that the caller has.
     fn is_repeated(&self, event: &StreamEvent) -> bool {
-        let known = self.sink.last_event_id().and_then(|id| id.parse::<u64>().ok());
+        let known = self
+            .sink
+            .last_event_id()
+            .and_then(|id| id.parse::<u64>().ok());
         let new = event
             .identity
             .as_ref()
--- a/crates/savorywood-front/src/edge.rs
+++ b/crates/savorywood-front/src/edge.rs
@@ -1,6 +1,6 @@
 //! Where the platform's way of speaking comes in: names, formats and calls, no decisions.
 
-use crate::wire::{ HeaderLine, HeaderList, RequestHead, ResponseHead, StoreCall};
+use crate::wire::{HeaderLine, HeaderList, RequestHead, ResponseHead, StoreCall};
 use savorywood_gateway::{
     DeclaredConfig, RequestArrival, ResponseMetadata, RolloutOrder, RolloutStatus, RolloutWrite,
     StorePosition, TeamLabel, UpstreamEntry, UpstreamLabel, ZoneLabel,
