--- a/crates/savorywood-front/src/peers.rs
+++ b/crates/savorywood-front/src/peers.rs
@@ -2,7 +2,7 @@
 
 mod format;
 
-use self::format::DatagramFault;
+use self::format::DatagramError;
 use crate::{clock::BootClock, edge::StoreRow, shared::FrontShared};
 use async_io::Timer;
 use async_net::UdpSocket;
@@ -93,21 +93,25 @@
     pub async fn gossip(&self, shared: &FrontShared) {
         let now = self.clock.now();
         let plan = shared.gateway.borrow_mut().plan_gossip(now);
-        if !plan.summary_to.is_empty() {
+        if !plan.summary_targets.is_empty() {
             let summary = shared.gateway.borrow_mut().summary(now);
             let datagram = PeerDatagram::Message(Box::new(PeerMessage::Summary(Box::new(summary))));
-            self.send(&datagram, &plan.summary_to).await;
-            self.send_reports(shared, ReportScope::Daemon, &plan.summary_to)
+            self.send(&datagram, &plan.summary_targets).await;
+            self.send_reports(shared, ReportScope::Daemon, &plan.summary_targets)
                 .await;
         }
-        for (slots, receivers) in [(true, &plan.digest_to), (false, &plan.brief_to)] {
+        for (slots, receivers) in [
+            (true, &plan.digest_targets),
+            (false, &plan.slotless_digest_targets),
+        ] {
             if !receivers.is_empty() {
-                let digest = shared.gateway.borrow_mut().digest(now, slots);
+                let digest = shared.gateway.borrow_mut().zone_digest(now, slots);
                 let datagram = PeerDatagram::Message(Box::new(PeerMessage::Digest(digest)));
                 self.send(&datagram, receivers).await;
             }
         }
-        let far: Vec<SocketAddr> = [&plan.digest_to[..], &plan.brief_to[..]].concat();
+        let far: Vec<SocketAddr> =
+            [&plan.digest_targets[..], &plan.slotless_digest_targets[..]].concat();
         if !far.is_empty() {
             self.send_reports(shared, ReportScope::Zone, &far).await;
         }
@@ -138,7 +142,7 @@
     /// by its next message that they lack something, and read it.
     pub async fn push(&self, shared: &FrontShared, push: RowsPush) {
         let bytes: usize = push.rows.iter().map(row_bytes).sum();
-        let followers = shared.gateway.borrow().followers(self.clock.now());
+        let followers = shared.gateway.borrow().row_update_targets(self.clock.now());
         if !followers.is_empty() && bytes <= MAX_PUSH {
             self.send(&PeerDatagram::Rows(push), &followers).await;
         }
@@ -187,7 +191,7 @@
     }
 
     /// A datagram of another build, or of no daemon.
-    fn note_unread(&self, shared: &FrontShared, sender: SocketAddr, fault: DatagramFault) {
+    fn note_unread(&self, shared: &FrontShared, sender: SocketAddr, fault: DatagramError) {
         shared.metrics.unread_datagrams.inc();
         let mut unread = self.unread.borrow_mut();
         if unread.len() < MOST_UNREAD_SENDERS && unread.insert(sender) {
@@ -200,10 +204,10 @@
     pub async fn keep_gossiping(self: Rc<Self>, shared: Rc<FrontShared>) {
         loop {
             self.gossip(&shared).await;
-            let pause = shared.gateway.borrow().gossip_pause(self.clock.now());
+            let pause = shared.gateway.borrow().gossip_interval(self.clock.now());
             let next = Instant::now() + pause.mul_f64(0.9 + fastrand::f64() * 0.2);
             loop {
-                let pause = shared.gateway.borrow().slot_pause();
+                let pause = shared.gateway.borrow().slot_update_interval();
                 let pause = pause.mul_f64(0.9 + fastrand::f64() * 0.2);
                 if Instant::now() + pause >= next {
                     break;
@@ -222,18 +226,18 @@
         let Some(update) = update else { return };
         let plan = shared.gateway.borrow().plan_slots(now);
         let datagram = PeerDatagram::Message(Box::new(PeerMessage::Slots(update)));
-        self.send(&datagram, &plan.own_to).await;
-        if !plan.zone_to.is_empty() {
+        self.send(&datagram, &plan.daemon_slot_targets).await;
+        if !plan.zone_slot_targets.is_empty() {
             let update = shared.gateway.borrow_mut().zone_slot_update(now);
             let datagram = PeerDatagram::Message(Box::new(PeerMessage::Slots(update)));
-            self.send(&datagram, &plan.zone_to).await;
+            self.send(&datagram, &plan.zone_slot_targets).await;
         }
     }
 
     /// Sends heartbeats while this daemon is a member of the entry set.
     pub async fn keep_heartbeats(self: Rc<Self>, shared: Rc<FrontShared>) {
         loop {
-            let pause = shared.gateway.borrow().heartbeat_pause();
+            let pause = shared.gateway.borrow().heartbeat_interval();
             Timer::after(pause.mul_f64(0.9 + fastrand::f64() * 0.2)).await;
             let due = shared.gateway.borrow_mut().heartbeat();
             if let Some((beat, receivers)) = due {
--- a/crates/savorywood-gateway/src/effect.rs
+++ b/crates/savorywood-gateway/src/effect.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     arrival::LocalRequest,
-    name::{ServiceLabel, TeamLabel, UpstreamLabel},
+    label::{ServiceLabel, TeamLabel, UpstreamLabel},
     quarantine::QuarantineWrite,
     refusal::RefusalReason,
     rollout::RolloutWrite,
@@ -17,7 +17,7 @@
     /// Which request.
     pub request: LocalRequest,
     /// Which send this is, from 1.
-    pub number: u32,
+    pub attempt: u32,
     /// Service that it is for.
     pub service: ServiceLabel,
     /// Rank of its route, 0 is the most urgent.
@@ -51,17 +51,17 @@
         retry_after: Option<Duration>,
     },
     /// Pass on the failure that the upstream gave.
-    PassFailure {
+    ForwardFailure {
         /// Which request.
         request: LocalRequest,
     },
     /// End the attempt under way: its upstream is silent, and another one has a place.
-    Abandon {
+    AbandonAttempt {
         /// Which request.
         request: LocalRequest,
     },
     /// Break off the answer that has begun.
-    BreakOff {
+    AbortResponse {
         /// Which request.
         request: LocalRequest,
     },
--- a/crates/savorywood-gateway/src/gateway/admission.rs
+++ b/crates/savorywood-gateway/src/gateway/admission.rs
@@ -6,14 +6,14 @@
 };
 use crate::{
     arrival::{LocalRequest, RequestArrival},
-    declared::{DeclaredConfig, RouteSpec, TeamLimit, TeamSpec},
+    config::{DeclaredConfig, RouteSpec, TeamLimit, TeamSpec},
     effect::GatewayEffect,
-    limit::{MeterLevels, MeterQuery, MeterVerdict, TeamMeter},
-    name::{ServiceLabel, TeamLabel},
-    pace::nominal_first_ms,
+    label::{ServiceLabel, TeamLabel},
+    latency::nominal_first_event_ms,
     quarantine::RequestFingerprint,
-    queue::{QueuePlace, RequestRank},
+    queue::{QueuePosition, RequestRank},
     refusal::RefusalReason,
+    team_limit::{BucketLevels, LimitQuery, LimitVerdict, TeamLimiter},
 };
 use savorywood_core::{LogLevel, LogLine};
 use savorywood_protocol::MonotonicTime;
@@ -49,7 +49,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct MeterFigures {
     limit: TeamLimit,
-    levels: MeterLevels,
+    levels: BucketLevels,
 }
 
 impl Denial {
@@ -92,25 +92,28 @@
                         record.team.as_ref().map_or("-", |team| team.name.as_str()),
                     )
                     .with("rank", record.rank.route)
-                    .with("prompt", record.size.prompt)
+                    .with("prompt", record.size.prompt_tokens)
                     .with("units", record.units)
                     .with("give_up_ms", record.give_up_at.since(now).as_millis())
                     .with("config", self.config_version())
                     .with("proof_age_ms", self.proof_age(now).as_millis());
                 effects.push(GatewayEffect::Log(line));
                 let service = record.service.clone();
-                self.budgets.entry(service.clone()).or_default().earn(now);
+                self.budgets
+                    .entry(service.clone())
+                    .or_default()
+                    .record_request(now);
                 let demand = self.demands.entry(service.clone()).or_default();
-                demand.arrived(now, record.rank);
+                demand.record_arrival(now, record.rank);
                 self.enqueue(request, record);
                 self.pump(now, &service, effects);
             }
             Err(denial) => {
                 let mut line = LogLine::new(LogLevel::Info, "request-refused")
-                    .with("request", &arrival.identity)
+                    .with("request", &arrival.request_id)
                     .with(
                         "fingerprint",
-                        RequestFingerprint::new(arrival.content, denial.team.as_ref()),
+                        RequestFingerprint::new(arrival.content_digest, denial.team.as_ref()),
                     )
                     .with("reason", denial.reason)
                     .with("team", denial.team.as_ref().map_or("-", TeamLabel::as_str))
@@ -154,7 +157,7 @@
     /// A key that was taken away must not work here after the bound, also when this daemon can't
     /// learn of it: cut off from the store it would let a shut-out caller in for ever.
     pub(super) fn keys_are_confirmed(&self, now: MonotonicTime) -> bool {
-        let bound = self.options.bounds.revocation;
+        let bound = self.options.bounds.revocation_delay;
         bound.is_none_or(|bound| self.proof_age(now) < bound.mul_f64(KEY_PART))
     }
 
@@ -170,10 +173,10 @@
         let route = self.find_route(now, &config, arrival)?;
         let team = self.find_team(now, &config, &route, arrival)?;
         let team_name = team.as_ref().map(|team| &team.name);
-        let fingerprint = RequestFingerprint::new(arrival.content, team_name);
+        let fingerprint = RequestFingerprint::new(arrival.content_digest, team_name);
         let is_trial = self.pass_quarantine(now, fingerprint, team_name)?;
         let draw = self.draws.next();
-        let service = route.choose(draw).cloned();
+        let service = route.choose_service(draw).cloned();
         let service = service.ok_or_else(|| Denial::of(RefusalReason::NoUpstream))?;
         let mut units = 0.0;
         if let Some(team) = &team {
@@ -186,11 +189,11 @@
             team: team.as_ref().and_then(|team| team.priority).unwrap_or(0),
             route: route.priority,
         };
-        let expected = Duration::from_secs_f64(nominal_first_ms(size.prompt) / 1e3);
+        let expected = Duration::from_secs_f64(nominal_first_event_ms(size.prompt_tokens) / 1e3);
         let give_up_at = now + longest.saturating_sub(ANSWER_MARGIN);
         let begin_by = now + route.objective.saturating_sub(expected);
         Ok(RequestRecord {
-            identity: arrival.identity.clone(),
+            identity: arrival.request_id.clone(),
             fingerprint,
             is_trial,
             service,
@@ -198,14 +201,16 @@
             units,
             rank,
             size,
-            output: arrival.output_guess.unwrap_or(size.output),
-            parts: arrival.parts.clone(),
+            output: arrival
+                .expected_output_tokens
+                .unwrap_or(size.max_output_tokens),
+            parts: arrival.prompt_parts.clone(),
             arrived_at: now,
             give_up_at,
             leave_at: give_up_at,
-            place: RequestPlace::Waiting(QueuePlace {
+            place: RequestPlace::Waiting(QueuePosition {
                 rank,
-                begin_by,
+                start_by: begin_by,
                 request,
             }),
             tried: Vec::new(),
@@ -233,7 +238,13 @@
     /// "There is no such thing" is final for a caller: a daemon that may have missed the newest
     /// configuration says "not ready" in its place.
     fn deny(&self, now: MonotonicTime, reason: RefusalReason) -> Denial {
-        if self.proof_age(now) < self.options.bounds.proof_bound().mul_f64(DENIAL_PART) {
+        if self.proof_age(now)
+            < self
+                .options
+                .bounds
+                .max_confirmation_age()
+                .mul_f64(DENIAL_PART)
+        {
             Denial::of(reason)
         } else {
             Denial::stale()
@@ -247,8 +258,11 @@
         route: &RouteSpec,
         arrival: &RequestArrival,
     ) -> Result<Option<Arc<TeamSpec>>, Denial> {
-        let team = arrival.key.as_deref().and_then(|key| config.team_of(key));
-        if route.public || !config.needs_keys() {
+        let team = arrival
+            .api_key
+            .as_deref()
+            .and_then(|key| config.team_for_key(key));
+        if route.public || !config.requires_keys() {
             return Ok(team.cloned());
         }
         if !self.keys_are_confirmed(now) {
@@ -275,32 +289,34 @@
             .get(service)
             .is_none_or(|queue| queue.len() == 0);
         let units = if limit.in_tokens {
-            let size = arrival.size.map(|size| size.prompt + size.output);
-            f64::from(size.unwrap_or(limit.plain_tokens))
+            let size = arrival
+                .size
+                .map(|size| size.prompt_tokens + size.max_output_tokens);
+            f64::from(size.unwrap_or(limit.default_tokens))
         } else {
             1.0
         };
         let fresh = self.options.first_start;
-        let tolerance = self.options.bounds.tolerance;
+        let tolerance = self.options.bounds.limit_tolerance;
         let meter = self
             .meters
             .entry(team.name.clone())
-            .or_insert_with(|| TeamMeter::new(now, limit, tolerance, fresh));
-        let query = MeterQuery {
+            .or_insert_with(|| TeamLimiter::new(now, limit, tolerance, fresh));
+        let query = LimitQuery {
             units,
             rank: route.priority,
-            draw: self.limit_draws.next(),
+            sample: self.limit_draws.next(),
         };
-        let verdict = meter.look(now, &query);
+        let verdict = meter.check(now, &query);
         let refused = match verdict {
-            MeterVerdict::Within => false,
-            MeterVerdict::Tolerated => !idle,
-            MeterVerdict::Beyond { .. } => true,
+            LimitVerdict::Within => false,
+            LimitVerdict::Tolerated => !idle,
+            LimitVerdict::Exceeded { .. } => true,
         };
         if refused {
             return Err(Denial {
                 reason: RefusalReason::OverLimit,
-                retry_after: Some(meter.wait()),
+                retry_after: Some(meter.retry_after()),
                 team: Some(team.name.clone()),
                 meter: Some(MeterFigures {
                     limit,
@@ -309,7 +325,7 @@
                 crashes: None,
             });
         }
-        meter.take(units, verdict);
+        meter.charge(units, verdict);
         Ok(units)
     }
 
--- a/crates/savorywood-gateway/src/gateway/ending.rs
+++ b/crates/savorywood-gateway/src/gateway/ending.rs
@@ -6,8 +6,8 @@
     record::{RequestPlace, RunningAttempt},
 };
 use crate::{
-    arrival::LocalRequest, effect::GatewayEffect, event::AttemptOutcome, name::ServiceLabel,
-    queue::QueuePlace, refusal::RefusalReason,
+    arrival::LocalRequest, effect::GatewayEffect, event::AttemptOutcome, label::ServiceLabel,
+    queue::QueuePosition, refusal::RefusalReason,
 };
 use savorywood_core::{LogLevel, LogLine};
 use savorywood_protocol::MonotonicTime;
@@ -28,7 +28,7 @@
                 self.close(now, request, "caller-left", effects);
             }
             RequestPlace::Running(_) => {
-                self.attempt_ended(now, request, &AttemptOutcome::CallerLeft, effects);
+                self.attempt_ended(now, request, &AttemptOutcome::CallerDisconnected, effects);
             }
         }
     }
@@ -71,7 +71,7 @@
         };
         let state = self.fleet.get(&attempt.upstream);
         let own = state.map_or(0, |state| state.running.saturating_sub(1));
-        let peers = state.map_or(0, |state| self.peers.slots_of(state.digest).running);
+        let peers = state.map_or(0, |state| self.peers.slots_by_digest(state.digest).running);
         let line = LogLine::new(LogLevel::Info, "attempt-broken")
             .with("request", &record.identity)
             .with("fingerprint", record.fingerprint)
@@ -98,7 +98,9 @@
         record.tried.push(attempt.upstream.clone());
         match outcome {
             AttemptOutcome::Delivered { .. } => return self.close(now, request, "served", effects),
-            AttemptOutcome::CallerLeft => return self.close(now, request, "caller-left", effects),
+            AttemptOutcome::CallerDisconnected => {
+                return self.close(now, request, "caller-left", effects);
+            }
             AttemptOutcome::NotSent => {
                 if record.sends < MAX_SENDS {
                     return self.requeue(now, request, outcome, effects);
@@ -126,7 +128,7 @@
         if again && !self.is_quarantined(fingerprint) && self.spend_try(now, request) {
             return self.requeue(now, request, outcome, effects);
         }
-        self.finish(now, request, RefusalReason::BrokenAnswer, effects);
+        self.finish(now, request, RefusalReason::IncompleteResponse, effects);
     }
 
     pub(super) fn spend_try(&mut self, now: MonotonicTime, request: LocalRequest) -> bool {
@@ -136,9 +138,9 @@
         if std::mem::take(&mut record.has_try) {
             return true;
         }
-        let daemons = self.peers.known(now) + 1;
+        let daemons = self.peers.peer_count(now) + 1;
         let budget = self.budgets.entry(record.service.clone()).or_default();
-        budget.spend(now, &self.options.bounds.budget, daemons)
+        budget.try_acquire(now, &self.options.bounds.retry_budget, daemons)
     }
 
     /// Puts a request back into its queue; it has waited and goes first in its rank.
@@ -158,9 +160,9 @@
             // Its caller's timeout begins anew with each event.
             record.leave_at = record.leave_time(moved_at);
         }
-        let place = QueuePlace {
+        let place = QueuePosition {
             rank: record.rank,
-            begin_by: now,
+            start_by: now,
             request,
         };
         record.place = RequestPlace::Waiting(place);
@@ -187,22 +189,22 @@
             return;
         };
         if record.has_begun {
-            effects.push(GatewayEffect::BreakOff { request });
+            effects.push(GatewayEffect::AbortResponse { request });
             return self.close(now, request, "broken-off", effects);
         }
         if record.has_failure {
-            effects.push(GatewayEffect::PassFailure { request });
+            effects.push(GatewayEffect::ForwardFailure { request });
             return self.close(now, request, "failure-passed", effects);
         }
-        let reason = match (record.runs > 0, reason.promises_not_run()) {
+        let reason = match (record.runs > 0, reason.guarantees_not_executed()) {
             (true, true) if reason == RefusalReason::ExpiredUnsent => RefusalReason::ExpiredUnknown,
-            (true, true) => RefusalReason::BrokenAnswer,
+            (true, true) => RefusalReason::IncompleteResponse,
             _ => reason,
         };
         let retry_after = reason
-            .promises_not_run()
+            .guarantees_not_executed()
             .then(|| self.return_time(now, request, reason));
-        if reason.promises_not_run() {
+        if reason.guarantees_not_executed() {
             self.give_units_back(request);
         }
         effects.push(GatewayEffect::Refuse {
@@ -221,7 +223,7 @@
             && record.runs == 0
             && let Some(meter) = self.meters.get_mut(&team.name)
         {
-            meter.give_back(record.units);
+            meter.refund(record.units);
         }
     }
 
@@ -257,7 +259,7 @@
         effects.push(GatewayEffect::Log(line));
     }
 
-    fn unqueue(&mut self, service: &ServiceLabel, place: &QueuePlace) {
+    fn unqueue(&mut self, service: &ServiceLabel, place: &QueuePosition) {
         if let Some(queue) = self.queues.get_mut(service) {
             queue.remove(place);
         }
--- a/crates/savorywood-gateway/src/gateway/entry.rs
+++ b/crates/savorywood-gateway/src/gateway/entry.rs
@@ -3,12 +3,12 @@
 use super::{Gateway, GatewayEffects};
 use crate::{
     effect::GatewayEffect,
-    entry::{EntryCandidate, HostResources, select_members},
+    entry_set::{EntryCandidate, HostResources, select_members},
+    label::{RegionLabel, ZoneLabel},
     message::{DaemonRole, PeerPhase},
-    name::{RegionLabel, ZoneLabel},
-    peer::{KnownPeer, name_digest},
-    region::CallerPlace,
-    rendezvous::address_number,
+    peer::{PeerState, name_digest},
+    region::CallerLocation,
+    rendezvous::address_hash,
 };
 use savorywood_core::{LogLevel, LogLine};
 use savorywood_protocol::MonotonicTime;
@@ -42,8 +42,8 @@
         self.entry_at = now;
         self.started_at.get_or_insert(now);
         let zone = self.options.zone.as_str();
-        let peers = self.peers.alive(now);
-        let near: Vec<&KnownPeer> = peers.filter(|peer| peer.summary.zone == zone).collect();
+        let peers = self.peers.live_peers(now);
+        let near: Vec<&PeerState> = peers.filter(|peer| peer.summary.zone == zone).collect();
         // What hosts that stand by use goes into gossip and tables, not into callers.
         let placing = near
             .iter()
@@ -58,7 +58,7 @@
         let peaks = near.iter().map(|peer| peer.summary.peak);
         self.peak.update(now, load, peaks);
         let members = self.select_members(now, zone);
-        let was_member = self.is_member();
+        let was_member = self.is_entry_member();
         let count = members.len();
         self.refresh_leases(now, &members);
         let entry_daemons = self.count_entry_daemons(now, count);
@@ -73,7 +73,7 @@
         let line = LogLine::new(LogLevel::Info, "entry-set-changed")
             .with("members", count)
             .with("daemons", daemons)
-            .with("member", self.is_member())
+            .with("member", self.is_entry_member())
             .with("was_member", was_member)
             .with("descriptors", self.peak.load().descriptors)
             .with("processor_millis", self.peak.load().processor_millis)
@@ -87,12 +87,13 @@
     /// Daemons that see few others each take themselves for the only holder of every lease, so
     /// those that do not see most daemons hold none.
     fn refresh_leases(&mut self, now: MonotonicTime, own_members: &[u64]) {
-        let is_member = own_members.contains(&name_digest(self.options.host.as_str()));
-        if !is_member || self.age(now) < LEASE_PAUSE || !self.peers.sees_most(now) {
+        let is_entry_member = own_members.contains(&name_digest(self.options.host.as_str()));
+        if !is_entry_member || self.age(now) < LEASE_PAUSE || !self.peers.sees_majority(now) {
             return self.leases.release();
         }
-        let is_needed =
-            self.fleet.has_warmups() || self.fleet.has_limits() || self.quarantine.count() > 0;
+        let is_needed = self.fleet.has_warmups()
+            || self.fleet.has_limits()
+            || self.quarantine.quarantined_count() > 0;
         if !is_needed && now.since(self.leases_at) < LEASE_REST_TIME {
             return;
         }
@@ -107,14 +108,14 @@
             let numbers = self.member_numbers(now, zone, &selected);
             members.insert(ZoneLabel::from(zone), numbers);
         }
-        for digest in self.peers.zones(now) {
+        for digest in self.peers.zone_digests(now) {
             let entry = digest.members.iter().filter(|member| {
                 member.phase == PeerPhase::Ready && member.role == DaemonRole::Entry
             });
-            let numbers = entry.map(|member| address_number(member.peer_address));
+            let numbers = entry.map(|member| address_hash(member.peer_address));
             members.insert(ZoneLabel::from(digest.zone.as_str()), numbers.collect());
         }
-        let own = address_number(self.options.peer_address);
+        let own = address_hash(self.options.peer_address);
         self.leases.update(now, own, members);
     }
 
@@ -122,30 +123,30 @@
     fn member_numbers(&self, now: MonotonicTime, zone: &str, members: &[u64]) -> Vec<u64> {
         let mut numbers = Vec::new();
         if members.contains(&name_digest(self.options.host.as_str())) {
-            numbers.push(address_number(self.options.peer_address));
+            numbers.push(address_hash(self.options.peer_address));
         }
-        let peers = self.peers.candidates(now, zone, false);
+        let peers = self.peers.member_candidates(now, zone, false);
         let named = peers.filter(|peer| members.contains(&peer.digest));
-        numbers.extend(named.map(|peer| address_number(peer.summary.peer_address)));
+        numbers.extend(named.map(|peer| address_hash(peer.summary.peer_address)));
         numbers
     }
 
     /// This daemon is a member of the entry set of its zone.
     #[must_use]
-    pub fn is_member(&self) -> bool {
+    pub fn is_entry_member(&self) -> bool {
         self.entry.contains(name_digest(self.options.host.as_str()))
     }
 
     /// Daemons of the own zone that the directory names.
     #[must_use]
-    pub fn member_count(&self) -> usize {
+    pub fn entry_member_count(&self) -> usize {
         self.entry.count()
     }
 
     /// Part of this daemon in placing requests.
     #[must_use]
     pub fn role(&self) -> DaemonRole {
-        if self.is_member() {
+        if self.is_entry_member() {
             DaemonRole::Entry
         } else if self.requests.is_empty() {
             DaemonRole::Standby
@@ -157,21 +158,21 @@
     /// Members of a zone whose daemons send summaries here.
     fn select_members(&self, now: MonotonicTime, zone: &str) -> Vec<u64> {
         let is_own = zone == self.options.zone.as_str();
-        let heartbeats = is_own && self.contacts.is_zoned();
+        let heartbeats = is_own && self.contacts.uses_zone_digests();
         // A host that just lost power must not be called in for one that was lost with it.
         let overdue = self.contacts.pause().mul_f64(OVERDUE_FACTOR);
         let mut candidates = Vec::new();
         let mut load = HostResources::default();
-        for peer in self.peers.candidates(now, zone, heartbeats) {
+        for peer in self.peers.member_candidates(now, zone, heartbeats) {
             load = load.max(&peer.summary.peak);
             let is_overdue = heartbeats && now.since(peer.received_at) > overdue;
             candidates.push(EntryCandidate {
                 host: peer.digest,
                 capacity: peer.summary.capacity,
-                steady: if is_overdue {
+                stable_for: if is_overdue {
                     Duration::ZERO
                 } else {
-                    peer.steady(now, self.resumed_at)
+                    peer.stable_for(now, self.resumed_at)
                 },
             });
         }
@@ -189,7 +190,7 @@
         EntryCandidate {
             host: name_digest(self.options.host.as_str()),
             capacity: self.options.capacity,
-            steady: steady_since.map_or(Duration::ZERO, |at| now.since(at)),
+            stable_for: steady_since.map_or(Duration::ZERO, |at| now.since(at)),
         }
     }
 
@@ -201,7 +202,10 @@
         let direct: usize = direct
             .map(|zone| self.select_members(now, zone).len())
             .sum();
-        let far = self.peers.zones(now).flat_map(|digest| &digest.members);
+        let far = self
+            .peers
+            .zone_digests(now)
+            .flat_map(|digest| &digest.members);
         let far = far
             .filter(|member| member.role == DaemonRole::Entry)
             .count();
@@ -215,7 +219,7 @@
 
     /// This daemon has seen most of its zone, or should have by now.
     pub(super) fn knows_own_zone(&self, now: MonotonicTime) -> bool {
-        if self.age(now) >= DISCOVERY_TIME || !self.contacts.is_zoned() {
+        if self.age(now) >= DISCOVERY_TIME || !self.contacts.uses_zone_digests() {
             return true;
         }
         let received = self.peers.neighbours(now).count();
@@ -231,10 +235,10 @@
     /// A caller whose zone has no members gets those of its region, then those of the home regions
     /// of the host that it calls: its requests must not pass through any other.
     #[must_use]
-    pub fn addresses(
+    pub fn caller_addresses(
         &self,
         now: MonotonicTime,
-        caller: CallerPlace<'_>,
+        caller: CallerLocation<'_>,
         most: usize,
     ) -> Vec<SocketAddr> {
         if !self.knows_own_zone(now) {
@@ -249,7 +253,7 @@
             let addresses = by_zone.entry(direct);
             addresses.or_insert_with(|| self.member_addresses(now, direct));
         }
-        for digest in self.peers.zones(now) {
+        for digest in self.peers.zone_digests(now) {
             let members = digest.members.iter().filter(|member| {
                 member.phase == PeerPhase::Ready && member.role == DaemonRole::Entry
             });
@@ -268,7 +272,7 @@
     /// Addresses for a caller whose own zone has none.
     fn far_addresses(
         &self,
-        caller: CallerPlace<'_>,
+        caller: CallerLocation<'_>,
         by_zone: &BTreeMap<&str, Vec<SocketAddr>>,
     ) -> Vec<SocketAddr> {
         let within = |is_within: &dyn Fn(&RegionLabel) -> bool| -> Vec<SocketAddr> {
@@ -287,7 +291,7 @@
         }
         let config = self.config.as_ref();
         let homes = caller.host.zip(config);
-        let homes = homes.map(|(host, config)| config.homes_of(host));
+        let homes = homes.map(|(host, config)| config.home_regions_of(host));
         match homes.filter(|homes| !homes.is_empty()) {
             Some(homes) => within(&|region| homes.contains(region)),
             None => by_zone.values().flatten().copied().collect(),
@@ -301,7 +305,7 @@
         if members.contains(&name_digest(self.options.host.as_str())) {
             addresses.push(self.options.caller_address);
         }
-        let peers = self.peers.candidates(now, zone, false);
+        let peers = self.peers.member_candidates(now, zone, false);
         let named = peers.filter(|peer| members.contains(&peer.digest));
         addresses.extend(named.map(|peer| peer.summary.caller_address));
         addresses
--- a/crates/savorywood-gateway/src/gateway/learning.rs
+++ b/crates/savorywood-gateway/src/gateway/learning.rs
@@ -7,9 +7,9 @@
 use crate::{
     arrival::LocalRequest,
     effect::GatewayEffect,
-    event::{AnswerMarks, AttemptOutcome},
-    name::{ServiceLabel, UpstreamLabel},
-    pace::PaceEstimate,
+    event::{AttemptOutcome, ResponseMetadata},
+    label::{ServiceLabel, UpstreamLabel},
+    latency::LatencyModel,
 };
 use savorywood_core::{LogLevel, LogLine};
 use savorywood_protocol::MonotonicTime;
@@ -39,13 +39,13 @@
 }
 
 impl SeenAnswer {
-    fn teach(&self, pace: &mut PaceEstimate) {
+    fn teach(&self, pace: &mut LatencyModel) {
         match self.events {
             Some(events) => {
-                pace.saw_stream(events, self.output, self.after_first, self.whole);
-                pace.saw_pause(self.longest_pause);
+                pace.record_stream(events, self.output, self.after_first, self.whole);
+                pace.record_longest_gap(self.longest_pause);
             }
-            None => pace.saw_answer(self.whole),
+            None => pace.record_response(self.whole),
         }
     }
 }
@@ -62,7 +62,7 @@
         &mut self,
         now: MonotonicTime,
         request: LocalRequest,
-        marks: AnswerMarks,
+        marks: ResponseMetadata,
         effects: &mut GatewayEffects,
     ) {
         let Some(record) = self.requests.get_mut(&request) else {
@@ -74,25 +74,27 @@
         let is_first = attempt.began_at.is_none();
         attempt.began_at.get_or_insert(now);
         attempt.moved(now, 1);
-        record.has_begun |= record.route.repeat.is_stream();
+        record.has_begun |= record.route.retry_safety.is_stream();
         let elapsed = now.since(attempt.sent_at);
         let upstream = attempt.upstream.clone();
-        self.fleet.received(now, &upstream);
+        self.fleet.record_received(now, &upstream);
         let sent_at = attempt.sent_at;
         if is_first && let Some(state) = self.fleet.get_mut(&upstream) {
-            state.unread = state.unread.saturating_sub(record.size.prompt);
+            state.unread_tokens = state
+                .unread_tokens
+                .saturating_sub(record.size.prompt_tokens);
         }
-        if record.route.repeat.is_stream() {
-            let prompt = record.size.prompt;
+        if record.route.retry_safety.is_stream() {
+            let prompt = record.size.prompt_tokens;
             self.fleet
-                .usual_mut(&record.service)
-                .saw_first(prompt, elapsed);
+                .service_latency_mut(&record.service)
+                .record_first_event(prompt, elapsed);
             if let Some(state) = self.fleet.get_mut(&upstream) {
-                state.pace.saw_first(prompt, elapsed);
+                state.latency.record_first_event(prompt, elapsed);
             }
         }
         self.note_alive(now, &upstream, sent_at);
-        self.note_limit(now, &upstream, sent_at, marks.limit, effects);
+        self.note_limit(now, &upstream, sent_at, marks.rate_limit, effects);
         self.mark(now, &upstream, marks);
     }
 
@@ -103,16 +105,16 @@
         };
         if let RequestPlace::Running(attempt) = &mut record.place {
             attempt.moved(now, events);
-            self.fleet.received(now, &attempt.upstream);
+            self.fleet.record_received(now, &attempt.upstream);
         }
     }
 
-    fn mark(&mut self, now: MonotonicTime, upstream: &UpstreamLabel, marks: AnswerMarks) {
+    fn mark(&mut self, now: MonotonicTime, upstream: &UpstreamLabel, marks: ResponseMetadata) {
         let Some(state) = self.fleet.get_mut(upstream) else {
             return;
         };
-        if let Some(cold) = marks.cold {
-            state.stay_cold(now + cold);
+        if let Some(cold) = marks.cold_for {
+            state.extend_cold(now + cold);
         }
     }
 
@@ -129,15 +131,17 @@
             return;
         };
         let service = record.service.clone();
-        let stream = record.route.repeat.is_stream();
+        let stream = record.route.retry_safety.is_stream();
         if attempt.began_at.is_none()
             && let Some(state) = self.fleet.get_mut(&attempt.upstream)
         {
-            state.unread = state.unread.saturating_sub(record.size.prompt);
+            state.unread_tokens = state
+                .unread_tokens
+                .saturating_sub(record.size.prompt_tokens);
         }
         let output = record.output;
         if outcome.was_received() {
-            self.fleet.received(now, &attempt.upstream);
+            self.fleet.record_received(now, &attempt.upstream);
             self.note_alive(now, &attempt.upstream, attempt.sent_at);
         }
         if let AttemptOutcome::Delivered { events, .. } = outcome {
@@ -155,23 +159,29 @@
         // The head of a stream was read at its beginning, and says nothing newer at its end.
         let is_read = attempt.began_at.is_some();
         match outcome {
-            AttemptOutcome::NotRun { marks, .. }
-            | AttemptOutcome::Failed { marks }
-            | AttemptOutcome::Delivered { marks, .. }
+            AttemptOutcome::NotRun { metadata, .. }
+            | AttemptOutcome::Failed { metadata }
+            | AttemptOutcome::Delivered { metadata, .. }
                 if !is_read =>
             {
                 let sent_at = attempt.sent_at;
-                self.note_limit(now, &attempt.upstream, sent_at, marks.limit, effects);
-                self.mark(now, &attempt.upstream, *marks);
+                self.note_limit(
+                    now,
+                    &attempt.upstream,
+                    sent_at,
+                    metadata.rate_limit,
+                    effects,
+                );
+                self.mark(now, &attempt.upstream, *metadata);
             }
             _ => {}
         }
     }
 
     fn learn_pace(&mut self, service: &ServiceLabel, upstream: &UpstreamLabel, seen: &SeenAnswer) {
-        seen.teach(self.fleet.usual_mut(service));
+        seen.teach(self.fleet.service_latency_mut(service));
         if let Some(state) = self.fleet.get_mut(upstream) {
-            seen.teach(&mut state.pace);
+            seen.teach(&mut state.latency);
         }
     }
 
@@ -186,30 +196,34 @@
     ) {
         // Only failures of its own are compared with those of the whole service.
         let is_failure = matches!(outcome, AttemptOutcome::Failed { .. });
-        let usual = is_failure.then(|| self.fleet.usual_failures(now, service));
+        let usual = is_failure.then(|| self.fleet.median_failure_ratio(now, service));
         let overdue = is_overdue(now, attempt);
         let Some(state) = self.fleet.get_mut(&attempt.upstream) else {
             return;
         };
         state.running = state.running.saturating_sub(1);
         // One answer may be lost where others go on; an upstream that says nothing is out at once.
-        let dark = state.received_at <= attempt.moved_at.unwrap_or(attempt.sent_at);
+        let dark = state.last_received_at <= attempt.moved_at.unwrap_or(attempt.sent_at);
         let outlier = &mut state.outlier;
         let mut is_back = false;
         let taken_out = match outcome {
-            AttemptOutcome::NotSent => outlier.broke(now, false),
-            AttemptOutcome::Failed { .. } => outlier.failed(now, usual.unwrap_or_default()),
-            AttemptOutcome::Broken { silent } => outlier.broke(now, *silent && dark),
-            AttemptOutcome::StreamBroken(end) => outlier.broke(now, end.silent && dark),
-            AttemptOutcome::Expired if overdue => outlier.broke(now, false),
+            AttemptOutcome::NotSent => outlier.record_connection_failure(now, false),
+            AttemptOutcome::Failed { .. } => outlier.record_failure(now, usual.unwrap_or_default()),
+            AttemptOutcome::Broken { stalled } => {
+                outlier.record_connection_failure(now, *stalled && dark)
+            }
+            AttemptOutcome::StreamBroken(end) => {
+                outlier.record_connection_failure(now, end.stalled && dark)
+            }
+            AttemptOutcome::Expired if overdue => outlier.record_connection_failure(now, false),
             AttemptOutcome::Delivered { .. } => {
-                is_back = outlier.succeeded(now);
+                is_back = outlier.record_success(now);
                 false
             }
             AttemptOutcome::NotRun { .. }
             | AttemptOutcome::Expired
-            | AttemptOutcome::CallerLeft => {
-                outlier.unknown();
+            | AttemptOutcome::CallerDisconnected => {
+                outlier.cancel_probe();
                 false
             }
         };
@@ -217,17 +231,17 @@
             misdirected: true, ..
         } = outcome
         {
-            state.gone_at = Some(now);
+            state.removed_at = Some(now);
         }
         let loses = match outcome {
             AttemptOutcome::NotSent => true,
-            AttemptOutcome::Broken { silent } => *silent && dark,
-            AttemptOutcome::StreamBroken(end) => end.silent && dark,
+            AttemptOutcome::Broken { stalled } => *stalled && dark,
+            AttemptOutcome::StreamBroken(end) => end.stalled && dark,
             _ => false,
         };
-        state.lost |= taken_out && loses;
+        state.unreachable |= taken_out && loses;
         if is_back {
-            self.fleet.found_again(now, &attempt.upstream);
+            self.fleet.record_recovery(now, &attempt.upstream);
             let line =
                 LogLine::new(LogLevel::Info, "upstream-back").with("upstream", &attempt.upstream);
             effects.push(GatewayEffect::Log(line));
@@ -265,10 +279,11 @@
             AttemptOutcome::NotSent
             | AttemptOutcome::NotRun { .. }
             | AttemptOutcome::Expired
-            | AttemptOutcome::CallerLeft => return,
+            | AttemptOutcome::CallerDisconnected => return,
         };
         if let Some(state) = self.fleet.get(&attempt.upstream) {
-            self.rollouts.answered(service, &state.entry.version, bad);
+            self.rollouts
+                .record_response(service, &state.entry.version, bad);
         }
     }
 }
--- a/crates/savorywood-gateway/src/peer.rs
+++ b/crates/savorywood-gateway/src/peer.rs
@@ -1,9 +1,9 @@
 //! State that daemons gossip, and what each knows of the others.
 
 use crate::{
+    label::{HostLabel, UpstreamLabel, ZoneLabel},
     message::{DaemonRole, PeerHeartbeat, PeerPhase, PeerSummary, SlotScope, SlotUpdate, SlotUse},
-    name::{HostLabel, UpstreamLabel, ZoneLabel},
-    zone::{DigestOutcome, KnownZone, ZoneDigest},
+    zone::{DigestOutcome, ZoneDigest, ZoneState},
 };
 use savorywood_protocol::MonotonicTime;
 use std::{
@@ -41,16 +41,16 @@
 
 /// Requests at one upstream as the sum of what was reported.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct SlotSum {
+pub struct SlotTotal {
     /// Requests there.
     pub running: u32,
     /// Prompt tokens of those of which no event has come yet.
-    pub unread: u32,
+    pub unread_prompt_tokens: u32,
 }
 
 /// A peer and when it was last seen.
 #[derive(Debug, Clone)]
-pub struct KnownPeer {
+pub struct PeerState {
     /// Its newest message.
     pub summary: PeerSummary,
     /// When that came.
@@ -61,26 +61,30 @@
     resumed_at: Option<MonotonicTime>,
 }
 
-impl KnownPeer {
+impl PeerState {
     /// It takes callers now.
     #[must_use]
-    pub fn takes_callers(&self, now: MonotonicTime) -> bool {
-        self.summary.phase == PeerPhase::Ready && self.is_alive(now)
+    pub fn accepts_callers(&self, now: MonotonicTime) -> bool {
+        self.summary.phase == PeerPhase::Ready && self.is_live(now)
     }
 
     /// It takes callers, and sends the heartbeats that a member of the entry set owes.
     #[must_use]
-    pub fn can_be_member(&self, now: MonotonicTime, heartbeats: bool) -> bool {
+    pub fn is_member_candidate(&self, now: MonotonicTime, heartbeats: bool) -> bool {
         let owes = heartbeats && self.summary.role == DaemonRole::Entry;
         let silent = now.since(self.received_at) >= HEARTBEAT_TIMEOUT;
-        self.takes_callers(now) && !(owes && silent)
+        self.accepts_callers(now) && !(owes && silent)
     }
 
     /// Time for which it has been running without a silence that was noticed here. Silences that
     /// ended when the observer itself went on, at `own_resumed_at`, were the observer's.
     #[must_use]
-    pub fn steady(&self, now: MonotonicTime, own_resumed_at: Option<MonotonicTime>) -> Duration {
-        let age = Duration::from_millis(self.summary.age_ms) + now.since(self.received_at);
+    pub fn stable_for(
+        &self,
+        now: MonotonicTime,
+        own_resumed_at: Option<MonotonicTime>,
+    ) -> Duration {
+        let age = Duration::from_millis(self.summary.uptime_ms) + now.since(self.received_at);
         let resumed = self.resumed_at.filter(|at| {
             let is_own = |own: MonotonicTime| *at >= own && at.since(own) < ALIVE_TIME;
             !own_resumed_at.is_some_and(is_own)
@@ -89,7 +93,7 @@
     }
 
     /// Notes a message; a silence that it ends is remembered.
-    fn note_alive(&mut self, now: MonotonicTime) {
+    fn record_message(&mut self, now: MonotonicTime) {
         if now.since(self.received_at) >= ALIVE_TIME {
             self.resumed_at = Some(now);
         }
@@ -98,7 +102,7 @@
 
     /// It was seen lately.
     #[must_use]
-    pub fn is_alive(&self, now: MonotonicTime) -> bool {
+    pub fn is_live(&self, now: MonotonicTime) -> bool {
         now.since(self.received_at) < ALIVE_TIME
     }
 }
@@ -107,8 +111,8 @@
 #[derive(Debug, Clone)]
 pub struct PeerTable {
     own_zone: ZoneLabel,
-    peers: BTreeMap<HostLabel, KnownPeer>,
-    zones: BTreeMap<ZoneLabel, KnownZone>,
+    peers: BTreeMap<HostLabel, PeerState>,
+    zones: BTreeMap<ZoneLabel, ZoneState>,
     /// When something changed last.
     changed_at: MonotonicTime,
     /// Sums as of then, once somebody asks for them: messages are many more than picks at a
@@ -120,7 +124,7 @@
 #[derive(Debug, Clone, Default)]
 struct PeerSums {
     /// Slots in use.
-    slots: HashMap<u32, SlotSum>,
+    slots: HashMap<u32, SlotTotal>,
     /// Peers that leave the upstream out.
     suspects: HashMap<u64, u32>,
 }
@@ -150,11 +154,11 @@
         }
         match self.peers.get_mut(&host) {
             Some(peer) => {
-                peer.note_alive(now);
+                peer.record_message(now);
                 peer.summary = summary;
             }
             None => {
-                let peer = KnownPeer {
+                let peer = PeerState {
                     digest: name_digest(&summary.host),
                     summary,
                     received_at: now,
@@ -181,7 +185,7 @@
             match self.zones.get_mut(&zone) {
                 Some(known) => known.replace(now, digest),
                 None => {
-                    self.zones.insert(zone, KnownZone::new(now, digest));
+                    self.zones.insert(zone, ZoneState::new(now, digest));
                 }
             }
             self.note_change(now);
@@ -190,7 +194,7 @@
     }
 
     /// Takes newer slots of a peer, or of a zone, that is known. Returns whether they were taken.
-    pub fn take_slots(&mut self, now: MonotonicTime, slots: SlotUpdate) -> bool {
+    pub fn apply_slot_update(&mut self, now: MonotonicTime, slots: SlotUpdate) -> bool {
         let taken = match slots.scope {
             SlotScope::Daemon => {
                 let beat = PeerHeartbeat {
@@ -198,7 +202,7 @@
                     incarnation: slots.incarnation,
                     sequence: slots.sequence,
                 };
-                self.take_heartbeat(now, beat).is_some_and(|peer| {
+                self.apply_heartbeat(now, beat).is_some_and(|peer| {
                     peer.summary.slots = slots.slots;
                     true
                 })
@@ -206,7 +210,7 @@
             SlotScope::Zone(zone) => {
                 let mut zones = self.zones.iter_mut();
                 let known = zones.find(|(name, _)| name_digest(name.as_str()) == zone);
-                known.is_some_and(|(_, known)| known.take_slots(now, slots))
+                known.is_some_and(|(_, known)| known.apply_slot_update(now, slots))
             }
         };
         if taken {
@@ -216,11 +220,11 @@
     }
 
     /// Takes a sign of life of a peer that is known, unless it is an old one.
-    pub fn take_heartbeat(
+    pub fn apply_heartbeat(
         &mut self,
         now: MonotonicTime,
         beat: PeerHeartbeat,
-    ) -> Option<&mut KnownPeer> {
+    ) -> Option<&mut PeerState> {
         let mut peers = self.peers.values_mut();
         let peer = peers.find(|peer| peer.digest == beat.sender)?;
         let summary = &mut peer.summary;
@@ -228,7 +232,7 @@
             return None;
         }
         summary.sequence = beat.sequence;
-        peer.note_alive(now);
+        peer.record_message(now);
         Some(peer)
     }
 
@@ -260,7 +264,7 @@
         for peer in peers {
             if counts_itself(&self.own_zone, &self.zones, now, &peer.summary.zone) {
                 add_slots(&mut sums.slots, &peer.summary.slots);
-                for upstream in &peer.summary.suspects {
+                for upstream in &peer.summary.ejected_upstreams {
                     *sums.suspects.entry(*upstream).or_default() += 1;
                 }
             }
@@ -273,20 +277,20 @@
 
     /// Requests of all others at an upstream, as they last reported.
     #[must_use]
-    pub fn slots_at(&self, upstream: &UpstreamLabel) -> SlotSum {
-        self.slots_of(name_digest(upstream.as_str()))
+    pub fn slots_at(&self, upstream: &UpstreamLabel) -> SlotTotal {
+        self.slots_by_digest(name_digest(upstream.as_str()))
     }
 
     /// The same for an upstream by the digest of its name.
     #[must_use]
-    pub fn slots_of(&self, digest: u64) -> SlotSum {
+    pub fn slots_by_digest(&self, digest: u64) -> SlotTotal {
         let sum = self.sums().slots.get(&slot_key(digest));
         sum.copied().unwrap_or_default()
     }
 
     /// Several peers leave an upstream out. One alone may have lost its way there.
     #[must_use]
-    pub fn suspect(&self, upstream: &UpstreamLabel) -> bool {
+    pub fn is_ejected_by_peers(&self, upstream: &UpstreamLabel) -> bool {
         let digest = name_digest(upstream.as_str());
         let peers = self.sums().suspects.get(&digest).copied();
         peers.unwrap_or_default() >= ENOUGH_SUSPECTING
@@ -294,51 +298,53 @@
 
     /// A peer was seen lately.
     #[must_use]
-    pub fn is_alive(&self, now: MonotonicTime, host: &str) -> bool {
-        self.peers.get(host).is_some_and(|peer| peer.is_alive(now))
+    pub fn is_live(&self, now: MonotonicTime, host: &str) -> bool {
+        self.peers.get(host).is_some_and(|peer| peer.is_live(now))
     }
 
     /// Peers that count by their own message: those of a zone of which a digest is known do not.
-    fn direct_peers(&self, now: MonotonicTime) -> impl Iterator<Item = &KnownPeer> {
+    fn direct_peers(&self, now: MonotonicTime) -> impl Iterator<Item = &PeerState> {
         let peers = self.peers.values();
-        peers.filter(move |peer| self.counts(now, &peer.summary.zone))
+        peers.filter(move |peer| self.uses_direct_summary(now, &peer.summary.zone))
     }
 
     /// The message of this peer counts, not that of another daemon of its zone.
     #[must_use]
-    pub fn counts(&self, now: MonotonicTime, zone: &str) -> bool {
+    pub fn uses_direct_summary(&self, now: MonotonicTime, zone: &str) -> bool {
         counts_itself(&self.own_zone, &self.zones, now, zone)
     }
 
     /// Peers that take callers, as far as they count themselves.
-    pub fn ready(&self, now: MonotonicTime) -> impl Iterator<Item = &KnownPeer> {
+    pub fn ready_peers(&self, now: MonotonicTime) -> impl Iterator<Item = &PeerState> {
         self.direct_peers(now)
-            .filter(move |peer| peer.takes_callers(now))
+            .filter(move |peer| peer.accepts_callers(now))
     }
 
     /// Other zones of which one daemon reports.
-    pub fn zones(&self, now: MonotonicTime) -> impl Iterator<Item = &ZoneDigest> {
+    pub fn zone_digests(&self, now: MonotonicTime) -> impl Iterator<Item = &ZoneDigest> {
         let fresh = self.zones.values().filter(move |zone| zone.is_fresh(now));
         fresh.map(|zone| &zone.digest)
     }
 
     /// Peers of the own zone seen lately that do not leave.
-    pub fn neighbours(&self, now: MonotonicTime) -> impl Iterator<Item = &KnownPeer> {
-        let alive = self.alive(now);
+    pub fn neighbours(&self, now: MonotonicTime) -> impl Iterator<Item = &PeerState> {
+        let alive = self.live_peers(now);
         alive.filter(|peer| {
             peer.summary.zone == self.own_zone.as_str() && peer.summary.phase != PeerPhase::Leaving
         })
     }
 
     /// Peers of a zone that could be members of its entry set. `heartbeats`: members send these.
-    pub fn candidates<'a>(
+    pub fn member_candidates<'a>(
         &'a self,
         now: MonotonicTime,
         zone: &'a str,
         heartbeats: bool,
-    ) -> impl Iterator<Item = &'a KnownPeer> {
+    ) -> impl Iterator<Item = &'a PeerState> {
         let peers = self.peers.values();
-        peers.filter(move |peer| peer.summary.zone == zone && peer.can_be_member(now, heartbeats))
+        peers.filter(move |peer| {
+            peer.summary.zone == zone && peer.is_member_candidate(now, heartbeats)
+        })
     }
 
     /// Zones of which the daemons count themselves, the own one included.
@@ -349,14 +355,14 @@
 
     /// Daemons of other zones that place requests, as these zones' digests name them.
     #[must_use]
-    pub fn placing_far(&self, now: MonotonicTime) -> BTreeSet<SocketAddr> {
-        let members = self.zones(now).flat_map(|zone| &zone.members);
+    pub fn remote_serving_addresses(&self, now: MonotonicTime) -> BTreeSet<SocketAddr> {
+        let members = self.zone_digests(now).flat_map(|zone| &zone.members);
         members.map(|member| member.peer_address).collect()
     }
 
     /// Daemons of the own zone that have not left, this one and silent ones included.
     #[must_use]
-    pub fn daemons_here(&self) -> usize {
+    pub fn zone_daemon_count(&self) -> usize {
         let peers = self.peers.values();
         let here = peers.filter(|peer| {
             peer.summary.zone == self.own_zone.as_str() && peer.summary.phase != PeerPhase::Leaving
@@ -367,12 +373,12 @@
     /// More than half of the daemons that are known were seen or reported lately, this one
     /// included.
     #[must_use]
-    pub fn sees_most(&self, now: MonotonicTime) -> bool {
+    pub fn sees_majority(&self, now: MonotonicTime) -> bool {
         let mut seen = 1;
         let mut known = 1;
         for peer in self.direct_peers(now) {
             known += 1;
-            seen += u64::from(peer.is_alive(now));
+            seen += u64::from(peer.is_live(now));
         }
         for zone in self.zones.values() {
             // A zone of which no digest comes may be reported by its daemons themselves.
@@ -387,35 +393,37 @@
     }
 
     fn sees_zone(&self, now: MonotonicTime, zone: &str) -> bool {
-        self.alive(now).any(|peer| peer.summary.zone == zone)
+        self.live_peers(now).any(|peer| peer.summary.zone == zone)
     }
 
     /// Peers seen lately.
-    pub fn alive(&self, now: MonotonicTime) -> impl Iterator<Item = &KnownPeer> {
-        self.peers.values().filter(move |peer| peer.is_alive(now))
+    pub fn live_peers(&self, now: MonotonicTime) -> impl Iterator<Item = &PeerState> {
+        self.peers.values().filter(move |peer| peer.is_live(now))
     }
 
     /// Number of other daemons seen or reported within the last minute.
     #[must_use]
-    pub fn known(&self, now: MonotonicTime) -> usize {
-        let far = self.zones(now).map(|zone| zone.daemons as usize);
+    pub fn peer_count(&self, now: MonotonicTime) -> usize {
+        let far = self.zone_digests(now).map(|zone| zone.daemons as usize);
         self.direct_peers(now).count() + far.sum::<usize>()
     }
 }
 
 fn counts_itself(
     own_zone: &ZoneLabel,
-    zones: &BTreeMap<ZoneLabel, KnownZone>,
+    zones: &BTreeMap<ZoneLabel, ZoneState>,
     now: MonotonicTime,
     zone: &str,
 ) -> bool {
     zone == own_zone.as_str() || zones.get(zone).is_none_or(|known| !known.is_fresh(now))
 }
 
-fn add_slots(sums: &mut HashMap<u32, SlotSum>, slots: &[SlotUse]) {
+fn add_slots(sums: &mut HashMap<u32, SlotTotal>, slots: &[SlotUse]) {
     for slot in slots {
         let sum = sums.entry(slot_key(slot.upstream)).or_default();
         sum.running += u32::from(slot.running);
-        sum.unread = sum.unread.saturating_add(slot.unread);
+        sum.unread_prompt_tokens = sum
+            .unread_prompt_tokens
+            .saturating_add(slot.unread_prompt_tokens);
     }
 }
--- a/crates/savorywood-gateway/src/rollout.rs
+++ b/crates/savorywood-gateway/src/rollout.rs
@@ -1,11 +1,11 @@
 //! Roll-outs: traffic moves to a new version by a time, or is taken back.
 
 use crate::{
+    label::{ServiceLabel, VersionLabel},
     message::VersionTally,
-    name::{ServiceLabel, VersionLabel},
     peer::name_digest,
-    pick::VersionChoice,
     position::StorePosition,
+    selection::VersionFilter,
 };
 use savorywood_protocol::MonotonicTime;
 use std::{collections::BTreeMap, time::Duration};
@@ -17,9 +17,9 @@
     /// Whose traffic moves.
     pub service: ServiceLabel,
     /// Where to.
-    pub to: VersionLabel,
+    pub target_version: VersionLabel,
     /// Within this time.
-    pub within: Duration,
+    pub time_limit: Duration,
     /// Position of the order's row in the store.
     pub position: StorePosition,
 }
@@ -42,7 +42,7 @@
     /// Whose.
     pub service: ServiceLabel,
     /// To which version; none when the row can't be read.
-    pub to: Option<VersionLabel>,
+    pub target_version: Option<VersionLabel>,
     /// Its state.
     pub phase: Option<RolloutPhase>,
     /// Position of the row; of version zero if there is none.
@@ -55,11 +55,11 @@
     /// Whose.
     pub service: ServiceLabel,
     /// To which version.
-    pub to: VersionLabel,
+    pub target_version: VersionLabel,
     /// State.
     pub phase: RolloutPhase,
     /// Position that the row must have; of version zero: it must not exist.
-    pub expected: StorePosition,
+    pub expected_position: StorePosition,
 }
 
 /// Answers of the new version that are needed before it is held for good.
@@ -77,7 +77,7 @@
 
 /// Bounds of trials.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct TrialOptions {
+pub struct CanaryOptions {
     /// Share of a service's traffic that a version on trial may get.
     pub share: f64,
 }
@@ -105,13 +105,13 @@
         let mut total = self.own;
         let peers = self.peers.iter().filter(|(peer, _)| includes(**peer));
         for (_, tally) in peers {
-            total.new_answers += tally.new_answers;
+            total.new_responses += tally.new_responses;
             total.new_bad += tally.new_bad;
-            total.old_answers += tally.old_answers;
+            total.old_responses += tally.old_responses;
             total.old_bad += tally.old_bad;
-            total.sent += tally.sent;
-            total.sent_new += tally.sent_new;
-            total.condemned |= tally.condemned;
+            total.dispatched += tally.dispatched;
+            total.dispatched_new += tally.dispatched_new;
+            total.rejected |= tally.rejected;
         }
         total
     }
@@ -120,40 +120,40 @@
     fn is_same_after_restore(&self, order: &RolloutOrder) -> bool {
         let known = &self.order;
         known.position.era < order.position.era
-            && known.to == order.to
-            && known.within == order.within
+            && known.target_version == order.target_version
+            && known.time_limit == order.time_limit
     }
 
     fn progress(&self, now: MonotonicTime) -> f64 {
         let elapsed = now.since(self.seen_at).as_secs_f64();
-        elapsed / self.order.within.as_secs_f64().max(0.001)
+        elapsed / self.order.time_limit.as_secs_f64().max(0.001)
     }
 }
 
 /// Bad shares differ so much that chance is no explanation.
 fn is_bad(total: &VersionTally) -> bool {
-    if total.new_bad < NEEDED_BAD || total.new_answers == 0 {
+    if total.new_bad < NEEDED_BAD || total.new_responses == 0 {
         return false;
     }
-    let new = f64::from(total.new_bad) / f64::from(total.new_answers);
-    let old = f64::from(total.old_bad) / f64::from(total.old_answers.max(1));
-    let spread = (old.max(0.02) * (1.0 - old.min(0.98)) / f64::from(total.new_answers)).sqrt();
+    let new = f64::from(total.new_bad) / f64::from(total.new_responses);
+    let old = f64::from(total.old_bad) / f64::from(total.old_responses.max(1));
+    let spread = (old.max(0.02) * (1.0 - old.min(0.98)) / f64::from(total.new_responses)).sqrt();
     new > old + 3.0 * spread + 0.02
 }
 
 /// All roll-outs that were ordered.
 #[derive(Debug, Clone, Default)]
-pub struct RolloutBook {
+pub struct RolloutTable {
     states: BTreeMap<ServiceLabel, RolloutState>,
 }
 
 fn digest(order: &RolloutOrder) -> u64 {
-    name_digest(order.service.as_str()) ^ name_digest(order.to.as_str()).rotate_left(17)
+    name_digest(order.service.as_str()) ^ name_digest(order.target_version.as_str()).rotate_left(17)
 }
 
-impl RolloutBook {
+impl RolloutTable {
     /// An order was read.
-    pub fn order(&mut self, now: MonotonicTime, order: RolloutOrder) -> bool {
+    pub fn apply_order(&mut self, now: MonotonicTime, order: RolloutOrder) -> bool {
         if let Some(known) = self.states.get_mut(&order.service) {
             if known.order.position >= order.position {
                 return false;
@@ -166,13 +166,13 @@
         let known = self.states.get(&order.service);
         let own = VersionTally {
             rollout: digest(&order),
-            new_answers: 0,
+            new_responses: 0,
             new_bad: 0,
-            old_answers: 0,
+            old_responses: 0,
             old_bad: 0,
-            sent: 0,
-            sent_new: 0,
-            condemned: false,
+            dispatched: 0,
+            dispatched_new: 0,
+            rejected: false,
         };
         let position = known.map_or(StorePosition::default(), |state| state.position);
         let state = RolloutState {
@@ -191,7 +191,7 @@
     }
 
     /// The store's state of a roll-out: it stands, whoever wrote it.
-    pub fn read(&mut self, status: &RolloutStatus) {
+    pub fn apply_status(&mut self, status: &RolloutStatus) {
         let Some(state) = self.states.get_mut(&status.service) else {
             return;
         };
@@ -199,7 +199,7 @@
             return;
         }
         state.position = status.position;
-        if status.to.as_ref() != Some(&state.order.to) {
+        if status.target_version.as_ref() != Some(&state.order.target_version) {
             return;
         }
         match status.phase {
@@ -216,7 +216,7 @@
 
     /// The store was restored: what was written may be lost, and is written again where the row says
     /// something else.
-    pub fn store_restored(&mut self, era: u64) {
+    pub fn on_store_restored(&mut self, era: u64) {
         for state in self.states.values_mut() {
             state.position = StorePosition::new(era, 0);
             state.written = false;
@@ -225,7 +225,7 @@
     }
 
     /// A write was answered, or not.
-    pub fn written(&mut self, now: MonotonicTime, service: &ServiceLabel, accepted: bool) {
+    pub fn record_write(&mut self, now: MonotonicTime, service: &ServiceLabel, accepted: bool) {
         if let Some(state) = self.states.get_mut(service) {
             state.writing = false;
             state.written |= accepted;
@@ -234,64 +234,64 @@
     }
 
     /// Which versions may get the next request of a service.
-    pub fn choose(
+    pub fn version_filter(
         &self,
         now: MonotonicTime,
         service: &ServiceLabel,
-        options: TrialOptions,
-    ) -> VersionChoice {
+        options: CanaryOptions,
+    ) -> VersionFilter {
         let Some(state) = self.states.get(service) else {
-            return VersionChoice::Any;
+            return VersionFilter::Any;
         };
-        let to = state.order.to.clone();
+        let to = state.order.target_version.clone();
         match state.phase {
-            RolloutPhase::Completed => return VersionChoice::Only(to),
-            RolloutPhase::RolledBack => return VersionChoice::Not(to),
+            RolloutPhase::Completed => return VersionFilter::Only(to),
+            RolloutPhase::RolledBack => return VersionFilter::Except(to),
             RolloutPhase::Running => {}
         }
         let total = state.total();
-        if total.condemned || is_bad(&total) {
-            return VersionChoice::Not(to);
+        if total.rejected || is_bad(&total) {
+            return VersionFilter::Except(to);
         }
         let progress = state.progress(now);
         if progress >= MOVED_TIME {
-            return VersionChoice::Only(to);
+            return VersionFilter::Only(to);
         }
-        let proved = total.new_answers >= NEEDED_ANSWERS;
+        let proved = total.new_responses >= NEEDED_ANSWERS;
         if progress >= TRIAL_TIME && proved {
-            return VersionChoice::Any;
+            return VersionFilter::Any;
         }
-        let allowed = f64::from(total.sent) * options.share * TRIAL_PART + 2.0;
-        if f64::from(total.sent_new) < allowed {
-            VersionChoice::Only(to)
+        let allowed = f64::from(total.dispatched) * options.share * TRIAL_PART + 2.0;
+        if f64::from(total.dispatched_new) < allowed {
+            VersionFilter::Only(to)
         } else {
-            VersionChoice::Not(to)
+            VersionFilter::Except(to)
         }
     }
 
     /// A request went to an upstream.
-    pub fn sent(&mut self, service: &ServiceLabel, version: &VersionLabel) {
+    pub fn record_dispatch(&mut self, service: &ServiceLabel, version: &VersionLabel) {
         if let Some(state) = self.states.get_mut(service) {
-            state.own.sent += 1;
-            state.own.sent_new += u32::from(state.order.to == *version);
+            state.own.dispatched += 1;
+            state.own.dispatched_new += u32::from(state.order.target_version == *version);
         }
     }
 
     /// An upstream answered, well or not.
-    pub fn answered(&mut self, service: &ServiceLabel, version: &VersionLabel, bad: bool) {
+    pub fn record_response(&mut self, service: &ServiceLabel, version: &VersionLabel, bad: bool) {
         if let Some(state) = self.states.get_mut(service) {
-            if state.order.to == *version {
-                state.own.new_answers += 1;
+            if state.order.target_version == *version {
+                state.own.new_responses += 1;
                 state.own.new_bad += u32::from(bad);
             } else {
-                state.own.old_answers += 1;
+                state.own.old_responses += 1;
                 state.own.old_bad += u32::from(bad);
             }
         }
     }
 
     /// A peer reports what it saw.
-    pub fn received(&mut self, peer: u64, tallies: &[VersionTally]) {
+    pub fn record_peer_tallies(&mut self, peer: u64, tallies: &[VersionTally]) {
         for state in self.states.values_mut() {
             let own = state.own.rollout;
             if let Some(tally) = tallies.iter().find(|tally| tally.rollout == own) {
@@ -330,8 +330,8 @@
         for state in self.states.values_mut() {
             let total = state.total();
             if state.phase == RolloutPhase::Running {
-                if total.condemned || is_bad(&total) {
-                    state.own.condemned = true;
+                if total.rejected || is_bad(&total) {
+                    state.own.rejected = true;
                     state.phase = RolloutPhase::RolledBack;
                     state.written = false;
                 } else if state.progress(now) >= COMPLETE_TIME {
@@ -343,9 +343,9 @@
                 state.writing = true;
                 writes.push(RolloutWrite {
                     service: state.order.service.clone(),
-                    to: state.order.to.clone(),
+                    target_version: state.order.target_version.clone(),
                     phase: state.phase,
-                    expected: state.position,
+                    expected_position: state.position,
                 });
             }
         }
--- a/crates/savorywood-gateway/src/reading.rs
+++ b/crates/savorywood-gateway/src/store_reads.rs
@@ -5,7 +5,7 @@
 //! does so and attests to what the others hold; it hands on changed rows at once. Whoever sees no
 //! such daemon reads by itself.
 
-use crate::{message::PeerSummary, name::HostLabel, peer::name_digest, position::StorePosition};
+use crate::{label::HostLabel, message::PeerSummary, peer::name_digest, position::StorePosition};
 use savorywood_protocol::MonotonicTime;
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, time::Duration};
@@ -33,9 +33,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableAttestation {
     /// Position of its last change.
-    pub changed: StorePosition,
+    pub last_change: StorePosition,
     /// Age in milliseconds of the proof that nothing changed since.
-    pub proof_age_ms: u32,
+    pub confirmation_age_ms: u32,
 }
 
 /// What a daemon that reads the store itself says of it.
@@ -46,7 +46,7 @@
     /// Registrations of upstreams.
     pub upstreams: TableAttestation,
     /// Time in milliseconds since a call to the store failed, if that was lately.
-    pub failed_ms: Option<u32>,
+    pub store_failure_age_ms: Option<u32>,
 }
 
 /// When a peer's last message was sent, by that peer's clock, and for how long it has been held here.
@@ -69,23 +69,25 @@
     /// It reads once what it lacks.
     CatchUp,
     /// Another daemon attests to what it holds.
-    Rest,
+    #[strum(serialize = "rest")]
+    FollowAttestation,
     /// It waits until another daemon may attest to what it has just read.
-    Await,
+    #[strum(serialize = "await")]
+    AwaitReader,
 }
 
 /// What is known of a table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct TableKnowledge {
+pub struct TablePosition {
     /// All changes up to this position are known.
-    pub through: StorePosition,
+    pub read_through: StorePosition,
     /// Position of the last change, as far as it is known.
-    pub changed: StorePosition,
+    pub last_change: StorePosition,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
 struct ReadState {
-    knowledge: TableKnowledge,
+    knowledge: TablePosition,
     proof_at: Option<MonotonicTime>,
 }
 
@@ -103,7 +105,7 @@
 
 /// Own reads, messages to be echoed, and attestations of others.
 #[derive(Debug, Clone, Default)]
-pub struct ReadBook {
+pub struct StoreReadTracker {
     declared: ReadState,
     upstreams: ReadState,
     failed_at: Option<MonotonicTime>,
@@ -115,7 +117,7 @@
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
 
-impl ReadBook {
+impl StoreReadTracker {
     fn state(&self, table: SharedTable) -> &ReadState {
         match table {
             SharedTable::Declared => &self.declared,
@@ -124,10 +126,10 @@
     }
 
     /// A table was read, or rows of it were handed on; only a read proves anything.
-    pub fn read(
+    pub fn record_read(
         &mut self,
         table: SharedTable,
-        knowledge: TableKnowledge,
+        knowledge: TablePosition,
         proof_at: Option<MonotonicTime>,
     ) {
         let state = match table {
@@ -139,12 +141,12 @@
     }
 
     /// A call to the store failed.
-    pub fn failed(&mut self, now: MonotonicTime) {
+    pub fn record_store_failure(&mut self, now: MonotonicTime) {
         self.failed_at = Some(now);
     }
 
     /// A neighbour's message came.
-    pub fn received(&mut self, now: MonotonicTime, summary: &PeerSummary) {
+    pub fn record_summary(&mut self, now: MonotonicTime, summary: &PeerSummary) {
         let message = HeldSummary {
             sent: summary.sent_at,
             received_at: now,
@@ -171,15 +173,15 @@
         let of = |state: &ReadState, longest: Duration| {
             let age = now.since(state.proof_at?);
             (age < longest).then(|| TableAttestation {
-                changed: state.knowledge.changed,
-                proof_age_ms: millis(age) + 1,
+                last_change: state.knowledge.last_change,
+                confirmation_age_ms: millis(age) + 1,
             })
         };
         let failed = self.failed_at.map(|at| now.since(at));
         Some(StoreAttestation {
             declared: of(&self.declared, LONGEST_PROOF)?,
             upstreams: of(&self.upstreams, LONGEST_PROOF * 2)?,
-            failed_ms: failed.filter(|age| *age < FAILURE_TIME).map(millis),
+            store_failure_age_ms: failed.filter(|age| *age < FAILURE_TIME).map(millis),
         })
     }
 
@@ -198,7 +200,7 @@
     }
 
     /// Forgets messages and attestations that are too old to matter.
-    pub fn sweep(&mut self, now: MonotonicTime) {
+    pub fn expire(&mut self, now: MonotonicTime) {
         self.held
             .retain(|_, summary| now.since(summary.received_at) < ECHO_TIME);
         self.attestations
@@ -216,7 +218,7 @@
 
     /// How to learn of a table now.
     #[must_use]
-    pub fn plan(&self, now: MonotonicTime, own: &HostLabel, table: SharedTable) -> ReadPlan {
+    pub fn read_plan(&self, now: MonotonicTime, own: &HostLabel, table: SharedTable) -> ReadPlan {
         let Some(attestation) = self.followed(now, own) else {
             return ReadPlan::Direct;
         };
@@ -224,10 +226,10 @@
             SharedTable::Declared => attestation.declared,
             SharedTable::Upstreams => attestation.upstreams,
         };
-        if self.state(table).knowledge.through < reported.changed {
+        if self.state(table).knowledge.read_through < reported.last_change {
             ReadPlan::CatchUp
         } else {
-            ReadPlan::Rest
+            ReadPlan::FollowAttestation
         }
     }
 
@@ -237,7 +239,7 @@
     /// it echoes a message of this daemon: what it proved at a time after that message's coming was true
     /// at a time after the message's sending.
     #[must_use]
-    pub fn proof(
+    pub fn confirmed_at(
         &self,
         own: u64,
         summary: &PeerSummary,
@@ -248,12 +250,12 @@
             SharedTable::Declared => attestation.declared,
             SharedTable::Upstreams => attestation.upstreams,
         };
-        if self.state(table).knowledge.through < reported.changed {
+        if self.state(table).knowledge.read_through < reported.last_change {
             return None;
         }
         let echo = summary.echoes.iter().find(|echo| echo.peer == own)?;
         let held = Duration::from_micros(u64::from(echo.held_micros));
-        let age = Duration::from_millis(u64::from(reported.proof_age_ms));
+        let age = Duration::from_millis(u64::from(reported.confirmation_age_ms));
         Some((echo.sent + held) - age)
     }
 }
--- a/crates/savorywood-gateway/tests/admission.rs
+++ b/crates/savorywood-gateway/tests/admission.rs
@@ -4,7 +4,7 @@
 mod harness;
 
 use harness::{GatewayHarness, REVOCATION_BOUND, arrival, config, options, route};
-use savorywood_gateway::{GatewayEvent, RefusalReason, RepeatKind, RequestArrival, TeamLimit};
+use savorywood_gateway::{GatewayEvent, RefusalReason, RequestArrival, RetrySafety, TeamLimit};
 use std::{sync::Arc, time::Duration};
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -22,7 +22,7 @@
 #[test]
 fn the_longest_prefix_wins() {
     let mut config = config(1, None);
-    config.add_route(route("/safe/deep/", RepeatKind::Once, 3));
+    config.add_route(route("/safe/deep/", RetrySafety::AtMostOnce, 3));
     let found = config
         .route("api.example", "/safe/deep/x")
         .expect("a route");
@@ -41,7 +41,7 @@
     let request = harness.arrive(arrival("/nowhere/"));
     assert_eq!(harness.refusal(request), Some(RefusalReason::NoRoute));
     let unknown_caller = RequestArrival {
-        key: Some("stranger".to_owned()),
+        api_key: Some("stranger".to_owned()),
         ..arrival("/safe/1")
     };
     let request = harness.arrive(unknown_caller.clone());
@@ -65,7 +65,7 @@
         let request = harness.arrive(arrival("/safe/1"));
         match harness.refusal(request) {
             None => {
-                served_until = harness.gateway.view(harness.now).proof_age;
+                served_until = harness.gateway.status(harness.now).time_since_confirmed;
                 harness.deliver(request);
             }
             Some(reason) => assert_eq!(reason, RefusalReason::NotReady),
@@ -90,7 +90,7 @@
     let mut harness = GatewayHarness::ready(1);
     harness.advance(60 * SECOND);
     let open = RequestArrival {
-        key: None,
+        api_key: None,
         ..arrival("/open/1")
     };
     let request = harness.arrive(open);
@@ -103,12 +103,12 @@
 fn an_older_configuration_never_replaces_a_newer_one() {
     let mut harness = GatewayHarness::ready(1);
     let mut newer = savorywood_gateway::DeclaredConfig::new(9);
-    newer.add_route(route("/new/", RepeatKind::Safe, 1));
+    newer.add_route(route("/new/", RetrySafety::Idempotent, 1));
     harness.step(GatewayEvent::ConfigRead(Arc::new(newer)));
     harness.step(GatewayEvent::ConfigRead(Arc::new(config(8, None))));
     let request = harness.arrive(arrival("/safe/1"));
     assert_eq!(harness.refusal(request), Some(RefusalReason::NoRoute));
-    assert_eq!(harness.gateway.view(harness.now).version, 9);
+    assert_eq!(harness.gateway.status(harness.now).config_version, 9);
 }
 
 #[test]
@@ -117,7 +117,7 @@
         per_second: 2_000.0,
         burst: 2_000.0,
         in_tokens: true,
-        plain_tokens: 100,
+        default_tokens: 100,
     };
     let mut harness = GatewayHarness::ready(4);
     harness.step(GatewayEvent::ConfigRead(Arc::new(config(2, Some(limit)))));
@@ -140,7 +140,7 @@
     let request = harness.arrive(arrival("/safe/1"));
     assert_eq!(harness.refusal(request), None);
     let mut bounds = options("host-a").bounds;
-    bounds.revocation = Some(2 * SECOND);
+    bounds.revocation_delay = Some(2 * SECOND);
     harness.step(GatewayEvent::BoundsRead(bounds));
     let request = harness.arrive(arrival("/safe/1"));
     assert_eq!(harness.refusal(request), Some(RefusalReason::NotReady));
--- a/crates/savorywood-gateway/tests/common/callers.rs
+++ b/crates/savorywood-gateway/tests/common/callers.rs
@@ -5,7 +5,7 @@
     cluster::{DaemonCluster, ZONES},
     harness::arrival,
 };
-use savorywood_gateway::CallerPlace;
+use savorywood_gateway::CallerLocation;
 use savorywood_protocol::MonotonicTime;
 use std::time::Duration;
 
@@ -145,7 +145,7 @@
             let gateway = &cluster.daemons[daemon].gateway;
             let name = format!("zone-{zone}");
             let addresses =
-                gateway.addresses(cluster.now, CallerPlace::in_zone(&name), MAX_ADDRESSES);
+                gateway.caller_addresses(cluster.now, CallerLocation::in_zone(&name), MAX_ADDRESSES);
             if !addresses.is_empty() {
                 let numbers = addresses
                     .iter()
--- a/crates/savorywood-gateway/tests/common/crashes.rs
+++ b/crates/savorywood-gateway/tests/common/crashes.rs
@@ -5,9 +5,8 @@
     cluster::DaemonCluster,
     harness::{arrival, upstream},
 };
-use savorywood_gateway::{
-    AnswerMarks, AttemptOutcome, DispatchOrder, GatewayEffect, GatewayEvent, LocalRequest,
-    QuarantineRow, QuarantineWrite, RefusalReason, RequestArrival, RequestFingerprint, StoredCrash,
+use savorywood_gateway::{ AttemptOutcome, DispatchOrder, GatewayEffect, GatewayEvent, LocalRequest,
+    QuarantineRow, QuarantineWrite, RefusalReason, RequestArrival, RequestFingerprint, ResponseMetadata, StoredCrash,
     UpstreamEntry, UpstreamLabel,
 };
 use savorywood_protocol::MonotonicTime;
@@ -163,7 +162,7 @@
         }
         self.step(
             daemon,
-            GatewayEvent::QuarantineWritten {
+            GatewayEvent::QuarantineWriteFinished {
                 write,
                 accepted,
                 era: 0,
@@ -216,7 +215,7 @@
                 *self.dispatch_counts.entry(id).or_default() += 1;
                 self.crashes.push(self.cluster.now);
                 self.crash(&upstream);
-                self.end_attempt(id, AttemptOutcome::Broken { silent: false });
+                self.end_attempt(id, AttemptOutcome::Broken { stalled: false });
             }
         }
     }
@@ -241,7 +240,7 @@
             .extract_if(.., |there| runs_there(there))
             .collect();
         for running in broken {
-            self.end_attempt(running.id, AttemptOutcome::Broken { silent: false });
+            self.end_attempt(running.id, AttemptOutcome::Broken { stalled: false });
         }
     }
 
@@ -266,9 +265,10 @@
     /// Completes all harmless requests that run.
     pub fn deliver_all(&mut self) {
         for running in std::mem::take(&mut self.running) {
-            let marks = AnswerMarks::default();
+            let metadata = ResponseMetadata::default();
             self.ends.insert(running.id, RequestEnd::Served);
-            self.end_attempt(running.id, AttemptOutcome::Delivered { marks, events: 1 });
+            self.end_attempt(running.id, AttemptOutcome::Delivered {
+                    metadata, events: 1, },);
         }
     }
 
@@ -276,9 +276,10 @@
     pub fn deliver(&mut self, id: RequestId) {
         let has_id = |running: &mut RunningRequest| running.id == id;
         if self.running.extract_if(.., has_id).count() > 0 {
-            let marks = AnswerMarks::default();
+            let metadata = ResponseMetadata::default();
             self.ends.insert(id, RequestEnd::Served);
-            self.end_attempt(id, AttemptOutcome::Delivered { marks, events: 1 });
+            self.end_attempt(id, AttemptOutcome::Delivered {
+                    metadata, events: 1, },);
         }
     }
 
--- a/crates/savorywood-gateway/tests/common/field.rs
+++ b/crates/savorywood-gateway/tests/common/field.rs
@@ -58,7 +58,7 @@
         per_second: 9_000.0 * daemons as f64,
         burst: 9_000.0 * daemons as f64,
         in_tokens: true,
-        plain_tokens: 200,
+        default_tokens: 200,
     }
 }
 
@@ -76,7 +76,7 @@
     options.caller_address = caller_address(number);
     options.incarnation = incarnation;
     options.first_start = incarnation == 1;
-    options.bounds.tolerance = LimitTolerance {
+    options.bounds.limit_tolerance = LimitTolerance {
         window: WINDOW,
         overage: 0.1,
         slack: 190_000.0,
@@ -261,16 +261,16 @@
             let plan = daemon.gateway.plan_gossip(self.now);
             traffic
                 .sent
-                .push(plan.summary_to.len() + plan.digest_to.len() + plan.brief_to.len());
+                .push(plan.summary_targets.len() + plan.digest_targets.len() + plan.slotless_digest_targets.len(),);
             let summary = daemon.gateway.summary(self.now);
             let receiver_index = |address| self.addresses.get(address).copied();
-            for receiver in plan.summary_to.iter().filter_map(receiver_index) {
+            for receiver in plan.summary_targets.iter().filter_map(receiver_index) {
                 let event = GatewayEvent::SummaryReceived(Box::new(summary.clone()));
                 messages.push((number, receiver, event));
             }
-            let remote: Vec<SocketAddr> = [&plan.digest_to[..], &plan.brief_to[..]].concat();
+            let remote: Vec<SocketAddr> = [&plan.digest_targets[..], &plan.slotless_digest_targets[..]].concat();
             for (scope, receivers) in [
-                (ReportScope::Daemon, &plan.summary_to),
+                (ReportScope::Daemon, &plan.summary_targets),
                 (ReportScope::Zone, &remote),
             ] {
                 let gossip = daemon.gateway.crash_gossip(self.now, scope);
@@ -284,11 +284,11 @@
                     messages.extend(event.map(|event| (number, receiver, event)));
                 }
             }
-            for (with_slots, receivers) in [(true, &plan.digest_to), (false, &plan.brief_to)] {
+            for (with_slots, receivers) in [(true, &plan.digest_targets), (false, &plan.slotless_digest_targets),] {
                 if receivers.is_empty() {
                     continue;
                 }
-                let digest = daemon.gateway.digest(self.now, with_slots);
+                let digest = daemon.gateway.zone_digest(self.now, with_slots);
                 for receiver in receivers.iter().filter_map(receiver_index) {
                     let event = GatewayEvent::DigestReceived(Box::new(digest.clone()));
                     messages.push((number, receiver, event));
@@ -345,7 +345,7 @@
                 self.daemons[number].step(GatewayEvent::Tick);
                 self.daemons[number].effects.clear();
             }
-            let pause = self.daemons[0].gateway.gossip_pause(self.now).as_millis();
+            let pause = self.daemons[0].gateway.gossip_interval(self.now).as_millis();
             let pause = pause / CALLER_STEP.as_millis();
             if u128::from(self.steps).is_multiple_of(pause) {
                 self.exchange_gossip();
@@ -399,9 +399,9 @@
     /// Reports a load of some descriptors in each zone, spread evenly over the zone's members.
     pub fn spread_load(&mut self, descriptors: u32) {
         for daemon in &mut self.daemons {
-            let members = u32::try_from(daemon.gateway.member_count()).expect("few members");
+            let members = u32::try_from(daemon.gateway.entry_member_count()).expect("few members");
             let share = descriptors / members.max(1);
-            let descriptors = if daemon.gateway.is_member() { share } else { 0 };
+            let descriptors = if daemon.gateway.is_entry_member() { share } else { 0 };
             daemon.step(GatewayEvent::LoadMeasured(HostResources {
                 descriptors,
                 ..HostResources::default()
@@ -421,7 +421,7 @@
                 }
             }
             let pause =
-                self.daemons[0].gateway.gossip_pause(self.now).as_millis() / STEP.as_millis();
+                self.daemons[0].gateway.gossip_interval(self.now).as_millis() / STEP.as_millis();
             if (u128::from(step) + 1).is_multiple_of(pause) {
                 self.exchange_gossip();
             }
@@ -439,8 +439,8 @@
         daemon.confirm();
         let mut request_arrival = arrival(path);
         request_arrival.size = Some(RequestSize {
-            prompt: self.units as u32 - OUTPUT_TOKENS,
-            output: OUTPUT_TOKENS,
+            prompt_tokens: self.units as u32 - OUTPUT_TOKENS,
+            max_output_tokens: OUTPUT_TOKENS,
         });
         let request = daemon.arrive(request_arrival);
         let is_admitted = daemon.refusal(request).is_none();
--- a/crates/savorywood-gateway/tests/common/limits.rs
+++ b/crates/savorywood-gateway/tests/common/limits.rs
@@ -6,9 +6,8 @@
     cluster::{DaemonCluster, zone},
     harness::{arrival, upstream},
 };
-use savorywood_gateway::{
-    AnswerMarks, AttemptOutcome, DispatchOrder, GatewayEffect, GatewayEvent, LocalRequest,
-    RateLimit, RefusalReason, UpstreamEntry, UpstreamLabel,
+use savorywood_gateway::{ AttemptOutcome, DispatchOrder, GatewayEffect, GatewayEvent, LocalRequest,
+    RateLimit, RefusalReason, ResponseMetadata, UpstreamEntry, UpstreamLabel,
 };
 use savorywood_protocol::MonotonicTime;
 use std::{collections::BTreeMap, time::Duration};
@@ -116,7 +115,7 @@
     /// Sets the limit that an upstream announces from now on; `None` lifts it.
     pub fn set_limit(&mut self, number: usize, per_second: Option<f64>) {
         let upstream = self.upstream(number);
-        match per_second.and_then(RateLimit::of) {
+        match per_second.and_then(RateLimit::from_per_second) {
             Some(limit) => {
                 let since = self.cluster.now;
                 self.limits
@@ -203,20 +202,21 @@
         };
         let due: Vec<_> = self.running.extract_if(.., is_due).collect();
         for running in due {
-            let limit = self
+            let rate_limit = self
                 .limits
                 .get(&running.upstream)
                 .map(|announced| announced.limit);
-            if limit.is_some() {
+            if rate_limit.is_some() {
                 let key = (running.daemon, running.upstream.clone());
                 self.first_seen.entry(key).or_insert(now);
             }
-            let marks = AnswerMarks {
-                limit,
-                ..AnswerMarks::default()
+            let metadata = ResponseMetadata {
+                rate_limit,
+                ..ResponseMetadata::default()
             };
             self.tally.served += 1;
-            let outcome = AttemptOutcome::Delivered { marks, events: 0 };
+            let outcome = AttemptOutcome::Delivered {
+                metadata, events: 0, };
             let request = running.request;
             self.step(
                 running.daemon,
--- a/crates/savorywood-gateway/tests/common/load.rs
+++ b/crates/savorywood-gateway/tests/common/load.rs
@@ -14,9 +14,8 @@
 use crate::harness::{GatewayHarness, config, options, route, upstream};
 use calls::{CallKind, CallTally, OpenCall, RandomSource};
 use engine::{EngineModel, EngineOutput, EngineRun};
-use savorywood_gateway::{
-    AnswerMarks, AttemptOutcome, DispatchOrder, GatewayEffect, GatewayEvent, LocalRequest,
-    PeerContact, RepeatKind, RequestArrival, RequestSize, StreamEnd, UpstreamLabel, ZoneLabel,
+use savorywood_gateway::{ AttemptOutcome, DispatchOrder, GatewayEffect, GatewayEvent, LocalRequest,
+    PeerContact, RequestArrival, RequestSize, ResponseMetadata, RetrySafety, StreamInterruption, UpstreamLabel, ZoneLabel,
 };
 use savorywood_protocol::MonotonicTime;
 use std::{
@@ -126,13 +125,13 @@
         harness.now = self.now;
         let mut config = config(1, None);
         for kind in &self.kinds {
-            let repeat = RepeatKind::Stream {
+            let repeat = RetrySafety::Stream {
                 resumable: kind.resumable,
             };
             let mut route = route(kind.path, repeat, kind.rank);
             route.objective = kind.objective;
             route.gap_objective = Some(kind.gap_objective);
-            route.caller_timeout = Some(kind.caller_timeout);
+            route.caller_idle_timeout = Some(kind.caller_timeout);
             route.timeout = Some(kind.deadline);
             config.add_route(route);
         }
@@ -202,13 +201,13 @@
                 retry_after,
                 ..
             } => self.on_refused(number, request, retry_after),
-            GatewayEffect::BreakOff { request } | GatewayEffect::PassFailure { request } => {
+            GatewayEffect::AbortResponse { request } | GatewayEffect::ForwardFailure { request } => {
                 if let Some(call) = self.calls.remove(&(number, request)) {
                     self.tallies[call.kind].record_unserved(&call);
                     self.tallies[call.kind].broken_off += 1;
                 }
             }
-            GatewayEffect::Abandon { request } => self.abandon(number, request),
+            GatewayEffect::AbandonAttempt { request } => self.abandon(number, request),
             GatewayEffect::WriteRollout(_)
             | GatewayEffect::WriteQuarantine(_)
             | GatewayEffect::Log(_) => {}
@@ -249,12 +248,12 @@
         call.redispatches += 1;
         self.abandoned_streams += u32::from(call.events > 0);
         let outcome = if call.events > 0 {
-            AttemptOutcome::StreamBroken(StreamEnd {
+            AttemptOutcome::StreamBroken(StreamInterruption {
                 events: call.events,
-                silent: true,
+                stalled: true,
             })
         } else {
-            AttemptOutcome::Broken { silent: true }
+            AttemptOutcome::Broken { stalled: true }
         };
         if let Some(name) = engine {
             self.engine(&name).cancel(number, request);
@@ -305,11 +304,11 @@
         let mut arrival: RequestArrival = crate::harness::arrival(&format!("{}1", kind.path));
         arrival.deadline = Some(left);
         arrival.size = Some(RequestSize {
-            prompt: call.prompt,
-            output: call.output_estimate,
+            prompt_tokens: call.prompt,
+            max_output_tokens: call.output_estimate,
         });
-        arrival.output_guess = Some(call.output_estimate);
-        arrival.parts = Vec::new();
+        arrival.expected_output_tokens = Some(call.output_estimate);
+        arrival.prompt_parts = Vec::new();
         call.received_at = self.now;
         call.give_up_at = call.deadline_at;
         let request = self.daemons[number].next_request();
@@ -360,12 +359,12 @@
         call.received_at = self.now;
         call.events += 1;
         call.tokens_left = output.tokens_left;
-        let marks = AnswerMarks::default();
+        let metadata = ResponseMetadata::default();
         let request = output.request;
         let event = if output.is_first {
-            GatewayEvent::AnswerBegan { request, marks }
+            GatewayEvent::ResponseStarted { request, metadata }
         } else {
-            GatewayEvent::AnswerMoved { request, events: 1 }
+            GatewayEvent::ResponseProgressed { request, events: 1 }
         };
         self.step(output.daemon, event);
         if output.tokens_left > 0 {
@@ -374,7 +373,7 @@
         if let Some(call) = self.calls.remove(&key) {
             self.tallies[call.kind].record_served(&call);
             let events = call.events;
-            let outcome = AttemptOutcome::Delivered { marks, events };
+            let outcome = AttemptOutcome::Delivered { metadata, events };
             self.step(
                 output.daemon,
                 GatewayEvent::AttemptEnded { request, outcome },
@@ -409,13 +408,13 @@
             let event = match (engine, left) {
                 (Some(_), true) => GatewayEvent::AttemptEnded {
                     request,
-                    outcome: AttemptOutcome::CallerLeft,
+                    outcome: AttemptOutcome::CallerDisconnected,
                 },
                 (Some(_), false) => GatewayEvent::AttemptEnded {
                     request,
                     outcome: AttemptOutcome::Expired,
                 },
-                (None, _) => GatewayEvent::CallerLeft(request),
+                (None, _) => GatewayEvent::CallerDisconnected(request),
             };
             self.step(number, event);
         }
--- a/crates/savorywood-gateway/tests/entry.rs
+++ b/crates/savorywood-gateway/tests/entry.rs
@@ -10,7 +10,7 @@
 use callers::CallerGroup;
 use cluster::{DaemonCluster, TeamLoad, ZONES};
 use savorywood_gateway::{
-    CallerPlace, EntryCandidate, GatewayEvent, HostResources, LoadPeak, select_members,
+    CallerLocation, EntryCandidate, GatewayEvent, HostResources, PeakLoad, select_members,
 };
 use savorywood_protocol::MonotonicTime;
 use std::{collections::BTreeSet, time::Duration};
@@ -52,7 +52,7 @@
     EntryCandidate {
         host,
         capacity,
-        steady: Duration::from_secs(60),
+        stable_for: Duration::from_secs(60),
     }
 }
 
@@ -68,7 +68,8 @@
         let addresses =
             cluster.daemons[number]
                 .gateway
-                .addresses(cluster.now, CallerPlace::in_zone(&zone), 64);
+                .caller_addresses(cluster.now,
+            CallerLocation::in_zone(&zone), 64,);
         let numbers = addresses
             .iter()
             .filter_map(|address| cluster.daemon_at(*address));
@@ -150,7 +151,7 @@
 fn a_daemon_that_just_started_is_no_member() {
     let mut all: Vec<EntryCandidate> = (0..6).map(|host| candidate(host, small())).collect();
     let mut recently_started = candidate(9, large());
-    recently_started.steady = Duration::from_millis(500);
+    recently_started.stable_for = Duration::from_millis(500);
     all.push(recently_started);
     assert!(!select_members(all, &descriptors(10)).contains(&9));
 }
@@ -161,7 +162,7 @@
     let all = (0..6).map(|host| EntryCandidate {
         host,
         capacity: small(),
-        steady: Duration::from_millis(900 + host * 50),
+        stable_for: Duration::from_millis(900 + host * 50),
     });
     assert_eq!(select_members(all.collect(), &descriptors(10)), [0, 1, 2]);
 }
@@ -170,7 +171,7 @@
 #[test]
 fn the_set_grows_at_once_and_shrinks_slowly() {
     let start = MonotonicTime(1_000_000);
-    let mut peak = LoadPeak::default();
+    let mut peak = PeakLoad::default();
     peak.update(start, descriptors(3_000), [].into_iter());
     for step in 1..=40 {
         let now = start + Duration::from_millis(50 * step);
@@ -295,7 +296,8 @@
     let named =
         cluster.daemons[ZONES]
             .gateway
-            .addresses(cluster.now, CallerPlace::in_zone("zone-0"), 64);
+            .caller_addresses(cluster.now,
+        CallerLocation::in_zone("zone-0"), 64,);
     let named: Vec<_> = named
         .iter()
         .filter_map(|at| cluster.daemon_at(*at))
@@ -364,7 +366,7 @@
             let mut load = descriptors(20);
             load.processor_millis = 40;
             load.link_kbps = 7_000;
-            if daemon.gateway.is_member() {
+            if daemon.gateway.is_entry_member() {
                 load.processor_millis = 20;
                 load.link_kbps = 300;
             }
--- a/crates/savorywood-gateway/tests/evacuation.rs
+++ b/crates/savorywood-gateway/tests/evacuation.rs
@@ -58,7 +58,7 @@
         if is_sent {
             harness.deliver(request);
         } else {
-            harness.step(GatewayEvent::CallerLeft(request));
+            harness.step(GatewayEvent::CallerDisconnected(request));
         }
     }
     numbers.sort_unstable();
@@ -159,7 +159,7 @@
     let mut config = config(2, None);
     for service in config.services.values_mut() {
         service.warmup = Some(WarmupSpec {
-            time: 3 * SECOND,
+            duration: 3 * SECOND,
             per_second: 6.6,
         });
     }
--- a/crates/savorywood-gateway/tests/quarantine.rs
+++ b/crates/savorywood-gateway/tests/quarantine.rs
@@ -17,8 +17,8 @@
 use harness::{GatewayHarness, arrival};
 use quickcheck::quickcheck;
 use savorywood_gateway::{
-    AttemptOutcome, BrokenAttempt, ContentDigest, CrashAge, CrashReport, GatewayEffect,
-    QuarantineBook, QuarantineRow, QuarantineVerdict, ReportScope, RequestFingerprint, TeamLabel,
+    AttemptOutcome, ContentDigest, CrashReport, FailedAttempt, GatewayEffect, QuarantineRow,
+    QuarantineTable, QuarantineVerdict, ReportScope, ReportedCrash, RequestFingerprint, TeamLabel,
 };
 use savorywood_protocol::MonotonicTime;
 use std::time::Duration;
@@ -29,9 +29,9 @@
     let mut harness = GatewayHarness::ready(1);
     let request_arrival = arrival("/once/1");
     let team = TeamLabel::from("team");
-    let fingerprint = RequestFingerprint::new(request_arrival.content, Some(&team));
+    let fingerprint = RequestFingerprint::new(request_arrival.content_digest, Some(&team));
     let request = harness.arrive(request_arrival);
-    harness.end(request, AttemptOutcome::Broken { silent: false });
+    harness.end(request, AttemptOutcome::Broken { stalled: false });
     let lines = harness.effects.iter().filter_map(|effect| match effect {
         GatewayEffect::Log(line) => Some(line.to_string()),
         _ => None,
@@ -259,7 +259,7 @@
     for _ in 0..6 {
         let request = harness.arrive(arrival("/once/1"));
         assert_eq!(harness.refusal(request), None);
-        harness.end(request, AttemptOutcome::Broken { silent: false });
+        harness.end(request, AttemptOutcome::Broken { stalled: false });
         harness.advance(Duration::from_millis(300));
         // The next four requests go to all four upstreams, the one with the broken connection
         // included.
@@ -286,7 +286,7 @@
         let RequestEnd::Refused(reason) = end else {
             panic!("the request can't be served");
         };
-        assert_eq!(ran, !reason.promises_not_run(), "{reason}");
+        assert_eq!(ran, !reason.guarantees_not_executed(), "{reason}");
         environment.advance_round();
     }
 }
@@ -356,40 +356,40 @@
 
 /// Records that a request, dispatched long ago, broke at an upstream.
 fn record_broken_attempt(
-    quarantine: &mut QuarantineBook,
+    quarantine: &mut QuarantineTable,
     now: MonotonicTime,
     number: u64,
     upstream: u64,
 ) {
-    let attempt = BrokenAttempt {
+    let attempt = FailedAttempt {
         fingerprint: fingerprint(number),
         upstream,
         sent_at: MonotonicTime::default(),
     };
-    quarantine.broke(now, attempt);
+    quarantine.record_failed_attempt(now, attempt);
 }
 
 /// Guards against taking requests for the cause of a crash that find their upstream down after it.
 #[test]
 fn attempts_at_an_upstream_that_is_down_do_not_count_as_crashes() {
     let start = MonotonicTime(1_000_000_000);
-    let mut quarantine = QuarantineBook::default();
+    let mut quarantine = QuarantineTable::default();
     for upstream in 1..=3 {
         record_broken_attempt(&mut quarantine, start, 0, upstream);
     }
     let round = Duration::from_millis(250);
-    let mut peer = QuarantineBook::default();
+    let mut peer = QuarantineTable::default();
     for report in quarantine.reports(start + round, ReportScope::Daemon, round) {
         peer.merge(start + round, &report, true);
     }
-    let send_to_all = |quarantine: &mut QuarantineBook, sent_at: MonotonicTime| {
+    let send_to_all = |quarantine: &mut QuarantineTable, sent_at: MonotonicTime| {
         for upstream in 1..=3 {
-            let attempt = BrokenAttempt {
+            let attempt = FailedAttempt {
                 fingerprint: fingerprint(1),
                 upstream,
                 sent_at,
             };
-            quarantine.broke(sent_at + Duration::from_millis(30), attempt);
+            quarantine.record_failed_attempt(sent_at + Duration::from_millis(30), attempt);
         }
     };
     for quarantine in [&mut quarantine, &mut peer] {
@@ -406,7 +406,7 @@
 /// requests.
 #[test]
 fn many_other_crashes_do_not_end_a_quarantine() {
-    let mut quarantine = QuarantineBook::default();
+    let mut quarantine = QuarantineTable::default();
     let start = MonotonicTime(1_000_000_000);
     for upstream in 1..=3 {
         record_broken_attempt(&mut quarantine, start, 0, upstream);
@@ -420,14 +420,14 @@
     let verdict = quarantine.verdict(fingerprint(0));
     assert!(matches!(
         verdict,
-        QuarantineVerdict::Held { crashes: 3, .. }
+        QuarantineVerdict::Quarantined { crashes: 3, .. }
     ));
 }
 
 /// Guards against rows that can't be read at the next start.
 #[test]
 fn a_row_round_trips() {
-    let mut quarantine = QuarantineBook::default();
+    let mut quarantine = QuarantineTable::default();
     let now = MonotonicTime(1_000_000_000);
     for upstream in [1, 0xffff_ffff_ffff, 3] {
         record_broken_attempt(&mut quarantine, now, 0, upstream);
@@ -437,8 +437,8 @@
     let key = writes[0].fingerprint.to_string();
     let row = QuarantineRow::parse(&key, &value).expect("a row");
     assert_eq!(Some(&row.crashes), writes[0].crashes.as_ref());
-    let mut restarted = QuarantineBook::default();
-    restarted.restore(now, &[row]);
+    let mut restarted = QuarantineTable::default();
+    restarted.restore_rows(now, &[row]);
     assert_eq!(
         restarted.verdict(fingerprint(0)),
         quarantine.verdict(fingerprint(0))
@@ -452,7 +452,7 @@
 /// Guards against gossip that grows with the number of crashes beyond the size of one datagram.
 #[test]
 fn a_message_on_crashes_is_bounded() {
-    let mut quarantine = QuarantineBook::default();
+    let mut quarantine = QuarantineTable::default();
     let now = MonotonicTime(1_000_000_000);
     for number in 0..500 {
         for upstream in 0..4 {
@@ -469,10 +469,10 @@
 #[test]
 fn a_report_that_is_read_late_counts_once() {
     let start = MonotonicTime(1_000_000_000);
-    let mut sender = QuarantineBook::default();
+    let mut sender = QuarantineTable::default();
     record_broken_attempt(&mut sender, start, 0, 1);
     record_broken_attempt(&mut sender, start, 0, 2);
-    let mut frozen = QuarantineBook::default();
+    let mut frozen = QuarantineTable::default();
     let round = Duration::from_millis(250);
     let thawed_at = start + Duration::from_secs(9);
     for number in 0..4 {
@@ -488,7 +488,7 @@
 /// Guards against counting only one crash of an upstream that restarts under the same name.
 #[test]
 fn each_crash_of_a_restarted_upstream_counts() {
-    let mut quarantine = QuarantineBook::default();
+    let mut quarantine = QuarantineTable::default();
     for second in [10, 14, 18] {
         record_broken_attempt(&mut quarantine, MonotonicTime(second * 1_000_000), 0, 1);
     }
@@ -504,7 +504,7 @@
             .iter()
             .map(|(number, upstream, at)| CrashReport {
                 fingerprint: fingerprint(u64::from(*number % 3)),
-                crashes: vec![CrashAge {
+                crashes: vec![ReportedCrash {
                     // One crash per upstream: whether two reports are of the same crash depends on
                     // more than their order.
                     upstream: u32::from(*upstream % 4),
@@ -514,8 +514,8 @@
                 served_ms: None,
             })
             .collect();
-        let mut in_order = QuarantineBook::default();
-        let mut shuffled = QuarantineBook::default();
+        let mut in_order = QuarantineTable::default();
+        let mut shuffled = QuarantineTable::default();
         for report in &reports {
             in_order.merge(now, report, true);
         }
@@ -528,7 +528,7 @@
             shuffled.merge(now, report, false);
         }
         (0..3).all(|number| {
-            let held = |quarantine: &QuarantineBook| {
+            let held = |quarantine: &QuarantineTable| {
                 quarantine.verdict(fingerprint(number)) != QuarantineVerdict::Clear
             };
             held(&in_order) == held(&shuffled)
--- a/crates/savorywood-gateway/tests/rate_limits.rs
+++ b/crates/savorywood-gateway/tests/rate_limits.rs
@@ -11,15 +11,14 @@
 
 use harness::{GatewayHarness, arrival, upstream};
 use limits::{LimitEnvironment, LimitTally};
-use savorywood_gateway::{
-    AnswerMarks, AttemptOutcome, GatewayEffect, GatewayEvent, RateLimit, UpstreamEntry,
+use savorywood_gateway::{ AttemptOutcome, GatewayEffect, GatewayEvent, RateLimit, ResponseMetadata, UpstreamEntry,
 };
 use std::time::Duration;
 
-fn marks(per_second: Option<f64>) -> AnswerMarks {
-    AnswerMarks {
-        limit: per_second.and_then(RateLimit::of),
-        ..AnswerMarks::default()
+fn marks(per_second: Option<f64>) -> ResponseMetadata {
+    ResponseMetadata {
+        rate_limit: per_second.and_then(RateLimit::from_per_second),
+        ..ResponseMetadata::default()
     }
 }
 
@@ -30,7 +29,7 @@
     for per_second in [None, Some(1.2), Some(1.2), Some(3.0), None] {
         let request = harness.arrive(arrival("/safe/1"));
         let outcome = AttemptOutcome::Delivered {
-            marks: marks(per_second),
+            metadata: marks(per_second),
             events: 0,
         };
         harness.end(request, outcome);
@@ -60,9 +59,9 @@
 fn the_end_of_a_stream_does_not_change_a_limit() {
     let mut harness = GatewayHarness::ready(2);
     let stream = harness.arrive(arrival("/stream/1"));
-    harness.step(GatewayEvent::AnswerBegan {
+    harness.step(GatewayEvent::ResponseStarted {
         request: stream,
-        marks: marks(Some(2.0)),
+        metadata: marks(Some(2.0)),
     });
     let limited = |harness: &GatewayHarness| {
         let states = harness.gateway.fleet().iter();
@@ -70,7 +69,7 @@
     };
     assert_eq!(limited(&harness), 1);
     let outcome = AttemptOutcome::Delivered {
-        marks: marks(None),
+        metadata: marks(None),
         events: 3,
     };
     harness.end(stream, outcome);
@@ -252,14 +251,14 @@
     let mut harness = GatewayHarness::ready(1);
     let request = harness.arrive(arrival("/safe/1"));
     let outcome = AttemptOutcome::Delivered {
-        marks: marks(Some(0.2)),
+        metadata: marks(Some(0.2)),
         events: 0,
     };
     harness.end(request, outcome);
     let waiting = harness.arrive(arrival("/safe/2"));
     assert!(harness.orders(waiting).is_empty());
     let restarted = UpstreamEntry {
-        born: 2,
+        incarnation: 2,
         ..upstream(1, 1)
     };
     harness.step(GatewayEvent::UpstreamWritten(restarted));
--- a/crates/savorywood-gateway/tests/reading.rs
+++ b/crates/savorywood-gateway/tests/reading.rs
@@ -8,22 +8,22 @@
 mod harness;
 
 use cluster::{DAEMONS, DaemonCluster, ZONES};
-use savorywood_gateway::{GatewayEvent, ReadPlan, SharedTable, StorePosition, TableKnowledge};
+use savorywood_gateway::{GatewayEvent, ReadPlan, SharedTable, StorePosition, TablePosition};
 use std::{collections::BTreeSet, time::Duration};
 
 impl DaemonCluster {
     /// Lets a daemon read a table from the store, or receive a change of it from a peer. Only a
     /// read confirms the table (`confirmed`).
     fn read(&mut self, number: usize, table: SharedTable, changed: u64, confirmed: bool) {
-        let proof_at = confirmed.then_some(self.now);
-        let knowledge = TableKnowledge {
-            through: StorePosition::new(1, changed),
-            changed: StorePosition::new(1, changed),
+        let confirmed_at = confirmed.then_some(self.now);
+        let position = TablePosition {
+            read_through: StorePosition::new(1, changed),
+            last_change: StorePosition::new(1, changed),
         };
         self.daemons[number].step(GatewayEvent::TableRead {
             table,
-            knowledge,
-            proof_at,
+            position,
+            confirmed_at,
         });
     }
 
@@ -32,7 +32,7 @@
         for number in 0..self.daemons.len() {
             for table in [SharedTable::Declared, SharedTable::Upstreams] {
                 let plan = self.plan(number, table);
-                if plan != ReadPlan::Rest && reaches_store(number) {
+                if plan != ReadPlan::FollowAttestation && reaches_store(number) {
                     self.read(number, table, changed, true);
                     self.daemons[number].confirm();
                 }
--- a/crates/savorywood-gateway/tests/regions.rs
+++ b/crates/savorywood-gateway/tests/regions.rs
@@ -5,8 +5,7 @@
 
 use harness::{GatewayHarness, arrival, config, options, route, upstream};
 use savorywood_gateway::{
-    CallerPlace, DeclaredConfig, GatewayEvent, PeerContact, RefusalReason, RegionLabel, RegionMap,
-    RepeatKind, TeamLabel, TeamSpec, UpstreamEntry, ZoneLabel,
+    CallerLocation, DeclaredConfig, GatewayEvent, PeerContact, RefusalReason, RegionLabel, RegionMap, RetrySafety, TeamLabel, TeamSpec, UpstreamEntry, ZoneLabel,
 };
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -34,8 +33,8 @@
 fn declared() -> DeclaredConfig {
     let mut config = config(1, None);
     for name in ["north", "south"] {
-        let mut route = route(&format!("/{name}/"), RepeatKind::Safe, 1);
-        route.homes = homes(&[name]);
+        let mut route = route(&format!("/{name}/"), RetrySafety::Idempotent, 1);
+        route.home_regions = homes(&[name]);
         route.host = format!("{name}.example");
         config.add_route(route);
     }
@@ -43,7 +42,7 @@
         name: TeamLabel::from("southern"),
         priority: None,
         limit: None,
-        homes: homes(&["south"]),
+        home_regions: homes(&["south"]),
     };
     config.add_team(team, vec!["southern".to_owned()]);
     config
@@ -68,7 +67,7 @@
 fn dispatched_zone(harness: &mut GatewayHarness, region: &str, key: &str) -> Option<String> {
     let mut request_arrival = arrival(&format!("/{region}/1"));
     request_arrival.host = format!("{region}.example");
-    request_arrival.key = Some(key.to_owned());
+    request_arrival.api_key = Some(key.to_owned());
     let request = harness.arrive(request_arrival);
     let dispatched_to = harness.orders(request).first()?.upstream.clone();
     let state = harness.gateway.fleet().get(&dispatched_to);
@@ -140,12 +139,12 @@
     harness.step(GatewayEvent::SummaryReceived(Box::new(summary)));
     harness.step(GatewayEvent::Tick);
     let named = |region: &'static str, host: &'static str| {
-        let caller = CallerPlace {
+        let caller = CallerLocation {
             zone: Some("elsewhere"),
             region: Some(region),
             host: Some(host),
         };
-        harness.gateway.addresses(harness.now, caller, 64)
+        harness.gateway.caller_addresses(harness.now, caller, 64)
     };
     let north = address("10.0.0.1:80");
     let south = address("10.0.0.3:80");
--- a/crates/savorywood-gateway/tests/restoring.rs
+++ b/crates/savorywood-gateway/tests/restoring.rs
@@ -5,8 +5,7 @@
 
 use harness::{GatewayHarness, arrival, upstream};
 use quickcheck::quickcheck;
-use savorywood_gateway::{
-    BrokenAttempt, ContentDigest, EvacuationOrder, GatewayEffect, GatewayEvent, QuarantineBook,
+use savorywood_gateway::{ ContentDigest, EvacuationOrder, FailedAttempt, GatewayEffect, GatewayEvent, QuarantineTable,
     RequestFingerprint, RolloutOrder, RolloutPhase, RolloutStatus, RolloutWrite, ServiceLabel,
     StorePosition, UpstreamEntry, VersionLabel, ZoneLabel,
 };
@@ -38,7 +37,7 @@
 /// Returns a ready daemon that has observed era 1 of the store.
 fn harness() -> GatewayHarness {
     let mut harness = GatewayHarness::ready(2);
-    harness.step(GatewayEvent::StoreEraSeen(1));
+    harness.step(GatewayEvent::StoreEraObserved(1));
     harness
 }
 
@@ -62,7 +61,7 @@
 fn an_evacuation_that_the_backup_lacks_stays_in_force() {
     let mut harness = harness();
     harness.step(GatewayEvent::EvacuationOrdered(evacuation(1, 40)));
-    harness.step(GatewayEvent::StoreEraSeen(2));
+    harness.step(GatewayEvent::StoreEraObserved(2));
     read_evacuations(&mut harness, &[], position(2, 30));
     advance_confirmed(&mut harness, Duration::from_secs(3));
     assert!(is_evacuated(&harness));
@@ -78,7 +77,7 @@
 fn an_evacuation_that_is_not_written_again_ends() {
     let mut harness = harness();
     harness.step(GatewayEvent::EvacuationOrdered(evacuation(1, 40)));
-    harness.step(GatewayEvent::StoreEraSeen(2));
+    harness.step(GatewayEvent::StoreEraObserved(2));
     read_evacuations(&mut harness, &[], position(2, 30));
     advance_confirmed(&mut harness, Duration::from_secs(8));
     assert!(!is_evacuated(&harness));
@@ -91,7 +90,7 @@
     harness.step(GatewayEvent::EvacuationOrdered(evacuation(1, 20)));
     harness.step(GatewayEvent::EvacuationWithdrawn(evacuation(1, 40)));
     assert!(!is_evacuated(&harness));
-    harness.step(GatewayEvent::StoreEraSeen(2));
+    harness.step(GatewayEvent::StoreEraObserved(2));
     read_evacuations(&mut harness, &[evacuation(2, 20)], position(2, 30));
     harness.step(GatewayEvent::EvacuationWithdrawn(evacuation(2, 31)));
     advance_confirmed(&mut harness, Duration::from_secs(8));
@@ -113,7 +112,7 @@
         draining: true,
         ..upstream(1, 1)
     }));
-    harness.step(GatewayEvent::StoreEraSeen(2));
+    harness.step(GatewayEvent::StoreEraObserved(2));
     harness.step(GatewayEvent::UpstreamsRead(vec![
         upstream(1, 1),
         upstream(2, 1),
@@ -136,7 +135,7 @@
     harness.step(GatewayEvent::UpstreamWritten(leaving));
     harness.step(GatewayEvent::UpstreamRemoved(name.clone()));
     advance_confirmed(&mut harness, Duration::from_secs(1));
-    harness.step(GatewayEvent::StoreEraSeen(2));
+    harness.step(GatewayEvent::StoreEraObserved(2));
     harness.step(GatewayEvent::UpstreamsRead(vec![
         upstream(1, 1),
         upstream(2, 1),
@@ -144,7 +143,7 @@
     assert!(harness.gateway.fleet().get(&name).is_none());
     // A new incarnation with the same name is another upstream.
     let restarted = UpstreamEntry {
-        born: 2,
+        incarnation: 2,
         ..upstream(1, 1)
     };
     harness.step(GatewayEvent::UpstreamWritten(restarted));
@@ -154,8 +153,8 @@
 fn rollout(era: u64, version: u64) -> RolloutOrder {
     RolloutOrder {
         service: ServiceLabel::from("engine"),
-        to: VersionLabel::from("v2"),
-        within: Duration::from_secs(20),
+        target_version: VersionLabel::from("v2"),
+        time_limit: Duration::from_secs(20),
         position: position(era, version),
     }
 }
@@ -173,7 +172,7 @@
 fn status(phase: Option<RolloutPhase>, position: StorePosition) -> RolloutStatus {
     RolloutStatus {
         service: ServiceLabel::from("engine"),
-        to: phase.map(|_| VersionLabel::from("v2")),
+        target_version: phase.map(|_| VersionLabel::from("v2")),
         phase,
         position,
     }
@@ -191,24 +190,24 @@
         for write in rollout_writes(&mut harness) {
             last = Some(write.phase);
             let service = service.clone();
-            harness.step(GatewayEvent::RolloutWritten {
+            harness.step(GatewayEvent::RolloutWriteFinished {
                 service,
                 accepted: true,
                 era: 1,
             });
-            harness.step(GatewayEvent::RolloutRead(status(last, position(1, 60))));
+            harness.step(GatewayEvent::RolloutStatusRead(status(last, position(1, 60),)));
         }
     }
     assert_eq!(last, Some(RolloutPhase::Completed));
-    harness.step(GatewayEvent::StoreEraSeen(2));
+    harness.step(GatewayEvent::StoreEraObserved(2));
     harness.step(GatewayEvent::RolloutOrdered(rollout(2, 50)));
     let running = Some(RolloutPhase::Running);
-    harness.step(GatewayEvent::RolloutRead(status(running, position(2, 55))));
+    harness.step(GatewayEvent::RolloutStatusRead(status(running, position(2, 55),)));
     advance_confirmed(&mut harness, Duration::from_secs(2));
     let writes = rollout_writes(&mut harness);
     let first = writes.first().expect("it is written again");
     assert_eq!(first.phase, RolloutPhase::Completed);
-    assert_eq!(first.expected, position(2, 55));
+    assert_eq!(first.expected_position, position(2, 55));
     assert!(
         writes
             .iter()
@@ -223,8 +222,8 @@
     harness.step(GatewayEvent::RolloutOrdered(rollout(1, 50)));
     advance_confirmed(&mut harness, Duration::from_secs(1));
     assert_eq!(rollout_writes(&mut harness).len(), 1);
-    harness.step(GatewayEvent::StoreEraSeen(2));
-    harness.step(GatewayEvent::RolloutWritten {
+    harness.step(GatewayEvent::StoreEraObserved(2));
+    harness.step(GatewayEvent::RolloutWriteFinished {
         service: ServiceLabel::from("engine"),
         accepted: true,
         era: 1,
@@ -236,31 +235,31 @@
 /// Guards against a quarantine that ended, but whose row the backup brings back for the next start.
 #[test]
 fn a_row_of_a_quarantine_that_ended_is_removed_again() {
-    let mut quarantine = QuarantineBook::default();
+    let mut quarantine = QuarantineTable::default();
     let now = MonotonicTime(1_000_000_000);
     let request = RequestFingerprint::new(ContentDigest(1), None);
     for upstream in 1..=3 {
-        let attempt = BrokenAttempt {
+        let attempt = FailedAttempt {
             fingerprint: request,
             upstream,
             sent_at: MonotonicTime::default(),
         };
-        quarantine.broke(now, attempt);
+        quarantine.record_failed_attempt(now, attempt);
     }
-    let write_all = |quarantine: &mut QuarantineBook| {
+    let write_all = |quarantine: &mut QuarantineTable| {
         let writes = quarantine.due_writes(now, |_| true);
         for write in &writes {
-            quarantine.written(write, true);
+            quarantine.record_write(write, true);
         }
         let crashes = writes.iter().map(|write| write.crashes.as_ref());
         crashes.map(|all| all.map(Vec::len)).collect::<Vec<_>>()
     };
     assert_eq!(write_all(&mut quarantine), [Some(3)]);
-    quarantine.store_restored();
+    quarantine.on_store_restored();
     assert_eq!(write_all(&mut quarantine), [Some(3)]);
-    quarantine.served(now, request);
+    quarantine.record_complete_response(now, request);
     assert_eq!(write_all(&mut quarantine), [None]);
-    quarantine.store_restored();
+    quarantine.on_store_restored();
     assert_eq!(write_all(&mut quarantine), [None]);
 }
 
@@ -271,7 +270,7 @@
         let mut harness = harness();
         eras.iter().all(|era| {
             let before = harness.gateway.store_era();
-            harness.step(GatewayEvent::StoreEraSeen(u64::from(*era)));
+            harness.step(GatewayEvent::StoreEraObserved(u64::from(*era)));
             harness.gateway.store_era() == before.max(u64::from(*era))
         })
     }
--- a/crates/savorywood-gateway/tests/rollouts.rs
+++ b/crates/savorywood-gateway/tests/rollouts.rs
@@ -4,8 +4,7 @@
 mod harness;
 
 use harness::{GatewayHarness, arrival, config, options, upstream};
-use savorywood_gateway::{
-    AnswerMarks, AttemptOutcome, GatewayEffect, GatewayEvent, RolloutOrder, RolloutPhase,
+use savorywood_gateway::{ AttemptOutcome, GatewayEffect, GatewayEvent, ResponseMetadata, RolloutOrder, RolloutPhase,
     RolloutStatus, RolloutWrite, ServiceLabel, StorePosition, UpstreamEntry, UpstreamLabel,
     VersionLabel,
 };
@@ -81,11 +80,12 @@
         result.dispatched_new_after_rollback += u32::from(new && is_rolled_back);
         let bad = new && (step * 7 % 100) as f64 / 100.0 < run_options.bad_fraction;
         result.bad_responses += u32::from(bad);
-        let marks = AnswerMarks::default();
+        let metadata = ResponseMetadata::default();
         let outcome = if bad {
-            AttemptOutcome::Failed { marks }
+            AttemptOutcome::Failed { metadata }
         } else {
-            AttemptOutcome::Delivered { marks, events: 0 }
+            AttemptOutcome::Delivered {
+                metadata, events: 0, }
         };
         daemon.end(request, outcome);
         if !daemon.orders(request).is_empty() && bad {
@@ -112,8 +112,8 @@
     harness.confirm();
     harness.step(GatewayEvent::RolloutOrdered(RolloutOrder {
         service: ServiceLabel::from("engine"),
-        to: VersionLabel::from("v2"),
-        within: ROLLOUT_DEADLINE,
+        target_version: VersionLabel::from("v2"),
+        time_limit: ROLLOUT_DEADLINE,
         position: StorePosition::new(1, 50),
     }));
     harness
@@ -134,7 +134,7 @@
         };
         result.writes.push(write.clone());
         let version = stored.as_ref().map_or(0, |(_, version)| *version);
-        let holds = write.expected.version == version;
+        let holds = write.expected_position.version == version;
         if holds {
             if write.phase != RolloutPhase::Running {
                 result.ended.get_or_insert((write.phase, elapsed));
@@ -143,19 +143,19 @@
         }
         let service = write.service.clone();
         let accepted = holds && !run_options.lose_write_responses;
-        daemon.step(GatewayEvent::RolloutWritten {
+        daemon.step(GatewayEvent::RolloutWriteFinished {
             service,
             accepted,
             era: 1,
         });
-        daemon.step(GatewayEvent::RolloutRead(status(stored.as_ref())));
+        daemon.step(GatewayEvent::RolloutStatusRead(status(stored.as_ref())));
     }
 }
 
 fn status(stored: Option<&(RolloutWrite, u64)>) -> RolloutStatus {
     RolloutStatus {
         service: ServiceLabel::from("engine"),
-        to: stored.map(|(write, _)| write.to.clone()),
+        target_version: stored.map(|(write, _)| write.target_version.clone()),
         phase: stored.map(|(write, _)| write.phase),
         position: StorePosition::new(1, stored.map_or(0, |(_, version)| *version)),
     }
@@ -169,7 +169,7 @@
     stored: Option<&(RolloutWrite, u64)>,
 ) {
     for index in 0..daemons.len() {
-        daemons[index].step(GatewayEvent::RolloutRead(status(stored)));
+        daemons[index].step(GatewayEvent::RolloutStatusRead(status(stored)));
         let summary = daemons[index].gateway.summary(now);
         for (other, daemon) in daemons.iter_mut().enumerate() {
             if other != index && connected {
--- a/crates/savorywood-gateway/tests/truth.rs
+++ b/crates/savorywood-gateway/tests/truth.rs
@@ -5,7 +5,7 @@
 
 use harness::{GatewayHarness, arrival, upstream};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use savorywood_gateway::{AnswerMarks, AttemptOutcome, GatewayEffect, GatewayEvent, StreamEnd};
+use savorywood_gateway::{ AttemptOutcome, GatewayEffect, GatewayEvent, ResponseMetadata, StreamInterruption,};
 use std::{collections::BTreeMap, time::Duration};
 
 /// A random event; numbers select the request, the upstream or the outcome.
@@ -35,26 +35,27 @@
 }
 
 fn outcome(number: u8) -> AttemptOutcome {
-    let marks = AnswerMarks::default();
+    let metadata = ResponseMetadata::default();
     match number % 9 {
         0 => AttemptOutcome::NotSent,
         1 => AttemptOutcome::NotRun {
             misdirected: false,
-            marks,
+            metadata,
         },
         2 => AttemptOutcome::NotRun {
             misdirected: true,
-            marks,
+            metadata,
         },
-        3 => AttemptOutcome::Failed { marks },
-        4 => AttemptOutcome::Broken { silent: false },
-        5 => AttemptOutcome::Broken { silent: true },
-        6 => AttemptOutcome::StreamBroken(StreamEnd {
+        3 => AttemptOutcome::Failed { metadata },
+        4 => AttemptOutcome::Broken { stalled: false },
+        5 => AttemptOutcome::Broken { stalled: true },
+        6 => AttemptOutcome::StreamBroken(StreamInterruption {
             events: 1,
-            silent: false,
+            stalled: false,
         }),
         7 => AttemptOutcome::Expired,
-        _ => AttemptOutcome::Delivered { marks, events: 1 },
+        _ => AttemptOutcome::Delivered {
+            metadata, events: 1, },
     }
 }
 
@@ -113,9 +114,8 @@
                 let request = observed.get_mut(&number).expect("an open request");
                 request.left = true;
                 request.ended = true;
-                harness.step(GatewayEvent::CallerLeft(savorywood_gateway::LocalRequest(
-                    number,
-                )));
+                harness.step(GatewayEvent::CallerDisconnected(savorywood_gateway::LocalRequest(
+                    number),));
             }
             RandomStep::End(..) | RandomStep::Leave(_) => {}
             RandomStep::Wait(millis) => harness.advance(Duration::from_millis(millis.into())),
@@ -172,13 +172,13 @@
             }
             state.ended = true;
             let may_have_executed = state.executions > 0 || state.running;
-            if reason.promises_not_run() && may_have_executed {
+            if reason.guarantees_not_executed() && may_have_executed {
                 return Err(format!(
                     "refused as not run although it may have been executed: {effect:?}"
                 ));
             }
         }
-        GatewayEffect::PassFailure { request } | GatewayEffect::BreakOff { request } => {
+        GatewayEffect::ForwardFailure { request } | GatewayEffect::AbortResponse { request } => {
             let state = observed
                 .get_mut(&request.0)
                 .ok_or("unknown request ended")?;
@@ -187,7 +187,7 @@
             }
             state.ended = true;
         }
-        GatewayEffect::Abandon { request } => {
+        GatewayEffect::AbandonAttempt { request } => {
             let state = observed
                 .get_mut(&request.0)
                 .ok_or("unknown request abandoned")?;
@@ -227,10 +227,10 @@
 fn a_lost_response_of_a_run_once_request_is_not_reported_as_not_run() {
     let mut harness = GatewayHarness::ready(2);
     let request = harness.arrive(arrival("/once/1"));
-    harness.end(request, AttemptOutcome::Broken { silent: false });
+    harness.end(request, AttemptOutcome::Broken { stalled: false });
     assert_eq!(harness.orders(request).len(), 1);
     let reason = harness.refusal(request).expect("a final answer");
-    assert!(!reason.promises_not_run());
+    assert!(!reason.guarantees_not_executed());
 }
 
 /// An address was reused by an upstream of another service, which rejects the request as
@@ -243,7 +243,7 @@
     let first = harness.orders(request)[0].upstream.clone();
     let outcome = AttemptOutcome::NotRun {
         misdirected: true,
-        marks: AnswerMarks::default(),
+        metadata: ResponseMetadata::default(),
     };
     harness.end(request, outcome);
     let orders = harness.orders(request);
--- a/crates/savorywood-gateway/tests/waiting.rs
+++ b/crates/savorywood-gateway/tests/waiting.rs
@@ -5,7 +5,7 @@
 
 use harness::{GatewayHarness, arrival, config, options, upstream};
 use savorywood_gateway::{
-    AttemptOutcome, CallerPlace, DaemonRole, GatewayEvent, HostResources, PeerPhase, PeerSummary,
+    AttemptOutcome, CallerLocation, DaemonRole, GatewayEvent, HostResources, PeerPhase, PeerSummary,
     RefusalReason, RoutingPolicy, SlotUse, name_digest,
 };
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
@@ -15,15 +15,15 @@
     Box::new(PeerSummary {
         host: "host-b".to_owned(),
         incarnation: 1,
-        age_ms: 60_000,
+        uptime_ms: 60_000,
         sequence,
         zone: "zone-b".to_owned(),
         peer_address: "10.0.0.2:7600".parse().expect("an address"),
         caller_address: "10.0.0.2:80".parse().expect("an address"),
         phase: PeerPhase::Ready,
-        version: 1,
+        config_version: 1,
         slots,
-        suspects: Vec::new(),
+        ejected_upstreams: Vec::new(),
         usage: Vec::new(),
         tallies: Vec::new(),
         role: DaemonRole::default(),
@@ -58,7 +58,7 @@
     let slot = SlotUse {
         upstream: name_digest("upstream-1"),
         running: 1,
-        unread: 0,
+        unread_prompt_tokens: 0,
     };
     harness.step(GatewayEvent::SummaryReceived(peer(1, vec![slot])));
     let request = harness.arrive(arrival("/safe/1"));
@@ -75,7 +75,7 @@
     let slot = SlotUse {
         upstream: name_digest("upstream-1"),
         running: 1,
-        unread: 0,
+        unread_prompt_tokens: 0,
     };
     harness.step(GatewayEvent::SummaryReceived(peer(1, vec![slot])));
     let request = harness.arrive(arrival("/safe/1"));
@@ -112,7 +112,7 @@
             if order.upstream.as_str() == "upstream-1" {
                 dispatched_to_failing += 1;
                 let attempts = orders.len();
-                harness.end(request, AttemptOutcome::Broken { silent: false });
+                harness.end(request, AttemptOutcome::Broken { stalled: false });
                 if harness.orders(request).len() == attempts {
                     break;
                 }
@@ -139,7 +139,7 @@
         let request = harness.arrive(arrival("/safe/1"));
         while harness.refusal(request).is_none() && !harness.orders(request).is_empty() {
             let attempts = harness.orders(request).len();
-            harness.end(request, AttemptOutcome::Broken { silent: false });
+            harness.end(request, AttemptOutcome::Broken { stalled: false });
             if harness.orders(request).len() == attempts {
                 break;
             }
@@ -190,7 +190,7 @@
     assert_eq!(
         harness
             .gateway
-            .addresses(harness.now, CallerPlace::default(), 64)
+            .caller_addresses(harness.now, CallerLocation::default(), 64)
             .len(),
         2
     );
@@ -198,7 +198,7 @@
     harness.step(GatewayEvent::StopRequested { grace });
     let addresses = harness
         .gateway
-        .addresses(harness.now, CallerPlace::in_zone("zone-a"), 64);
+        .caller_addresses(harness.now, CallerLocation::in_zone("zone-a"), 64);
     assert_eq!(addresses, vec!["10.0.0.2:80".parse().expect("an address")]);
     assert!(!harness.gateway.is_ready(harness.now));
 }
@@ -215,7 +215,7 @@
         let request = harness.arrive(arrival("/safe/1"));
         let order = harness.orders(request)[0].clone();
         if order.upstream.as_str() == "upstream-1" && number < 200 {
-            harness.end(request, AttemptOutcome::Broken { silent: true });
+            harness.end(request, AttemptOutcome::Broken { stalled: true });
         }
         harness.advance(Duration::from_millis(20));
         requests_after_recovery +=
@@ -233,7 +233,7 @@
 fn summary_with_suspects(host: &str, upstreams: &[&str]) -> Box<PeerSummary> {
     let mut summary = peer(1, Vec::new());
     summary.host = host.to_owned();
-    summary.suspects = upstreams.iter().map(|name| name_digest(name)).collect();
+    summary.ejected_upstreams = upstreams.iter().map(|name| name_digest(name)).collect();
     summary
 }
 
@@ -271,7 +271,7 @@
 fn one_peer_alone_does_not_make_an_upstream_suspect() {
     let mut harness = GatewayHarness::ready(1);
     report_suspects(&mut harness, "host-b", &["upstream-1"]);
-    assert!(!harness.gateway.peers().suspect(&"upstream-1".into()));
+    assert!(!harness.gateway.peers().is_ejected_by_peers(&"upstream-1".into()));
 }
 
 /// Peers suspect every upstream, so the cause is probably on their side: requests are served.
--- a/crates/savorywood-gateway/tests/warmup.rs
+++ b/crates/savorywood-gateway/tests/warmup.rs
@@ -11,8 +11,7 @@
 use cluster::{DAEMONS, DaemonCluster, zone};
 use harness::{GatewayHarness, arrival, config, upstream};
 use quickcheck::{TestResult, quickcheck};
-use savorywood_gateway::{
-    AnswerMarks, AttemptOutcome, GatewayEvent, UpstreamEntry, UpstreamLabel, WarmupSpec,
+use savorywood_gateway::{ AttemptOutcome, GatewayEvent, ResponseMetadata, UpstreamEntry, UpstreamLabel, WarmupSpec,
     WarmupTolerance,
 };
 use savorywood_protocol::MonotonicTime;
@@ -22,7 +21,7 @@
 /// Step of the simulated clock.
 const STEP: Duration = Duration::from_millis(40);
 const SPEC: WarmupSpec = WarmupSpec {
-    time: Duration::from_secs(3),
+    duration: Duration::from_secs(3),
     per_second: 6.6,
 };
 const TOLERANCE: WarmupTolerance = WarmupTolerance {
@@ -50,7 +49,8 @@
     UpstreamEntry {
         name: UpstreamLabel::from("cold"),
         zone: zone(0),
-        cold: SPEC.time,
+        cold_for: SPEC.duration,
+        incarnation:
         born,
         ..upstream(200, 40)
     }
@@ -83,7 +83,7 @@
         let daemon = &mut self.cluster.daemons[number];
         daemon.now = self.cluster.now;
         let mut bounds = cluster::daemon_options(number, 1).bounds;
-        bounds.warmup = Some(TOLERANCE);
+        bounds.warmup_tolerance = Some(TOLERANCE);
         daemon.step(GatewayEvent::BoundsRead(bounds));
         daemon.step(GatewayEvent::ConfigRead(Arc::new(declared)));
         let entry = cold_entry(self.born);
@@ -117,12 +117,12 @@
     }
 
     fn send_request(&mut self, number: usize) {
-        let is_cold = self.cluster.now.since(self.started_at) < SPEC.time;
+        let is_cold = self.cluster.now.since(self.started_at) < SPEC.duration;
         let daemon = &mut self.cluster.daemons[number];
         daemon.now = self.cluster.now;
         let request = daemon.arrive(arrival("/safe/1"));
         if daemon.orders(request).is_empty() {
-            daemon.step(GatewayEvent::CallerLeft(request));
+            daemon.step(GatewayEvent::CallerDisconnected(request));
             return;
         }
         if is_cold {
@@ -165,7 +165,7 @@
         let mut run = ColdStartRun::new(daemons, 1);
         run.advance(12 * SECOND);
         run.assert_bound_kept(&format!("{daemons} daemons"));
-        let cold_s = SPEC.time.as_secs_f64() * 3.0;
+        let cold_s = SPEC.duration.as_secs_f64() * 3.0;
         let least = SPEC.per_second * cold_s * 0.7;
         let sent = run.dispatched_at.len() as f64;
         assert!(sent >= least, "{sent} of {least} at {daemons} daemons");
@@ -216,20 +216,21 @@
 #[test]
 fn the_end_of_a_stream_does_not_make_its_upstream_cold_again() {
     let mut harness = GatewayHarness::ready(1);
-    let marks = AnswerMarks {
-        cold: Some(SPEC.time),
-        ..AnswerMarks::default()
+    let metadata = ResponseMetadata {
+        cold_for: Some(SPEC.duration),
+        ..ResponseMetadata::default()
     };
     let request = harness.arrive(arrival("/stream/1"));
-    harness.step(GatewayEvent::AnswerBegan { request, marks });
+    harness.step(GatewayEvent::ResponseStarted { request, metadata });
     let is_cold = |harness: &GatewayHarness| {
         let mut states = harness.gateway.fleet().iter();
         states.any(|state| state.is_cold(harness.now))
     };
     assert!(is_cold(&harness));
-    harness.advance(SPEC.time);
+    harness.advance(SPEC.duration);
     assert!(!is_cold(&harness));
-    harness.end(request, AttemptOutcome::Delivered { marks, events: 3 });
+    harness.end(request, AttemptOutcome::Delivered {
+            metadata, events: 3, },);
     assert!(!is_cold(&harness));
 }
 
@@ -245,7 +246,7 @@
         if bound < 4.0 {
             return TestResult::discard();
         }
-        let spec = WarmupSpec { time: SPEC.time, per_second };
+        let spec = WarmupSpec { duration: SPEC.duration, per_second };
         let interval = spec.interval(Some(tolerance)).as_secs_f64();
         let one_holder = (1.0 / interval + 1e-6).floor() + 1.0;
         TestResult::from_bool(2.0 * one_holder <= bound + 1e-6)
--- a/crates/savorywood-gateway/tests/zones.rs
+++ b/crates/savorywood-gateway/tests/zones.rs
@@ -85,7 +85,7 @@
         cluster.gossip_round(Duration::from_millis(250));
     }
     let members: Vec<usize> = (0..DAEMONS)
-        .filter(|number| cluster.daemons[*number].gateway.is_member())
+        .filter(|number| cluster.daemons[*number].gateway.is_entry_member())
         .collect();
     assert_eq!(members.len(), ZONES * 3, "{members:?}");
     for number in &members {
@@ -93,7 +93,7 @@
     }
     let counts = |cluster: &DaemonCluster, number: usize| -> u32 {
         let peers = cluster.daemons[number].gateway.peers();
-        let digests = peers.zones(cluster.now);
+        let digests = peers.zone_digests(cluster.now);
         digests
             .flat_map(|digest| &digest.slots)
             .map(|slot| u32::from(slot.running))
@@ -123,7 +123,7 @@
     }
     for number in (0..DAEMONS).filter(|number| !cluster.cut_off.contains(number)) {
         let peers = cluster.daemons[number].gateway.peers();
-        let zones = peers.zones(cluster.now).count();
+        let zones = peers.zone_digests(cluster.now).count();
         assert_eq!(zones, ZONES - 1, "zones that daemon {number} tracks");
     }
 }
