--- a/crates/savorywood-gateway/tests/common/callers.rs
+++ b/crates/savorywood-gateway/tests/common/callers.rs
@@ -144,8 +144,11 @@
             let daemon = candidates[self.random.below(candidates.len())];
             let gateway = &cluster.daemons[daemon].gateway;
             let name = format!("zone-{zone}");
-            let addresses =
-                gateway.caller_addresses(cluster.now, CallerLocation::in_zone(&name), MAX_ADDRESSES);
+            let addresses = gateway.caller_addresses(
+                cluster.now,
+                CallerLocation::in_zone(&name),
+                MAX_ADDRESSES,
+            );
             if !addresses.is_empty() {
                 let numbers = addresses
                     .iter()
--- a/crates/savorywood-gateway/tests/common/crashes.rs
+++ b/crates/savorywood-gateway/tests/common/crashes.rs
@@ -5,9 +5,10 @@
     cluster::DaemonCluster,
     harness::{arrival, upstream},
 };
-use savorywood_gateway::{ AttemptOutcome, DispatchOrder, GatewayEffect, GatewayEvent, LocalRequest,
-    QuarantineRow, QuarantineWrite, RefusalReason, RequestArrival, RequestFingerprint, ResponseMetadata, StoredCrash,
-    UpstreamEntry, UpstreamLabel,
+use savorywood_gateway::{
+    AttemptOutcome, DispatchOrder, GatewayEffect, GatewayEvent, LocalRequest, QuarantineRow,
+    QuarantineWrite, RefusalReason, RequestArrival, RequestFingerprint, ResponseMetadata,
+    StoredCrash, UpstreamEntry, UpstreamLabel,
 };
 use savorywood_protocol::MonotonicTime;
 use std::{
@@ -267,8 +268,13 @@
         for running in std::mem::take(&mut self.running) {
             let metadata = ResponseMetadata::default();
             self.ends.insert(running.id, RequestEnd::Served);
-            self.end_attempt(running.id, AttemptOutcome::Delivered {
-                    metadata, events: 1, },);
+            self.end_attempt(
+                running.id,
+                AttemptOutcome::Delivered {
+                    metadata,
+                    events: 1,
+                },
+            );
         }
     }
 
@@ -278,8 +284,13 @@
         if self.running.extract_if(.., has_id).count() > 0 {
             let metadata = ResponseMetadata::default();
             self.ends.insert(id, RequestEnd::Served);
-            self.end_attempt(id, AttemptOutcome::Delivered {
-                    metadata, events: 1, },);
+            self.end_attempt(
+                id,
+                AttemptOutcome::Delivered {
+                    metadata,
+                    events: 1,
+                },
+            );
         }
     }
 
--- a/crates/savorywood-gateway/tests/common/field.rs
+++ b/crates/savorywood-gateway/tests/common/field.rs
@@ -259,16 +259,19 @@
                 continue;
             }
             let plan = daemon.gateway.plan_gossip(self.now);
-            traffic
-                .sent
-                .push(plan.summary_targets.len() + plan.digest_targets.len() + plan.slotless_digest_targets.len(),);
+            traffic.sent.push(
+                plan.summary_targets.len()
+                    + plan.digest_targets.len()
+                    + plan.slotless_digest_targets.len(),
+            );
             let summary = daemon.gateway.summary(self.now);
             let receiver_index = |address| self.addresses.get(address).copied();
             for receiver in plan.summary_targets.iter().filter_map(receiver_index) {
                 let event = GatewayEvent::SummaryReceived(Box::new(summary.clone()));
                 messages.push((number, receiver, event));
             }
-            let remote: Vec<SocketAddr> = [&plan.digest_targets[..], &plan.slotless_digest_targets[..]].concat();
+            let remote: Vec<SocketAddr> =
+                [&plan.digest_targets[..], &plan.slotless_digest_targets[..]].concat();
             for (scope, receivers) in [
                 (ReportScope::Daemon, &plan.summary_targets),
                 (ReportScope::Zone, &remote),
@@ -284,7 +287,10 @@
                     messages.extend(event.map(|event| (number, receiver, event)));
                 }
             }
-            for (with_slots, receivers) in [(true, &plan.digest_targets), (false, &plan.slotless_digest_targets),] {
+            for (with_slots, receivers) in [
+                (true, &plan.digest_targets),
+                (false, &plan.slotless_digest_targets),
+            ] {
                 if receivers.is_empty() {
                     continue;
                 }
@@ -345,7 +351,10 @@
                 self.daemons[number].step(GatewayEvent::Tick);
                 self.daemons[number].effects.clear();
             }
-            let pause = self.daemons[0].gateway.gossip_interval(self.now).as_millis();
+            let pause = self.daemons[0]
+                .gateway
+                .gossip_interval(self.now)
+                .as_millis();
             let pause = pause / CALLER_STEP.as_millis();
             if u128::from(self.steps).is_multiple_of(pause) {
                 self.exchange_gossip();
@@ -401,7 +410,11 @@
         for daemon in &mut self.daemons {
             let members = u32::try_from(daemon.gateway.entry_member_count()).expect("few members");
             let share = descriptors / members.max(1);
-            let descriptors = if daemon.gateway.is_entry_member() { share } else { 0 };
+            let descriptors = if daemon.gateway.is_entry_member() {
+                share
+            } else {
+                0
+            };
             daemon.step(GatewayEvent::LoadMeasured(HostResources {
                 descriptors,
                 ..HostResources::default()
@@ -420,8 +433,11 @@
                     self.send_request(number);
                 }
             }
-            let pause =
-                self.daemons[0].gateway.gossip_interval(self.now).as_millis() / STEP.as_millis();
+            let pause = self.daemons[0]
+                .gateway
+                .gossip_interval(self.now)
+                .as_millis()
+                / STEP.as_millis();
             if (u128::from(step) + 1).is_multiple_of(pause) {
                 self.exchange_gossip();
             }
--- a/crates/savorywood-gateway/tests/common/limits.rs
+++ b/crates/savorywood-gateway/tests/common/limits.rs
@@ -6,8 +6,9 @@
     cluster::{DaemonCluster, zone},
     harness::{arrival, upstream},
 };
-use savorywood_gateway::{ AttemptOutcome, DispatchOrder, GatewayEffect, GatewayEvent, LocalRequest,
-    RateLimit, RefusalReason, ResponseMetadata, UpstreamEntry, UpstreamLabel,
+use savorywood_gateway::{
+    AttemptOutcome, DispatchOrder, GatewayEffect, GatewayEvent, LocalRequest, RateLimit,
+    RefusalReason, ResponseMetadata, UpstreamEntry, UpstreamLabel,
 };
 use savorywood_protocol::MonotonicTime;
 use std::{collections::BTreeMap, time::Duration};
@@ -216,7 +217,9 @@
             };
             self.tally.served += 1;
             let outcome = AttemptOutcome::Delivered {
-                metadata, events: 0, };
+                metadata,
+                events: 0,
+            };
             let request = running.request;
             self.step(
                 running.daemon,
--- a/crates/savorywood-gateway/tests/common/load.rs
+++ b/crates/savorywood-gateway/tests/common/load.rs
@@ -14,8 +14,10 @@
 use crate::harness::{GatewayHarness, config, options, route, upstream};
 use calls::{CallKind, CallTally, OpenCall, RandomSource};
 use engine::{EngineModel, EngineOutput, EngineRun};
-use savorywood_gateway::{ AttemptOutcome, DispatchOrder, GatewayEffect, GatewayEvent, LocalRequest,
-    PeerContact, RequestArrival, RequestSize, ResponseMetadata, RetrySafety, StreamInterruption, UpstreamLabel, ZoneLabel,
+use savorywood_gateway::{
+    AttemptOutcome, DispatchOrder, GatewayEffect, GatewayEvent, LocalRequest, PeerContact,
+    RequestArrival, RequestSize, ResponseMetadata, RetrySafety, StreamInterruption, UpstreamLabel,
+    ZoneLabel,
 };
 use savorywood_protocol::MonotonicTime;
 use std::{
@@ -201,7 +203,8 @@
                 retry_after,
                 ..
             } => self.on_refused(number, request, retry_after),
-            GatewayEffect::AbortResponse { request } | GatewayEffect::ForwardFailure { request } => {
+            GatewayEffect::AbortResponse { request }
+            | GatewayEffect::ForwardFailure { request } => {
                 if let Some(call) = self.calls.remove(&(number, request)) {
                     self.tallies[call.kind].record_unserved(&call);
                     self.tallies[call.kind].broken_off += 1;
--- a/crates/savorywood-gateway/tests/common/scene.rs
+++ b/crates/savorywood-gateway/tests/common/scene.rs
@@ -1,12 +1,12 @@
 //! Test harness around one gateway with a small deployment; the test drives clock and events.
 #![allow(dead_code, reason = "each test file uses a part of the harness")]
 
-use savorywood_gateway::{ AttemptOutcome, ContentDigest, DeclaredConfig, DispatchOrder, Gateway,
-    GatewayBounds, GatewayEffect, GatewayEvent, GatewayOptions, HostLabel, HostResources,
-    LocalRequest, PromptPart, RefusalReason, RegionMap, RequestArrival, RequestSize, ResponseMetadata,
-    RetrySafety,
-    RouteSpec, RoutingPolicy, ServiceLabel, ServiceSpec, TeamLabel, TeamLimit, TeamSpec,
-    TrafficShare, UpstreamEntry, UpstreamLabel, VersionLabel, ZoneLabel, name_digest,
+use savorywood_gateway::{
+    AttemptOutcome, ContentDigest, DeclaredConfig, DispatchOrder, Gateway, GatewayBounds,
+    GatewayEffect, GatewayEvent, GatewayOptions, HostLabel, HostResources, LocalRequest,
+    PromptPart, RefusalReason, RegionMap, RequestArrival, RequestSize, ResponseMetadata,
+    RetrySafety, RouteSpec, RoutingPolicy, ServiceLabel, ServiceSpec, TeamLabel, TeamLimit,
+    TeamSpec, TrafficShare, UpstreamEntry, UpstreamLabel, VersionLabel, ZoneLabel, name_digest,
 };
 use savorywood_protocol::MonotonicTime;
 use std::{sync::Arc, time::Duration};
@@ -50,8 +50,7 @@
         name: prefix.trim_matches('/').to_owned(),
         host: "api.example".to_owned(),
         prefix: prefix.to_owned(),
-        retry_safety:
-        repeat,
+        retry_safety: repeat,
         timeout: Some(Duration::from_secs(8)),
         objective: Duration::from_secs(1),
         gap_objective: Some(Duration::from_millis(800)),
@@ -74,8 +73,11 @@
     let mut config = DeclaredConfig::new(version);
     config.add_route(route("/safe/", RetrySafety::Idempotent, 1));
     config.add_route(route("/once/", RetrySafety::AtMostOnce, 1));
-    config.add_route(route("/stream/",
-        RetrySafety::Stream { resumable: true }, 1,));
+    config.add_route(route(
+        "/stream/",
+        RetrySafety::Stream { resumable: true },
+        1,
+    ));
     config.add_route(route("/urgent/", RetrySafety::Idempotent, 0));
     let mut open = route("/open/", RetrySafety::Idempotent, 1);
     open.public = true;
--- a/crates/savorywood-gateway/tests/entry.rs
+++ b/crates/savorywood-gateway/tests/entry.rs
@@ -65,11 +65,11 @@
     let mut members = vec![BTreeSet::new(); ZONES];
     for number in (0..cluster.daemons.len()).filter(|number| !cluster.down.contains(number)) {
         let zone = format!("zone-{}", number % ZONES);
-        let addresses =
-            cluster.daemons[number]
-                .gateway
-                .caller_addresses(cluster.now,
-            CallerLocation::in_zone(&zone), 64,);
+        let addresses = cluster.daemons[number].gateway.caller_addresses(
+            cluster.now,
+            CallerLocation::in_zone(&zone),
+            64,
+        );
         let numbers = addresses
             .iter()
             .filter_map(|address| cluster.daemon_at(*address));
@@ -293,11 +293,11 @@
         "{:?}",
         callers.tally
     );
-    let named =
-        cluster.daemons[ZONES]
-            .gateway
-            .caller_addresses(cluster.now,
-        CallerLocation::in_zone("zone-0"), 64,);
+    let named = cluster.daemons[ZONES].gateway.caller_addresses(
+        cluster.now,
+        CallerLocation::in_zone("zone-0"),
+        64,
+    );
     let named: Vec<_> = named
         .iter()
         .filter_map(|at| cluster.daemon_at(*at))
--- a/crates/savorywood-gateway/tests/rate_limits.rs
+++ b/crates/savorywood-gateway/tests/rate_limits.rs
@@ -11,7 +11,8 @@
 
 use harness::{GatewayHarness, arrival, upstream};
 use limits::{LimitEnvironment, LimitTally};
-use savorywood_gateway::{ AttemptOutcome, GatewayEffect, GatewayEvent, RateLimit, ResponseMetadata, UpstreamEntry,
+use savorywood_gateway::{
+    AttemptOutcome, GatewayEffect, GatewayEvent, RateLimit, ResponseMetadata, UpstreamEntry,
 };
 use std::time::Duration;
 
--- a/crates/savorywood-gateway/tests/regions.rs
+++ b/crates/savorywood-gateway/tests/regions.rs
@@ -5,7 +5,8 @@
 
 use harness::{GatewayHarness, arrival, config, options, route, upstream};
 use savorywood_gateway::{
-    CallerLocation, DeclaredConfig, GatewayEvent, PeerContact, RefusalReason, RegionLabel, RegionMap, RetrySafety, TeamLabel, TeamSpec, UpstreamEntry, ZoneLabel,
+    CallerLocation, DeclaredConfig, GatewayEvent, PeerContact, RefusalReason, RegionLabel,
+    RegionMap, RetrySafety, TeamLabel, TeamSpec, UpstreamEntry, ZoneLabel,
 };
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
--- a/crates/savorywood-gateway/tests/restoring.rs
+++ b/crates/savorywood-gateway/tests/restoring.rs
@@ -5,7 +5,8 @@
 
 use harness::{GatewayHarness, arrival, upstream};
 use quickcheck::quickcheck;
-use savorywood_gateway::{ ContentDigest, EvacuationOrder, FailedAttempt, GatewayEffect, GatewayEvent, QuarantineTable,
+use savorywood_gateway::{
+    ContentDigest, EvacuationOrder, FailedAttempt, GatewayEffect, GatewayEvent, QuarantineTable,
     RequestFingerprint, RolloutOrder, RolloutPhase, RolloutStatus, RolloutWrite, ServiceLabel,
     StorePosition, UpstreamEntry, VersionLabel, ZoneLabel,
 };
@@ -195,14 +196,20 @@
                 accepted: true,
                 era: 1,
             });
-            harness.step(GatewayEvent::RolloutStatusRead(status(last, position(1, 60),)));
+            harness.step(GatewayEvent::RolloutStatusRead(status(
+                last,
+                position(1, 60),
+            )));
         }
     }
     assert_eq!(last, Some(RolloutPhase::Completed));
     harness.step(GatewayEvent::StoreEraObserved(2));
     harness.step(GatewayEvent::RolloutOrdered(rollout(2, 50)));
     let running = Some(RolloutPhase::Running);
-    harness.step(GatewayEvent::RolloutStatusRead(status(running, position(2, 55),)));
+    harness.step(GatewayEvent::RolloutStatusRead(status(
+        running,
+        position(2, 55),
+    )));
     advance_confirmed(&mut harness, Duration::from_secs(2));
     let writes = rollout_writes(&mut harness);
     let first = writes.first().expect("it is written again");
--- a/crates/savorywood-gateway/tests/rollouts.rs
+++ b/crates/savorywood-gateway/tests/rollouts.rs
@@ -4,7 +4,8 @@
 mod harness;
 
 use harness::{GatewayHarness, arrival, config, options, upstream};
-use savorywood_gateway::{ AttemptOutcome, GatewayEffect, GatewayEvent, ResponseMetadata, RolloutOrder, RolloutPhase,
+use savorywood_gateway::{
+    AttemptOutcome, GatewayEffect, GatewayEvent, ResponseMetadata, RolloutOrder, RolloutPhase,
     RolloutStatus, RolloutWrite, ServiceLabel, StorePosition, UpstreamEntry, UpstreamLabel,
     VersionLabel,
 };
@@ -85,7 +86,9 @@
             AttemptOutcome::Failed { metadata }
         } else {
             AttemptOutcome::Delivered {
-                metadata, events: 0, }
+                metadata,
+                events: 0,
+            }
         };
         daemon.end(request, outcome);
         if !daemon.orders(request).is_empty() && bad {
--- a/crates/savorywood-gateway/tests/together.rs
+++ b/crates/savorywood-gateway/tests/together.rs
@@ -5,7 +5,8 @@
 mod harness;
 
 use harness::{GatewayHarness, arrival, config, options, upstream};
-use savorywood_gateway::{ FreshnessClock, GatewayEvent, GatewayOptions, LimitTolerance, RetryBudget, RetryBudgetOptions,
+use savorywood_gateway::{
+    FreshnessClock, GatewayEvent, GatewayOptions, LimitTolerance, RetryBudget, RetryBudgetOptions,
     StoreExchange, TeamLimit,
 };
 use savorywood_protocol::MonotonicTime;
--- a/crates/savorywood-gateway/tests/truth.rs
+++ b/crates/savorywood-gateway/tests/truth.rs
@@ -5,7 +5,9 @@
 
 use harness::{GatewayHarness, arrival, upstream};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use savorywood_gateway::{ AttemptOutcome, GatewayEffect, GatewayEvent, ResponseMetadata, StreamInterruption,};
+use savorywood_gateway::{
+    AttemptOutcome, GatewayEffect, GatewayEvent, ResponseMetadata, StreamInterruption,
+};
 use std::{collections::BTreeMap, time::Duration};
 
 /// A random event; numbers select the request, the upstream or the outcome.
@@ -55,7 +57,9 @@
         }),
         7 => AttemptOutcome::Expired,
         _ => AttemptOutcome::Delivered {
-            metadata, events: 1, },
+            metadata,
+            events: 1,
+        },
     }
 }
 
@@ -114,8 +118,9 @@
                 let request = observed.get_mut(&number).expect("an open request");
                 request.left = true;
                 request.ended = true;
-                harness.step(GatewayEvent::CallerDisconnected(savorywood_gateway::LocalRequest(
-                    number),));
+                harness.step(GatewayEvent::CallerDisconnected(
+                    savorywood_gateway::LocalRequest(number),
+                ));
             }
             RandomStep::End(..) | RandomStep::Leave(_) => {}
             RandomStep::Wait(millis) => harness.advance(Duration::from_millis(millis.into())),
--- a/crates/savorywood-gateway/tests/waiting.rs
+++ b/crates/savorywood-gateway/tests/waiting.rs
@@ -5,8 +5,8 @@
 
 use harness::{GatewayHarness, arrival, config, options, upstream};
 use savorywood_gateway::{
-    AttemptOutcome, CallerLocation, DaemonRole, GatewayEvent, HostResources, PeerPhase, PeerSummary,
-    RefusalReason, RoutingPolicy, SlotUse, name_digest,
+    AttemptOutcome, CallerLocation, DaemonRole, GatewayEvent, HostResources, PeerPhase,
+    PeerSummary, RefusalReason, RoutingPolicy, SlotUse, name_digest,
 };
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -196,9 +196,10 @@
     );
     let grace = Duration::from_secs(8);
     harness.step(GatewayEvent::StopRequested { grace });
-    let addresses = harness
-        .gateway
-        .caller_addresses(harness.now, CallerLocation::in_zone("zone-a"), 64);
+    let addresses =
+        harness
+            .gateway
+            .caller_addresses(harness.now, CallerLocation::in_zone("zone-a"), 64);
     assert_eq!(addresses, vec!["10.0.0.2:80".parse().expect("an address")]);
     assert!(!harness.gateway.is_ready(harness.now));
 }
@@ -271,7 +272,12 @@
 fn one_peer_alone_does_not_make_an_upstream_suspect() {
     let mut harness = GatewayHarness::ready(1);
     report_suspects(&mut harness, "host-b", &["upstream-1"]);
-    assert!(!harness.gateway.peers().is_ejected_by_peers(&"upstream-1".into()));
+    assert!(
+        !harness
+            .gateway
+            .peers()
+            .is_ejected_by_peers(&"upstream-1".into())
+    );
 }
 
 /// Peers suspect every upstream, so the cause is probably on their side: requests are served.
--- a/crates/savorywood-gateway/tests/warmup.rs
+++ b/crates/savorywood-gateway/tests/warmup.rs
@@ -11,7 +11,8 @@
 use cluster::{DAEMONS, DaemonCluster, zone};
 use harness::{GatewayHarness, arrival, config, upstream};
 use quickcheck::{TestResult, quickcheck};
-use savorywood_gateway::{ AttemptOutcome, GatewayEvent, ResponseMetadata, UpstreamEntry, UpstreamLabel, WarmupSpec,
+use savorywood_gateway::{
+    AttemptOutcome, GatewayEvent, ResponseMetadata, UpstreamEntry, UpstreamLabel, WarmupSpec,
     WarmupTolerance,
 };
 use savorywood_protocol::MonotonicTime;
@@ -50,8 +51,7 @@
         name: UpstreamLabel::from("cold"),
         zone: zone(0),
         cold_for: SPEC.duration,
-        incarnation:
-        born,
+        incarnation: born,
         ..upstream(200, 40)
     }
 }
@@ -229,8 +229,13 @@
     assert!(is_cold(&harness));
     harness.advance(SPEC.duration);
     assert!(!is_cold(&harness));
-    harness.end(request, AttemptOutcome::Delivered {
-            metadata, events: 3, },);
+    harness.end(
+        request,
+        AttemptOutcome::Delivered {
+            metadata,
+            events: 3,
+        },
+    );
     assert!(!is_cold(&harness));
 }
 
