--- a/crates/savorywood-gateway/tests/common/load.rs
+++ b/crates/savorywood-gateway/tests/common/load.rs
@@ -127,13 +127,13 @@
         harness.now = self.now;
         let mut config = config(1, None);
         for kind in &self.kinds {
-            let repeat = RetrySafety::Stream {
+            let retry_safety = RetrySafety::Stream {
                 resumable: kind.resumable,
             };
-            let mut route = route(kind.path, repeat, kind.rank);
+            let mut route = route(kind.path, retry_safety, kind.rank);
             route.objective = kind.objective;
             route.gap_objective = Some(kind.gap_objective);
-            route.caller_idle_timeout = Some(kind.caller_timeout);
+            route.caller_idle_timeout = Some(kind.caller_idle_timeout);
             route.timeout = Some(kind.deadline);
             config.add_route(route);
         }
@@ -390,7 +390,7 @@
         let now = self.now;
         let mut ended = Vec::new();
         for (key, call) in &self.calls {
-            let left = now.since(call.received_at) > self.kinds[call.kind].caller_timeout;
+            let left = now.since(call.received_at) > self.kinds[call.kind].caller_idle_timeout;
             let expired = call.engine.is_some() && now >= call.give_up_at;
             if left || expired {
                 ended.push((*key, left));
--- a/crates/savorywood-gateway/tests/common/load/calls.rs
+++ b/crates/savorywood-gateway/tests/common/load/calls.rs
@@ -45,7 +45,7 @@
     /// Longest time between two events for a response in time.
     pub gap_objective: Duration,
     /// Time without data after which the caller leaves.
-    pub caller_timeout: Duration,
+    pub caller_idle_timeout: Duration,
     /// Time from arrival to the deadline.
     pub deadline: Duration,
 }
--- a/crates/savorywood-gateway/tests/common/scene.rs
+++ b/crates/savorywood-gateway/tests/common/scene.rs
@@ -45,12 +45,12 @@
     }
 }
 
-pub fn route(prefix: &str, repeat: RetrySafety, priority: u32) -> RouteSpec {
+pub fn route(prefix: &str, retry_safety: RetrySafety, priority: u32) -> RouteSpec {
     RouteSpec {
         name: prefix.trim_matches('/').to_owned(),
         host: "api.example".to_owned(),
         prefix: prefix.to_owned(),
-        retry_safety: repeat,
+        retry_safety,
         timeout: Some(Duration::from_secs(8)),
         objective: Duration::from_secs(1),
         gap_objective: Some(Duration::from_millis(800)),
--- a/crates/savorywood-gateway/tests/deciding.rs
+++ b/crates/savorywood-gateway/tests/deciding.rs
@@ -27,7 +27,7 @@
         tokens: (125.0, 1.5, 3_850.0),
         objective: Duration::from_millis(600),
         gap_objective: Duration::from_millis(300),
-        caller_timeout: Duration::from_millis(2_400),
+        caller_idle_timeout: Duration::from_millis(2_400),
         deadline: Duration::from_secs(12),
     }
 }
@@ -135,7 +135,7 @@
         tokens: (60.0, 1.2, 1_200.0),
         objective: Duration::from_secs(1),
         gap_objective: Duration::from_millis(800),
-        caller_timeout: Duration::from_millis(6_400),
+        caller_idle_timeout: Duration::from_millis(6_400),
         deadline: Duration::from_secs(8),
     }
 }
@@ -149,7 +149,7 @@
         prompt: (700.0, 1.0, 3_790.0),
         tokens: (90.0, 1.2, 1_740.0),
         objective: Duration::from_secs(2),
-        caller_timeout: Duration::from_secs(8),
+        caller_idle_timeout: Duration::from_secs(8),
         ..briefs(0.0)
     }
 }
--- a/crates/savorywood-gateway/tests/entry.rs
+++ b/crates/savorywood-gateway/tests/entry.rs
@@ -266,7 +266,7 @@
 /// A frozen member neither responds nor sends gossip. After it resumes, it must not be listed at
 /// once.
 #[test]
-fn a_frozen_member_is_replaced_until_it_is_steady_again() {
+fn a_frozen_member_is_replaced_until_it_is_stable_again() {
     let (mut cluster, mut callers) = settled_cluster(DAEMONS, ADDRESS_TTL);
     let frozen = *assert_agreement(&cluster)[0].first().expect("a member");
     let frozen_at = cluster.now;
--- a/crates/savorywood-gateway/tests/quarantine.rs
+++ b/crates/savorywood-gateway/tests/quarantine.rs
@@ -528,10 +528,10 @@
             shuffled.merge(now, report, false);
         }
         (0..3).all(|number| {
-            let held = |quarantine: &QuarantineTable| {
+            let is_quarantined = |quarantine: &QuarantineTable| {
                 quarantine.verdict(fingerprint(number)) != QuarantineVerdict::Clear
             };
-            held(&in_order) == held(&shuffled)
+            is_quarantined(&in_order) == is_quarantined(&shuffled)
         })
     }
 }
--- a/crates/savorywood-gateway/tests/rate_limits.rs
+++ b/crates/savorywood-gateway/tests/rate_limits.rs
@@ -16,7 +16,7 @@
 };
 use std::time::Duration;
 
-fn marks(per_second: Option<f64>) -> ResponseMetadata {
+fn metadata(per_second: Option<f64>) -> ResponseMetadata {
     ResponseMetadata {
         rate_limit: per_second.and_then(RateLimit::from_per_second),
         ..ResponseMetadata::default()
@@ -30,7 +30,7 @@
     for per_second in [None, Some(1.2), Some(1.2), Some(3.0), None] {
         let request = harness.arrive(arrival("/safe/1"));
         let outcome = AttemptOutcome::Delivered {
-            metadata: marks(per_second),
+            metadata: metadata(per_second),
             events: 0,
         };
         harness.end(request, outcome);
@@ -43,9 +43,9 @@
         GatewayEffect::Log(line) => Some(line.to_string()),
         _ => None,
     });
-    let named: Vec<String> = lines.filter(|line| line.contains("limited")).collect();
+    let logged: Vec<String> = lines.filter(|line| line.contains("limited")).collect();
     assert_eq!(
-        named,
+        logged,
         [
             "event=upstream-limited upstream=upstream-1 per_second=1.2 before=0 source=own",
             "event=upstream-limited upstream=upstream-1 per_second=3 before=1.2 source=own",
@@ -62,7 +62,7 @@
     let stream = harness.arrive(arrival("/stream/1"));
     harness.step(GatewayEvent::ResponseStarted {
         request: stream,
-        metadata: marks(Some(2.0)),
+        metadata: metadata(Some(2.0)),
     });
     let limited = |harness: &GatewayHarness| {
         let states = harness.gateway.fleet().iter();
@@ -70,7 +70,7 @@
     };
     assert_eq!(limited(&harness), 1);
     let outcome = AttemptOutcome::Delivered {
-        metadata: marks(None),
+        metadata: metadata(None),
         events: 3,
     };
     harness.end(stream, outcome);
@@ -252,7 +252,7 @@
     let mut harness = GatewayHarness::ready(1);
     let request = harness.arrive(arrival("/safe/1"));
     let outcome = AttemptOutcome::Delivered {
-        metadata: marks(Some(0.2)),
+        metadata: metadata(Some(0.2)),
         events: 0,
     };
     harness.end(request, outcome);
--- a/crates/savorywood-gateway/tests/regions.rs
+++ b/crates/savorywood-gateway/tests/regions.rs
@@ -22,7 +22,7 @@
     RegionMap::new(BTreeMap::from(regions))
 }
 
-fn homes(regions: &[&str]) -> Vec<RegionLabel> {
+fn home_regions(regions: &[&str]) -> Vec<RegionLabel> {
     regions
         .iter()
         .map(|region| RegionLabel::from(*region))
@@ -35,7 +35,7 @@
     let mut config = config(1, None);
     for name in ["north", "south"] {
         let mut route = route(&format!("/{name}/"), RetrySafety::Idempotent, 1);
-        route.home_regions = homes(&[name]);
+        route.home_regions = home_regions(&[name]);
         route.host = format!("{name}.example");
         config.add_route(route);
     }
@@ -43,7 +43,7 @@
         name: TeamLabel::from("southern"),
         priority: None,
         limit: None,
-        home_regions: homes(&["south"]),
+        home_regions: home_regions(&["south"]),
     };
     config.add_team(team, vec!["southern".to_owned()]);
     config
@@ -139,7 +139,7 @@
     let summary = peer.gateway.summary(peer.now);
     harness.step(GatewayEvent::SummaryReceived(Box::new(summary)));
     harness.step(GatewayEvent::Tick);
-    let named = |region: &'static str, host: &'static str| {
+    let addresses = |region: &'static str, host: &'static str| {
         let caller = CallerLocation {
             zone: Some("elsewhere"),
             region: Some(region),
@@ -149,9 +149,9 @@
     };
     let north = address("10.0.0.1:80");
     let south = address("10.0.0.3:80");
-    assert_eq!(named("north", "south.example"), [north]);
-    assert_eq!(named("south", "north.example"), [south]);
-    assert_eq!(named("far", "south.example"), [south]);
-    assert_eq!(named("far", "north.example"), [north]);
-    assert_eq!(named("far", "api.example").len(), 2);
+    assert_eq!(addresses("north", "south.example"), [north]);
+    assert_eq!(addresses("south", "north.example"), [south]);
+    assert_eq!(addresses("far", "south.example"), [south]);
+    assert_eq!(addresses("far", "north.example"), [north]);
+    assert_eq!(addresses("far", "api.example").len(), 2);
 }
--- a/crates/savorywood-gateway/tests/restoring.rs
+++ b/crates/savorywood-gateway/tests/restoring.rs
@@ -128,12 +128,12 @@
 #[test]
 fn a_removed_upstream_is_not_restored_from_the_backup() {
     let mut harness = harness();
-    let leaving = UpstreamEntry {
+    let draining_upstream = UpstreamEntry {
         draining: true,
         ..upstream(1, 1)
     };
-    let name = leaving.name.clone();
-    harness.step(GatewayEvent::UpstreamWritten(leaving));
+    let name = draining_upstream.name.clone();
+    harness.step(GatewayEvent::UpstreamWritten(draining_upstream));
     harness.step(GatewayEvent::UpstreamRemoved(name.clone()));
     advance_confirmed(&mut harness, Duration::from_secs(1));
     harness.step(GatewayEvent::StoreEraObserved(2));
--- a/crates/savorywood-gateway/tests/together.rs
+++ b/crates/savorywood-gateway/tests/together.rs
@@ -180,8 +180,8 @@
     let quick = exchange(10_000_000, 10_004_000, 500_002_000);
     clock.earliest_response_time(quick);
     let frozen = exchange(11_000_000, 19_000_000, 501_002_000);
-    let proof = clock.earliest_response_time(frozen);
-    assert!(proof < MonotonicTime(11_100_000), "{proof:?}");
+    let fresh_as_of = clock.earliest_response_time(frozen);
+    assert!(fresh_as_of < MonotonicTime(11_100_000), "{fresh_as_of:?}");
 }
 
 /// A long poll responds at its end, so it confirms the state of that moment, not of its start.
@@ -191,9 +191,9 @@
     let quick = exchange(10_000_000, 10_004_000, 500_002_000);
     clock.earliest_response_time(quick);
     let poll = exchange(11_000_000, 12_404_000, 502_402_000);
-    let proof = clock.earliest_response_time(poll);
-    assert!(proof > MonotonicTime(12_390_000), "{proof:?}");
-    assert!(proof <= MonotonicTime(12_404_000), "{proof:?}");
+    let fresh_as_of = clock.earliest_response_time(poll);
+    assert!(fresh_as_of > MonotonicTime(12_390_000), "{fresh_as_of:?}");
+    assert!(fresh_as_of <= MonotonicTime(12_404_000), "{fresh_as_of:?}");
 }
 
 /// The store moves to a machine with another clock. Freshness then counts from the time at which
@@ -202,10 +202,10 @@
 fn after_a_store_clock_change_freshness_falls_back_to_the_send_time() {
     let mut clock = FreshnessClock::default();
     clock.earliest_response_time(exchange(10_000_000, 11_000_000, 900_000_000));
-    let proof = clock.earliest_response_time(exchange(20_000_000, 21_000_000, 5_000_000_000));
-    assert_eq!(proof, MonotonicTime(20_000_000));
-    let proof = clock.earliest_response_time(exchange(30_000_000, 31_000_000, 1_000));
-    assert_eq!(proof, MonotonicTime(30_000_000));
+    let fresh_as_of = clock.earliest_response_time(exchange(20_000_000, 21_000_000, 5_000_000_000));
+    assert_eq!(fresh_as_of, MonotonicTime(20_000_000));
+    let fresh_as_of = clock.earliest_response_time(exchange(30_000_000, 31_000_000, 1_000));
+    assert_eq!(fresh_as_of, MonotonicTime(30_000_000));
 }
 
 /// Guards against taking rounding for another clock. The store reports whole milliseconds and a
@@ -218,7 +218,7 @@
     let quick = exchange(10_000_900, 10_000_990, 500_000_000);
     clock.earliest_response_time(quick);
     let poll = exchange(10_001_000, 10_841_010, 500_841_000);
-    let proof = clock.earliest_response_time(poll);
-    assert!(proof > MonotonicTime(10_838_000), "{proof:?}");
-    assert!(proof <= MonotonicTime(10_841_010), "{proof:?}");
+    let fresh_as_of = clock.earliest_response_time(poll);
+    assert!(fresh_as_of > MonotonicTime(10_838_000), "{fresh_as_of:?}");
+    assert!(fresh_as_of <= MonotonicTime(10_841_010), "{fresh_as_of:?}");
 }
--- a/crates/savorywood-gateway/tests/truth.rs
+++ b/crates/savorywood-gateway/tests/truth.rs
@@ -66,7 +66,7 @@
 /// State of a request as visible from outside the gateway.
 #[derive(Debug, Default, Clone)]
 struct ObservedRequest {
-    once: bool,
+    at_most_once: bool,
     running: bool,
     /// Attempts that the upstream may have executed.
     executions: u32,
@@ -89,9 +89,9 @@
             RandomStep::Arrive(kind) => {
                 let path = ["/safe/1", "/once/1", "/stream/1", "/urgent/1"][usize::from(kind) % 4];
                 let request = savorywood_gateway::LocalRequest(observed.len() as u64 + 1);
-                let once = kind % 4 == 1;
+                let at_most_once = kind % 4 == 1;
                 let state = ObservedRequest {
-                    once,
+                    at_most_once,
                     ..ObservedRequest::default()
                 };
                 observed.insert(request.0, state);
@@ -158,7 +158,7 @@
             if request.running {
                 return Err(format!("dispatched while it runs: {order:?}"));
             }
-            if request.once && request.executions > 0 {
+            if request.at_most_once && request.executions > 0 {
                 return Err(format!("may be executed twice: {order:?}"));
             }
             if request.executions >= 2 {
@@ -196,7 +196,7 @@
             let state = observed
                 .get_mut(&request.0)
                 .ok_or("unknown request abandoned")?;
-            let may_execute_again = !state.once && state.executions == 0;
+            let may_execute_again = !state.at_most_once && state.executions == 0;
             if state.ended || !state.running || !may_execute_again {
                 return Err(format!(
                     "abandoned although it can't be dispatched again: {effect:?}"
@@ -229,7 +229,7 @@
 /// Guards against charging twice: the response to a charge is lost. Dispatched again, it might be
 /// executed twice; refused as "not run", the caller would send it again.
 #[test]
-fn a_lost_response_of_a_run_once_request_is_not_reported_as_not_run() {
+fn a_lost_response_of_an_at_most_once_request_is_not_reported_as_not_run() {
     let mut harness = GatewayHarness::ready(2);
     let request = harness.arrive(arrival("/once/1"));
     harness.end(request, AttemptOutcome::Broken { stalled: false });
--- a/crates/savorywood-gateway/tests/waiting.rs
+++ b/crates/savorywood-gateway/tests/waiting.rs
@@ -172,9 +172,9 @@
 #[test]
 fn a_draining_upstream_gets_no_new_requests() {
     let mut harness = GatewayHarness::ready(2);
-    let mut leaving = upstream(1, 1);
-    leaving.draining = true;
-    harness.step(GatewayEvent::UpstreamWritten(leaving));
+    let mut draining_upstream = upstream(1, 1);
+    draining_upstream.draining = true;
+    harness.step(GatewayEvent::UpstreamWritten(draining_upstream));
     for _ in 0..5 {
         let request = harness.arrive(arrival("/safe/1"));
         assert_eq!(harness.orders(request)[0].upstream.as_str(), "upstream-2");
@@ -231,15 +231,15 @@
 }
 
 /// Returns a summary of a daemon that suspects some upstreams.
-fn summary_with_suspects(host: &str, upstreams: &[&str]) -> Box<PeerSummary> {
+fn summary_with_ejections(host: &str, upstreams: &[&str]) -> Box<PeerSummary> {
     let mut summary = peer(1, Vec::new());
     summary.host = host.to_owned();
     summary.ejected_upstreams = upstreams.iter().map(|name| name_digest(name)).collect();
     summary
 }
 
-fn report_suspects(harness: &mut GatewayHarness, host: &str, upstreams: &[&str]) {
-    harness.step(GatewayEvent::SummaryReceived(summary_with_suspects(
+fn report_ejections(harness: &mut GatewayHarness, host: &str, upstreams: &[&str]) {
+    harness.step(GatewayEvent::SummaryReceived(summary_with_ejections(
         host, upstreams,
     )));
 }
@@ -259,19 +259,19 @@
 /// Guards against each daemon detecting a failed upstream by itself at the cost of a request or
 /// two: reports of two peers are enough.
 #[test]
-fn an_upstream_suspected_by_two_peers_is_avoided() {
+fn an_upstream_ejected_by_two_peers_is_avoided() {
     let mut harness = GatewayHarness::ready(2);
-    report_suspects(&mut harness, "host-b", &["upstream-1"]);
-    report_suspects(&mut harness, "host-c", &["upstream-1"]);
+    report_ejections(&mut harness, "host-b", &["upstream-1"]);
+    report_ejections(&mut harness, "host-c", &["upstream-1"]);
     let names = next_upstreams(&mut harness, 6);
     assert!(names.iter().all(|name| name == "upstream-2"), "{names:?}");
 }
 
 /// Guards against one daemon that can't reach an upstream and makes all others avoid it.
 #[test]
-fn one_peer_alone_does_not_make_an_upstream_suspect() {
+fn one_peer_alone_does_not_eject_an_upstream() {
     let mut harness = GatewayHarness::ready(1);
-    report_suspects(&mut harness, "host-b", &["upstream-1"]);
+    report_ejections(&mut harness, "host-b", &["upstream-1"]);
     assert!(
         !harness
             .gateway
@@ -282,10 +282,10 @@
 
 /// Peers suspect every upstream, so the cause is probably on their side: requests are served.
 #[test]
-fn upstreams_that_are_all_suspect_still_serve() {
+fn upstreams_that_are_all_ejected_by_peers_still_serve() {
     let mut harness = GatewayHarness::ready(2);
     for host in ["host-b", "host-c", "host-d"] {
-        report_suspects(&mut harness, host, &["upstream-1", "upstream-2"]);
+        report_ejections(&mut harness, host, &["upstream-1", "upstream-2"]);
     }
     assert_eq!(next_upstreams(&mut harness, 4).len(), 4);
 }
--- a/crates/savorywood-gateway/tests/warmup.rs
+++ b/crates/savorywood-gateway/tests/warmup.rs
@@ -40,18 +40,18 @@
     callers: CallerGroup,
     /// Times of dispatches while the upstream was cold.
     dispatched_at: Vec<MonotonicTime>,
-    born: u64,
+    incarnation: u64,
     started_at: MonotonicTime,
     random: SeededRandom,
 }
 
 /// Returns the registration of a start of the upstream.
-fn cold_entry(born: u64) -> UpstreamEntry {
+fn cold_entry(incarnation: u64) -> UpstreamEntry {
     UpstreamEntry {
         name: UpstreamLabel::from("cold"),
         zone: zone(0),
         cold_for: SPEC.duration,
-        incarnation: born,
+        incarnation,
         ..upstream(200, 40)
     }
 }
@@ -62,7 +62,7 @@
         let mut run = Self {
             callers: CallerGroup::new(0, SECOND),
             dispatched_at: Vec::new(),
-            born: 1,
+            incarnation: 1,
             started_at: cluster.now,
             random: SeededRandom(seed),
             cluster,
@@ -86,17 +86,17 @@
         bounds.warmup_tolerance = Some(TOLERANCE);
         daemon.step(GatewayEvent::BoundsRead(bounds));
         daemon.step(GatewayEvent::ConfigRead(Arc::new(declared)));
-        let entry = cold_entry(self.born);
+        let entry = cold_entry(self.incarnation);
         daemon.step(GatewayEvent::UpstreamsRead(vec![entry]));
     }
 
     /// Restarts the upstream under the same name.
     fn start_upstream(&mut self) {
-        self.born += 1;
+        self.incarnation += 1;
         self.started_at = self.cluster.now;
         for daemon in &mut self.cluster.daemons {
             daemon.now = self.cluster.now;
-            daemon.step(GatewayEvent::UpstreamWritten(cold_entry(self.born)));
+            daemon.step(GatewayEvent::UpstreamWritten(cold_entry(self.incarnation)));
         }
     }
 
