--- a/crates/savorywood-gateway/tests/truth.rs
+++ b/crates/savorywood-gateway/tests/truth.rs
@@ -212,8 +212,8 @@
 
 /// Upstreams refuse, fail, break connections, stall, are removed and register again in any order
 /// while requests arrive and callers leave. A request that may have been executed is never refused
-/// as not run, one that may run only once is never dispatched again, and each request gets one
-/// final response.
+/// as not run, an at-most-once request is never dispatched again after that, and each request gets
+/// one final response.
 #[test]
 fn invariants_hold_under_any_order_of_faults() {
     let property = |steps: Vec<RandomStep>| match check_steps(steps) {
@@ -239,8 +239,8 @@
 }
 
 /// An address was reused by an upstream of another service, which rejects the request as
-/// misdirected. It was not executed, so even a request that may run only once is dispatched to
-/// another upstream.
+/// misdirected. It was not executed, so even an at-most-once request is dispatched to another
+/// upstream.
 #[test]
 fn a_misdirected_request_is_dispatched_to_another_upstream() {
     let mut harness = GatewayHarness::ready(2);
--- a/crates/savorywood-gateway/tests/waiting.rs
+++ b/crates/savorywood-gateway/tests/waiting.rs
@@ -230,7 +230,7 @@
     );
 }
 
-/// Returns a summary of a daemon that suspects some upstreams.
+/// Returns a summary of a daemon that has ejected some upstreams.
 fn summary_with_ejections(host: &str, upstreams: &[&str]) -> Box<PeerSummary> {
     let mut summary = peer(1, Vec::new());
     summary.host = host.to_owned();
@@ -280,7 +280,7 @@
     );
 }
 
-/// Peers suspect every upstream, so the cause is probably on their side: requests are served.
+/// Peers have ejected every upstream, so the cause is probably on their side: requests are served.
 #[test]
 fn upstreams_that_are_all_ejected_by_peers_still_serve() {
     let mut harness = GatewayHarness::ready(2);
@@ -290,7 +290,7 @@
     assert_eq!(next_upstreams(&mut harness, 4).len(), 4);
 }
 
-/// The simple policies against which the default one is compared behave as their names state.
+/// The simple policies to which the default one is compared behave as their names state.
 #[test]
 fn baseline_policies_behave_as_named() {
     let chosen = |routing: RoutingPolicy| {
