--- a/crates/savorywood-gateway/tests/truth.rs
+++ b/crates/savorywood-gateway/tests/truth.rs
@@ -234,7 +234,7 @@
     let request = harness.arrive(arrival("/once/1"));
     harness.end(request, AttemptOutcome::Broken { stalled: false });
     assert_eq!(harness.orders(request).len(), 1);
-    let reason = harness.refusal(request).expect("a final answer");
+    let reason = harness.refusal(request).expect("a final response");
     assert!(!reason.guarantees_not_executed());
 }
 
