--- a/crates/savorywood-gateway/src/gateway/dispatch.rs
+++ b/crates/savorywood-gateway/src/gateway/dispatch.rs
@@ -66,7 +66,7 @@
                 Ok(picked) => self.dispatch(now, place.request, &picked, effects),
                 Err(SelectionFailure::AllFull) => full += 1,
                 Err(SelectionFailure::NoCandidate) => {
-                    self.without_upstream(now, place.request, effects)
+                    self.without_upstream(now, place.request, effects);
                 }
             }
         }
