--- a/crates/savorywood-front/src/shared.rs
+++ b/crates/savorywood-front/src/shared.rs
@@ -221,10 +221,10 @@
                 self.send(request, RequestDecision::PassFailure);
             }
             GatewayEffect::AbandonAttempt { request } => {
-                self.send(request, RequestDecision::Abandon)
+                self.send(request, RequestDecision::Abandon);
             }
             GatewayEffect::AbortResponse { request } => {
-                self.send(request, RequestDecision::BreakOff)
+                self.send(request, RequestDecision::BreakOff);
             }
             GatewayEffect::WriteRollout(write) => {
                 // The receiver lives as long as the daemon.
