--- a/crates/savorywood-front/src/admin.rs
+++ b/crates/savorywood-front/src/admin.rs
@@ -8,7 +8,7 @@
     wire::{ByteReader, HeaderLine, RequestHead},
 };
 use async_net::{TcpListener, TcpStream};
-use savorywood_gateway::CallerPlace;
+use savorywood_gateway::CallerLocation;
 use std::{io, net::SocketAddr, rc::Rc, time::Duration};
 
 /// Longest time that a connection may be idle.
@@ -93,20 +93,20 @@
 fn answer(shared: &FrontShared, head: &RequestHead) -> AdminAnswer {
     let now = shared.clock.now();
     let gateway = shared.gateway.borrow();
-    if shared.dialect.asks_readiness(head) {
+    if shared.adapter.is_readiness_check(head) {
         return if gateway.is_ready(now) {
             AdminAnswer::plain(200, "OK")
         } else {
             AdminAnswer::plain(503, "Service Unavailable")
         };
     }
-    if let Some(query) = shared.dialect.directory_query(head) {
-        let caller = CallerPlace {
+    if let Some(query) = shared.adapter.directory_query(head) {
+        let caller = CallerLocation {
             zone: query.zone.as_deref(),
             region: query.region.as_deref(),
             host: query.host.as_deref(),
         };
-        let addresses = gateway.addresses(now, caller, MOST_ADDRESSES);
+        let addresses = gateway.caller_addresses(now, caller, MOST_ADDRESSES);
         if addresses.is_empty() {
             return AdminAnswer::plain(503, "Service Unavailable");
         }
@@ -114,21 +114,31 @@
             status: 200,
             reason: "OK",
             kind: "application/json",
-            body: shared.dialect.directory_answer(&addresses, KEEP_ADDRESSES),
+            body: shared
+                .adapter
+                .directory_response(&addresses, KEEP_ADDRESSES),
         };
     }
     if head.path() == "/metrics" {
-        let view = gateway.view(now);
+        let view = gateway.status(now);
         let metrics = &shared.metrics;
         metrics.waiting.set(count(gateway.waiting_requests()));
         metrics.running.set(count(gateway.running_requests()));
-        metrics.proof_age.set(view.proof_age.as_secs_f64());
-        metrics.config_version.set(count(view.version));
-        metrics.peers.set(count(gateway.peers().alive(now).count()));
+        metrics
+            .proof_age
+            .set(view.time_since_confirmed.as_secs_f64());
+        metrics.config_version.set(count(view.config_version));
+        metrics
+            .peers
+            .set(count(gateway.peers().live_peers(now).count()));
         metrics.ready.set(i64::from(view.ready));
         metrics.connections.set(count(shared.connections.get()));
-        metrics.entry_member.set(i64::from(gateway.is_member()));
-        metrics.entry_members.set(count(gateway.member_count()));
+        metrics
+            .entry_member
+            .set(i64::from(gateway.is_entry_member()));
+        metrics
+            .entry_members
+            .set(count(gateway.entry_member_count()));
         metrics
             .evacuated_zones
             .set(count(gateway.evacuated_zones().count()));
--- a/crates/savorywood-front/src/feeds.rs
+++ b/crates/savorywood-front/src/feeds.rs
@@ -24,7 +24,7 @@
 use async_io::Timer;
 use futures_lite::future;
 use savorywood_gateway::{
-    FreshnessClock, GatewayEvent, ReadPlan, SharedTable, StorePosition, TableKnowledge,
+    FreshnessClock, GatewayEvent, ReadPlan, SharedTable, StorePosition, TablePosition,
 };
 use savorywood_protocol::MonotonicTime;
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
@@ -129,11 +129,11 @@
                 .read_plan(now, self.shared_table());
             self.note_plan(plan);
             let result = match (self.revision, plan) {
-                (Some(after), ReadPlan::Rest) => {
+                (Some(after), ReadPlan::FollowAttestation) => {
                     self.rest_on_attestation(after).await;
                     continue;
                 }
-                (Some(_), ReadPlan::Await) => {
+                (Some(_), ReadPlan::AwaitReader) => {
                     Timer::after(REST_TIME).await;
                     continue;
                 }
@@ -163,7 +163,11 @@
 
     /// A whole read is first left to the daemons of the zone that go first; they pass on what changed.
     fn yields(&self, after: StorePosition) -> bool {
-        let is_first = self.shared.gateway.borrow().reads_first(BootClock.now());
+        let is_first = self
+            .shared
+            .gateway
+            .borrow()
+            .is_initial_reader(BootClock.now());
         !self.has_yielded && !is_first && self.needs_whole_read(after)
     }
 
@@ -220,7 +224,7 @@
 
     fn wait(&self) -> Duration {
         match self.table {
-            StoreTable::Declared => self.shared.gateway.borrow().declared_wait(),
+            StoreTable::Declared => self.shared.gateway.borrow().config_poll_timeout(),
             _ => UPSTREAMS_WAIT,
         }
     }
@@ -249,22 +253,27 @@
     }
 
     /// Notes what is known now.
-    fn know(&mut self, rows: &[StoreRow], through: StorePosition, proof_at: Option<MonotonicTime>) {
+    fn know(
+        &mut self,
+        rows: &[StoreRow],
+        read_through: StorePosition,
+        confirmed_at: Option<MonotonicTime>,
+    ) {
         for row in rows {
             self.changed = self.changed.max(row.position);
             self.known.note(row);
         }
-        self.revision = Some(through);
+        self.revision = Some(read_through);
         self.has_gap = false;
         self.has_yielded = false;
-        let knowledge = TableKnowledge {
-            through,
-            changed: self.changed,
+        let position = TablePosition {
+            read_through,
+            last_change: self.changed,
         };
         self.shared.step(GatewayEvent::TableRead {
             table: self.shared_table(),
-            knowledge,
-            proof_at,
+            position,
+            confirmed_at,
         });
     }
 
@@ -272,8 +281,12 @@
         self.note_reachable(false, cause);
         self.shared.step(GatewayEvent::StoreFailed);
         let jitter = 0.5 + fastrand::f64();
-        let reads_first = self.shared.gateway.borrow().reads_first(BootClock.now());
-        let (first, longest) = if reads_first {
+        let is_initial_reader = self
+            .shared
+            .gateway
+            .borrow()
+            .is_initial_reader(BootClock.now());
+        let (first, longest) = if is_initial_reader {
             (FIRST_PAUSE, LONGEST_PAUSE)
         } else {
             (FIRST_STANDBY_PAUSE, LONGEST_STANDBY_PAUSE)
--- a/crates/savorywood-front/src/feeds/members.rs
+++ b/crates/savorywood-front/src/feeds/members.rs
@@ -37,7 +37,7 @@
                 announced = true;
             }
         }
-        let zoned = shared.gateway.borrow().is_zoned();
+        let zoned = shared.gateway.borrow().uses_zone_digests();
         let pause = match (done, zoned) {
             (false, _) => LONGEST_PAUSE,
             (true, false) => MEMBERS_TIME,
@@ -60,9 +60,9 @@
         table: StoreTable::Members,
         key: shared.settings.host.clone(),
         value: Some(member_text(&shared.settings).into_bytes()),
-        expected: None,
+        expected_version: None,
     };
-    let call = shared.dialect.write_row(&write);
+    let call = shared.adapter.write_row_call(&write);
     match link.call(&call, CALL_TIME).await {
         Ok(answer) => answer.status == 200,
         Err(fault) => {
@@ -82,15 +82,15 @@
     let mut after: Option<String> = None;
     loop {
         let call = shared
-            .dialect
-            .read_rows(StoreTable::Members, after.as_deref());
+            .adapter
+            .read_rows_call(StoreTable::Members, after.as_deref());
         let answer = link.call(&call, CALL_TIME).await.ok()?;
         if answer.status != 200 {
             return None;
         }
         let page = shared
-            .dialect
-            .page(shared.note_era(&answer), &answer.body)?;
+            .adapter
+            .parse_page(shared.note_era(&answer), &answer.body)?;
         after = page.rows.last().map(|row| row.key.clone());
         for row in page.rows {
             let Some(value) = row.value else { continue };
@@ -124,9 +124,9 @@
         table: StoreTable::Members,
         key: shared.settings.host.clone(),
         value: None,
-        expected: None,
+        expected_version: None,
     };
-    let call = shared.dialect.write_row(&write);
+    let call = shared.adapter.write_row_call(&write);
     if let Err(fault) = link.call(&call, CALL_TIME).await {
         log::warn!("event=member-unremoved cause={:?}", fault.to_string());
     }
--- a/crates/savorywood-gateway/src/event.rs
+++ b/crates/savorywood-gateway/src/event.rs
@@ -2,19 +2,19 @@
 
 use crate::{
     arrival::{LocalRequest, RequestArrival},
-    declared::DeclaredConfig,
-    entry::HostResources,
+    config::DeclaredConfig,
+    entry_set::HostResources,
     evacuation::EvacuationOrder,
     gateway::GatewayBounds,
     gossip::PeerContact,
+    label::{HostLabel, ServiceLabel, UpstreamLabel},
     message::{PeerHeartbeat, PeerSummary, SlotUpdate},
-    name::{HostLabel, ServiceLabel, UpstreamLabel},
     position::StorePosition,
     quarantine::{CrashGossip, QuarantineRow, QuarantineWrite},
-    rate_limit::{LimitGossip, RateLimit},
-    reading::{SharedTable, TableKnowledge},
     rollout::{RolloutOrder, RolloutStatus},
+    store_reads::{SharedTable, TablePosition},
     upstream::UpstreamEntry,
+    upstream_limit::{LimitGossip, RateLimit},
     zone::ZoneDigest,
 };
 use savorywood_protocol::MonotonicTime;
@@ -22,7 +22,7 @@
 
 /// Load of an upstream as one of its answers reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LoadFigures {
+pub struct ReportedLoad {
     /// Requests that run.
     pub running: u32,
     /// Requests that wait there.
@@ -33,24 +33,24 @@
 
 /// What an answer's head says beside the answer itself.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct AnswerMarks {
+pub struct ResponseMetadata {
     /// Load there.
-    pub load: Option<LoadFigures>,
+    pub load: Option<ReportedLoad>,
     /// The upstream ends its connections: it is leaving, or just tidies up.
-    pub closing: bool,
+    pub closes_connection: bool,
     /// Time for which it is still cold, where it says so.
-    pub cold: Option<Duration>,
+    pub cold_for: Option<Duration>,
     /// Requests that it takes from all daemons together, while it is in need.
-    pub limit: Option<RateLimit>,
+    pub rate_limit: Option<RateLimit>,
 }
 
 /// How a stream stopped before its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct StreamEnd {
+pub struct StreamInterruption {
     /// Events passed on so far.
     pub events: u32,
     /// The upstream fell silent; otherwise the connection broke.
-    pub silent: bool,
+    pub stalled: bool,
 }
 
 /// How an attempt ended.
@@ -63,31 +63,31 @@
         /// Another incarnation answers at that address.
         misdirected: bool,
         /// Marks of its answer.
-        marks: AnswerMarks,
+        metadata: ResponseMetadata,
     },
     /// The upstream said itself that it failed; its answer is kept and may be passed on.
     Failed {
         /// Marks of its answer.
-        marks: AnswerMarks,
+        metadata: ResponseMetadata,
     },
     /// No whole answer came, and nothing of it has reached the caller.
     Broken {
         /// The upstream fell silent; otherwise the connection broke or the answer was nonsense.
-        silent: bool,
+        stalled: bool,
     },
     /// A stream of which events have reached the caller stopped early.
-    StreamBroken(StreamEnd),
+    StreamBroken(StreamInterruption),
     /// The whole answer reached the caller.
     Delivered {
         /// Marks of its answer.
-        marks: AnswerMarks,
+        metadata: ResponseMetadata,
         /// Events of a stream.
         events: u32,
     },
     /// The time for it is up.
     Expired,
     /// The caller has gone.
-    CallerLeft,
+    CallerDisconnected,
 }
 
 impl AttemptOutcome {
@@ -110,13 +110,13 @@
             } => "misdirected",
             Self::NotRun { .. } => "not-run",
             Self::Failed { .. } => "failed",
-            Self::Broken { silent: true } => "silent",
+            Self::Broken { stalled: true } => "silent",
             Self::Broken { .. } => "broken",
-            Self::StreamBroken(end) if end.silent => "stream-silent",
+            Self::StreamBroken(end) if end.stalled => "stream-silent",
             Self::StreamBroken(_) => "stream-broken",
             Self::Delivered { .. } => "delivered",
             Self::Expired => "expired",
-            Self::CallerLeft => "caller-left",
+            Self::CallerDisconnected => "caller-left",
         }
     }
 }
@@ -132,16 +132,16 @@
         arrival: Box<RequestArrival>,
     },
     /// Its caller closed the connection before an attempt was under way.
-    CallerLeft(LocalRequest),
+    CallerDisconnected(LocalRequest),
     /// The first event of a stream (or the head of a plain answer) came.
-    AnswerBegan {
+    ResponseStarted {
         /// Which request.
         request: LocalRequest,
         /// Marks of its head.
-        marks: AnswerMarks,
+        metadata: ResponseMetadata,
     },
     /// More events of a stream have reached its caller.
-    AnswerMoved {
+    ResponseProgressed {
         /// Which request.
         request: LocalRequest,
         /// Events passed on together.
@@ -163,7 +163,7 @@
     /// One upstream registration was removed.
     UpstreamRemoved(UpstreamLabel),
     /// The store answered: its rows of the configuration were as known at that moment.
-    Confirmed {
+    ConfigConfirmed {
         /// When they were.
         at: MonotonicTime,
     },
@@ -172,9 +172,9 @@
         /// Which.
         table: SharedTable,
         /// What is known of it now.
-        knowledge: TableKnowledge,
+        position: TablePosition,
         /// When the store is proved to have said so; none for rows that were handed on.
-        proof_at: Option<MonotonicTime>,
+        confirmed_at: Option<MonotonicTime>,
     },
     /// An operator evacuates a zone.
     EvacuationOrdered(EvacuationOrder),
@@ -188,7 +188,7 @@
         revision: StorePosition,
     },
     /// An answer of the store names its era.
-    StoreEraSeen(u64),
+    StoreEraObserved(u64),
     /// Bounds were read from changed settings.
     BoundsRead(GatewayBounds),
     /// The store failed to answer a call.
@@ -196,9 +196,9 @@
     /// An operator ordered a roll-out, or changed one.
     RolloutOrdered(RolloutOrder),
     /// What the store says of a roll-out.
-    RolloutRead(RolloutStatus),
+    RolloutStatusRead(RolloutStatus),
     /// The write of a roll-out's status was answered, or not.
-    RolloutWritten {
+    RolloutWriteFinished {
         /// Which service's.
         service: ServiceLabel,
         /// It is known to be in the store.
@@ -225,7 +225,7 @@
     /// Requests in quarantine were read from the store.
     QuarantineRead(Vec<QuarantineRow>),
     /// The write of a row on a request in quarantine was answered, or not.
-    QuarantineWritten {
+    QuarantineWriteFinished {
         /// What was written.
         write: QuarantineWrite,
         /// It is known to be in the store.
--- a/crates/savorywood-gateway/src/gateway/gossip.rs
+++ b/crates/savorywood-gateway/src/gateway/gossip.rs
@@ -3,12 +3,12 @@
 use super::{Gateway, entry::DISCOVERY_TIME, record::RequestPlace};
 use crate::{
     gossip::{GossipPlan, SentSlots, SlotPlan},
+    label::{ServiceLabel, ZoneLabel},
     message::{
         DaemonRole, PeerHeartbeat, PeerPhase, PeerSummary, SlotScope, SlotUpdate, SlotUse, TeamUse,
     },
-    name::{ServiceLabel, ZoneLabel},
     peer::{name_digest, slot_key},
-    reading::StoreAttestation,
+    store_reads::StoreAttestation,
     zone::{ZoneDigest, ZoneMember},
 };
 use savorywood_protocol::MonotonicTime;
@@ -32,13 +32,13 @@
 
 /// State of a gateway at a moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct GatewayView {
+pub struct GatewayStatus {
     /// It takes callers.
     pub ready: bool,
     /// Configuration version in force.
-    pub version: u64,
+    pub config_version: u64,
     /// Age of the newest proof that it is the store's.
-    pub proof_age: Duration,
+    pub time_since_confirmed: Duration,
 }
 
 impl Gateway {
@@ -49,7 +49,12 @@
         known
             && self.knows_members()
             && !self.stopping
-            && self.proof_age(now) < self.options.bounds.proof_bound().mul_f64(READY_PART)
+            && self.proof_age(now)
+                < self
+                    .options
+                    .bounds
+                    .max_confirmation_age()
+                    .mul_f64(READY_PART)
     }
 
     /// The number of daemons is known: a daemon that starts again without it would spend much
@@ -60,11 +65,11 @@
 
     /// State now.
     #[must_use]
-    pub fn view(&self, now: MonotonicTime) -> GatewayView {
-        GatewayView {
+    pub fn status(&self, now: MonotonicTime) -> GatewayStatus {
+        GatewayStatus {
             ready: self.is_ready(now),
-            version: self.config_version(),
-            proof_age: self.proof_age(now),
+            config_version: self.config_version(),
+            time_since_confirmed: self.proof_age(now),
         }
     }
 
@@ -86,10 +91,10 @@
     /// Summary of this daemon.
     pub fn summary(&mut self, now: MonotonicTime) -> PeerSummary {
         self.sequence += 1;
-        let age_ms = self.age_ms(now);
+        let uptime_ms = self.age_ms(now);
         let attestation = self.attestation(now);
         for meter in self.meters.values_mut() {
-            meter.reported();
+            meter.mark_reported();
         }
         let usage = self.meters.iter().map(|(team, meter)| TeamUse {
             team: name_digest(team.as_str()),
@@ -99,15 +104,15 @@
         PeerSummary {
             host: self.options.host.as_str().to_owned(),
             incarnation: self.options.incarnation,
-            age_ms,
+            uptime_ms,
             sequence: self.sequence,
             zone: self.options.zone.as_str().to_owned(),
             peer_address: self.options.peer_address,
             caller_address: self.options.caller_address,
             phase: self.phase(now),
-            version: self.config_version(),
+            config_version: self.config_version(),
             slots: self.own_slots(),
-            suspects: self.own_suspects(now),
+            ejected_upstreams: self.own_suspects(now),
             usage: usage.filter(|used| used.total > 0).collect(),
             tallies: self.rollouts.tallies(),
             role: self.role(),
@@ -126,13 +131,13 @@
 
     /// A daemon that stops leaves the reading to others.
     fn attestation(&self, now: MonotonicTime) -> Option<StoreAttestation> {
-        let attestations = self.contacts.is_zoned() && !self.stopping;
+        let attestations = self.contacts.uses_zone_digests() && !self.stopping;
         attestations.then(|| self.reads.attestation(now)).flatten()
     }
 
     /// Neighbours to whom changed rows are handed on at once.
     #[must_use]
-    pub fn followers(&self, now: MonotonicTime) -> Vec<SocketAddr> {
+    pub fn row_update_targets(&self, now: MonotonicTime) -> Vec<SocketAddr> {
         if self.attestation(now).is_none() {
             return Vec::new();
         }
@@ -142,7 +147,7 @@
 
     fn own_suspects(&self, now: MonotonicTime) -> Vec<u64> {
         let states = self.fleet.iter();
-        let failed = states.filter(|state| state.outlier.failed_lately(now));
+        let failed = states.filter(|state| state.outlier.ejected_recently(now));
         failed.map(|state| state.digest).collect()
     }
 
@@ -151,7 +156,7 @@
         let slots = states.map(|state| SlotUse {
             upstream: u64::from(slot_key(state.digest)),
             running: u16::try_from(state.running).unwrap_or(u16::MAX),
-            unread: state.unread,
+            unread_prompt_tokens: state.unread_tokens,
         });
         slots.collect()
     }
@@ -164,10 +169,12 @@
                 let sum = sums.entry(slot.upstream).or_insert(SlotUse {
                     upstream: slot.upstream,
                     running: 0,
-                    unread: 0,
+                    unread_prompt_tokens: 0,
                 });
                 sum.running = sum.running.saturating_add(slot.running);
-                sum.unread = sum.unread.saturating_add(slot.unread);
+                sum.unread_prompt_tokens = sum
+                    .unread_prompt_tokens
+                    .saturating_add(slot.unread_prompt_tokens);
             }
         };
         add(&self.own_slots());
@@ -208,14 +215,14 @@
     /// Who gets newer slots now.
     #[must_use]
     pub fn plan_slots(&self, now: MonotonicTime) -> SlotPlan {
-        let sent = self.is_member().then_some(self.sent_zone_slots);
+        let sent = self.is_entry_member().then_some(self.sent_zone_slots);
         self.contacts.plan_slots(now, &self.peers, sent)
     }
 
     /// Heartbeat of a member of the entry set, and who gets it: daemons of its zone, so that they
     /// replace it soon after it fails. Few daemons send each other summaries as often.
     pub fn heartbeat(&mut self) -> Option<(PeerHeartbeat, Vec<SocketAddr>)> {
-        if !self.contacts.is_zoned() || !self.is_member() {
+        if !self.contacts.uses_zone_digests() || !self.is_entry_member() {
             return None;
         }
         self.sequence += 1;
@@ -229,8 +236,8 @@
 
     /// Time until the next heartbeat.
     #[must_use]
-    pub fn heartbeat_pause(&self) -> Duration {
-        self.contacts.heartbeat_pause()
+    pub fn heartbeat_interval(&self) -> Duration {
+        self.contacts.heartbeat_interval()
     }
 
     fn update_of(&self, scope: SlotScope, slots: Vec<SlotUse>) -> SlotUpdate {
@@ -251,7 +258,7 @@
         let mut services: BTreeMap<&ServiceLabel, SlotCount> = BTreeMap::new();
         for state in self.fleet.iter().filter(|state| state.is_open(now)) {
             let count = services.entry(&state.entry.service).or_default();
-            let others = self.peers.slots_of(state.digest).running;
+            let others = self.peers.slots_by_digest(state.digest).running;
             count.taken += state.running + others;
             count.all += state.entry.slots;
         }
@@ -261,14 +268,14 @@
 
     /// Time until the next message on slots alone.
     #[must_use]
-    pub fn slot_pause(&self) -> Duration {
-        self.contacts.slot_pause()
+    pub fn slot_update_interval(&self) -> Duration {
+        self.contacts.slot_update_interval()
     }
 
     /// Digest of this daemon's zone. `slots`: the receivers place requests.
-    pub fn digest(&mut self, now: MonotonicTime, slots: bool) -> ZoneDigest {
+    pub fn zone_digest(&mut self, now: MonotonicTime, slots: bool) -> ZoneDigest {
         self.sequence += 1;
-        let age_ms = self.age_ms(now);
+        let uptime_ms = self.age_ms(now);
         let usage = self.meters.iter().map(|(team, meter)| TeamUse {
             team: name_digest(team.as_str()),
             total: meter.zone_total(),
@@ -280,10 +287,10 @@
             zone: self.options.zone.as_str().to_owned(),
             sender: name_digest(self.options.host.as_str()),
             incarnation: self.options.incarnation,
-            age_ms,
+            uptime_ms,
             sequence: self.sequence,
             members: self.placing_members(now),
-            daemons: u32::try_from(self.peers.daemons_here()).unwrap_or(u32::MAX),
+            daemons: u32::try_from(self.peers.zone_daemon_count()).unwrap_or(u32::MAX),
             slots: if slots {
                 self.zone_slots(now)
             } else {
@@ -327,17 +334,17 @@
         if self.stopping || !self.knows_own_zone(now) {
             // Another daemon of the zone takes over before this one is gone; and daemons that do
             // not know each other yet would all send digests to all others.
-            plan.digest_to.clear();
-            plan.brief_to.clear();
+            plan.digest_targets.clear();
+            plan.slotless_digest_targets.clear();
         }
         plan
     }
 
     /// Time until the next round of gossip.
     #[must_use]
-    pub fn gossip_pause(&self, now: MonotonicTime) -> Duration {
+    pub fn gossip_interval(&self, now: MonotonicTime) -> Duration {
         let pause = self.contacts.pause();
-        if self.contacts.is_zoned() && self.age(now) < DISCOVERY_TIME {
+        if self.contacts.uses_zone_digests() && self.age(now) < DISCOVERY_TIME {
             pause.min(DISCOVERY_INTERVAL)
         } else {
             pause
@@ -351,9 +358,9 @@
         let zone = self.options.zone.as_str();
         let first_here = self
             .peers
-            .ready(now)
+            .ready_peers(now)
             .all(|peer| peer.summary.host.as_str() > own);
-        let mut zones = self.peers.zones(now);
+        let mut zones = self.peers.zone_digests(now);
         let is_ready = |member: &ZoneMember| member.phase == PeerPhase::Ready;
         let first_zone =
             zones.all(|digest| digest.zone.as_str() > zone || !digest.members.iter().any(is_ready));
--- a/crates/savorywood-gateway/src/gateway/updates.rs
+++ b/crates/savorywood-gateway/src/gateway/updates.rs
@@ -2,15 +2,15 @@
 
 use super::{Gateway, GatewayBounds, GatewayEffects};
 use crate::{
-    declared::DeclaredConfig,
+    config::DeclaredConfig,
     effect::GatewayEffect,
     gossip::PeerContact,
-    limit::{PeerReading, TeamMeter},
+    label::{UpstreamLabel, ZoneLabel},
     message::{PeerPhase, PeerSummary, TeamUse},
-    name::{UpstreamLabel, ZoneLabel},
     peer::name_digest,
-    reading::SharedTable,
     rollout::RolloutOrder,
+    store_reads::SharedTable,
+    team_limit::{PeerUsage, TeamLimiter},
     upstream::{FleetChange, UpstreamEntry},
     zone::{DigestOutcome, ZoneDigest},
 };
@@ -73,9 +73,9 @@
                 Some(_) => {}
                 None => {
                     let fresh = !first || self.options.first_start;
-                    let tolerance = self.options.bounds.tolerance;
-                    let mut meter = TeamMeter::new(now, limit, tolerance, fresh);
-                    meter.expect(now, self.contacts.daemons(), self.contacts.pause());
+                    let tolerance = self.options.bounds.limit_tolerance;
+                    let mut meter = TeamLimiter::new(now, limit, tolerance, fresh);
+                    meter.set_expected_daemons(now, self.contacts.daemons(), self.contacts.pause());
                     meter.set_members(members);
                     self.meters.insert(team.name.clone(), meter);
                 }
@@ -97,14 +97,14 @@
         let line = LogLine::new(LogLevel::Info, "bounds-in-force")
             .with(
                 "revocation_ms",
-                bounds.revocation.unwrap_or_default().as_millis(),
+                bounds.revocation_delay.unwrap_or_default().as_millis(),
             )
-            .with("retry_ratio", bounds.budget.ratio)
-            .with("limit_slack", bounds.tolerance.slack);
+            .with("retry_ratio", bounds.retry_budget.ratio)
+            .with("limit_slack", bounds.limit_tolerance.slack);
         effects.push(GatewayEffect::Log(line));
-        if self.options.bounds.tolerance != bounds.tolerance {
+        if self.options.bounds.limit_tolerance != bounds.limit_tolerance {
             for meter in self.meters.values_mut() {
-                *meter = TeamMeter::new(now, meter.limit(), bounds.tolerance, false);
+                *meter = TeamLimiter::new(now, meter.limit(), bounds.limit_tolerance, false);
             }
         }
         self.options.bounds = bounds;
@@ -119,7 +119,7 @@
     ) {
         let line = LogLine::new(LogLevel::Info, "upstreams-read").with("count", entries.len());
         effects.push(GatewayEffect::Log(line));
-        for (name, change) in self.fleet.replace(now, entries) {
+        for (name, change) in self.fleet.replace_all(now, entries) {
             log_change(&name, change, effects);
         }
         self.upstreams_read = true;
@@ -134,7 +134,7 @@
         effects: &mut GatewayEffects,
     ) {
         let name = entry.name.clone();
-        if let Some(change) = self.fleet.write(now, entry) {
+        if let Some(change) = self.fleet.upsert(now, entry) {
             log_change(&name, change, effects);
             self.pump_all(now, effects);
         }
@@ -159,9 +159,9 @@
     ) {
         let line = LogLine::new(LogLevel::Info, "rollout-ordered")
             .with("service", &order.service)
-            .with("to", &order.to)
-            .with("within_ms", order.within.as_millis());
-        if self.rollouts.order(now, order) {
+            .with("to", &order.target_version)
+            .with("within_ms", order.time_limit.as_millis());
+        if self.rollouts.apply_order(now, order) {
             effects.push(GatewayEffect::Log(line));
         }
     }
@@ -176,7 +176,7 @@
         if peer == name_digest(self.options.host.as_str()) {
             return;
         }
-        let was_alive = self.peers.is_alive(now, &summary.host);
+        let was_alive = self.peers.is_live(now, &summary.host);
         if !self.peers.receive(now, summary.clone()) {
             return;
         }
@@ -197,20 +197,20 @@
             self.neighbour_received(now, &summary, effects);
         }
         // Of a zone that another daemon reports, its message alone counts, or all would count twice.
-        if self.peers.counts(now, &summary.zone) {
+        if self.peers.uses_direct_summary(now, &summary.zone) {
             let account = PeerAccount {
                 peer,
                 incarnation: summary.incarnation,
-                age: Duration::from_millis(summary.age_ms),
+                age: Duration::from_millis(summary.uptime_ms),
                 daemons: 1,
                 near: summary.zone == self.options.zone.as_str(),
             };
             self.usage_received(now, account, &summary.usage);
-            self.rollouts.received(peer, &summary.tallies);
+            self.rollouts.record_peer_tallies(peer, &summary.tallies);
         }
         if summary.phase == PeerPhase::Leaving {
             for meter in self.meters.values_mut() {
-                meter.ended(now, peer);
+                meter.record_peer_ended(now, peer);
             }
         }
         self.pump_all(now, effects);
@@ -223,23 +223,23 @@
         summary: &PeerSummary,
         effects: &mut GatewayEffects,
     ) {
-        self.reads.received(now, summary);
+        self.reads.record_summary(now, summary);
         if let Some(attestation) = summary.attestation {
-            let era = attestation.declared.changed.era;
+            let era = attestation.declared.last_change.era;
             self.store_era_seen(now, era, effects);
         }
         let own = name_digest(self.options.host.as_str());
-        let proof = self.reads.proof(own, summary, SharedTable::Declared);
+        let proof = self.reads.confirmed_at(own, summary, SharedTable::Declared);
         if let Some(at) = proof {
             self.proof_at = Some(self.proof_at.map_or(at, |known| known.max(at)));
             self.note_readiness(now, effects);
         }
         let failed = summary
             .attestation
-            .and_then(|attestation| attestation.failed_ms);
+            .and_then(|attestation| attestation.store_failure_age_ms);
         if let Some(age) = failed {
             let age = Duration::from_millis(u64::from(age));
-            self.fleet.store_failed(now - age);
+            self.fleet.record_store_failure(now - age);
         }
     }
 
@@ -272,13 +272,13 @@
         let account = PeerAccount {
             peer: digest.sender.rotate_left(1),
             incarnation: digest.incarnation,
-            age: Duration::from_millis(digest.age_ms),
+            age: Duration::from_millis(digest.uptime_ms),
             daemons: digest.daemons,
             near: false,
         };
         self.usage_received(now, account, &digest.usage);
         self.rollouts
-            .received(name_digest(zone.as_str()), &digest.tallies);
+            .record_peer_tallies(name_digest(zone.as_str()), &digest.tallies);
         self.pump_all(now, effects);
     }
 
@@ -298,7 +298,7 @@
             self.contacts.learn(now, contact);
         }
         for meter in self.meters.values_mut() {
-            meter.expect(now, self.contacts.daemons(), self.contacts.pause());
+            meter.set_expected_daemons(now, self.contacts.daemons(), self.contacts.pause());
         }
     }
 
@@ -313,13 +313,13 @@
     /// Daemons among which teams' limits are shared, if this one is among them.
     fn limit_members(&self) -> Option<u32> {
         let members = u32::try_from(self.entry_daemons).unwrap_or(u32::MAX);
-        self.is_member().then_some(members)
+        self.is_entry_member().then_some(members)
     }
 
     /// Another daemon reports a zone now: what it says includes what was received before of that
     /// zone's daemons, from themselves or from the one that reported.
     fn drop_accounts(&mut self, now: MonotonicTime, zone: &ZoneLabel, before: Option<u64>) {
-        let alive = self.peers.alive(now);
+        let alive = self.peers.live_peers(now);
         let members = alive.filter(|peer| peer.summary.zone == zone.as_str());
         let mut ended: Vec<u64> = members
             .map(|peer| name_digest(&peer.summary.host))
@@ -327,7 +327,7 @@
         ended.extend(before.map(|sender| sender.rotate_left(1)));
         for meter in self.meters.values_mut() {
             for peer in &ended {
-                meter.ended(now, *peer);
+                meter.record_peer_ended(now, *peer);
             }
         }
     }
@@ -337,16 +337,16 @@
         let usage: HashMap<u64, &TeamUse> = usage.iter().map(|used| (used.team, used)).collect();
         for (team, meter) in &mut self.meters {
             let used = usage.get(&name_digest(team.as_str()));
-            let reading = PeerReading {
+            let reading = PeerUsage {
                 peer: account.peer,
                 incarnation: account.incarnation,
                 age: account.age,
                 total: used.map_or(0, |used| used.total),
                 daemons: account.daemons,
-                near: account.near,
+                same_zone: account.near,
                 levels: used.map(|used| used.levels),
             };
-            meter.received(now, reading);
+            meter.record_peer_usage(now, reading);
         }
     }
 
--- a/crates/savorywood-gateway/tests/admission.rs
+++ b/crates/savorywood-gateway/tests/admission.rs
@@ -3,7 +3,7 @@
 #[path = "common/scene.rs"]
 mod scene;
 
-use savorywood_gateway::{GatewayEvent, RefusalReason, RepeatKind, RequestArrival, TeamLimit};
+use savorywood_gateway::{GatewayEvent, RefusalReason, RequestArrival, RetrySafety, TeamLimit};
 use scene::{GatewayScene, REVOCATION, arrival, config, options, route};
 use std::{sync::Arc, time::Duration};
 
@@ -22,7 +22,7 @@
 #[test]
 fn the_longest_prefix_wins() {
     let mut config = config(1, None);
-    config.add_route(route("/safe/deep/", RepeatKind::Once, 3));
+    config.add_route(route("/safe/deep/", RetrySafety::AtMostOnce, 3));
     let found = config
         .route("api.example", "/safe/deep/x")
         .expect("a route");
@@ -41,7 +41,7 @@
     let request = scene.arrive(arrival("/nowhere/"));
     assert_eq!(scene.refusal(request), Some(RefusalReason::NoRoute));
     let stranger = RequestArrival {
-        key: Some("stranger".to_owned()),
+        api_key: Some("stranger".to_owned()),
         ..arrival("/safe/1")
     };
     let request = scene.arrive(stranger.clone());
@@ -66,7 +66,7 @@
         let request = scene.arrive(arrival("/safe/1"));
         match scene.refusal(request) {
             None => {
-                served_until = scene.gateway.view(scene.now).proof_age;
+                served_until = scene.gateway.status(scene.now).time_since_confirmed;
                 scene.deliver(request);
             }
             Some(reason) => assert_eq!(reason, RefusalReason::NotReady),
@@ -88,7 +88,7 @@
     let mut scene = GatewayScene::ready(1);
     scene.advance(60 * SECOND);
     let open = RequestArrival {
-        key: None,
+        api_key: None,
         ..arrival("/open/1")
     };
     let request = scene.arrive(open);
@@ -101,12 +101,12 @@
 fn an_older_configuration_never_comes_back() {
     let mut scene = GatewayScene::ready(1);
     let mut newer = savorywood_gateway::DeclaredConfig::new(9);
-    newer.add_route(route("/new/", RepeatKind::Safe, 1));
+    newer.add_route(route("/new/", RetrySafety::Idempotent, 1));
     scene.step(GatewayEvent::ConfigRead(Arc::new(newer)));
     scene.step(GatewayEvent::ConfigRead(Arc::new(config(8, None))));
     let request = scene.arrive(arrival("/safe/1"));
     assert_eq!(scene.refusal(request), Some(RefusalReason::NoRoute));
-    assert_eq!(scene.gateway.view(scene.now).version, 9);
+    assert_eq!(scene.gateway.status(scene.now).config_version, 9);
 }
 
 #[test]
@@ -115,7 +115,7 @@
         per_second: 2_000.0,
         burst: 2_000.0,
         in_tokens: true,
-        plain_tokens: 100,
+        default_tokens: 100,
     };
     let mut scene = GatewayScene::ready(4);
     scene.step(GatewayEvent::ConfigRead(Arc::new(config(2, Some(limit)))));
@@ -138,7 +138,7 @@
     let request = scene.arrive(arrival("/safe/1"));
     assert_eq!(scene.refusal(request), None);
     let mut bounds = options("host-a").bounds;
-    bounds.revocation = Some(2 * SECOND);
+    bounds.revocation_delay = Some(2 * SECOND);
     scene.step(GatewayEvent::BoundsRead(bounds));
     let request = scene.arrive(arrival("/safe/1"));
     assert_eq!(scene.refusal(request), Some(RefusalReason::NotReady));
--- a/crates/savorywood-gateway/tests/common/scene.rs
+++ b/crates/savorywood-gateway/tests/common/scene.rs
@@ -2,11 +2,11 @@
 #![allow(dead_code, reason = "each test file uses a part of the scene")]
 
 use savorywood_gateway::{
-    AnswerMarks, AttemptOutcome, ContentDigest, DeclaredConfig, DispatchOrder, Gateway,
-    GatewayBounds, GatewayEffect, GatewayEvent, GatewayOptions, HostLabel, HostResources,
-    LocalRequest, PromptPart, RefusalReason, RegionMap, RepeatKind, RequestArrival, RequestSize,
-    RouteSpec, RoutingPolicy, ServiceLabel, ServiceSpec, TeamLabel, TeamLimit, TeamSpec,
-    TrafficShare, UpstreamEntry, UpstreamLabel, VersionLabel, ZoneLabel, name_digest,
+    AttemptOutcome, ContentDigest, DeclaredConfig, DispatchOrder, Gateway, GatewayBounds,
+    GatewayEffect, GatewayEvent, GatewayOptions, HostLabel, HostResources, LocalRequest,
+    PromptPart, RefusalReason, RegionMap, RequestArrival, RequestSize, ResponseMetadata,
+    RetrySafety, RouteSpec, RoutingPolicy, ServiceLabel, ServiceSpec, TeamLabel, TeamLimit,
+    TeamSpec, TrafficShare, UpstreamEntry, UpstreamLabel, VersionLabel, ZoneLabel, name_digest,
 };
 use savorywood_protocol::MonotonicTime;
 use std::{sync::Arc, time::Duration};
@@ -31,27 +31,27 @@
         caller_address: "10.0.0.1:80".parse().expect("an address"),
         first_start: true,
         bounds: GatewayBounds {
-            revocation: Some(REVOCATION),
-            exposure_share: 0.1,
+            revocation_delay: Some(REVOCATION),
+            max_canary_fraction: 0.1,
             ..GatewayBounds::default()
         },
         seed: 7,
-        routing: RoutingPolicy::Worth,
+        routing: RoutingPolicy::LowestCost,
         capacity: HostResources::default(),
         regions: RegionMap::default(),
     }
 }
 
-pub fn route(prefix: &str, repeat: RepeatKind, priority: u32) -> RouteSpec {
+pub fn route(prefix: &str, repeat: RetrySafety, priority: u32) -> RouteSpec {
     RouteSpec {
         name: prefix.trim_matches('/').to_owned(),
         host: "api.example".to_owned(),
         prefix: prefix.to_owned(),
-        repeat,
+        retry_safety: repeat,
         timeout: Some(Duration::from_secs(8)),
         objective: Duration::from_secs(1),
         gap_objective: Some(Duration::from_millis(800)),
-        caller_timeout: None,
+        caller_idle_timeout: None,
         priority,
         split: vec![TrafficShare {
             service: ServiceLabel::from("engine"),
@@ -60,18 +60,22 @@
         max_attempts: 2,
         public: false,
         affinity: true,
-        homes: Vec::new(),
+        home_regions: Vec::new(),
     }
 }
 
 /// Routes `/safe/`, `/once/`, `/stream/`, `/urgent/` and `/open/`, and a team with the key `key`.
 pub fn config(version: u64, limit: Option<TeamLimit>) -> DeclaredConfig {
     let mut config = DeclaredConfig::new(version);
-    config.add_route(route("/safe/", RepeatKind::Safe, 1));
-    config.add_route(route("/once/", RepeatKind::Once, 1));
-    config.add_route(route("/stream/", RepeatKind::Stream { resumable: true }, 1));
-    config.add_route(route("/urgent/", RepeatKind::Safe, 0));
-    let mut open = route("/open/", RepeatKind::Safe, 1);
+    config.add_route(route("/safe/", RetrySafety::Idempotent, 1));
+    config.add_route(route("/once/", RetrySafety::AtMostOnce, 1));
+    config.add_route(route(
+        "/stream/",
+        RetrySafety::Stream { resumable: true },
+        1,
+    ));
+    config.add_route(route("/urgent/", RetrySafety::Idempotent, 0));
+    let mut open = route("/open/", RetrySafety::Idempotent, 1);
     open.public = true;
     config.add_route(open);
     let service = ServiceSpec {
@@ -86,7 +90,7 @@
         name: TeamLabel::from("team"),
         priority: None,
         limit,
-        homes: Vec::new(),
+        home_regions: Vec::new(),
     };
     config.add_team(team, vec!["key".to_owned()]);
     config
@@ -101,25 +105,25 @@
         version: VersionLabel::from("v1"),
         slots,
         draining: false,
-        born: 1,
-        cold: Duration::ZERO,
+        incarnation: 1,
+        cold_for: Duration::ZERO,
     }
 }
 
 pub fn arrival(path: &str) -> RequestArrival {
     RequestArrival {
-        identity: "request".to_owned(),
+        request_id: "request".to_owned(),
         host: "api.example".to_owned(),
         path: path.to_owned(),
-        content: ContentDigest(name_digest(path)),
-        key: Some("key".to_owned()),
+        content_digest: ContentDigest(name_digest(path)),
+        api_key: Some("key".to_owned()),
         deadline: Some(Duration::from_secs(8)),
         size: Some(RequestSize {
-            prompt: 1_000,
-            output: 100,
+            prompt_tokens: 1_000,
+            max_output_tokens: 100,
         }),
-        output_guess: None,
-        parts: vec![PromptPart { id: 1, tokens: 60 }],
+        expected_output_tokens: None,
+        prompt_parts: vec![PromptPart { id: 1, tokens: 60 }],
     }
 }
 
@@ -146,7 +150,7 @@
 
     pub fn confirm(&mut self) {
         let at = self.now;
-        self.step(GatewayEvent::Confirmed { at });
+        self.step(GatewayEvent::ConfigConfirmed { at });
     }
 
     pub fn step(&mut self, event: GatewayEvent) {
@@ -176,7 +180,7 @@
 
     pub fn deliver(&mut self, request: LocalRequest) {
         let outcome = AttemptOutcome::Delivered {
-            marks: AnswerMarks::default(),
+            metadata: ResponseMetadata::default(),
             events: 1,
         };
         self.end(request, outcome);
--- a/crates/savorywood-gateway/tests/reading.rs
+++ b/crates/savorywood-gateway/tests/reading.rs
@@ -8,21 +8,21 @@
 mod scene;
 
 use field::{DAEMONS, DaemonField, ZONES};
-use savorywood_gateway::{GatewayEvent, ReadPlan, SharedTable, StorePosition, TableKnowledge};
+use savorywood_gateway::{GatewayEvent, ReadPlan, SharedTable, StorePosition, TablePosition};
 use std::{collections::BTreeSet, time::Duration};
 
 impl DaemonField {
     /// A daemon reads a table of the store itself, or is handed on what changed there.
     fn read(&mut self, number: usize, table: SharedTable, changed: u64, proved: bool) {
-        let proof_at = proved.then_some(self.now);
-        let knowledge = TableKnowledge {
-            through: StorePosition::new(1, changed),
-            changed: StorePosition::new(1, changed),
+        let confirmed_at = proved.then_some(self.now);
+        let position = TablePosition {
+            read_through: StorePosition::new(1, changed),
+            last_change: StorePosition::new(1, changed),
         };
         self.daemons[number].step(GatewayEvent::TableRead {
             table,
-            knowledge,
-            proof_at,
+            position,
+            confirmed_at,
         });
     }
 
@@ -31,7 +31,7 @@
         for number in 0..self.daemons.len() {
             for table in [SharedTable::Declared, SharedTable::Upstreams] {
                 let plan = self.plan(number, table);
-                if plan != ReadPlan::Rest && reaches_store(number) {
+                if plan != ReadPlan::FollowAttestation && reaches_store(number) {
                     self.read(number, table, changed, true);
                     self.daemons[number].confirm();
                 }
--- a/crates/savorywood-gateway/tests/rollouts.rs
+++ b/crates/savorywood-gateway/tests/rollouts.rs
@@ -4,7 +4,7 @@
 mod scene;
 
 use savorywood_gateway::{
-    AnswerMarks, AttemptOutcome, GatewayEffect, GatewayEvent, RolloutOrder, RolloutPhase,
+    AttemptOutcome, GatewayEffect, GatewayEvent, ResponseMetadata, RolloutOrder, RolloutPhase,
     RolloutStatus, RolloutWrite, ServiceLabel, StorePosition, UpstreamEntry, UpstreamLabel,
     VersionLabel,
 };
@@ -70,11 +70,14 @@
         result.sent_new_after_verdict += u32::from(new && verdict);
         let bad = new && (step * 7 % 100) as f64 / 100.0 < play_options.bad_share;
         result.bad_seen += u32::from(bad);
-        let marks = AnswerMarks::default();
+        let metadata = ResponseMetadata::default();
         let outcome = if bad {
-            AttemptOutcome::Failed { marks }
+            AttemptOutcome::Failed { metadata }
         } else {
-            AttemptOutcome::Delivered { marks, events: 0 }
+            AttemptOutcome::Delivered {
+                metadata,
+                events: 0,
+            }
         };
         daemon.end(request, outcome);
         if !daemon.orders(request).is_empty() && bad {
@@ -101,8 +104,8 @@
     scene.confirm();
     scene.step(GatewayEvent::RolloutOrdered(RolloutOrder {
         service: ServiceLabel::from("engine"),
-        to: VersionLabel::from("v2"),
-        within: WITHIN,
+        target_version: VersionLabel::from("v2"),
+        time_limit: WITHIN,
         position: StorePosition::new(1, 50),
     }));
     scene
@@ -123,7 +126,7 @@
         };
         result.writes.push(write.clone());
         let version = stored.as_ref().map_or(0, |(_, version)| *version);
-        let holds = write.expected.version == version;
+        let holds = write.expected_position.version == version;
         if holds {
             if write.phase != RolloutPhase::Running {
                 result.ended.get_or_insert((write.phase, elapsed));
@@ -132,19 +135,19 @@
         }
         let service = write.service.clone();
         let accepted = holds && !play_options.lose_writes;
-        daemon.step(GatewayEvent::RolloutWritten {
+        daemon.step(GatewayEvent::RolloutWriteFinished {
             service,
             accepted,
             era: 1,
         });
-        daemon.step(GatewayEvent::RolloutRead(status(stored.as_ref())));
+        daemon.step(GatewayEvent::RolloutStatusRead(status(stored.as_ref())));
     }
 }
 
 fn status(stored: Option<&(RolloutWrite, u64)>) -> RolloutStatus {
     RolloutStatus {
         service: ServiceLabel::from("engine"),
-        to: stored.map(|(write, _)| write.to.clone()),
+        target_version: stored.map(|(write, _)| write.target_version.clone()),
         phase: stored.map(|(write, _)| write.phase),
         position: StorePosition::new(1, stored.map_or(0, |(_, version)| *version)),
     }
@@ -157,7 +160,7 @@
     stored: Option<&(RolloutWrite, u64)>,
 ) {
     for index in 0..daemons.len() {
-        daemons[index].step(GatewayEvent::RolloutRead(status(stored)));
+        daemons[index].step(GatewayEvent::RolloutStatusRead(status(stored)));
         let summary = daemons[index].gateway.summary(now);
         for (other, daemon) in daemons.iter_mut().enumerate() {
             if other != index && linked {
--- a/crates/savorywood-gateway/tests/truth.rs
+++ b/crates/savorywood-gateway/tests/truth.rs
@@ -4,7 +4,9 @@
 mod scene;
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use savorywood_gateway::{AnswerMarks, AttemptOutcome, GatewayEffect, GatewayEvent, StreamEnd};
+use savorywood_gateway::{
+    AttemptOutcome, GatewayEffect, GatewayEvent, ResponseMetadata, StreamInterruption,
+};
 use scene::{GatewayScene, arrival, upstream};
 use std::{collections::BTreeMap, time::Duration};
 
@@ -35,26 +37,29 @@
 }
 
 fn outcome(number: u8) -> AttemptOutcome {
-    let marks = AnswerMarks::default();
+    let metadata = ResponseMetadata::default();
     match number % 9 {
         0 => AttemptOutcome::NotSent,
         1 => AttemptOutcome::NotRun {
             misdirected: false,
-            marks,
+            metadata,
         },
         2 => AttemptOutcome::NotRun {
             misdirected: true,
-            marks,
+            metadata,
         },
-        3 => AttemptOutcome::Failed { marks },
-        4 => AttemptOutcome::Broken { silent: false },
-        5 => AttemptOutcome::Broken { silent: true },
-        6 => AttemptOutcome::StreamBroken(StreamEnd {
+        3 => AttemptOutcome::Failed { metadata },
+        4 => AttemptOutcome::Broken { stalled: false },
+        5 => AttemptOutcome::Broken { stalled: true },
+        6 => AttemptOutcome::StreamBroken(StreamInterruption {
             events: 1,
-            silent: false,
+            stalled: false,
         }),
         7 => AttemptOutcome::Expired,
-        _ => AttemptOutcome::Delivered { marks, events: 1 },
+        _ => AttemptOutcome::Delivered {
+            metadata,
+            events: 1,
+        },
     }
 }
 
@@ -112,9 +117,9 @@
                 let request = seen.get_mut(&number).expect("an open request");
                 request.left = true;
                 request.ended = true;
-                scene.step(GatewayEvent::CallerLeft(savorywood_gateway::LocalRequest(
-                    number,
-                )));
+                scene.step(GatewayEvent::CallerDisconnected(
+                    savorywood_gateway::LocalRequest(number),
+                ));
             }
             RandomStep::End(..) | RandomStep::Leave(_) => {}
             RandomStep::Wait(millis) => scene.advance(Duration::from_millis(millis.into())),
@@ -165,18 +170,18 @@
             }
             known.ended = true;
             let ran = known.may_have_run > 0 || known.running;
-            if reason.promises_not_run() && ran {
+            if reason.guarantees_not_executed() && ran {
                 return Err(format!("an untrue promise: {effect:?}"));
             }
         }
-        GatewayEffect::PassFailure { request } | GatewayEffect::BreakOff { request } => {
+        GatewayEffect::ForwardFailure { request } | GatewayEffect::AbortResponse { request } => {
             let known = seen.get_mut(&request.0).ok_or("unknown request ended")?;
             if known.ended {
                 return Err(format!("a second final answer: {effect:?}"));
             }
             known.ended = true;
         }
-        GatewayEffect::Abandon { request } => {
+        GatewayEffect::AbandonAttempt { request } => {
             let known = seen
                 .get_mut(&request.0)
                 .ok_or("unknown request abandoned")?;
@@ -213,10 +218,10 @@
 fn a_lost_answer_of_a_call_that_runs_once_is_unknown() {
     let mut scene = GatewayScene::ready(2);
     let request = scene.arrive(arrival("/once/1"));
-    scene.end(request, AttemptOutcome::Broken { silent: false });
+    scene.end(request, AttemptOutcome::Broken { stalled: false });
     assert_eq!(scene.orders(request).len(), 1);
     let reason = scene.refusal(request).expect("a final answer");
-    assert!(!reason.promises_not_run());
+    assert!(!reason.guarantees_not_executed());
 }
 
 /// An address was given to an upstream of another service. It says so; the request has not run
@@ -228,7 +233,7 @@
     let first = scene.orders(request)[0].upstream.clone();
     let outcome = AttemptOutcome::NotRun {
         misdirected: true,
-        marks: AnswerMarks::default(),
+        metadata: ResponseMetadata::default(),
     };
     scene.end(request, outcome);
     let orders = scene.orders(request);
--- a/crates/savorywood-gateway/tests/waiting.rs
+++ b/crates/savorywood-gateway/tests/waiting.rs
@@ -4,8 +4,8 @@
 mod scene;
 
 use savorywood_gateway::{
-    AttemptOutcome, CallerPlace, DaemonRole, GatewayEvent, HostResources, PeerPhase, PeerSummary,
-    RefusalReason, RoutingPolicy, SlotUse, name_digest,
+    AttemptOutcome, CallerLocation, DaemonRole, GatewayEvent, HostResources, PeerPhase,
+    PeerSummary, RefusalReason, RoutingPolicy, SlotUse, name_digest,
 };
 use scene::{GatewayScene, arrival, config, options, upstream};
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
@@ -14,15 +14,15 @@
     Box::new(PeerSummary {
         host: "host-b".to_owned(),
         incarnation: 1,
-        age_ms: 60_000,
+        uptime_ms: 60_000,
         sequence,
         zone: "zone-b".to_owned(),
         peer_address: "10.0.0.2:7600".parse().expect("an address"),
         caller_address: "10.0.0.2:80".parse().expect("an address"),
         phase: PeerPhase::Ready,
-        version: 1,
+        config_version: 1,
         slots,
-        suspects: Vec::new(),
+        ejected_upstreams: Vec::new(),
         usage: Vec::new(),
         tallies: Vec::new(),
         role: DaemonRole::default(),
@@ -57,7 +57,7 @@
     let slot = SlotUse {
         upstream: name_digest("upstream-1"),
         running: 1,
-        unread: 0,
+        unread_prompt_tokens: 0,
     };
     scene.step(GatewayEvent::SummaryReceived(peer(1, vec![slot])));
     let request = scene.arrive(arrival("/safe/1"));
@@ -74,7 +74,7 @@
     let slot = SlotUse {
         upstream: name_digest("upstream-1"),
         running: 1,
-        unread: 0,
+        unread_prompt_tokens: 0,
     };
     scene.step(GatewayEvent::SummaryReceived(peer(1, vec![slot])));
     let request = scene.arrive(arrival("/safe/1"));
@@ -111,7 +111,7 @@
             if order.upstream.as_str() == "upstream-1" {
                 sent_to_bad += 1;
                 let sends = orders.len();
-                scene.end(request, AttemptOutcome::Broken { silent: false });
+                scene.end(request, AttemptOutcome::Broken { stalled: false });
                 if scene.orders(request).len() == sends {
                     break;
                 }
@@ -135,7 +135,7 @@
         let request = scene.arrive(arrival("/safe/1"));
         while scene.refusal(request).is_none() && !scene.orders(request).is_empty() {
             let sends = scene.orders(request).len();
-            scene.end(request, AttemptOutcome::Broken { silent: false });
+            scene.end(request, AttemptOutcome::Broken { stalled: false });
             if scene.orders(request).len() == sends {
                 break;
             }
@@ -185,15 +185,16 @@
     assert_eq!(
         scene
             .gateway
-            .addresses(scene.now, CallerPlace::default(), 64)
+            .caller_addresses(scene.now, CallerLocation::default(), 64)
             .len(),
         2
     );
     let grace = Duration::from_secs(8);
     scene.step(GatewayEvent::StopRequested { grace });
-    let addresses = scene
-        .gateway
-        .addresses(scene.now, CallerPlace::in_zone("zone-a"), 64);
+    let addresses =
+        scene
+            .gateway
+            .caller_addresses(scene.now, CallerLocation::in_zone("zone-a"), 64);
     assert_eq!(addresses, vec!["10.0.0.2:80".parse().expect("an address")]);
     assert!(!scene.gateway.is_ready(scene.now));
 }
@@ -210,7 +211,7 @@
         let request = scene.arrive(arrival("/safe/1"));
         let order = scene.orders(request)[0].clone();
         if order.upstream.as_str() == "upstream-1" && number < 200 {
-            scene.end(request, AttemptOutcome::Broken { silent: true });
+            scene.end(request, AttemptOutcome::Broken { stalled: true });
         }
         scene.advance(Duration::from_millis(20));
         mended_runs += u32::from(order.upstream.as_str() == "upstream-1" && number >= 300);
@@ -223,7 +224,7 @@
 fn suspecting(host: &str, upstreams: &[&str]) -> Box<PeerSummary> {
     let mut summary = peer(1, Vec::new());
     summary.host = host.to_owned();
-    summary.suspects = upstreams.iter().map(|name| name_digest(name)).collect();
+    summary.ejected_upstreams = upstreams.iter().map(|name| name_digest(name)).collect();
     summary
 }
 
@@ -259,7 +260,12 @@
 fn one_peer_alone_makes_no_upstream_look_ill() {
     let mut scene = GatewayScene::ready(1);
     report_suspects(&mut scene, "host-b", &["upstream-1"]);
-    assert!(!scene.gateway.peers().suspect(&"upstream-1".into()));
+    assert!(
+        !scene
+            .gateway
+            .peers()
+            .is_ejected_by_peers(&"upstream-1".into())
+    );
 }
 
 /// Peers hold every upstream for ill. The fault is more likely on their way: requests are served.
