--- a/crates/savorywood-gateway/src/gateway.rs
+++ b/crates/savorywood-gateway/src/gateway.rs
@@ -2,19 +2,19 @@
 
 mod admission;
 mod dispatch;
-mod ending;
+mod completion;
 mod entry;
 mod evacuation;
 mod gossip;
-mod learning;
+mod feedback;
 mod quarantine;
 mod rate_limits;
-mod reading;
+mod store_reads;
 mod record;
-mod restoring;
-mod returning;
-mod updates;
-mod watching;
+mod store_restore;
+mod retry_after;
+mod state_updates;
+mod stall_detection;
 
 pub use gossip::GatewayStatus;
 
