--- a/crates/savorywood-gateway/src/gateway.rs
+++ b/crates/savorywood-gateway/src/gateway.rs
@@ -91,12 +91,12 @@
 }
 
 /// Bound of proofs where keys have none.
-const USUAL_PROOF_BOUND: Duration = Duration::from_secs(5);
+const DEFAULT_MAX_CONFIRMATION_AGE: Duration = Duration::from_secs(5);
 impl GatewayBounds {
     /// Age at which a proof of the configuration is worth nothing.
     #[must_use]
     pub fn max_confirmation_age(&self) -> Duration {
-        self.revocation_delay.unwrap_or(USUAL_PROOF_BOUND)
+        self.revocation_delay.unwrap_or(DEFAULT_MAX_CONFIRMATION_AGE)
     }
 }
 
--- a/crates/savorywood-gateway/src/gateway/admission.rs
+++ b/crates/savorywood-gateway/src/gateway/admission.rs
@@ -21,15 +21,15 @@
 
 /// Part of the bound after which keys are confirmed no more. The rest covers a feed that was deaf
 /// for a second before its history was dropped: until then its empty answers prove too much.
-const KEY_PART: f64 = 0.76;
+const KEY_CONFIRMATION_FRACTION: f64 = 0.76;
 /// Part of the bound after which a daemon sends no "no such route" and no "unknown key".
-const DENIAL_PART: f64 = 0.5;
+const REFUSAL_CONFIRMATION_FRACTION: f64 = 0.5;
 /// When to come back to a daemon that can't confirm its configuration; another address is better.
-const STALE_RETRY: Duration = Duration::from_millis(200);
+const UNCONFIRMED_RETRY_AFTER: Duration = Duration::from_millis(200);
 /// Time kept for the final answer's way to the caller.
-const ANSWER_MARGIN: Duration = Duration::from_millis(25);
+const RESPONSE_MARGIN: Duration = Duration::from_millis(25);
 /// Longest time for a request that names no deadline on a route without a time limit.
-const LONGEST_TIME: Duration = Duration::from_secs(600);
+const MAX_REQUEST_TIMEOUT: Duration = Duration::from_secs(600);
 
 /// A refusal and when to come back.
 pub struct Denial {
@@ -65,7 +65,7 @@
 
     fn stale() -> Self {
         Self {
-            retry_after: Some(STALE_RETRY),
+            retry_after: Some(UNCONFIRMED_RETRY_AFTER),
             ..Self::of(RefusalReason::NotReady)
         }
     }
@@ -155,7 +155,7 @@
     /// learn of it: cut off from the store it would let a shut-out caller in for ever.
     pub(super) fn keys_are_confirmed(&self, now: MonotonicTime) -> bool {
         let bound = self.options.bounds.revocation_delay;
-        bound.is_none_or(|bound| self.proof_age(now) < bound.mul_f64(KEY_PART))
+        bound.is_none_or(|bound| self.proof_age(now) < bound.mul_f64(KEY_CONFIRMATION_FRACTION))
     }
 
     fn admit(
@@ -179,15 +179,15 @@
         if let Some(team) = &team {
             units = self.take_units(now, team, &route, arrival, &service)?;
         }
-        let deadline = arrival.deadline.unwrap_or(LONGEST_TIME);
-        let longest = deadline.min(route.timeout.unwrap_or(LONGEST_TIME));
+        let deadline = arrival.deadline.unwrap_or(MAX_REQUEST_TIMEOUT);
+        let longest = deadline.min(route.timeout.unwrap_or(MAX_REQUEST_TIMEOUT));
         let size = arrival.size.unwrap_or_default();
         let rank = RequestRank {
             team: team.as_ref().and_then(|team| team.priority).unwrap_or(0),
             route: route.priority,
         };
         let expected = Duration::from_secs_f64(nominal_first_ms(size.prompt_tokens) / 1e3);
-        let give_up_at = now + longest.saturating_sub(ANSWER_MARGIN);
+        let give_up_at = now + longest.saturating_sub(RESPONSE_MARGIN);
         let begin_by = now + route.objective.saturating_sub(expected);
         Ok(RequestRecord {
             identity: arrival.request_id.clone(),
@@ -240,7 +240,7 @@
                 .options
                 .bounds
                 .max_confirmation_age()
-                .mul_f64(DENIAL_PART)
+                .mul_f64(REFUSAL_CONFIRMATION_FRACTION)
         {
             Denial::of(reason)
         } else {
--- a/crates/savorywood-gateway/src/gateway/completion.rs
+++ b/crates/savorywood-gateway/src/gateway/completion.rs
@@ -2,7 +2,7 @@
 
 use super::{
     Gateway, GatewayEffects,
-    dispatch::MAX_SENDS,
+    dispatch::MAX_ATTEMPTS,
     record::{RequestPlace, RunningAttempt},
 };
 use crate::{
@@ -102,13 +102,13 @@
                 return self.close(now, request, "caller-left", effects);
             }
             AttemptOutcome::NotSent => {
-                if record.sends < MAX_SENDS {
+                if record.sends < MAX_ATTEMPTS {
                     return self.requeue(now, request, outcome, effects);
                 }
                 return self.finish(now, request, RefusalReason::NoUpstream, effects);
             }
             AttemptOutcome::NotRun { .. } => {
-                if record.sends < MAX_SENDS && self.spend_try(now, request) {
+                if record.sends < MAX_ATTEMPTS && self.spend_try(now, request) {
                     return self.requeue(now, request, outcome, effects);
                 }
                 return self.finish(now, request, RefusalReason::NotRun, effects);
@@ -123,7 +123,7 @@
             }
             AttemptOutcome::Broken { .. } | AttemptOutcome::StreamBroken(_) => record.runs += 1,
         }
-        let again = record.may_run_again() && record.sends < MAX_SENDS;
+        let again = record.may_run_again() && record.sends < MAX_ATTEMPTS;
         let fingerprint = record.fingerprint;
         if again && !self.is_quarantined(fingerprint) && self.spend_try(now, request) {
             return self.requeue(now, request, outcome, effects);
--- a/crates/savorywood-gateway/src/gateway/dispatch.rs
+++ b/crates/savorywood-gateway/src/gateway/dispatch.rs
@@ -18,16 +18,16 @@
 use std::time::Duration;
 
 /// Requests without a place that are looked at before a service counts as full.
-const MAX_FULL: usize = 3;
+const MAX_FULL_PICKS: usize = 3;
 /// Part of an upstream's cost by which daemons see it differently.
 const SPREAD: f64 = 0.05;
 /// The same where zones exchange digests: state is older there and read by more, and daemons that
 /// all hold the same upstream for the best would meet at it.
-const ZONED_SPREAD: f64 = 0.6;
+const ZONED_COST_SPREAD: f64 = 0.6;
 /// Part of the objective for which a request waits for a service that has no upstream.
-const EMPTY_PART: f64 = 0.12;
+const NO_UPSTREAM_WAIT_FRACTION: f64 = 0.12;
 /// Part of the expected time that must be left when an attempt begins.
-const NEEDED_PART: f64 = 0.6;
+const MIN_REMAINING_FRACTION: f64 = 0.6;
 
 impl Gateway {
     pub(super) fn pump_all(&mut self, now: MonotonicTime, effects: &mut GatewayEffects) {
@@ -52,7 +52,7 @@
             if rank.replace(place.rank) != Some(place.rank) {
                 full = 0;
             }
-            if full >= MAX_FULL {
+            if full >= MAX_FULL_PICKS {
                 continue;
             }
             let Some(record) = self.requests.get(&place.request) else {
@@ -125,7 +125,7 @@
             leases: &self.leases,
             warmup: self.options.bounds.warmup_tolerance,
             spread: if self.contacts.uses_zone_digests() {
-                ZONED_SPREAD
+                ZONED_COST_SPREAD
             } else {
                 SPREAD
             },
@@ -223,12 +223,12 @@
         let Some(record) = self.requests.get_mut(&request) else {
             return;
         };
-        if !record.tried.is_empty() && record.runs == 0 && record.sends < MAX_SENDS {
+        if !record.tried.is_empty() && record.runs == 0 && record.sends < MAX_ATTEMPTS {
             // All said that they were full or could not be reached: they may have room by now.
             record.tried.clear();
         }
         let waited = now.since(record.arrived_at);
-        if waited >= record.route.objective.mul_f64(EMPTY_PART) {
+        if waited >= record.route.objective.mul_f64(NO_UPSTREAM_WAIT_FRACTION) {
             self.finish(now, request, RefusalReason::NoUpstream, effects);
         }
     }
@@ -243,7 +243,7 @@
                 let Some(record) = self.requests.get(&place.request) else {
                     continue;
                 };
-                let first = usual.first_ms(&usual, record.size.prompt_tokens) * NEEDED_PART / 1e3;
+                let first = usual.first_ms(&usual, record.size.prompt_tokens) * MIN_REMAINING_FRACTION / 1e3;
                 let stream = record.route.repeat.is_stream();
                 if stream && now + Duration::from_secs_f64(first) >= record.leave_at {
                     hopeless.push(place.request);
@@ -255,7 +255,7 @@
                 } else {
                     usual.whole_ms(&usual)
                 };
-                let needed = Duration::from_secs_f64(needed * NEEDED_PART / 1e3);
+                let needed = Duration::from_secs_f64(needed * MIN_REMAINING_FRACTION / 1e3);
                 if now + needed >= record.give_up_at {
                     expired.push(place.request);
                 }
@@ -271,4 +271,4 @@
 }
 
 /// Times that a request is sent at most, those included that upstreams did not run.
-pub(super) const MAX_SENDS: u32 = 4;
+pub(super) const MAX_ATTEMPTS: u32 = 4;
--- a/crates/savorywood-gateway/src/gateway/entry.rs
+++ b/crates/savorywood-gateway/src/gateway/entry.rs
@@ -15,28 +15,28 @@
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
 /// Time between two computations of the set.
-const REFRESH_TIME: Duration = Duration::from_millis(50);
+const ENTRY_REFRESH_INTERVAL: Duration = Duration::from_millis(50);
 /// A process that did nothing for this long was frozen; its peers took it for lost.
-const FROZEN_TIME: Duration = Duration::from_millis(1_300);
+const FREEZE_THRESHOLD: Duration = Duration::from_millis(1_300);
 /// A daemon whose summary is late by this factor may be gone.
 const OVERDUE_FACTOR: f64 = 1.4;
 /// A daemon that has been running for less does not know what its last life sent to cold upstreams
 /// within the second that their bound counts.
-const LEASE_PAUSE: Duration = Duration::from_millis(1_100);
+const MIN_LEASE_UPTIME: Duration = Duration::from_millis(1_100);
 /// Time between two computations of leases that nothing needs: the members must be known for a
 /// while once it does.
-const LEASE_REST_TIME: Duration = Duration::from_millis(500);
+const IDLE_LEASE_INTERVAL: Duration = Duration::from_millis(500);
 /// A daemon that has been running for less, and has not seen most of its zone, does not know
 /// the set.
-pub(super) const DISCOVERY_TIME: Duration = Duration::from_millis(700);
+pub(super) const DISCOVERY_PERIOD: Duration = Duration::from_millis(700);
 
 impl Gateway {
     /// Computes the members of the own zone anew, and counts those of all zones.
     pub(super) fn refresh_entry(&mut self, now: MonotonicTime, effects: &mut GatewayEffects) {
-        if now.since(self.entry_at) < REFRESH_TIME {
+        if now.since(self.entry_at) < ENTRY_REFRESH_INTERVAL {
             return;
         }
-        if self.entry_at != MonotonicTime::default() && now.since(self.entry_at) >= FROZEN_TIME {
+        if self.entry_at != MonotonicTime::default() && now.since(self.entry_at) >= FREEZE_THRESHOLD {
             self.resumed_at = Some(now);
         }
         self.entry_at = now;
@@ -88,12 +88,12 @@
     /// those that do not see most daemons hold none.
     fn refresh_leases(&mut self, now: MonotonicTime, own_members: &[u64]) {
         let is_entry_member = own_members.contains(&name_digest(self.options.host.as_str()));
-        if !is_entry_member || self.age(now) < LEASE_PAUSE || !self.peers.sees_majority(now) {
+        if !is_entry_member || self.age(now) < MIN_LEASE_UPTIME || !self.peers.sees_majority(now) {
             return self.leases.release();
         }
         let is_needed =
             self.fleet.has_warmups() || self.fleet.has_limits() || self.quarantine.count() > 0;
-        if !is_needed && now.since(self.leases_at) < LEASE_REST_TIME {
+        if !is_needed && now.since(self.leases_at) < IDLE_LEASE_INTERVAL {
             return;
         }
         self.leases_at = now;
@@ -218,7 +218,7 @@
 
     /// This daemon has seen most of its zone, or should have by now.
     pub(super) fn knows_own_zone(&self, now: MonotonicTime) -> bool {
-        if self.age(now) >= DISCOVERY_TIME || !self.contacts.uses_zone_digests() {
+        if self.age(now) >= DISCOVERY_PERIOD || !self.contacts.uses_zone_digests() {
             return true;
         }
         let received = self.peers.neighbours(now).count();
--- a/crates/savorywood-gateway/src/gateway/gossip.rs
+++ b/crates/savorywood-gateway/src/gateway/gossip.rs
@@ -1,6 +1,6 @@
 //! What a gateway sends to callers, peers and whoever watches it.
 
-use super::{Gateway, entry::DISCOVERY_TIME, record::RequestPlace};
+use super::{Gateway, entry::DISCOVERY_PERIOD, record::RequestPlace};
 use crate::{
     gossip::{GossipPlan, SentSlots, SlotPlan},
     message::{
@@ -16,12 +16,12 @@
 
 /// Part of the bound after which a daemon without a newer proof is not ready: callers are better
 /// off elsewhere.
-const READY_PART: f64 = 0.54;
+const READY_CONFIRMATION_FRACTION: f64 = 0.54;
 /// Time between two rounds of gossip of a daemon that has just started. After a kill of all daemons
 /// each must know the others before it knows what it may spend of teams' limits.
 const DISCOVERY_INTERVAL: Duration = Duration::from_millis(100);
 /// Part of a service's slots that is taken when they are scarce.
-const SCARCE_PART: f64 = 0.7;
+const SCARCE_SLOT_FRACTION: f64 = 0.7;
 
 /// Slots of a service.
 #[derive(Default)]
@@ -54,7 +54,7 @@
                     .options
                     .bounds
                     .max_confirmation_age()
-                    .mul_f64(READY_PART)
+                    .mul_f64(READY_CONFIRMATION_FRACTION)
     }
 
     /// The number of daemons is known: a daemon that starts again without it would spend much
@@ -263,7 +263,7 @@
             count.all += state.entry.slots;
         }
         let mut counts = services.values();
-        counts.any(|count| f64::from(count.taken) > f64::from(count.all) * SCARCE_PART)
+        counts.any(|count| f64::from(count.taken) > f64::from(count.all) * SCARCE_SLOT_FRACTION)
     }
 
     /// Time until the next message on slots alone.
@@ -344,7 +344,7 @@
     #[must_use]
     pub fn gossip_interval(&self, now: MonotonicTime) -> Duration {
         let pause = self.contacts.pause();
-        if self.contacts.uses_zone_digests() && self.age(now) < DISCOVERY_TIME {
+        if self.contacts.uses_zone_digests() && self.age(now) < DISCOVERY_PERIOD {
             pause.min(DISCOVERY_INTERVAL)
         } else {
             pause
--- a/crates/savorywood-gateway/src/gateway/quarantine.rs
+++ b/crates/savorywood-gateway/src/gateway/quarantine.rs
@@ -18,7 +18,7 @@
 use std::time::Duration;
 
 /// Least time after which a caller whose request is in quarantine is asked to come back.
-const LEAST_RETURN: Duration = Duration::from_secs(1);
+const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Gateway {
     /// Refuses a request in quarantine, unless this daemon may try it now; whether it is such a
@@ -39,7 +39,7 @@
             return Ok(true);
         }
         Err(Denial {
-            retry_after: Some(trial_at.since(now).max(LEAST_RETURN)),
+            retry_after: Some(trial_at.since(now).max(MIN_RETRY_AFTER)),
             team: team.cloned(),
             crashes: Some(crashes),
             ..Denial::of(RefusalReason::Quarantined)
@@ -57,8 +57,8 @@
         fingerprint: RequestFingerprint,
     ) -> Duration {
         match self.quarantine.verdict(fingerprint) {
-            QuarantineVerdict::Clear => LEAST_RETURN,
-            QuarantineVerdict::Held { trial_at, .. } => trial_at.since(now).max(LEAST_RETURN),
+            QuarantineVerdict::Clear => MIN_RETRY_AFTER,
+            QuarantineVerdict::Held { trial_at, .. } => trial_at.since(now).max(MIN_RETRY_AFTER),
         }
     }
 
--- a/crates/savorywood-gateway/src/gateway/rate_limits.rs
+++ b/crates/savorywood-gateway/src/gateway/rate_limits.rs
@@ -15,7 +15,7 @@
 /// Rounds of gossip for which a reading is reported: messages get lost.
 const REPORT_ROUNDS: u32 = 4;
 /// Reports in one message at most, so that it passes links in one piece.
-const MOST_REPORTS: usize = 64;
+const MAX_REPORTS: usize = 64;
 
 impl Gateway {
     /// An upstream answered what was sent to it at a moment, and named a limit or none.
@@ -90,7 +90,7 @@
                 age_ms: u32::try_from(age).unwrap_or(u32::MAX),
             })
         });
-        let reports: Vec<LimitReport> = reports.take(MOST_REPORTS).collect();
+        let reports: Vec<LimitReport> = reports.take(MAX_REPORTS).collect();
         let zone = name_digest(self.options.zone.as_str());
         (!reports.is_empty()).then_some(LimitGossip { zone, reports })
     }
--- a/crates/savorywood-gateway/src/gateway/retry_after.rs
+++ b/crates/savorywood-gateway/src/gateway/retry_after.rs
@@ -6,14 +6,14 @@
 use std::time::Duration;
 
 /// When to come back where nothing better is known.
-const BUSY_RETRY: Duration = Duration::from_millis(400);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(400);
 /// Least time after which an overload may be over.
-const LEAST_RETURN: Duration = Duration::from_secs(1);
+const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Longest time for which the newest rate says anything.
-const LONGEST_RETURN: Duration = Duration::from_secs(4);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(4);
 /// Part of the time that a caller has left after which it must be back: the rest is for its place
 /// in the queue and its answer.
-const RETURN_PART: f64 = 1.0 / 3.0;
+const MAX_DEADLINE_FRACTION: f64 = 1.0 / 3.0;
 /// Part of the estimate by which returns are spread: callers that were refused together would be
 /// refused together once more.
 const SPREAD: f64 = 0.5;
@@ -28,20 +28,20 @@
         reason: RefusalReason,
     ) -> Duration {
         let Some(record) = self.requests.get(&request) else {
-            return BUSY_RETRY;
+            return DEFAULT_RETRY_AFTER;
         };
         match reason {
             RefusalReason::Overloaded => {}
             RefusalReason::Quarantined => return self.trial_time(now, record.fingerprint),
-            _ => return BUSY_RETRY,
+            _ => return DEFAULT_RETRY_AFTER,
         }
         let queue = self.queues.get(&record.service);
         let ahead = queue.map_or(0, |queue: &WaitQueue| queue.as_urgent_as(record.rank));
         let demand = self.demands.get(&record.service);
         let rate = demand.map_or(0.0, |demand| demand.dispatch_rate(now, record.rank));
         let wait_s = ahead as f64 / rate.max(f64::MIN_POSITIVE);
-        let wait_s = wait_s.clamp(LEAST_RETURN.as_secs_f64(), LONGEST_RETURN.as_secs_f64());
-        let most = record.give_up_at.since(now).mul_f64(RETURN_PART);
+        let wait_s = wait_s.clamp(MIN_RETRY_AFTER.as_secs_f64(), MAX_RETRY_AFTER.as_secs_f64());
+        let most = record.give_up_at.since(now).mul_f64(MAX_DEADLINE_FRACTION);
         let spread = 1.0 - SPREAD / 2.0 + SPREAD * self.draws.next();
         Duration::from_secs_f64(wait_s * spread).min(most)
     }
--- a/crates/savorywood-gateway/src/gateway/stall_detection.rs
+++ b/crates/savorywood-gateway/src/gateway/stall_detection.rs
@@ -11,26 +11,26 @@
 use strum::Display;
 
 /// Silence before the first event that is out of the ordinary, against what was expected.
-const FIRST_FACTOR: f64 = 4.0;
+const FIRST_EVENT_FACTOR: f64 = 4.0;
 /// The same against the route's objective.
-const OBJECTIVE_PART: f64 = 0.6;
+const OBJECTIVE_FRACTION: f64 = 0.6;
 /// Silence of all that runs at an upstream that is out of the ordinary, against the longest
 /// pauses that are usual there.
-const PAUSE_FACTOR: f64 = 2.0;
+const EVENT_GAP_FACTOR: f64 = 2.0;
 /// The same for one stream while others there go on: its connection may be dead.
-const LONE_FACTOR: f64 = 4.0;
+const SINGLE_STREAM_FACTOR: f64 = 4.0;
 /// The same against the time in which its unread prompts are expected to be read.
-const READING_FACTOR: f64 = 2.0;
+const PREFILL_FACTOR: f64 = 2.0;
 /// Longest time by which unread prompts excuse a silence: callers leave a little later.
-const MOST_READING: Duration = Duration::from_secs(1);
+const MAX_PREFILL_ALLOWANCE: Duration = Duration::from_secs(1);
 /// Least silence that says anything.
-const LEAST_SILENCE: Duration = Duration::from_millis(400);
+const MIN_STALL: Duration = Duration::from_millis(400);
 /// Least silence of one stream while others there go on.
-const LEAST_LONE_SILENCE: Duration = Duration::from_millis(1_000);
+const MIN_SINGLE_STREAM_STALL: Duration = Duration::from_millis(1_000);
 /// An upstream counts as seen for this long.
-const ATTESTATION_TIMEOUT: Duration = Duration::from_millis(300);
+const UPSTREAM_SEEN_WINDOW: Duration = Duration::from_millis(300);
 /// A process that handled no event for this long has slept.
-const SLEPT_TIME: Duration = Duration::from_millis(250);
+const SUSPEND_THRESHOLD: Duration = Duration::from_millis(250);
 
 /// What is silent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
@@ -53,7 +53,7 @@
     /// one is sure: another upstream has a place for it and a try is left.
     pub(super) fn watch_silence(&mut self, now: MonotonicTime, effects: &mut GatewayEffects) {
         let before = self.watched_at.replace(now);
-        if before.is_none_or(|before| now.since(before) > SLEPT_TIME) {
+        if before.is_none_or(|before| now.since(before) > SUSPEND_THRESHOLD) {
             // What came while this process slept has not been read yet.
             self.awake_at = now;
         }
@@ -90,9 +90,9 @@
         let received_at = attempt.moved_at.unwrap_or(attempt.sent_at);
         let own = now.since(received_at.max(self.awake_at));
         if attempt.began_at.is_none() {
-            let expected = Duration::from_secs_f64(attempt.expected_ms * FIRST_FACTOR / 1e3);
-            let objective = record.route.objective.mul_f64(OBJECTIVE_PART);
-            let mut most = expected.max(objective).max(LEAST_SILENCE);
+            let expected = Duration::from_secs_f64(attempt.expected_ms * FIRST_EVENT_FACTOR / 1e3);
+            let objective = record.route.objective.mul_f64(OBJECTIVE_FRACTION);
+            let mut most = expected.max(objective).max(MIN_STALL);
             let others_go_on = state.received_at > received_at;
             if record.route.repeat.is_stream() && others_go_on {
                 // It reads the prompts that came before this one.
@@ -104,12 +104,12 @@
         let pause = Duration::from_secs_f64(state.pace.pause_ms(&usual) / 1e3);
         let reading = self.reading_time(record, state);
         let whole = now.since(state.received_at.max(received_at).max(self.awake_at));
-        if whole > pause.mul_f64(PAUSE_FACTOR).max(LEAST_SILENCE) + reading
+        if whole > pause.mul_f64(EVENT_GAP_FACTOR).max(MIN_STALL) + reading
             && self.hears_others(now, record, state)
         {
             return Some(SilenceKind::Upstream);
         }
-        let most = pause.mul_f64(LONE_FACTOR).max(LEAST_LONE_SILENCE) + reading;
+        let most = pause.mul_f64(SINGLE_STREAM_FACTOR).max(MIN_SINGLE_STREAM_STALL) + reading;
         (own > most).then_some(SilenceKind::Stream)
     }
 
@@ -125,8 +125,8 @@
             return Duration::ZERO;
         }
         let usual = self.fleet.usual(&record.service);
-        let millis = state.pace.first_ms(&usual, unread) * READING_FACTOR;
-        Duration::from_secs_f64(millis / 1e3).min(MOST_READING)
+        let millis = state.pace.first_ms(&usual, unread) * PREFILL_FACTOR;
+        Duration::from_secs_f64(millis / 1e3).min(MAX_PREFILL_ALLOWANCE)
     }
 
     /// A daemon that has lost its own way receives nothing: that is no evidence against an upstream.
@@ -139,7 +139,7 @@
         let mut members = self.fleet.members(&record.service);
         members.any(|state| {
             state.entry.name != silent.entry.name
-                && now.since(state.received_at) < ATTESTATION_TIMEOUT
+                && now.since(state.received_at) < UPSTREAM_SEEN_WINDOW
         })
     }
 
--- a/crates/savorywood-gateway/src/gateway/store_reads.rs
+++ b/crates/savorywood-gateway/src/gateway/store_reads.rs
@@ -6,15 +6,15 @@
 use std::time::Duration;
 
 /// Part of the bound for which one call may wait for changes of what is declared.
-const WAIT_PART: f64 = 0.28;
+const POLL_TIMEOUT_FRACTION: f64 = 0.28;
 /// The same at a daemon that attests to others.
-const READER_WAIT_PART: f64 = 0.14;
+const READER_POLL_TIMEOUT_FRACTION: f64 = 0.14;
 /// Part of the bound for which a daemon with a new proof waits for its zone's reader.
-const AWAIT_PART: f64 = 0.2;
+const AWAIT_READER_FRACTION: f64 = 0.2;
 /// Daemons of a zone that ask the store first.
-const FIRST_READERS: usize = 2;
+const INITIAL_READERS: usize = 2;
 /// Part of the bound after which a daemon no longer relies on attestations.
-const STALE_PART: f64 = 0.4;
+const STALE_ATTESTATION_FRACTION: f64 = 0.4;
 
 impl Gateway {
     /// Time for which one call may wait for changes of what is declared: two that fail in a row
@@ -23,9 +23,9 @@
     #[must_use]
     pub fn config_poll_timeout(&self) -> Duration {
         let part = if self.contacts.uses_zone_digests() {
-            READER_WAIT_PART
+            READER_POLL_TIMEOUT_FRACTION
         } else {
-            WAIT_PART
+            POLL_TIMEOUT_FRACTION
         };
         self.options.bounds.max_confirmation_age().mul_f64(part)
     }
@@ -49,7 +49,7 @@
         let own = self.options.host.as_str();
         let neighbours = self.peers.neighbours(now);
         let before = neighbours.filter(|peer| peer.summary.host.as_str() < own);
-        !self.contacts.uses_zone_digests() || before.count() < FIRST_READERS
+        !self.contacts.uses_zone_digests() || before.count() < INITIAL_READERS
     }
 
     /// How to learn of a table now.
@@ -60,7 +60,7 @@
             .options
             .bounds
             .max_confirmation_age()
-            .mul_f64(STALE_PART);
+            .mul_f64(STALE_ATTESTATION_FRACTION);
         let confirmed = self.proof_age(now) < stale;
         let relies = self.contacts.uses_zone_digests() && !self.stopping && confirmed;
         let plan = if relies {
@@ -82,7 +82,7 @@
             .options
             .bounds
             .max_confirmation_age()
-            .mul_f64(AWAIT_PART);
+            .mul_f64(AWAIT_READER_FRACTION);
         let is_reader = self.knows_own_zone(now) && self.is_initial_reader(now);
         let may_follow = !self.contacts_read || (self.contacts.uses_zone_digests() && !is_reader);
         !self.stopping && may_follow && self.proof_age(now) < fresh
--- a/crates/savorywood-gateway/src/gateway/store_restore.rs
+++ b/crates/savorywood-gateway/src/gateway/store_restore.rs
@@ -8,7 +8,7 @@
 
 /// Time within which operators and upstreams write again what a restored store has lost. Until
 /// then a row that is missing was not removed.
-const REWRITE_TIME: Duration = Duration::from_secs(6);
+const REWRITE_PERIOD: Duration = Duration::from_secs(6);
 
 impl Gateway {
     /// An answer or a peer names an era of the store.
@@ -38,7 +38,7 @@
     /// What the restored store lacks may still be written again.
     pub(super) fn is_rewritten(&self, now: MonotonicTime) -> bool {
         self.restored_at
-            .is_none_or(|at| now.since(at) >= REWRITE_TIME)
+            .is_none_or(|at| now.since(at) >= REWRITE_PERIOD)
     }
 
     /// Withdrawals that were put off since the store was restored take effect, unless the order was
