--- a/crates/savorywood-gateway/src/gateway/dispatch.rs
+++ b/crates/savorywood-gateway/src/gateway/dispatch.rs
@@ -20,7 +20,7 @@
 /// Requests without a place that are looked at before a service counts as full.
 const MAX_FULL_PICKS: usize = 3;
 /// Part of an upstream's cost by which daemons see it differently.
-const SPREAD: f64 = 0.05;
+const COST_SPREAD: f64 = 0.05;
 /// The same where zones exchange digests: state is older there and read by more, and daemons that
 /// all hold the same upstream for the best would meet at it.
 const ZONED_COST_SPREAD: f64 = 0.6;
@@ -127,7 +127,7 @@
             spread: if self.contacts.uses_zone_digests() {
                 ZONED_COST_SPREAD
             } else {
-                SPREAD
+                COST_SPREAD
             },
         };
         let mut draws = self.draws.clone();
--- a/crates/savorywood-gateway/src/gateway/retry_after.rs
+++ b/crates/savorywood-gateway/src/gateway/retry_after.rs
@@ -16,7 +16,7 @@
 const MAX_DEADLINE_FRACTION: f64 = 1.0 / 3.0;
 /// Part of the estimate by which returns are spread: callers that were refused together would be
 /// refused together once more.
-const SPREAD: f64 = 0.5;
+const RETRY_AFTER_SPREAD: f64 = 0.5;
 
 impl Gateway {
     /// When the caller of a request that was not run should come back: once the work that is at
@@ -42,7 +42,7 @@
         let wait_s = ahead as f64 / rate.max(f64::MIN_POSITIVE);
         let wait_s = wait_s.clamp(MIN_RETRY_AFTER.as_secs_f64(), MAX_RETRY_AFTER.as_secs_f64());
         let most = record.give_up_at.since(now).mul_f64(MAX_DEADLINE_FRACTION);
-        let spread = 1.0 - SPREAD / 2.0 + SPREAD * self.draws.next();
+        let spread = 1.0 - RETRY_AFTER_SPREAD / 2.0 + SPREAD * self.draws.next();
         Duration::from_secs_f64(wait_s * spread).min(most)
     }
 }
