--- a/crates/savorywood-gateway/src/gateway.rs
+++ b/crates/savorywood-gateway/src/gateway.rs
@@ -102,9 +102,9 @@
 
 /// Evenly drawn numbers (SplitMix64).
 #[derive(Debug, Clone)]
-struct DrawSequence(u64);
+struct RandomSequence(u64);
 
-impl DrawSequence {
+impl RandomSequence {
     fn next(&mut self) -> f64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.0;
@@ -119,9 +119,9 @@
 #[derive(Debug)]
 pub struct Gateway {
     options: GatewayOptions,
-    draws: DrawSequence,
+    draws: RandomSequence,
     /// Draws for requests near a team's limit.
-    limit_draws: DrawSequence,
+    limit_draws: RandomSequence,
     config: Option<Arc<DeclaredConfig>>,
     fleet: UpstreamFleet,
     upstreams_read: bool,
@@ -180,8 +180,8 @@
     #[must_use]
     pub fn new(options: GatewayOptions) -> Self {
         Self {
-            draws: DrawSequence(options.seed),
-            limit_draws: DrawSequence(options.seed ^ name_digest(options.host.as_str())),
+            draws: RandomSequence(options.seed),
+            limit_draws: RandomSequence(options.seed ^ name_digest(options.host.as_str())),
             peers: PeerTable::new(options.zone.clone()),
             contacts: ContactTable::new(options.peer_address, options.zone.clone()),
             contacts_read: false,
@@ -226,14 +226,14 @@
     pub fn step(&mut self, now: MonotonicTime, event: GatewayEvent, effects: &mut GatewayEffects) {
         match event {
             GatewayEvent::Arrived { request, arrival } => {
-                self.arrive(now, request, &arrival, effects);
+                self.handle_arrival(now, request, &arrival, effects);
             }
             GatewayEvent::CallerDisconnected(request) => self.caller_left(now, request, effects),
             GatewayEvent::ResponseStarted { request, metadata } => {
-                self.answer_began(now, request, metadata, effects);
+                self.response_started(now, request, metadata, effects);
             }
             GatewayEvent::ResponseProgressed { request, events } => {
-                self.answer_moved(now, request, events);
+                self.response_progressed(now, request, events);
             }
             GatewayEvent::AttemptEnded { request, outcome } => {
                 self.attempt_ended(now, request, &outcome, effects);
@@ -244,7 +244,7 @@
             GatewayEvent::UpstreamRemoved(name) => self.upstream_removed(now, &name, effects),
             GatewayEvent::ConfigConfirmed { at } => {
                 self.proof_at = Some(self.proof_at.map_or(at, |proof| proof.max(at)));
-                self.note_readiness(now, effects);
+                self.log_readiness_change(now, effects);
             }
             GatewayEvent::EvacuationOrdered(order) => self.evacuation_ordered(order, effects),
             GatewayEvent::EvacuationWithdrawn(order) => {
@@ -278,7 +278,7 @@
             GatewayEvent::DigestReceived(digest) => self.digest_received(now, *digest, effects),
             GatewayEvent::SlotsReceived(update) => {
                 if self.peers.apply_slot_update(now, update) {
-                    self.pump_all(now, effects);
+                    self.dispatch_all_waiting(now, effects);
                 }
             }
             GatewayEvent::HeartbeatReceived(beat) => {
@@ -296,7 +296,7 @@
                 self.quarantine.written(&write, accepted);
             }
             GatewayEvent::LoadMeasured(load) => self.load = load,
-            GatewayEvent::SeedsRead(contacts) => self.learn_contacts(now, contacts),
+            GatewayEvent::SeedsRead(contacts) => self.record_contacts(now, contacts),
             GatewayEvent::ContactsRead(contacts) => self.contacts_read(now, contacts, effects),
             GatewayEvent::PeerEnded(host) => self.peers.remove(&host),
             GatewayEvent::Tick => self.tick(now, effects),
@@ -359,20 +359,20 @@
     }
 
     fn tick(&mut self, now: MonotonicTime, effects: &mut GatewayEffects) {
-        self.note_readiness(now, effects);
+        self.log_readiness_change(now, effects);
         self.peers.refresh(now);
         self.refresh_entry(now, effects);
         self.refill_limits(now);
         self.reads.expire(now);
         self.expire_waiting(now, effects);
-        self.watch_silence(now, effects);
-        self.pump_all(now, effects);
+        self.detect_stalls(now, effects);
+        self.dispatch_all_waiting(now, effects);
         self.fleet.sweep(now);
         self.quarantine.sweep(now);
         self.write_quarantine(now, effects);
         self.apply_withdrawals(now, effects);
-        let leads = self.leads(now);
-        for write in self.rollouts.advance(now, leads) {
+        let is_leader = self.is_leader(now);
+        for write in self.rollouts.advance(now, is_leader) {
             let line = LogLine::new(LogLevel::Info, "rollout-step")
                 .with("service", &write.service)
                 .with("to", &write.to)
--- a/crates/savorywood-gateway/src/gateway/admission.rs
+++ b/crates/savorywood-gateway/src/gateway/admission.rs
@@ -32,7 +32,7 @@
 const MAX_REQUEST_TIMEOUT: Duration = Duration::from_secs(600);
 
 /// A refusal and when to come back.
-pub struct Denial {
+pub struct Refusal {
     /// Why.
     pub reason: RefusalReason,
     /// When to come back.
@@ -40,19 +40,19 @@
     /// Team of the key, where it was known.
     pub team: Option<TeamLabel>,
     /// What decided, where the team is over its limit.
-    pub meter: Option<MeterFigures>,
+    pub meter: Option<MeterSnapshot>,
     /// Upstreams that crashed under requests that asked the same.
     pub crashes: Option<u32>,
 }
 
 /// A team's meter at a refusal.
 #[derive(Debug, Clone, Copy)]
-pub struct MeterFigures {
+pub struct MeterSnapshot {
     limit: TeamLimit,
     levels: MeterLevels,
 }
 
-impl Denial {
+impl Refusal {
     pub(super) fn of(reason: RefusalReason) -> Self {
         Self {
             reason,
@@ -72,7 +72,7 @@
 }
 
 impl Gateway {
-    pub(super) fn arrive(
+    pub(super) fn handle_arrival(
         &mut self,
         now: MonotonicTime,
         request: LocalRequest,
@@ -81,7 +81,7 @@
     ) {
         match self.admit(now, request, arrival) {
             Ok(mut record) => {
-                record.leave_at = record.leave_time(now);
+                record.leave_at = record.caller_timeout_after(now);
                 let line = LogLine::new(LogLevel::Info, "request-admitted")
                     .with("request", &record.identity)
                     .with("fingerprint", record.fingerprint)
@@ -96,14 +96,14 @@
                     .with("units", record.units)
                     .with("give_up_ms", record.give_up_at.since(now).as_millis())
                     .with("config", self.config_version())
-                    .with("proof_age_ms", self.proof_age(now).as_millis());
+                    .with("proof_age_ms", self.time_since_confirmed(now).as_millis());
                 effects.push(GatewayEffect::Log(line));
                 let service = record.service.clone();
                 self.budgets.entry(service.clone()).or_default().earn(now);
                 let demand = self.demands.entry(service.clone()).or_default();
                 demand.arrived(now, record.rank);
                 self.enqueue(request, record);
-                self.pump(now, &service, effects);
+                self.dispatch_waiting(now, &service, effects);
             }
             Err(denial) => {
                 let mut line = LogLine::new(LogLevel::Info, "request-refused")
@@ -120,7 +120,7 @@
                         denial.retry_after.unwrap_or_default().as_millis(),
                     )
                     .with("config", self.config_version())
-                    .with("proof_age_ms", self.proof_age(now).as_millis());
+                    .with("proof_age_ms", self.time_since_confirmed(now).as_millis());
                 if let Some(meter) = denial.meter {
                     line = line
                         .with("level", meter.levels.strict)
@@ -146,16 +146,16 @@
     }
 
     /// Age of the newest proof that the configuration is the store's.
-    pub(super) fn proof_age(&self, now: MonotonicTime) -> Duration {
+    pub(super) fn time_since_confirmed(&self, now: MonotonicTime) -> Duration {
         let proof = self.proof_at.map(|at| now.since(at));
         proof.unwrap_or(Duration::from_secs(3_600))
     }
 
     /// A key that was taken away must not work here after the bound, also when this daemon can't
     /// learn of it: cut off from the store it would let a shut-out caller in for ever.
-    pub(super) fn keys_are_confirmed(&self, now: MonotonicTime) -> bool {
+    pub(super) fn are_keys_confirmed(&self, now: MonotonicTime) -> bool {
         let bound = self.options.bounds.revocation_delay;
-        bound.is_none_or(|bound| self.proof_age(now) < bound.mul_f64(KEY_CONFIRMATION_FRACTION))
+        bound.is_none_or(|bound| self.time_since_confirmed(now) < bound.mul_f64(KEY_CONFIRMATION_FRACTION))
     }
 
     fn admit(
@@ -163,21 +163,21 @@
         now: MonotonicTime,
         request: LocalRequest,
         arrival: &RequestArrival,
-    ) -> Result<RequestRecord, Denial> {
-        let known = self.upstreams_read && self.knows_members();
+    ) -> Result<RequestRecord, Refusal> {
+        let known = self.upstreams_read && self.has_peer_list();
         let config = self.config.clone().filter(|_| known);
-        let config = config.ok_or_else(Denial::stale)?;
-        let route = self.find_route(now, &config, arrival)?;
-        let team = self.find_team(now, &config, &route, arrival)?;
+        let config = config.ok_or_else(Refusal::stale)?;
+        let route = self.match_route(now, &config, arrival)?;
+        let team = self.authenticate(now, &config, &route, arrival)?;
         let team_name = team.as_ref().map(|team| &team.name);
         let fingerprint = RequestFingerprint::new(arrival.content_digest, team_name);
-        let is_trial = self.pass_quarantine(now, fingerprint, team_name)?;
+        let is_trial = self.check_quarantine(now, fingerprint, team_name)?;
         let draw = self.draws.next();
         let service = route.choose(draw).cloned();
-        let service = service.ok_or_else(|| Denial::of(RefusalReason::NoUpstream))?;
+        let service = service.ok_or_else(|| Refusal::of(RefusalReason::NoUpstream))?;
         let mut units = 0.0;
         if let Some(team) = &team {
-            units = self.take_units(now, team, &route, arrival, &service)?;
+            units = self.charge_team(now, team, &route, arrival, &service)?;
         }
         let deadline = arrival.deadline.unwrap_or(MAX_REQUEST_TIMEOUT);
         let longest = deadline.min(route.timeout.unwrap_or(MAX_REQUEST_TIMEOUT));
@@ -220,12 +220,12 @@
         })
     }
 
-    fn find_route(
+    fn match_route(
         &self,
         now: MonotonicTime,
         config: &DeclaredConfig,
         arrival: &RequestArrival,
-    ) -> Result<Arc<RouteSpec>, Denial> {
+    ) -> Result<Arc<RouteSpec>, Refusal> {
         let route = config.route(&arrival.host, &arrival.path);
         route
             .cloned()
@@ -234,27 +234,27 @@
 
     /// "There is no such thing" is final for a caller: a daemon that may have missed the newest
     /// configuration says "not ready" in its place.
-    fn deny(&self, now: MonotonicTime, reason: RefusalReason) -> Denial {
-        if self.proof_age(now)
+    fn deny(&self, now: MonotonicTime, reason: RefusalReason) -> Refusal {
+        if self.time_since_confirmed(now)
             < self
                 .options
                 .bounds
                 .max_confirmation_age()
                 .mul_f64(REFUSAL_CONFIRMATION_FRACTION)
         {
-            Denial::of(reason)
+            Refusal::of(reason)
         } else {
-            Denial::stale()
+            Refusal::stale()
         }
     }
 
-    fn find_team(
+    fn authenticate(
         &self,
         now: MonotonicTime,
         config: &DeclaredConfig,
         route: &RouteSpec,
         arrival: &RequestArrival,
-    ) -> Result<Option<Arc<TeamSpec>>, Denial> {
+    ) -> Result<Option<Arc<TeamSpec>>, Refusal> {
         let team = arrival
             .api_key
             .as_deref()
@@ -262,21 +262,21 @@
         if route.public || !config.needs_keys() {
             return Ok(team.cloned());
         }
-        if !self.keys_are_confirmed(now) {
-            return Err(Denial::stale());
+        if !self.are_keys_confirmed(now) {
+            return Err(Refusal::stale());
         }
         let team = team.ok_or_else(|| self.deny(now, RefusalReason::UnknownKey))?;
         Ok(Some(Arc::clone(team)))
     }
 
-    fn take_units(
+    fn charge_team(
         &mut self,
         now: MonotonicTime,
         team: &TeamSpec,
         route: &RouteSpec,
         arrival: &RequestArrival,
         service: &ServiceLabel,
-    ) -> Result<f64, Denial> {
+    ) -> Result<f64, Refusal> {
         let Some(limit) = team.limit else {
             return Ok(0.0);
         };
@@ -311,11 +311,11 @@
             MeterVerdict::Beyond { .. } => true,
         };
         if refused {
-            return Err(Denial {
+            return Err(Refusal {
                 reason: RefusalReason::OverLimit,
                 retry_after: Some(meter.wait()),
                 team: Some(team.name.clone()),
-                meter: Some(MeterFigures {
+                meter: Some(MeterSnapshot {
                     limit,
                     levels: meter.levels(),
                 }),
--- a/crates/savorywood-gateway/src/gateway/completion.rs
+++ b/crates/savorywood-gateway/src/gateway/completion.rs
@@ -24,7 +24,7 @@
         };
         match &record.place {
             RequestPlace::Waiting(_) => {
-                self.give_units_back(request);
+                self.refund_units(request);
                 self.close(now, request, "caller-left", effects);
             }
             RequestPlace::Running(_) => {
@@ -47,15 +47,15 @@
             return;
         };
         let service = record.service.clone();
-        self.log_broken(request, &attempt, outcome, effects);
-        self.release(now, request, &attempt, outcome, effects);
-        self.note_crash(now, request, &attempt, outcome, effects);
-        self.decide(now, request, &attempt, outcome, effects);
-        self.pump(now, &service, effects);
+        self.log_interruption(request, &attempt, outcome, effects);
+        self.release_slot(now, request, &attempt, outcome, effects);
+        self.record_crash(now, request, &attempt, outcome, effects);
+        self.retry_or_finish(now, request, &attempt, outcome, effects);
+        self.dispatch_waiting(now, &service, effects);
     }
 
     /// Logs what an upstream ended under: which request, beside how many other requests.
-    fn log_broken(
+    fn log_interruption(
         &self,
         request: LocalRequest,
         attempt: &RunningAttempt,
@@ -84,7 +84,7 @@
     }
 
     /// Sends the request once more, or gives it its final answer.
-    fn decide(
+    fn retry_or_finish(
         &mut self,
         now: MonotonicTime,
         request: LocalRequest,
@@ -108,7 +108,7 @@
                 return self.finish(now, request, RefusalReason::NoUpstream, effects);
             }
             AttemptOutcome::NotRun { .. } => {
-                if record.sends < MAX_ATTEMPTS && self.spend_try(now, request) {
+                if record.sends < MAX_ATTEMPTS && self.spend_retry(now, request) {
                     return self.requeue(now, request, outcome, effects);
                 }
                 return self.finish(now, request, RefusalReason::NotRun, effects);
@@ -123,15 +123,15 @@
             }
             AttemptOutcome::Broken { .. } | AttemptOutcome::StreamBroken(_) => record.runs += 1,
         }
-        let again = record.may_run_again() && record.sends < MAX_ATTEMPTS;
+        let again = record.allows_another_execution() && record.sends < MAX_ATTEMPTS;
         let fingerprint = record.fingerprint;
-        if again && !self.is_quarantined(fingerprint) && self.spend_try(now, request) {
+        if again && !self.is_quarantined(fingerprint) && self.spend_retry(now, request) {
             return self.requeue(now, request, outcome, effects);
         }
         self.finish(now, request, RefusalReason::IncompleteResponse, effects);
     }
 
-    pub(super) fn spend_try(&mut self, now: MonotonicTime, request: LocalRequest) -> bool {
+    pub(super) fn spend_retry(&mut self, now: MonotonicTime, request: LocalRequest) -> bool {
         let Some(record) = self.requests.get_mut(&request) else {
             return false;
         };
@@ -158,7 +158,7 @@
             && let Some(moved_at) = attempt.moved_at
         {
             // Its caller's timeout begins anew with each event.
-            record.leave_at = record.leave_time(moved_at);
+            record.leave_at = record.caller_timeout_after(moved_at);
         }
         let place = QueuePlace {
             rank: record.rank,
@@ -203,9 +203,9 @@
         };
         let retry_after = reason
             .guarantees_not_executed()
-            .then(|| self.return_time(now, request, reason));
+            .then(|| self.retry_after_delay(now, request, reason));
         if reason.guarantees_not_executed() {
-            self.give_units_back(request);
+            self.refund_units(request);
         }
         effects.push(GatewayEffect::Refuse {
             request,
@@ -215,7 +215,7 @@
         self.close(now, request, reason.into(), effects);
     }
 
-    fn give_units_back(&mut self, request: LocalRequest) {
+    fn refund_units(&mut self, request: LocalRequest) {
         let Some(record) = self.requests.get(&request) else {
             return;
         };
@@ -238,7 +238,7 @@
             return;
         };
         if let RequestPlace::Waiting(place) = &record.place {
-            self.unqueue(&record.service, place);
+            self.remove_from_queue(&record.service, place);
         }
         let mut line = LogLine::new(LogLevel::Info, "request-ended")
             .with("request", &record.identity)
@@ -259,7 +259,7 @@
         effects.push(GatewayEffect::Log(line));
     }
 
-    fn unqueue(&mut self, service: &ServiceLabel, place: &QueuePlace) {
+    fn remove_from_queue(&mut self, service: &ServiceLabel, place: &QueuePlace) {
         if let Some(queue) = self.queues.get_mut(service) {
             queue.remove(place);
         }
--- a/crates/savorywood-gateway/src/gateway/dispatch.rs
+++ b/crates/savorywood-gateway/src/gateway/dispatch.rs
@@ -30,22 +30,22 @@
 const MIN_REMAINING_FRACTION: f64 = 0.6;
 
 impl Gateway {
-    pub(super) fn pump_all(&mut self, now: MonotonicTime, effects: &mut GatewayEffects) {
+    pub(super) fn dispatch_all_waiting(&mut self, now: MonotonicTime, effects: &mut GatewayEffects) {
         let waiting = self.queues.iter().filter(|(_, queue)| queue.len() > 0);
         let services: Vec<ServiceLabel> = waiting.map(|(service, _)| service.clone()).collect();
         for service in services {
-            self.pump(now, &service, effects);
+            self.dispatch_waiting(now, &service, effects);
         }
     }
 
     /// Gives places at upstreams of a service to the most urgent requests.
-    pub(super) fn pump(
+    pub(super) fn dispatch_waiting(
         &mut self,
         now: MonotonicTime,
         service: &ServiceLabel,
         effects: &mut GatewayEffects,
     ) {
-        let places = self.places_in_order(now, service);
+        let places = self.queue_in_order(now, service);
         let mut full = 0;
         let mut rank = None;
         for place in places {
@@ -65,14 +65,14 @@
             match self.pick(now, record) {
                 Ok(picked) => self.dispatch(now, place.request, &picked, effects),
                 Err(PickFailure::Full) => full += 1,
-                Err(PickFailure::None) => self.without_upstream(now, place.request, effects),
+                Err(PickFailure::None) => self.handle_no_upstream(now, place.request, effects),
             }
         }
     }
 
     /// Most urgent rank first; within a rank those that can still be in time before those that
     /// can't: a late answer is worth little, and it would make the next one late as well.
-    fn places_in_order(&self, now: MonotonicTime, service: &ServiceLabel) -> Vec<QueuePlace> {
+    fn queue_in_order(&self, now: MonotonicTime, service: &ServiceLabel) -> Vec<QueuePlace> {
         let Some(queue) = self.queues.get(service) else {
             return Vec::new();
         };
@@ -86,11 +86,11 @@
         now: MonotonicTime,
         record: &RequestRecord,
     ) -> Result<PickedUpstream, PickFailure> {
-        self.pick_beside(now, record, &record.tried)
+        self.pick_excluding(now, record, &record.tried)
     }
 
     /// Chooses an upstream that is none of those that have had the request.
-    pub(super) fn pick_beside(
+    pub(super) fn pick_excluding(
         &self,
         now: MonotonicTime,
         record: &RequestRecord,
@@ -112,7 +112,7 @@
             ],
             versions: self.rollouts.choose(now, &record.service, self.trial()),
             urgent: self.urgent_arrivals(now, record),
-            may_try: record.may_run_once_more(),
+            may_try: record.allows_concurrent_execution(),
         };
         let scene = PickScene {
             now,
@@ -214,7 +214,7 @@
     }
 
     /// All upstreams of the service are gone, or have had the request.
-    fn without_upstream(
+    fn handle_no_upstream(
         &mut self,
         now: MonotonicTime,
         request: LocalRequest,
@@ -236,7 +236,7 @@
     /// Gives up requests that could not be answered in time any more.
     pub(super) fn expire_waiting(&mut self, now: MonotonicTime, effects: &mut GatewayEffects) {
         let mut expired = Vec::new();
-        let mut hopeless = Vec::new();
+        let mut too_late = Vec::new();
         for (service, queue) in &self.queues {
             let usual = self.fleet.usual(service);
             for place in queue.iter() {
@@ -246,7 +246,7 @@
                 let first = usual.first_ms(&usual, record.size.prompt_tokens) * MIN_REMAINING_FRACTION / 1e3;
                 let stream = record.route.repeat.is_stream();
                 if stream && now + Duration::from_secs_f64(first) >= record.leave_at {
-                    hopeless.push(place.request);
+                    too_late.push(place.request);
                     continue;
                 }
                 let needed = if record.route.repeat.is_stream() {
@@ -261,7 +261,7 @@
                 }
             }
         }
-        for request in hopeless {
+        for request in too_late {
             self.finish(now, request, RefusalReason::Overloaded, effects);
         }
         for request in expired {
--- a/crates/savorywood-gateway/src/gateway/entry.rs
+++ b/crates/savorywood-gateway/src/gateway/entry.rs
@@ -89,7 +89,7 @@
     fn refresh_leases(&mut self, now: MonotonicTime, own_members: &[u64]) {
         let is_entry_member = own_members.contains(&name_digest(self.options.host.as_str()));
         if !is_entry_member || self.age(now) < MIN_LEASE_UPTIME || !self.peers.sees_majority(now) {
-            return self.leases.release();
+            return self.leases.release_slot();
         }
         let is_needed =
             self.fleet.has_warmups() || self.fleet.has_limits() || self.quarantine.count() > 0;
@@ -164,11 +164,11 @@
         let mut load = HostResources::default();
         for peer in self.peers.member_candidates(now, zone, heartbeats) {
             load = load.max(&peer.summary.peak);
-            let is_overdue = heartbeats && now.since(peer.received_at) > overdue;
+            let is_past_expected = heartbeats && now.since(peer.received_at) > overdue;
             candidates.push(EntryCandidate {
                 host: peer.digest,
                 capacity: peer.summary.capacity,
-                steady: if is_overdue {
+                steady: if is_past_expected {
                     Duration::ZERO
                 } else {
                     peer.stable_for(now, self.resumed_at)
@@ -217,7 +217,7 @@
     }
 
     /// This daemon has seen most of its zone, or should have by now.
-    pub(super) fn knows_own_zone(&self, now: MonotonicTime) -> bool {
+    pub(super) fn has_discovered_zone(&self, now: MonotonicTime) -> bool {
         if self.age(now) >= DISCOVERY_PERIOD || !self.contacts.uses_zone_digests() {
             return true;
         }
@@ -240,7 +240,7 @@
         caller: CallerPlace<'_>,
         most: usize,
     ) -> Vec<SocketAddr> {
-        if !self.knows_own_zone(now) {
+        if !self.has_discovered_zone(now) {
             return Vec::new();
         }
         let mut by_zone: BTreeMap<&str, Vec<SocketAddr>> = BTreeMap::new();
@@ -262,14 +262,14 @@
         let near = caller.zone.and_then(|zone| by_zone.remove(zone));
         let mut addresses = near.unwrap_or_default();
         if addresses.is_empty() {
-            addresses = self.far_addresses(caller, &by_zone);
+            addresses = self.fallback_addresses(caller, &by_zone);
         }
         addresses.truncate(most);
         addresses
     }
 
     /// Addresses for a caller whose own zone has none.
-    fn far_addresses(
+    fn fallback_addresses(
         &self,
         caller: CallerPlace<'_>,
         by_zone: &BTreeMap<&str, Vec<SocketAddr>>,
--- a/crates/savorywood-gateway/src/gateway/evacuation.rs
+++ b/crates/savorywood-gateway/src/gateway/evacuation.rs
@@ -31,14 +31,14 @@
         order: EvacuationOrder,
         effects: &mut GatewayEffects,
     ) {
-        if !self.is_rewritten(now) {
+        if !self.is_rewrite_complete(now) {
             self.withdrawals.push(order);
             return;
         }
         let line = self.evacuation_line("zone-taken-back", &order);
         if self.fleet.end_evacuation(now, order) {
             effects.push(GatewayEffect::Log(line));
-            self.pump_all(now, effects);
+            self.dispatch_all_waiting(now, effects);
         }
     }
 
--- a/crates/savorywood-gateway/src/gateway/feedback.rs
+++ b/crates/savorywood-gateway/src/gateway/feedback.rs
@@ -25,7 +25,7 @@
 const OVERDUE_MARGIN_MS: f64 = 500.0;
 
 /// A whole answer, as far as speed can be learned from it.
-struct SeenAnswer {
+struct CompletedResponse {
     /// Events, if it was a stream.
     events: Option<u32>,
     /// Tokens that the caller expected.
@@ -38,8 +38,8 @@
     whole: Duration,
 }
 
-impl SeenAnswer {
-    fn teach(&self, pace: &mut PaceEstimate) {
+impl CompletedResponse {
+    fn record_in(&self, pace: &mut PaceEstimate) {
         match self.events {
             Some(events) => {
                 pace.saw_stream(events, self.output, self.after_first, self.whole);
@@ -51,14 +51,14 @@
 }
 
 /// Nothing came for so long that the upstream is at fault, not the size of the request.
-fn is_overdue(now: MonotonicTime, attempt: &RunningAttempt) -> bool {
+fn is_past_expected(now: MonotonicTime, attempt: &RunningAttempt) -> bool {
     let millis = now.since(attempt.sent_at).as_secs_f64() * 1e3;
     let late = millis > attempt.expected_ms * OVERDUE_FACTOR + OVERDUE_MARGIN_MS;
     attempt.began_at.is_none() && late
 }
 
 impl Gateway {
-    pub(super) fn answer_began(
+    pub(super) fn response_started(
         &mut self,
         now: MonotonicTime,
         request: LocalRequest,
@@ -91,13 +91,13 @@
                 state.pace.saw_first(prompt, elapsed);
             }
         }
-        self.note_alive(now, &upstream, sent_at);
-        self.note_limit(now, &upstream, sent_at, marks.rate_limit, effects);
+        self.record_response(now, &upstream, sent_at);
+        self.record_limit(now, &upstream, sent_at, marks.rate_limit, effects);
         self.mark(now, &upstream, marks);
     }
 
     /// More events of a stream came.
-    pub(super) fn answer_moved(&mut self, now: MonotonicTime, request: LocalRequest, events: u32) {
+    pub(super) fn response_progressed(&mut self, now: MonotonicTime, request: LocalRequest, events: u32) {
         let Some(record) = self.requests.get_mut(&request) else {
             return;
         };
@@ -117,7 +117,7 @@
     }
 
     /// Frees the place and learns from the outcome.
-    pub(super) fn release(
+    pub(super) fn release_slot(
         &mut self,
         now: MonotonicTime,
         request: LocalRequest,
@@ -138,20 +138,20 @@
         let output = record.output;
         if outcome.was_received() {
             self.fleet.received(now, &attempt.upstream);
-            self.note_alive(now, &attempt.upstream, attempt.sent_at);
+            self.record_response(now, &attempt.upstream, attempt.sent_at);
         }
         if let AttemptOutcome::Delivered { events, .. } = outcome {
-            let seen = SeenAnswer {
+            let seen = CompletedResponse {
                 events: stream.then_some(*events),
                 output,
                 longest_pause: attempt.longest_pause,
                 after_first: now.since(attempt.began_at.unwrap_or(now)),
                 whole: now.since(attempt.sent_at),
             };
-            self.learn_pace(&service, &attempt.upstream, &seen);
+            self.record_latency(&service, &attempt.upstream, &seen);
         }
-        self.judge_upstream(now, &service, attempt, outcome, effects);
-        self.judge_version(now, &service, attempt, outcome, stream);
+        self.update_outlier_state(now, &service, attempt, outcome, effects);
+        self.record_rollout_result(now, &service, attempt, outcome, stream);
         // The head of a stream was read at its beginning, and says nothing newer at its end.
         let is_read = attempt.began_at.is_some();
         match outcome {
@@ -161,7 +161,7 @@
                 if !is_read =>
             {
                 let sent_at = attempt.sent_at;
-                self.note_limit(
+                self.record_limit(
                     now,
                     &attempt.upstream,
                     sent_at,
@@ -174,15 +174,15 @@
         }
     }
 
-    fn learn_pace(&mut self, service: &ServiceLabel, upstream: &UpstreamLabel, seen: &SeenAnswer) {
-        seen.teach(self.fleet.usual_mut(service));
+    fn record_latency(&mut self, service: &ServiceLabel, upstream: &UpstreamLabel, seen: &CompletedResponse) {
+        seen.record_in(self.fleet.usual_mut(service));
         if let Some(state) = self.fleet.get_mut(upstream) {
-            seen.teach(&mut state.pace);
+            seen.record_in(&mut state.pace);
         }
     }
 
     /// Whether the upstream is left out, or in again.
-    fn judge_upstream(
+    fn update_outlier_state(
         &mut self,
         now: MonotonicTime,
         service: &ServiceLabel,
@@ -193,7 +193,7 @@
         // Only failures of its own are compared with those of the whole service.
         let is_failure = matches!(outcome, AttemptOutcome::Failed { .. });
         let usual = is_failure.then(|| self.fleet.usual_failures(now, service));
-        let overdue = is_overdue(now, attempt);
+        let overdue = is_past_expected(now, attempt);
         let Some(state) = self.fleet.get_mut(&attempt.upstream) else {
             return;
         };
@@ -251,7 +251,7 @@
     }
 
     /// What the outcome says of the version that the upstream runs, while a roll-out is under way.
-    fn judge_version(
+    fn record_rollout_result(
         &mut self,
         now: MonotonicTime,
         service: &ServiceLabel,
@@ -263,7 +263,7 @@
             AttemptOutcome::Failed { .. }
             | AttemptOutcome::Broken { .. }
             | AttemptOutcome::StreamBroken(_) => true,
-            AttemptOutcome::Expired if is_overdue(now, attempt) => true,
+            AttemptOutcome::Expired if is_past_expected(now, attempt) => true,
             AttemptOutcome::Delivered { .. } => {
                 let millis = now.since(attempt.sent_at).as_secs_f64() * 1e3;
                 !stream && millis > attempt.expected_ms * SLOW_FACTOR + SLOW_MARGIN_MS
--- a/crates/savorywood-gateway/src/gateway/gossip.rs
+++ b/crates/savorywood-gateway/src/gateway/gossip.rs
@@ -47,9 +47,9 @@
     pub fn is_ready(&self, now: MonotonicTime) -> bool {
         let known = self.config.is_some() && self.upstreams_read;
         known
-            && self.knows_members()
+            && self.has_peer_list()
             && !self.stopping
-            && self.proof_age(now)
+            && self.time_since_confirmed(now)
                 < self
                     .options
                     .bounds
@@ -59,7 +59,7 @@
 
     /// The number of daemons is known: a daemon that starts again without it would spend much
     /// more of a team's limit than its part.
-    pub(super) fn knows_members(&self) -> bool {
+    pub(super) fn has_peer_list(&self) -> bool {
         self.contacts_read || self.options.first_start
     }
 
@@ -69,7 +69,7 @@
         GatewayStatus {
             ready: self.is_ready(now),
             config_version: self.config_version(),
-            time_since_confirmed: self.proof_age(now),
+            time_since_confirmed: self.time_since_confirmed(now),
         }
     }
 
@@ -112,7 +112,7 @@
             phase: self.phase(now),
             config_version: self.config_version(),
             slots: self.own_slots(),
-            ejected_upstreams: self.own_suspects(now),
+            ejected_upstreams: self.own_ejected(now),
             usage: usage.filter(|used| used.total > 0).collect(),
             tallies: self.rollouts.tallies(),
             role: self.role(),
@@ -145,7 +145,7 @@
         neighbours.map(|peer| peer.summary.peer_address).collect()
     }
 
-    fn own_suspects(&self, now: MonotonicTime) -> Vec<u64> {
+    fn own_ejected(&self, now: MonotonicTime) -> Vec<u64> {
         let states = self.fleet.iter();
         let failed = states.filter(|state| state.outlier.failed_lately(now));
         failed.map(|state| state.digest).collect()
@@ -197,7 +197,7 @@
         }
         self.sent_slots.clone_from(&slots);
         self.sequence += 1;
-        Some(self.update_of(SlotScope::Daemon, slots))
+        Some(self.build_slot_update(SlotScope::Daemon, slots))
     }
 
     /// The same of its whole zone.
@@ -209,7 +209,7 @@
             sent_at: now,
             count: slots.len(),
         };
-        self.update_of(SlotScope::Zone(zone), slots)
+        self.build_slot_update(SlotScope::Zone(zone), slots)
     }
 
     /// Who gets newer slots now.
@@ -240,7 +240,7 @@
         self.contacts.heartbeat_interval()
     }
 
-    fn update_of(&self, scope: SlotScope, slots: Vec<SlotUse>) -> SlotUpdate {
+    fn build_slot_update(&self, scope: SlotScope, slots: Vec<SlotUse>) -> SlotUpdate {
         SlotUpdate {
             sender: name_digest(self.options.host.as_str()),
             incarnation: self.options.incarnation,
@@ -289,7 +289,7 @@
             incarnation: self.options.incarnation,
             uptime_ms,
             sequence: self.sequence,
-            members: self.placing_members(now),
+            members: self.serving_members(now),
             daemons: u32::try_from(self.peers.zone_daemon_count()).unwrap_or(u32::MAX),
             slots: if slots {
                 self.zone_slots(now)
@@ -302,7 +302,7 @@
     }
 
     /// Daemons of the own zone that place requests.
-    fn placing_members(&self, now: MonotonicTime) -> Vec<ZoneMember> {
+    fn serving_members(&self, now: MonotonicTime) -> Vec<ZoneMember> {
         let own = ZoneMember {
             peer_address: self.options.peer_address,
             caller_address: self.options.caller_address,
@@ -331,7 +331,7 @@
     /// Who gets state of this daemon and its zone now.
     pub fn plan_gossip(&mut self, now: MonotonicTime) -> GossipPlan {
         let mut plan = self.contacts.plan(now, &self.peers);
-        if self.stopping || !self.knows_own_zone(now) {
+        if self.stopping || !self.has_discovered_zone(now) {
             // Another daemon of the zone takes over before this one is gone; and daemons that do
             // not know each other yet would all send digests to all others.
             plan.digest_targets.clear();
@@ -351,9 +351,9 @@
         }
     }
 
-    /// The ready daemon with the first name leads: it writes what one is enough for. Two that
+    /// The ready daemon with the first name is_leader: it writes what one is enough for. Two that
     /// both think so are harmless, as each write has a condition.
-    pub(super) fn leads(&self, now: MonotonicTime) -> bool {
+    pub(super) fn is_leader(&self, now: MonotonicTime) -> bool {
         let own = self.options.host.as_str();
         let zone = self.options.zone.as_str();
         let first_here = self
--- a/crates/savorywood-gateway/src/gateway/quarantine.rs
+++ b/crates/savorywood-gateway/src/gateway/quarantine.rs
@@ -1,6 +1,6 @@
 //! Requests under which upstreams crash: what is noted, what is refused, what peers and the store get.
 
-use super::{Gateway, GatewayEffects, admission::Denial, record::RunningAttempt};
+use super::{Gateway, GatewayEffects, admission::Refusal, record::RunningAttempt};
 use crate::{
     arrival::LocalRequest,
     effect::GatewayEffect,
@@ -23,12 +23,12 @@
 impl Gateway {
     /// Refuses a request in quarantine, unless this daemon may try it now; whether it is such a
     /// trial.
-    pub(super) fn pass_quarantine(
+    pub(super) fn check_quarantine(
         &mut self,
         now: MonotonicTime,
         fingerprint: RequestFingerprint,
         team: Option<&TeamLabel>,
-    ) -> Result<bool, Denial> {
+    ) -> Result<bool, Refusal> {
         let (crashes, trial_at) = match self.quarantine.verdict(fingerprint) {
             QuarantineVerdict::Clear => return Ok(false),
             QuarantineVerdict::Held { crashes, trial_at } => (crashes, trial_at),
@@ -38,11 +38,11 @@
             self.quarantine.begin_trial(now, fingerprint);
             return Ok(true);
         }
-        Err(Denial {
+        Err(Refusal {
             retry_after: Some(trial_at.since(now).max(MIN_RETRY_AFTER)),
             team: team.cloned(),
             crashes: Some(crashes),
-            ..Denial::of(RefusalReason::Quarantined)
+            ..Refusal::of(RefusalReason::Quarantined)
         })
     }
 
@@ -51,7 +51,7 @@
     }
 
     /// Time until a request in quarantine may be tried.
-    pub(super) fn trial_time(
+    pub(super) fn probe_delay(
         &self,
         now: MonotonicTime,
         fingerprint: RequestFingerprint,
@@ -63,7 +63,7 @@
     }
 
     /// Notes what an attempt's end says of its request: an upstream ended under it, or served it.
-    pub(super) fn note_crash(
+    pub(super) fn record_crash(
         &mut self,
         now: MonotonicTime,
         request: LocalRequest,
@@ -92,7 +92,7 @@
     }
 
     /// An upstream answered what was sent there at a moment.
-    pub(super) fn note_alive(
+    pub(super) fn record_response(
         &mut self,
         now: MonotonicTime,
         upstream: &UpstreamLabel,
--- a/crates/savorywood-gateway/src/gateway/rate_limits.rs
+++ b/crates/savorywood-gateway/src/gateway/rate_limits.rs
@@ -19,7 +19,7 @@
 
 impl Gateway {
     /// An upstream answered what was sent to it at a moment, and named a limit or none.
-    pub(super) fn note_limit(
+    pub(super) fn record_limit(
         &mut self,
         now: MonotonicTime,
         upstream: &UpstreamLabel,
@@ -72,7 +72,7 @@
             }
         }
         if is_lifted {
-            self.pump_all(now, effects);
+            self.dispatch_all_waiting(now, effects);
         }
     }
 
--- a/crates/savorywood-gateway/src/gateway/record.rs
+++ b/crates/savorywood-gateway/src/gateway/record.rs
@@ -103,7 +103,7 @@
 
 impl RequestRecord {
     /// When its caller leaves if nothing comes after this moment.
-    pub fn leave_time(&self, received_at: MonotonicTime) -> MonotonicTime {
+    pub fn caller_timeout_after(&self, received_at: MonotonicTime) -> MonotonicTime {
         let caller_timeout = self.route.caller_timeout;
         let leave_at = caller_timeout
             .map(|caller_timeout| received_at + caller_timeout.saturating_sub(LEAVING_MARGIN));
@@ -111,12 +111,12 @@
     }
 
     /// The route allows one more run beside the one under way.
-    pub fn may_run_once_more(&self) -> bool {
+    pub fn allows_concurrent_execution(&self) -> bool {
         self.route.repeat.is_idempotent() && self.runs + 1 < self.route.max_attempts
     }
 
     /// A second run is allowed by the route.
-    pub fn may_run_again(&self) -> bool {
+    pub fn allows_another_execution(&self) -> bool {
         self.route.repeat.is_idempotent() && self.runs < self.route.max_attempts.max(1)
     }
 }
--- a/crates/savorywood-gateway/src/gateway/retry_after.rs
+++ b/crates/savorywood-gateway/src/gateway/retry_after.rs
@@ -21,7 +21,7 @@
 impl Gateway {
     /// When the caller of a request that was not run should come back: once the work that is at
     /// least as urgent and waits now has got its slots, at the rate of the last moments.
-    pub(super) fn return_time(
+    pub(super) fn retry_after_delay(
         &mut self,
         now: MonotonicTime,
         request: LocalRequest,
@@ -32,7 +32,7 @@
         };
         match reason {
             RefusalReason::Overloaded => {}
-            RefusalReason::Quarantined => return self.trial_time(now, record.fingerprint),
+            RefusalReason::Quarantined => return self.probe_delay(now, record.fingerprint),
             _ => return DEFAULT_RETRY_AFTER,
         }
         let queue = self.queues.get(&record.service);
--- a/crates/savorywood-gateway/src/gateway/stall_detection.rs
+++ b/crates/savorywood-gateway/src/gateway/stall_detection.rs
@@ -35,7 +35,7 @@
 /// What is silent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 #[strum(serialize_all = "kebab-case")]
-enum SilenceKind {
+enum StallKind {
     /// Nothing of this request has come yet.
     First,
     /// All that runs at the upstream.
@@ -51,24 +51,24 @@
     /// they leave. But one that reads a long prompt is silent as well, and an answer that is taken
     /// from it comes to nothing if no other has room. So an attempt is ended only where the next
     /// one is sure: another upstream has a place for it and a try is left.
-    pub(super) fn watch_silence(&mut self, now: MonotonicTime, effects: &mut GatewayEffects) {
+    pub(super) fn detect_stalls(&mut self, now: MonotonicTime, effects: &mut GatewayEffects) {
         let before = self.watched_at.replace(now);
         if before.is_none_or(|before| now.since(before) > SUSPEND_THRESHOLD) {
             // What came while this process slept has not been read yet.
             self.awake_at = now;
         }
-        for (request, kind) in self.silent_requests(now) {
-            self.move_away(now, request, kind, effects);
+        for (request, kind) in self.stalled_requests(now) {
+            self.abandon_stalled(now, request, kind, effects);
         }
     }
 
-    fn silent_requests(&self, now: MonotonicTime) -> Vec<(LocalRequest, SilenceKind)> {
+    fn stalled_requests(&self, now: MonotonicTime) -> Vec<(LocalRequest, StallKind)> {
         let mut silent = Vec::new();
         for (request, record) in &self.requests {
             let RequestPlace::Running(attempt) = &record.place else {
                 continue;
             };
-            if !record.may_run_once_more() || attempt.abandoned {
+            if !record.allows_concurrent_execution() || attempt.abandoned {
                 continue;
             }
             let Some(state) = self.fleet.get(&attempt.upstream) else {
@@ -86,7 +86,7 @@
         record: &RequestRecord,
         attempt: &RunningAttempt,
         state: &UpstreamState,
-    ) -> Option<SilenceKind> {
+    ) -> Option<StallKind> {
         let received_at = attempt.moved_at.unwrap_or(attempt.sent_at);
         let own = now.since(received_at.max(self.awake_at));
         if attempt.began_at.is_none() {
@@ -98,24 +98,24 @@
                 // It reads the prompts that came before this one.
                 most = most.max(record.route.objective);
             }
-            return (own > most).then_some(SilenceKind::First);
+            return (own > most).then_some(StallKind::First);
         }
         let usual = self.fleet.usual(&record.service);
         let pause = Duration::from_secs_f64(state.pace.pause_ms(&usual) / 1e3);
-        let reading = self.reading_time(record, state);
+        let reading = self.prefill_allowance(record, state);
         let whole = now.since(state.received_at.max(received_at).max(self.awake_at));
         if whole > pause.mul_f64(EVENT_GAP_FACTOR).max(MIN_STALL) + reading
-            && self.hears_others(now, record, state)
+            && self.receives_from_others(now, record, state)
         {
-            return Some(SilenceKind::Upstream);
+            return Some(StallKind::Upstream);
         }
         let most = pause.mul_f64(SINGLE_STREAM_FACTOR).max(MIN_SINGLE_STREAM_STALL) + reading;
-        (own > most).then_some(SilenceKind::Stream)
+        (own > most).then_some(StallKind::Stream)
     }
 
     /// Time for which an upstream may be silent because it reads the prompts that are still to be
     /// read there.
-    fn reading_time(&self, record: &RequestRecord, state: &UpstreamState) -> Duration {
+    fn prefill_allowance(&self, record: &RequestRecord, state: &UpstreamState) -> Duration {
         let unread = state.unread
             + self
                 .peers
@@ -130,7 +130,7 @@
     }
 
     /// A daemon that has lost its own way receives nothing: that is no evidence against an upstream.
-    fn hears_others(
+    fn receives_from_others(
         &self,
         now: MonotonicTime,
         record: &RequestRecord,
@@ -143,11 +143,11 @@
         })
     }
 
-    fn move_away(
+    fn abandon_stalled(
         &mut self,
         now: MonotonicTime,
         request: LocalRequest,
-        kind: SilenceKind,
+        kind: StallKind,
         effects: &mut GatewayEffects,
     ) {
         let Some(record) = self.requests.get(&request) else {
@@ -158,7 +158,7 @@
         };
         let mut tried = record.tried.clone();
         tried.push(attempt.upstream.clone());
-        if self.pick_beside(now, record, &tried).is_err() || !self.spend_try(now, request) {
+        if self.pick_excluding(now, record, &tried).is_err() || !self.spend_retry(now, request) {
             return;
         }
         let Some(record) = self.requests.get_mut(&request) else {
--- a/crates/savorywood-gateway/src/gateway/state_updates.rs
+++ b/crates/savorywood-gateway/src/gateway/state_updates.rs
@@ -20,7 +20,7 @@
 
 /// Whose use of teams is accounted.
 #[derive(Debug, Clone, Copy)]
-struct PeerAccount {
+struct UsageSource {
     peer: u64,
     incarnation: u64,
     age: Duration,
@@ -56,7 +56,7 @@
         let warmups = services.filter_map(|(name, service)| Some((name.clone(), service.warmup?)));
         self.fleet.set_warmups(warmups.collect());
         self.config = Some(config);
-        self.note_readiness(now, effects);
+        self.log_readiness_change(now, effects);
     }
 
     fn set_limits(&mut self, now: MonotonicTime, config: &DeclaredConfig) {
@@ -108,7 +108,7 @@
             }
         }
         self.options.bounds = bounds;
-        self.note_readiness(now, effects);
+        self.log_readiness_change(now, effects);
     }
 
     pub(super) fn upstreams_read(
@@ -123,8 +123,8 @@
             log_change(&name, change, effects);
         }
         self.upstreams_read = true;
-        self.note_readiness(now, effects);
-        self.pump_all(now, effects);
+        self.log_readiness_change(now, effects);
+        self.dispatch_all_waiting(now, effects);
     }
 
     pub(super) fn upstream_written(
@@ -136,7 +136,7 @@
         let name = entry.name.clone();
         if let Some(change) = self.fleet.write(now, entry) {
             log_change(&name, change, effects);
-            self.pump_all(now, effects);
+            self.dispatch_all_waiting(now, effects);
         }
     }
 
@@ -194,11 +194,11 @@
             effects.push(GatewayEffect::Log(line));
         }
         if summary.zone == self.options.zone.as_str() {
-            self.neighbour_received(now, &summary, effects);
+            self.neighbour_summary_received(now, &summary, effects);
         }
         // Of a zone that another daemon reports, its message alone counts, or all would count twice.
         if self.peers.uses_direct_summary(now, &summary.zone) {
-            let account = PeerAccount {
+            let account = UsageSource {
                 peer,
                 incarnation: summary.incarnation,
                 age: Duration::from_millis(summary.uptime_ms),
@@ -213,11 +213,11 @@
                 meter.ended(now, peer);
             }
         }
-        self.pump_all(now, effects);
+        self.dispatch_all_waiting(now, effects);
     }
 
     /// A neighbour may attest to what this daemon holds.
-    fn neighbour_received(
+    fn neighbour_summary_received(
         &mut self,
         now: MonotonicTime,
         summary: &PeerSummary,
@@ -232,7 +232,7 @@
         let proof = self.reads.confirmed_at(own, summary, SharedTable::Declared);
         if let Some(at) = proof {
             self.proof_at = Some(self.proof_at.map_or(at, |known| known.max(at)));
-            self.note_readiness(now, effects);
+            self.log_readiness_change(now, effects);
         }
         let failed = summary
             .attestation
@@ -259,7 +259,7 @@
                     .with("daemons", digest.members.len())
                     .with("sender", format_args!("{:x}", digest.sender));
                 effects.push(GatewayEffect::Log(line));
-                self.drop_accounts(now, &zone, before);
+                self.end_usage_sources(now, &zone, before);
             }
         }
         for member in &digest.members {
@@ -269,7 +269,7 @@
             };
             self.contacts.learn(now, contact);
         }
-        let account = PeerAccount {
+        let account = UsageSource {
             peer: digest.sender.rotate_left(1),
             incarnation: digest.incarnation,
             age: Duration::from_millis(digest.uptime_ms),
@@ -279,7 +279,7 @@
         self.usage_received(now, account, &digest.usage);
         self.rollouts
             .received(name_digest(zone.as_str()), &digest.tallies);
-        self.pump_all(now, effects);
+        self.dispatch_all_waiting(now, effects);
     }
 
     pub(super) fn contacts_read(
@@ -288,12 +288,12 @@
         contacts: Vec<PeerContact>,
         effects: &mut GatewayEffects,
     ) {
-        self.learn_contacts(now, contacts);
+        self.record_contacts(now, contacts);
         self.contacts_read = true;
-        self.note_readiness(now, effects);
+        self.log_readiness_change(now, effects);
     }
 
-    pub(super) fn learn_contacts(&mut self, now: MonotonicTime, contacts: Vec<PeerContact>) {
+    pub(super) fn record_contacts(&mut self, now: MonotonicTime, contacts: Vec<PeerContact>) {
         for contact in contacts {
             self.contacts.learn(now, contact);
         }
@@ -318,7 +318,7 @@
 
     /// Another daemon reports a zone now: what it says includes what was received before of that
     /// zone's daemons, from themselves or from the one that reported.
-    fn drop_accounts(&mut self, now: MonotonicTime, zone: &ZoneLabel, before: Option<u64>) {
+    fn end_usage_sources(&mut self, now: MonotonicTime, zone: &ZoneLabel, before: Option<u64>) {
         let alive = self.peers.live_peers(now);
         let members = alive.filter(|peer| peer.summary.zone == zone.as_str());
         let mut ended: Vec<u64> = members
@@ -333,7 +333,7 @@
     }
 
     /// A team that is not reported has used nothing there.
-    fn usage_received(&mut self, now: MonotonicTime, account: PeerAccount, usage: &[TeamUse]) {
+    fn usage_received(&mut self, now: MonotonicTime, account: UsageSource, usage: &[TeamUse]) {
         let usage: HashMap<u64, &TeamUse> = usage.iter().map(|used| (used.team, used)).collect();
         for (team, meter) in &mut self.meters {
             let used = usage.get(&name_digest(team.as_str()));
@@ -351,7 +351,7 @@
     }
 
     /// Logs a change of readiness with what decided it.
-    pub(super) fn note_readiness(&mut self, now: MonotonicTime, effects: &mut GatewayEffects) {
+    pub(super) fn log_readiness_change(&mut self, now: MonotonicTime, effects: &mut GatewayEffects) {
         let ready = self.is_ready(now);
         if ready == self.ready_logged {
             return;
@@ -361,7 +361,7 @@
             .with("ready", ready)
             .with("config", self.config_version())
             .with("upstreams_read", self.upstreams_read)
-            .with("proof_age_ms", self.proof_age(now).as_millis())
+            .with("proof_age_ms", self.time_since_confirmed(now).as_millis())
             .with("stopping", self.stopping);
         effects.push(GatewayEffect::Log(line));
     }
--- a/crates/savorywood-gateway/src/gateway/store_reads.rs
+++ b/crates/savorywood-gateway/src/gateway/store_reads.rs
@@ -55,13 +55,13 @@
     /// How to learn of a table now.
     #[must_use]
     pub fn read_plan(&self, now: MonotonicTime, table: SharedTable) -> ReadPlan {
-        // A neighbour whose messages arrive may not get those of this daemon, and then echoes nothing.
+        // A neighbour whose messages handle_arrival may not get those of this daemon, and then echoes nothing.
         let stale = self
             .options
             .bounds
             .max_confirmation_age()
             .mul_f64(STALE_ATTESTATION_FRACTION);
-        let confirmed = self.proof_age(now) < stale;
+        let confirmed = self.time_since_confirmed(now) < stale;
         let relies = self.contacts.uses_zone_digests() && !self.stopping && confirmed;
         let plan = if relies {
             self.reads.read_plan(now, &self.options.host, table)
@@ -83,8 +83,8 @@
             .bounds
             .max_confirmation_age()
             .mul_f64(AWAIT_READER_FRACTION);
-        let is_reader = self.knows_own_zone(now) && self.is_initial_reader(now);
+        let is_reader = self.has_discovered_zone(now) && self.is_initial_reader(now);
         let may_follow = !self.contacts_read || (self.contacts.uses_zone_digests() && !is_reader);
-        !self.stopping && may_follow && self.proof_age(now) < fresh
+        !self.stopping && may_follow && self.time_since_confirmed(now) < fresh
     }
 }
--- a/crates/savorywood-gateway/src/gateway/store_restore.rs
+++ b/crates/savorywood-gateway/src/gateway/store_restore.rs
@@ -36,7 +36,7 @@
     }
 
     /// What the restored store lacks may still be written again.
-    pub(super) fn is_rewritten(&self, now: MonotonicTime) -> bool {
+    pub(super) fn is_rewrite_complete(&self, now: MonotonicTime) -> bool {
         self.restored_at
             .is_none_or(|at| now.since(at) >= REWRITE_PERIOD)
     }
@@ -44,7 +44,7 @@
     /// Withdrawals that were put off since the store was restored take effect, unless the order was
     /// written again.
     pub(super) fn apply_withdrawals(&mut self, now: MonotonicTime, effects: &mut GatewayEffects) {
-        if self.withdrawals.is_empty() || !self.is_rewritten(now) {
+        if self.withdrawals.is_empty() || !self.is_rewrite_complete(now) {
             return;
         }
         for order in std::mem::take(&mut self.withdrawals) {
