--- a/crates/savorywood-gateway/src/gateway.rs
+++ b/crates/savorywood-gateway/src/gateway.rs
@@ -352,7 +352,7 @@
         self.rollouts.is_active()
     }
 
-    fn trial(&self) -> TrialOptions {
+    fn canary_options(&self) -> TrialOptions {
         TrialOptions {
             share: self.options.bounds.max_canary_fraction,
         }
--- a/crates/savorywood-gateway/src/gateway/admission.rs
+++ b/crates/savorywood-gateway/src/gateway/admission.rs
@@ -53,7 +53,7 @@
 }
 
 impl Refusal {
-    pub(super) fn of(reason: RefusalReason) -> Self {
+    pub(super) fn new(reason: RefusalReason) -> Self {
         Self {
             reason,
             retry_after: None,
@@ -63,10 +63,10 @@
         }
     }
 
-    fn stale() -> Self {
+    fn unconfirmed() -> Self {
         Self {
             retry_after: Some(UNCONFIRMED_RETRY_AFTER),
-            ..Self::of(RefusalReason::NotReady)
+            ..Self::new(RefusalReason::NotReady)
         }
     }
 }
@@ -166,7 +166,7 @@
     ) -> Result<RequestRecord, Refusal> {
         let known = self.upstreams_read && self.has_peer_list();
         let config = self.config.clone().filter(|_| known);
-        let config = config.ok_or_else(Refusal::stale)?;
+        let config = config.ok_or_else(Refusal::unconfirmed)?;
         let route = self.match_route(now, &config, arrival)?;
         let team = self.authenticate(now, &config, &route, arrival)?;
         let team_name = team.as_ref().map(|team| &team.name);
@@ -174,7 +174,7 @@
         let is_trial = self.check_quarantine(now, fingerprint, team_name)?;
         let draw = self.draws.next();
         let service = route.choose(draw).cloned();
-        let service = service.ok_or_else(|| Refusal::of(RefusalReason::NoUpstream))?;
+        let service = service.ok_or_else(|| Refusal::new(RefusalReason::NoUpstream))?;
         let mut units = 0.0;
         if let Some(team) = &team {
             units = self.charge_team(now, team, &route, arrival, &service)?;
@@ -229,12 +229,12 @@
         let route = config.route(&arrival.host, &arrival.path);
         route
             .cloned()
-            .ok_or_else(|| self.deny(now, RefusalReason::NoRoute))
+            .ok_or_else(|| self.final_refusal(now, RefusalReason::NoRoute))
     }
 
     /// "There is no such thing" is final for a caller: a daemon that may have missed the newest
     /// configuration says "not ready" in its place.
-    fn deny(&self, now: MonotonicTime, reason: RefusalReason) -> Refusal {
+    fn final_refusal(&self, now: MonotonicTime, reason: RefusalReason) -> Refusal {
         if self.time_since_confirmed(now)
             < self
                 .options
@@ -242,9 +242,9 @@
                 .max_confirmation_age()
                 .mul_f64(REFUSAL_CONFIRMATION_FRACTION)
         {
-            Refusal::of(reason)
+            Refusal::new(reason)
         } else {
-            Refusal::stale()
+            Refusal::unconfirmed()
         }
     }
 
@@ -263,9 +263,9 @@
             return Ok(team.cloned());
         }
         if !self.are_keys_confirmed(now) {
-            return Err(Refusal::stale());
+            return Err(Refusal::unconfirmed());
         }
-        let team = team.ok_or_else(|| self.deny(now, RefusalReason::UnknownKey))?;
+        let team = team.ok_or_else(|| self.final_refusal(now, RefusalReason::UnknownKey))?;
         Ok(Some(Arc::clone(team)))
     }
 
--- a/crates/savorywood-gateway/src/gateway/dispatch.rs
+++ b/crates/savorywood-gateway/src/gateway/dispatch.rs
@@ -110,7 +110,7 @@
                 &record.route.homes,
                 record.team.as_ref().map_or(&[], |team| &team.homes),
             ],
-            versions: self.rollouts.choose(now, &record.service, self.trial()),
+            versions: self.rollouts.choose(now, &record.service, self.canary_options()),
             urgent: self.urgent_arrivals(now, record),
             may_try: record.allows_concurrent_execution(),
         };
--- a/crates/savorywood-gateway/src/gateway/entry.rs
+++ b/crates/savorywood-gateway/src/gateway/entry.rs
@@ -88,8 +88,8 @@
     /// those that do not see most daemons hold none.
     fn refresh_leases(&mut self, now: MonotonicTime, own_members: &[u64]) {
         let is_entry_member = own_members.contains(&name_digest(self.options.host.as_str()));
-        if !is_entry_member || self.age(now) < MIN_LEASE_UPTIME || !self.peers.sees_majority(now) {
-            return self.leases.release_slot();
+        if !is_entry_member || self.uptime(now) < MIN_LEASE_UPTIME || !self.peers.sees_majority(now) {
+            return self.leases.release();
         }
         let is_needed =
             self.fleet.has_warmups() || self.fleet.has_limits() || self.quarantine.count() > 0;
@@ -212,13 +212,13 @@
     }
 
     /// Time since this daemon's first message.
-    pub(super) fn age(&self, now: MonotonicTime) -> Duration {
+    pub(super) fn uptime(&self, now: MonotonicTime) -> Duration {
         self.started_at.map_or(Duration::ZERO, |at| now.since(at))
     }
 
     /// This daemon has seen most of its zone, or should have by now.
     pub(super) fn has_discovered_zone(&self, now: MonotonicTime) -> bool {
-        if self.age(now) >= DISCOVERY_PERIOD || !self.contacts.uses_zone_digests() {
+        if self.uptime(now) >= DISCOVERY_PERIOD || !self.contacts.uses_zone_digests() {
             return true;
         }
         let received = self.peers.neighbours(now).count();
--- a/crates/savorywood-gateway/src/gateway/feedback.rs
+++ b/crates/savorywood-gateway/src/gateway/feedback.rs
@@ -93,7 +93,7 @@
         }
         self.record_response(now, &upstream, sent_at);
         self.record_limit(now, &upstream, sent_at, marks.rate_limit, effects);
-        self.mark(now, &upstream, marks);
+        self.apply_metadata(now, &upstream, marks);
     }
 
     /// More events of a stream came.
@@ -107,7 +107,7 @@
         }
     }
 
-    fn mark(&mut self, now: MonotonicTime, upstream: &UpstreamLabel, marks: ResponseMetadata) {
+    fn apply_metadata(&mut self, now: MonotonicTime, upstream: &UpstreamLabel, marks: ResponseMetadata) {
         let Some(state) = self.fleet.get_mut(upstream) else {
             return;
         };
@@ -168,7 +168,7 @@
                     metadata.rate_limit,
                     effects,
                 );
-                self.mark(now, &attempt.upstream, *metadata);
+                self.apply_metadata(now, &attempt.upstream, *metadata);
             }
             _ => {}
         }
--- a/crates/savorywood-gateway/src/gateway/gossip.rs
+++ b/crates/savorywood-gateway/src/gateway/gossip.rs
@@ -83,7 +83,7 @@
         }
     }
 
-    fn age_ms(&mut self, now: MonotonicTime) -> u64 {
+    fn uptime_ms(&mut self, now: MonotonicTime) -> u64 {
         let started_at = *self.started_at.get_or_insert(now);
         u64::try_from(now.since(started_at).as_millis()).unwrap_or(u64::MAX)
     }
@@ -91,7 +91,7 @@
     /// Summary of this daemon.
     pub fn summary(&mut self, now: MonotonicTime) -> PeerSummary {
         self.sequence += 1;
-        let uptime_ms = self.age_ms(now);
+        let uptime_ms = self.uptime_ms(now);
         let attestation = self.attestation(now);
         for meter in self.meters.values_mut() {
             meter.reported();
@@ -275,7 +275,7 @@
     /// Digest of this daemon's zone. `slots`: the receivers place requests.
     pub fn zone_digest(&mut self, now: MonotonicTime, slots: bool) -> ZoneDigest {
         self.sequence += 1;
-        let uptime_ms = self.age_ms(now);
+        let uptime_ms = self.uptime_ms(now);
         let usage = self.meters.iter().map(|(team, meter)| TeamUse {
             team: name_digest(team.as_str()),
             total: meter.zone_total(),
@@ -344,7 +344,7 @@
     #[must_use]
     pub fn gossip_interval(&self, now: MonotonicTime) -> Duration {
         let pause = self.contacts.pause();
-        if self.contacts.uses_zone_digests() && self.age(now) < DISCOVERY_PERIOD {
+        if self.contacts.uses_zone_digests() && self.uptime(now) < DISCOVERY_PERIOD {
             pause.min(DISCOVERY_INTERVAL)
         } else {
             pause
--- a/crates/savorywood-gateway/src/gateway/quarantine.rs
+++ b/crates/savorywood-gateway/src/gateway/quarantine.rs
@@ -42,7 +42,7 @@
             retry_after: Some(trial_at.since(now).max(MIN_RETRY_AFTER)),
             team: team.cloned(),
             crashes: Some(crashes),
-            ..Refusal::of(RefusalReason::Quarantined)
+            ..Refusal::new(RefusalReason::Quarantined)
         })
     }
 
--- a/crates/savorywood-gateway/src/gateway/stall_detection.rs
+++ b/crates/savorywood-gateway/src/gateway/stall_detection.rs
@@ -74,13 +74,13 @@
             let Some(state) = self.fleet.get(&attempt.upstream) else {
                 continue;
             };
-            let kind = self.silence(now, record, attempt, state);
+            let kind = self.stall_kind(now, record, attempt, state);
             silent.extend(kind.map(|kind| (*request, kind)));
         }
         silent
     }
 
-    fn silence(
+    fn stall_kind(
         &self,
         now: MonotonicTime,
         record: &RequestRecord,
