--- a/crates/savorywood-gateway/src/gateway.rs
+++ b/crates/savorywood-gateway/src/gateway.rs
@@ -1,20 +1,20 @@
 //! The whole gateway: one reducer over all events.
 
 mod admission;
-mod dispatch;
 mod completion;
+mod dispatch;
 mod entry;
 mod evacuation;
-mod gossip;
 mod feedback;
+mod gossip;
 mod quarantine;
 mod rate_limits;
-mod store_reads;
 mod record;
-mod store_restore;
 mod retry_after;
-mod state_updates;
 mod stall_detection;
+mod state_updates;
+mod store_reads;
+mod store_restore;
 
 pub use gossip::GatewayStatus;
 
@@ -96,7 +96,8 @@
     /// Age at which a proof of the configuration is worth nothing.
     #[must_use]
     pub fn max_confirmation_age(&self) -> Duration {
-        self.revocation_delay.unwrap_or(DEFAULT_MAX_CONFIRMATION_AGE)
+        self.revocation_delay
+            .unwrap_or(DEFAULT_MAX_CONFIRMATION_AGE)
     }
 }
 
@@ -119,17 +120,17 @@
 #[derive(Debug)]
 pub struct Gateway {
     options: GatewayOptions,
-    draws: RandomSequence,
+    random: RandomSequence,
     /// Draws for requests near a team's limit.
-    limit_draws: RandomSequence,
+    limit_random: RandomSequence,
     config: Option<Arc<DeclaredConfig>>,
     fleet: UpstreamFleet,
     upstreams_read: bool,
-    proof_at: Option<MonotonicTime>,
+    confirmed_at: Option<MonotonicTime>,
     requests: BTreeMap<LocalRequest, RequestRecord>,
     queues: BTreeMap<ServiceLabel, WaitQueue>,
     demands: BTreeMap<ServiceLabel, DemandBook>,
-    parts: PartIndex,
+    part_index: PartIndex,
     peers: PeerTable,
     contacts: ContactTable,
     contacts_read: bool,
@@ -140,20 +141,20 @@
     entry: EntrySet,
     /// Daemons of all zones that the directory names.
     entry_daemons: usize,
-    entry_at: MonotonicTime,
+    entry_refreshed_at: MonotonicTime,
     /// What this daemon does for all.
     leases: MemberLeases,
-    leases_at: MonotonicTime,
+    leases_refreshed_at: MonotonicTime,
     /// Requests under which upstreams crashed.
     quarantine: QuarantineBook,
     store_era: Option<u64>,
     /// When the store was seen to have been restored.
-    restored_at: Option<MonotonicTime>,
+    store_restored_at: Option<MonotonicTime>,
     /// Withdrawals of evacuations that a restored store may only seem to report.
-    withdrawals: Vec<EvacuationOrder>,
+    pending_withdrawals: Vec<EvacuationOrder>,
     /// When this process went on after it was frozen.
     resumed_at: Option<MonotonicTime>,
-    reads: StoreReadTracker,
+    store_reads: StoreReadTracker,
     meters: BTreeMap<TeamLabel, TeamMeter>,
     budgets: BTreeMap<ServiceLabel, RetryBudget>,
     rollouts: RolloutBook,
@@ -161,15 +162,15 @@
     ready_logged: bool,
     sequence: u64,
     /// Slots as they were reported last.
-    sent_slots: Vec<SlotUse>,
+    last_sent_slots: Vec<SlotUse>,
     /// Slots of the own zone as they were sent to other zones last.
-    sent_zone_slots: SentSlots,
+    last_sent_zone_slots: SentSlots,
     dispatches: u64,
     started_at: Option<MonotonicTime>,
     /// When running attempts were looked at last.
-    watched_at: Option<MonotonicTime>,
+    stalls_checked_at: Option<MonotonicTime>,
     /// When this process was last seen to wake up.
-    awake_at: MonotonicTime,
+    last_wake_at: MonotonicTime,
 }
 
 /// Effects of one step, in order.
@@ -180,8 +181,8 @@
     #[must_use]
     pub fn new(options: GatewayOptions) -> Self {
         Self {
-            draws: RandomSequence(options.seed),
-            limit_draws: RandomSequence(options.seed ^ name_digest(options.host.as_str())),
+            random: RandomSequence(options.seed),
+            limit_random: RandomSequence(options.seed ^ name_digest(options.host.as_str())),
             peers: PeerTable::new(options.zone.clone()),
             contacts: ContactTable::new(options.peer_address, options.zone.clone()),
             contacts_read: false,
@@ -189,36 +190,36 @@
             peak: LoadPeak::default(),
             entry: EntrySet::default(),
             entry_daemons: 1,
-            entry_at: MonotonicTime::default(),
+            entry_refreshed_at: MonotonicTime::default(),
             leases: MemberLeases::default(),
-            leases_at: MonotonicTime::default(),
+            leases_refreshed_at: MonotonicTime::default(),
             quarantine: QuarantineBook::default(),
             store_era: None,
-            restored_at: None,
-            withdrawals: Vec::new(),
+            store_restored_at: None,
+            pending_withdrawals: Vec::new(),
             resumed_at: None,
-            reads: StoreReadTracker::default(),
+            store_reads: StoreReadTracker::default(),
             options,
             config: None,
             fleet: UpstreamFleet::default(),
             upstreams_read: false,
-            proof_at: None,
+            confirmed_at: None,
             requests: BTreeMap::new(),
             queues: BTreeMap::new(),
             demands: BTreeMap::new(),
-            parts: PartIndex::default(),
+            part_index: PartIndex::default(),
             meters: BTreeMap::new(),
             budgets: BTreeMap::new(),
             rollouts: RolloutBook::default(),
             stopping: false,
             ready_logged: false,
             sequence: 0,
-            sent_slots: Vec::new(),
-            sent_zone_slots: SentSlots::default(),
+            last_sent_slots: Vec::new(),
+            last_sent_zone_slots: SentSlots::default(),
             dispatches: 0,
             started_at: None,
-            watched_at: None,
-            awake_at: MonotonicTime::default(),
+            stalls_checked_at: None,
+            last_wake_at: MonotonicTime::default(),
         }
     }
 
@@ -243,7 +244,7 @@
             GatewayEvent::UpstreamWritten(entry) => self.upstream_written(now, entry, effects),
             GatewayEvent::UpstreamRemoved(name) => self.upstream_removed(now, &name, effects),
             GatewayEvent::ConfigConfirmed { at } => {
-                self.proof_at = Some(self.proof_at.map_or(at, |proof| proof.max(at)));
+                self.confirmed_at = Some(self.confirmed_at.map_or(at, |proof| proof.max(at)));
                 self.log_readiness_change(now, effects);
             }
             GatewayEvent::EvacuationOrdered(order) => self.evacuation_ordered(order, effects),
@@ -259,10 +260,10 @@
                 table,
                 position,
                 confirmed_at,
-            } => self.reads.record_read(table, position, confirmed_at),
+            } => self.store_reads.record_read(table, position, confirmed_at),
             GatewayEvent::StoreFailed => {
                 self.fleet.store_failed(now);
-                self.reads.record_store_failure(now);
+                self.store_reads.record_store_failure(now);
             }
             GatewayEvent::RolloutOrdered(order) => self.rollout_ordered(now, order, effects),
             GatewayEvent::RolloutStatusRead(status) => self.rollouts.read(&status),
@@ -363,7 +364,7 @@
         self.peers.refresh(now);
         self.refresh_entry(now, effects);
         self.refill_limits(now);
-        self.reads.expire(now);
+        self.store_reads.expire(now);
         self.expire_waiting(now, effects);
         self.detect_stalls(now, effects);
         self.dispatch_all_waiting(now, effects);
--- a/crates/savorywood-gateway/src/gateway/admission.rs
+++ b/crates/savorywood-gateway/src/gateway/admission.rs
@@ -2,7 +2,7 @@
 
 use super::{
     Gateway, GatewayEffects,
-    record::{RequestPlace, RequestRecord},
+    record::{RequestRecord, RequestState},
 };
 use crate::{
     arrival::{LocalRequest, RequestArrival},
@@ -81,9 +81,9 @@
     ) {
         match self.admit(now, request, arrival) {
             Ok(mut record) => {
-                record.leave_at = record.caller_timeout_after(now);
+                record.caller_timeout_at = record.caller_timeout_after(now);
                 let line = LogLine::new(LogLevel::Info, "request-admitted")
-                    .with("request", &record.identity)
+                    .with("request", &record.request_id)
                     .with("fingerprint", record.fingerprint)
                     .with("route", &record.route.name)
                     .with("service", &record.service)
@@ -93,7 +93,7 @@
                     )
                     .with("rank", record.rank.route)
                     .with("prompt", record.size.prompt_tokens)
-                    .with("units", record.units)
+                    .with("units", record.charged_units)
                     .with("give_up_ms", record.give_up_at.since(now).as_millis())
                     .with("config", self.config_version())
                     .with("proof_age_ms", self.time_since_confirmed(now).as_millis());
@@ -147,7 +147,7 @@
 
     /// Age of the newest proof that the configuration is the store's.
     pub(super) fn time_since_confirmed(&self, now: MonotonicTime) -> Duration {
-        let proof = self.proof_at.map(|at| now.since(at));
+        let proof = self.confirmed_at.map(|at| now.since(at));
         proof.unwrap_or(Duration::from_secs(3_600))
     }
 
@@ -155,7 +155,9 @@
     /// learn of it: cut off from the store it would let a shut-out caller in for ever.
     pub(super) fn are_keys_confirmed(&self, now: MonotonicTime) -> bool {
         let bound = self.options.bounds.revocation_delay;
-        bound.is_none_or(|bound| self.time_since_confirmed(now) < bound.mul_f64(KEY_CONFIRMATION_FRACTION))
+        bound.is_none_or(|bound| {
+            self.time_since_confirmed(now) < bound.mul_f64(KEY_CONFIRMATION_FRACTION)
+        })
     }
 
     fn admit(
@@ -171,13 +173,13 @@
         let team = self.authenticate(now, &config, &route, arrival)?;
         let team_name = team.as_ref().map(|team| &team.name);
         let fingerprint = RequestFingerprint::new(arrival.content_digest, team_name);
-        let is_trial = self.check_quarantine(now, fingerprint, team_name)?;
-        let draw = self.draws.next();
+        let is_probe = self.check_quarantine(now, fingerprint, team_name)?;
+        let draw = self.random.next();
         let service = route.choose(draw).cloned();
         let service = service.ok_or_else(|| Refusal::new(RefusalReason::NoUpstream))?;
-        let mut units = 0.0;
+        let mut charged_units = 0.0;
         if let Some(team) = &team {
-            units = self.charge_team(now, team, &route, arrival, &service)?;
+            charged_units = self.charge_team(now, team, &route, arrival, &service)?;
         }
         let deadline = arrival.deadline.unwrap_or(MAX_REQUEST_TIMEOUT);
         let longest = deadline.min(route.timeout.unwrap_or(MAX_REQUEST_TIMEOUT));
@@ -190,32 +192,32 @@
         let give_up_at = now + longest.saturating_sub(RESPONSE_MARGIN);
         let begin_by = now + route.objective.saturating_sub(expected);
         Ok(RequestRecord {
-            identity: arrival.request_id.clone(),
+            request_id: arrival.request_id.clone(),
             fingerprint,
-            is_trial,
+            is_probe,
             service,
             team,
-            units,
+            charged_units,
             rank,
             size,
-            output: arrival
+            expected_output_tokens: arrival
                 .expected_output_tokens
                 .unwrap_or(size.max_output_tokens),
-            parts: arrival.prompt_parts.clone(),
+            prompt_parts: arrival.prompt_parts.clone(),
             arrived_at: now,
             give_up_at,
-            leave_at: give_up_at,
-            place: RequestPlace::Waiting(QueuePlace {
+            caller_timeout_at: give_up_at,
+            state: RequestState::Waiting(QueuePlace {
                 rank,
                 begin_by,
                 request,
             }),
-            tried: Vec::new(),
-            sends: 0,
-            runs: 0,
-            has_failure: false,
-            has_try: false,
-            has_begun: false,
+            attempted_upstreams: Vec::new(),
+            attempts: 0,
+            executions: 0,
+            has_upstream_failure: false,
+            has_reserved_retry: false,
+            response_started: false,
             route,
         })
     }
@@ -302,7 +304,7 @@
         let query = MeterQuery {
             units,
             rank: route.priority,
-            draw: self.limit_draws.next(),
+            draw: self.limit_random.next(),
         };
         let verdict = meter.look(now, &query);
         let refused = match verdict {
@@ -327,7 +329,7 @@
     }
 
     fn enqueue(&mut self, request: LocalRequest, record: RequestRecord) {
-        if let RequestPlace::Waiting(place) = &record.place {
+        if let RequestState::Waiting(place) = &record.state {
             let queue = self.queues.entry(record.service.clone()).or_default();
             queue.insert(*place);
         }
--- a/crates/savorywood-gateway/src/gateway/completion.rs
+++ b/crates/savorywood-gateway/src/gateway/completion.rs
@@ -3,7 +3,7 @@
 use super::{
     Gateway, GatewayEffects,
     dispatch::MAX_ATTEMPTS,
-    record::{RequestPlace, RunningAttempt},
+    record::{RequestState, RunningAttempt},
 };
 use crate::{
     arrival::LocalRequest, effect::GatewayEffect, event::AttemptOutcome, name::ServiceLabel,
@@ -22,12 +22,12 @@
         let Some(record) = self.requests.get(&request) else {
             return;
         };
-        match &record.place {
-            RequestPlace::Waiting(_) => {
+        match &record.state {
+            RequestState::Waiting(_) => {
                 self.refund_units(request);
                 self.close(now, request, "caller-left", effects);
             }
-            RequestPlace::Running(_) => {
+            RequestState::Running(_) => {
                 self.attempt_ended(now, request, &AttemptOutcome::CallerDisconnected, effects);
             }
         }
@@ -43,7 +43,7 @@
         let Some(record) = self.requests.get(&request) else {
             return;
         };
-        let RequestPlace::Running(attempt) = record.place.clone() else {
+        let RequestState::Running(attempt) = record.state.clone() else {
             return;
         };
         let service = record.service.clone();
@@ -73,7 +73,7 @@
         let own = state.map_or(0, |state| state.running.saturating_sub(1));
         let peers = state.map_or(0, |state| self.peers.slots_by_digest(state.digest).running);
         let line = LogLine::new(LogLevel::Info, "attempt-broken")
-            .with("request", &record.identity)
+            .with("request", &record.request_id)
             .with("fingerprint", record.fingerprint)
             .with("upstream", &attempt.upstream)
             .with("cause", outcome.name())
@@ -95,35 +95,37 @@
         let Some(record) = self.requests.get_mut(&request) else {
             return;
         };
-        record.tried.push(attempt.upstream.clone());
+        record.attempted_upstreams.push(attempt.upstream.clone());
         match outcome {
             AttemptOutcome::Delivered { .. } => return self.close(now, request, "served", effects),
             AttemptOutcome::CallerDisconnected => {
                 return self.close(now, request, "caller-left", effects);
             }
             AttemptOutcome::NotSent => {
-                if record.sends < MAX_ATTEMPTS {
+                if record.attempts < MAX_ATTEMPTS {
                     return self.requeue(now, request, outcome, effects);
                 }
                 return self.finish(now, request, RefusalReason::NoUpstream, effects);
             }
             AttemptOutcome::NotRun { .. } => {
-                if record.sends < MAX_ATTEMPTS && self.spend_retry(now, request) {
+                if record.attempts < MAX_ATTEMPTS && self.spend_retry(now, request) {
                     return self.requeue(now, request, outcome, effects);
                 }
                 return self.finish(now, request, RefusalReason::NotRun, effects);
             }
             AttemptOutcome::Expired => {
-                record.runs += 1;
+                record.executions += 1;
                 return self.finish(now, request, RefusalReason::ExpiredUnknown, effects);
             }
             AttemptOutcome::Failed { .. } => {
-                record.runs += 1;
-                record.has_failure = true;
+                record.executions += 1;
+                record.has_upstream_failure = true;
+            }
+            AttemptOutcome::Broken { .. } | AttemptOutcome::StreamBroken(_) => {
+                record.executions += 1
             }
-            AttemptOutcome::Broken { .. } | AttemptOutcome::StreamBroken(_) => record.runs += 1,
         }
-        let again = record.allows_another_execution() && record.sends < MAX_ATTEMPTS;
+        let again = record.allows_another_execution() && record.attempts < MAX_ATTEMPTS;
         let fingerprint = record.fingerprint;
         if again && !self.is_quarantined(fingerprint) && self.spend_retry(now, request) {
             return self.requeue(now, request, outcome, effects);
@@ -135,7 +137,7 @@
         let Some(record) = self.requests.get_mut(&request) else {
             return false;
         };
-        if std::mem::take(&mut record.has_try) {
+        if std::mem::take(&mut record.has_reserved_retry) {
             return true;
         }
         let daemons = self.peers.peer_count(now) + 1;
@@ -154,23 +156,23 @@
         let Some(record) = self.requests.get_mut(&request) else {
             return;
         };
-        if let RequestPlace::Running(attempt) = &record.place
-            && let Some(moved_at) = attempt.moved_at
+        if let RequestState::Running(attempt) = &record.state
+            && let Some(moved_at) = attempt.last_event_at
         {
             // Its caller's timeout begins anew with each event.
-            record.leave_at = record.caller_timeout_after(moved_at);
+            record.caller_timeout_at = record.caller_timeout_after(moved_at);
         }
         let place = QueuePlace {
             rank: record.rank,
             begin_by: now,
             request,
         };
-        record.place = RequestPlace::Waiting(place);
+        record.state = RequestState::Waiting(place);
         let line = LogLine::new(LogLevel::Info, "request-again")
-            .with("request", &record.identity)
+            .with("request", &record.request_id)
             .with("after", outcome.name())
-            .with("sends", record.sends)
-            .with("runs", record.runs);
+            .with("sends", record.attempts)
+            .with("runs", record.executions);
         effects.push(GatewayEffect::Log(line));
         let queue = self.queues.entry(record.service.clone()).or_default();
         queue.insert(place);
@@ -188,15 +190,15 @@
         let Some(record) = self.requests.get(&request) else {
             return;
         };
-        if record.has_begun {
+        if record.response_started {
             effects.push(GatewayEffect::AbortResponse { request });
             return self.close(now, request, "broken-off", effects);
         }
-        if record.has_failure {
+        if record.has_upstream_failure {
             effects.push(GatewayEffect::ForwardFailure { request });
             return self.close(now, request, "failure-passed", effects);
         }
-        let reason = match (record.runs > 0, reason.guarantees_not_executed()) {
+        let reason = match (record.executions > 0, reason.guarantees_not_executed()) {
             (true, true) if reason == RefusalReason::ExpiredUnsent => RefusalReason::ExpiredUnknown,
             (true, true) => RefusalReason::IncompleteResponse,
             _ => reason,
@@ -220,10 +222,10 @@
             return;
         };
         if let Some(team) = &record.team
-            && record.runs == 0
+            && record.executions == 0
             && let Some(meter) = self.meters.get_mut(&team.name)
         {
-            meter.give_back(record.units);
+            meter.give_back(record.charged_units);
         }
     }
 
@@ -237,23 +239,23 @@
         let Some(record) = self.requests.remove(&request) else {
             return;
         };
-        if let RequestPlace::Waiting(place) = &record.place {
+        if let RequestState::Waiting(place) = &record.state {
             self.remove_from_queue(&record.service, place);
         }
         let mut line = LogLine::new(LogLevel::Info, "request-ended")
-            .with("request", &record.identity)
+            .with("request", &record.request_id)
             .with("end", end)
             .with("took_ms", now.since(record.arrived_at).as_millis())
-            .with("sends", record.sends)
-            .with("runs", record.runs);
-        if let RequestPlace::Running(attempt) = &record.place {
+            .with("sends", record.attempts)
+            .with("runs", record.executions);
+        if let RequestState::Running(attempt) = &record.state {
             line = line.with("upstream", &attempt.upstream);
-            if let Some(began_at) = attempt.began_at {
+            if let Some(began_at) = attempt.first_event_at {
                 line = line
                     .with("first_ms", began_at.since(record.arrived_at).as_millis())
-                    .with("pause_ms", attempt.longest_pause.as_millis())
+                    .with("pause_ms", attempt.max_event_gap.as_millis())
                     .with("events", attempt.events)
-                    .with("guess", record.output);
+                    .with("guess", record.expected_output_tokens);
             }
         }
         effects.push(GatewayEffect::Log(line));
--- a/crates/savorywood-gateway/src/gateway/dispatch.rs
+++ b/crates/savorywood-gateway/src/gateway/dispatch.rs
@@ -2,7 +2,7 @@
 
 use super::{
     Gateway, GatewayEffects,
-    record::{RequestPlace, RequestRecord, RunningAttempt},
+    record::{RequestRecord, RequestState, RunningAttempt},
 };
 use crate::{
     arrival::LocalRequest,
@@ -30,7 +30,11 @@
 const MIN_REMAINING_FRACTION: f64 = 0.6;
 
 impl Gateway {
-    pub(super) fn dispatch_all_waiting(&mut self, now: MonotonicTime, effects: &mut GatewayEffects) {
+    pub(super) fn dispatch_all_waiting(
+        &mut self,
+        now: MonotonicTime,
+        effects: &mut GatewayEffects,
+    ) {
         let waiting = self.queues.iter().filter(|(_, queue)| queue.len() > 0);
         let services: Vec<ServiceLabel> = waiting.map(|(service, _)| service.clone()).collect();
         for service in services {
@@ -58,7 +62,7 @@
             let Some(record) = self.requests.get(&place.request) else {
                 continue;
             };
-            if !record.is_trial && self.is_quarantined(record.fingerprint) {
+            if !record.is_probe && self.is_quarantined(record.fingerprint) {
                 self.finish(now, place.request, RefusalReason::Quarantined, effects);
                 continue;
             }
@@ -86,7 +90,7 @@
         now: MonotonicTime,
         record: &RequestRecord,
     ) -> Result<PickedUpstream, PickFailure> {
-        self.pick_excluding(now, record, &record.tried)
+        self.pick_excluding(now, record, &record.attempted_upstreams)
     }
 
     /// Chooses an upstream that is none of those that have had the request.
@@ -100,17 +104,19 @@
         let query = PickQuery {
             service: &record.service,
             prompt: record.size.prompt_tokens,
-            output: record.output,
+            output: record.expected_output_tokens,
             slack_ms: record.route.objective.as_secs_f64() * 1e3 - waited.as_secs_f64() * 1e3,
             left_ms: record.give_up_at.since(now).as_secs_f64() * 1e3,
             stream: record.route.repeat.is_stream(),
-            parts: &record.parts,
+            parts: &record.prompt_parts,
             tried,
             homes: [
                 &record.route.homes,
                 record.team.as_ref().map_or(&[], |team| &team.homes),
             ],
-            versions: self.rollouts.choose(now, &record.service, self.canary_options()),
+            versions: self
+                .rollouts
+                .choose(now, &record.service, self.canary_options()),
             urgent: self.urgent_arrivals(now, record),
             may_try: record.allows_concurrent_execution(),
         };
@@ -118,7 +124,7 @@
             now,
             fleet: &self.fleet,
             peers: &self.peers,
-            parts: &self.parts,
+            parts: &self.part_index,
             zone: &self.options.zone,
             policy: self.options.routing,
             regions: &self.options.regions,
@@ -130,7 +136,7 @@
                 COST_SPREAD
             },
         };
-        let mut draws = self.draws.clone();
+        let mut draws = self.random.clone();
         scene.pick(&query, || draws.next())
     }
 
@@ -148,7 +154,7 @@
         picked: &PickedUpstream,
         effects: &mut GatewayEffects,
     ) {
-        self.draws.next();
+        self.random.next();
         let Some(record) = self.requests.get_mut(&request) else {
             return;
         };
@@ -162,29 +168,30 @@
         state.outlier.sent();
         state.sent_at = now;
         state.limit.spend();
-        if let RequestPlace::Waiting(place) = &record.place
+        if let RequestState::Waiting(place) = &record.state
             && let Some(queue) = self.queues.get_mut(&record.service)
         {
             queue.remove(place);
         }
         let demand = self.demands.entry(record.service.clone()).or_default();
         demand.dispatched(now, record.rank);
-        record.sends += 1;
-        record.place = RequestPlace::Running(RunningAttempt {
+        record.attempts += 1;
+        record.state = RequestState::Running(RunningAttempt {
             upstream: picked.name.clone(),
-            sent_at: now,
-            began_at: None,
-            expected_ms: picked.expected_ms,
-            moved_at: None,
-            longest_pause: Duration::ZERO,
+            dispatched_at: now,
+            first_event_at: None,
+            expected_first_event_ms: picked.expected_ms,
+            last_event_at: None,
+            max_event_gap: Duration::ZERO,
             events: 0,
             abandoned: false,
         });
-        self.parts.read(now, &record.parts, &picked.name);
+        self.part_index
+            .read(now, &record.prompt_parts, &picked.name);
         self.rollouts.sent(&record.service, &state.entry.version);
         let order = DispatchOrder {
             request,
-            attempt: record.sends,
+            attempt: record.attempts,
             service: record.service.clone(),
             priority: record.rank.route,
             upstream: picked.name.clone(),
@@ -195,9 +202,9 @@
             idempotent: record.route.repeat.is_idempotent(),
         };
         let line = LogLine::new(LogLevel::Info, "request-dispatched")
-            .with("request", &record.identity)
+            .with("request", &record.request_id)
             .with("upstream", &picked.name)
-            .with("send", record.sends)
+            .with("send", record.attempts)
             .with("waited_ms", now.since(record.arrived_at).as_millis())
             .with("expected_ms", format_args!("{:.0}", picked.expected_ms))
             .with("score", format_args!("{:.0}", picked.score))
@@ -223,9 +230,12 @@
         let Some(record) = self.requests.get_mut(&request) else {
             return;
         };
-        if !record.tried.is_empty() && record.runs == 0 && record.sends < MAX_ATTEMPTS {
+        if !record.attempted_upstreams.is_empty()
+            && record.executions == 0
+            && record.attempts < MAX_ATTEMPTS
+        {
             // All said that they were full or could not be reached: they may have room by now.
-            record.tried.clear();
+            record.attempted_upstreams.clear();
         }
         let waited = now.since(record.arrived_at);
         if waited >= record.route.objective.mul_f64(NO_UPSTREAM_WAIT_FRACTION) {
@@ -243,15 +253,17 @@
                 let Some(record) = self.requests.get(&place.request) else {
                     continue;
                 };
-                let first = usual.first_ms(&usual, record.size.prompt_tokens) * MIN_REMAINING_FRACTION / 1e3;
+                let first = usual.first_ms(&usual, record.size.prompt_tokens)
+                    * MIN_REMAINING_FRACTION
+                    / 1e3;
                 let stream = record.route.repeat.is_stream();
-                if stream && now + Duration::from_secs_f64(first) >= record.leave_at {
+                if stream && now + Duration::from_secs_f64(first) >= record.caller_timeout_at {
                     too_late.push(place.request);
                     continue;
                 }
                 let needed = if record.route.repeat.is_stream() {
                     usual.first_ms(&usual, record.size.prompt_tokens)
-                        + usual.rest_ms(&usual, record.output)
+                        + usual.rest_ms(&usual, record.expected_output_tokens)
                 } else {
                     usual.whole_ms(&usual)
                 };
--- a/crates/savorywood-gateway/src/gateway/entry.rs
+++ b/crates/savorywood-gateway/src/gateway/entry.rs
@@ -33,13 +33,15 @@
 impl Gateway {
     /// Computes the members of the own zone anew, and counts those of all zones.
     pub(super) fn refresh_entry(&mut self, now: MonotonicTime, effects: &mut GatewayEffects) {
-        if now.since(self.entry_at) < ENTRY_REFRESH_INTERVAL {
+        if now.since(self.entry_refreshed_at) < ENTRY_REFRESH_INTERVAL {
             return;
         }
-        if self.entry_at != MonotonicTime::default() && now.since(self.entry_at) >= FREEZE_THRESHOLD {
+        if self.entry_refreshed_at != MonotonicTime::default()
+            && now.since(self.entry_refreshed_at) >= FREEZE_THRESHOLD
+        {
             self.resumed_at = Some(now);
         }
-        self.entry_at = now;
+        self.entry_refreshed_at = now;
         self.started_at.get_or_insert(now);
         let zone = self.options.zone.as_str();
         let peers = self.peers.live_peers(now);
@@ -88,15 +90,16 @@
     /// those that do not see most daemons hold none.
     fn refresh_leases(&mut self, now: MonotonicTime, own_members: &[u64]) {
         let is_entry_member = own_members.contains(&name_digest(self.options.host.as_str()));
-        if !is_entry_member || self.uptime(now) < MIN_LEASE_UPTIME || !self.peers.sees_majority(now) {
+        if !is_entry_member || self.uptime(now) < MIN_LEASE_UPTIME || !self.peers.sees_majority(now)
+        {
             return self.leases.release();
         }
         let is_needed =
             self.fleet.has_warmups() || self.fleet.has_limits() || self.quarantine.count() > 0;
-        if !is_needed && now.since(self.leases_at) < IDLE_LEASE_INTERVAL {
+        if !is_needed && now.since(self.leases_refreshed_at) < IDLE_LEASE_INTERVAL {
             return;
         }
-        self.leases_at = now;
+        self.leases_refreshed_at = now;
         let own_zone = self.options.zone.clone();
         let mut members: BTreeMap<ZoneLabel, Vec<u64>> = BTreeMap::new();
         let near = self.member_numbers(now, own_zone.as_str(), own_members);
--- a/crates/savorywood-gateway/src/gateway/evacuation.rs
+++ b/crates/savorywood-gateway/src/gateway/evacuation.rs
@@ -17,7 +17,7 @@
         let line = self.evacuation_line("zone-evacuated", &order);
         let is_older =
             |other: &EvacuationOrder| other.zone == order.zone && other.position <= order.position;
-        self.withdrawals.retain(|other| !is_older(other));
+        self.pending_withdrawals.retain(|other| !is_older(other));
         if self.fleet.evacuate(order) {
             effects.push(GatewayEffect::Log(line));
         }
@@ -32,7 +32,7 @@
         effects: &mut GatewayEffects,
     ) {
         if !self.is_rewrite_complete(now) {
-            self.withdrawals.push(order);
+            self.pending_withdrawals.push(order);
             return;
         }
         let line = self.evacuation_line("zone-taken-back", &order);
--- a/crates/savorywood-gateway/src/gateway/feedback.rs
+++ b/crates/savorywood-gateway/src/gateway/feedback.rs
@@ -2,7 +2,7 @@
 
 use super::{
     Gateway, GatewayEffects,
-    record::{RequestPlace, RunningAttempt},
+    record::{RequestState, RunningAttempt},
 };
 use crate::{
     arrival::LocalRequest,
@@ -52,9 +52,9 @@
 
 /// Nothing came for so long that the upstream is at fault, not the size of the request.
 fn is_past_expected(now: MonotonicTime, attempt: &RunningAttempt) -> bool {
-    let millis = now.since(attempt.sent_at).as_secs_f64() * 1e3;
-    let late = millis > attempt.expected_ms * OVERDUE_FACTOR + OVERDUE_MARGIN_MS;
-    attempt.began_at.is_none() && late
+    let millis = now.since(attempt.dispatched_at).as_secs_f64() * 1e3;
+    let late = millis > attempt.expected_first_event_ms * OVERDUE_FACTOR + OVERDUE_MARGIN_MS;
+    attempt.first_event_at.is_none() && late
 }
 
 impl Gateway {
@@ -68,17 +68,17 @@
         let Some(record) = self.requests.get_mut(&request) else {
             return;
         };
-        let RequestPlace::Running(attempt) = &mut record.place else {
+        let RequestState::Running(attempt) = &mut record.state else {
             return;
         };
-        let is_first = attempt.began_at.is_none();
-        attempt.began_at.get_or_insert(now);
-        attempt.moved(now, 1);
-        record.has_begun |= record.route.repeat.is_stream();
-        let elapsed = now.since(attempt.sent_at);
+        let is_first = attempt.first_event_at.is_none();
+        attempt.first_event_at.get_or_insert(now);
+        attempt.record_events(now, 1);
+        record.response_started |= record.route.repeat.is_stream();
+        let elapsed = now.since(attempt.dispatched_at);
         let upstream = attempt.upstream.clone();
         self.fleet.received(now, &upstream);
-        let sent_at = attempt.sent_at;
+        let sent_at = attempt.dispatched_at;
         if is_first && let Some(state) = self.fleet.get_mut(&upstream) {
             state.unread = state.unread.saturating_sub(record.size.prompt_tokens);
         }
@@ -97,17 +97,27 @@
     }
 
     /// More events of a stream came.
-    pub(super) fn response_progressed(&mut self, now: MonotonicTime, request: LocalRequest, events: u32) {
+    pub(super) fn response_progressed(
+        &mut self,
+        now: MonotonicTime,
+        request: LocalRequest,
+        events: u32,
+    ) {
         let Some(record) = self.requests.get_mut(&request) else {
             return;
         };
-        if let RequestPlace::Running(attempt) = &mut record.place {
-            attempt.moved(now, events);
+        if let RequestState::Running(attempt) = &mut record.state {
+            attempt.record_events(now, events);
             self.fleet.received(now, &attempt.upstream);
         }
     }
 
-    fn apply_metadata(&mut self, now: MonotonicTime, upstream: &UpstreamLabel, marks: ResponseMetadata) {
+    fn apply_metadata(
+        &mut self,
+        now: MonotonicTime,
+        upstream: &UpstreamLabel,
+        marks: ResponseMetadata,
+    ) {
         let Some(state) = self.fleet.get_mut(upstream) else {
             return;
         };
@@ -130,37 +140,37 @@
         };
         let service = record.service.clone();
         let stream = record.route.repeat.is_stream();
-        if attempt.began_at.is_none()
+        if attempt.first_event_at.is_none()
             && let Some(state) = self.fleet.get_mut(&attempt.upstream)
         {
             state.unread = state.unread.saturating_sub(record.size.prompt_tokens);
         }
-        let output = record.output;
+        let output = record.expected_output_tokens;
         if outcome.was_received() {
             self.fleet.received(now, &attempt.upstream);
-            self.record_response(now, &attempt.upstream, attempt.sent_at);
+            self.record_response(now, &attempt.upstream, attempt.dispatched_at);
         }
         if let AttemptOutcome::Delivered { events, .. } = outcome {
             let seen = CompletedResponse {
                 events: stream.then_some(*events),
                 output,
-                longest_pause: attempt.longest_pause,
-                after_first: now.since(attempt.began_at.unwrap_or(now)),
-                whole: now.since(attempt.sent_at),
+                longest_pause: attempt.max_event_gap,
+                after_first: now.since(attempt.first_event_at.unwrap_or(now)),
+                whole: now.since(attempt.dispatched_at),
             };
             self.record_latency(&service, &attempt.upstream, &seen);
         }
         self.update_outlier_state(now, &service, attempt, outcome, effects);
         self.record_rollout_result(now, &service, attempt, outcome, stream);
         // The head of a stream was read at its beginning, and says nothing newer at its end.
-        let is_read = attempt.began_at.is_some();
+        let is_read = attempt.first_event_at.is_some();
         match outcome {
             AttemptOutcome::NotRun { metadata, .. }
             | AttemptOutcome::Failed { metadata }
             | AttemptOutcome::Delivered { metadata, .. }
                 if !is_read =>
             {
-                let sent_at = attempt.sent_at;
+                let sent_at = attempt.dispatched_at;
                 self.record_limit(
                     now,
                     &attempt.upstream,
@@ -174,7 +184,12 @@
         }
     }
 
-    fn record_latency(&mut self, service: &ServiceLabel, upstream: &UpstreamLabel, seen: &CompletedResponse) {
+    fn record_latency(
+        &mut self,
+        service: &ServiceLabel,
+        upstream: &UpstreamLabel,
+        seen: &CompletedResponse,
+    ) {
         seen.record_in(self.fleet.usual_mut(service));
         if let Some(state) = self.fleet.get_mut(upstream) {
             seen.record_in(&mut state.pace);
@@ -199,7 +214,7 @@
         };
         state.running = state.running.saturating_sub(1);
         // One answer may be lost where others go on; an upstream that says nothing is out at once.
-        let dark = state.received_at <= attempt.moved_at.unwrap_or(attempt.sent_at);
+        let dark = state.received_at <= attempt.last_event_at.unwrap_or(attempt.dispatched_at);
         let outlier = &mut state.outlier;
         let mut is_back = false;
         let taken_out = match outcome {
@@ -265,8 +280,8 @@
             | AttemptOutcome::StreamBroken(_) => true,
             AttemptOutcome::Expired if is_past_expected(now, attempt) => true,
             AttemptOutcome::Delivered { .. } => {
-                let millis = now.since(attempt.sent_at).as_secs_f64() * 1e3;
-                !stream && millis > attempt.expected_ms * SLOW_FACTOR + SLOW_MARGIN_MS
+                let millis = now.since(attempt.dispatched_at).as_secs_f64() * 1e3;
+                !stream && millis > attempt.expected_first_event_ms * SLOW_FACTOR + SLOW_MARGIN_MS
             }
             AttemptOutcome::NotSent
             | AttemptOutcome::NotRun { .. }
--- a/crates/savorywood-gateway/src/gateway/gossip.rs
+++ b/crates/savorywood-gateway/src/gateway/gossip.rs
@@ -1,6 +1,6 @@
 //! What a gateway sends to callers, peers and whoever watches it.
 
-use super::{Gateway, entry::DISCOVERY_PERIOD, record::RequestPlace};
+use super::{Gateway, entry::DISCOVERY_PERIOD, record::RequestState};
 use crate::{
     gossip::{GossipPlan, SentSlots, SlotPlan},
     message::{
@@ -121,7 +121,7 @@
             peak: self.peak.load(),
             sent_at: now,
             echoes: if attestation.is_some() {
-                self.reads.echoes(now)
+                self.store_reads.echoes(now)
             } else {
                 Vec::new()
             },
@@ -132,7 +132,9 @@
     /// A daemon that stops leaves the reading to others.
     fn attestation(&self, now: MonotonicTime) -> Option<StoreAttestation> {
         let attestations = self.contacts.uses_zone_digests() && !self.stopping;
-        attestations.then(|| self.reads.attestation(now)).flatten()
+        attestations
+            .then(|| self.store_reads.attestation(now))
+            .flatten()
     }
 
     /// Neighbours to whom changed rows are handed on at once.
@@ -187,15 +189,15 @@
     /// Slots of this daemon alone, sent between two full summaries: nothing while slots are
     /// plenty, or where none has changed.
     pub fn slot_update(&mut self, now: MonotonicTime) -> Option<SlotUpdate> {
-        let is_idle = self.requests.is_empty() && self.sent_slots.is_empty();
+        let is_idle = self.requests.is_empty() && self.last_sent_slots.is_empty();
         if is_idle || !self.are_slots_scarce(now) {
             return None;
         }
         let slots = self.own_slots();
-        if slots == self.sent_slots {
+        if slots == self.last_sent_slots {
             return None;
         }
-        self.sent_slots.clone_from(&slots);
+        self.last_sent_slots.clone_from(&slots);
         self.sequence += 1;
         Some(self.build_slot_update(SlotScope::Daemon, slots))
     }
@@ -205,7 +207,7 @@
         self.sequence += 1;
         let zone = name_digest(self.options.zone.as_str());
         let slots = self.zone_slots(now);
-        self.sent_zone_slots = SentSlots {
+        self.last_sent_zone_slots = SentSlots {
             sent_at: now,
             count: slots.len(),
         };
@@ -215,7 +217,7 @@
     /// Who gets newer slots now.
     #[must_use]
     pub fn plan_slots(&self, now: MonotonicTime) -> SlotPlan {
-        let sent = self.is_entry_member().then_some(self.sent_zone_slots);
+        let sent = self.is_entry_member().then_some(self.last_sent_zone_slots);
         self.contacts.plan_slots(now, &self.peers, sent)
     }
 
@@ -378,7 +380,7 @@
     pub fn running_requests(&self) -> usize {
         let records = self.requests.values();
         records
-            .filter(|record| matches!(record.place, RequestPlace::Running(_)))
+            .filter(|record| matches!(record.state, RequestState::Running(_)))
             .count()
     }
 }
--- a/crates/savorywood-gateway/src/gateway/quarantine.rs
+++ b/crates/savorywood-gateway/src/gateway/quarantine.rs
@@ -81,7 +81,7 @@
                 let broken = BrokenAttempt {
                     fingerprint,
                     upstream: name_digest(attempt.upstream.as_str()),
-                    sent_at: attempt.sent_at,
+                    sent_at: attempt.dispatched_at,
                 };
                 self.quarantine.broke(now, broken)
             }
--- a/crates/savorywood-gateway/src/gateway/record.rs
+++ b/crates/savorywood-gateway/src/gateway/record.rs
@@ -16,15 +16,15 @@
     /// Where.
     pub upstream: UpstreamLabel,
     /// Since when.
-    pub sent_at: MonotonicTime,
+    pub dispatched_at: MonotonicTime,
     /// When its answer began.
-    pub began_at: Option<MonotonicTime>,
+    pub first_event_at: Option<MonotonicTime>,
     /// Milliseconds that were expected until then.
-    pub expected_ms: f64,
+    pub expected_first_event_ms: f64,
     /// When its newest event came.
-    pub moved_at: Option<MonotonicTime>,
+    pub last_event_at: Option<MonotonicTime>,
     /// Longest pause between its events.
-    pub longest_pause: Duration,
+    pub max_event_gap: Duration,
     /// Events that came.
     pub events: u32,
     /// It is being ended, as its upstream is silent.
@@ -33,18 +33,18 @@
 
 impl RunningAttempt {
     /// Events came.
-    pub fn moved(&mut self, now: MonotonicTime, events: u32) {
-        if let Some(before) = self.moved_at {
-            self.longest_pause = self.longest_pause.max(now.since(before));
+    pub fn record_events(&mut self, now: MonotonicTime, events: u32) {
+        if let Some(before) = self.last_event_at {
+            self.max_event_gap = self.max_event_gap.max(now.since(before));
         }
-        self.moved_at = Some(now);
+        self.last_event_at = Some(now);
         self.events += events;
     }
 }
 
 /// Where a request is.
 #[derive(Debug, Clone)]
-pub enum RequestPlace {
+pub enum RequestState {
     /// It waits.
     Waiting(QueuePlace),
     /// It runs.
@@ -55,11 +55,11 @@
 #[derive(Debug, Clone)]
 pub struct RequestRecord {
     /// Identity of the caller's, for the log.
-    pub identity: String,
+    pub request_id: String,
     /// What it asks, to recognise repeats.
     pub fingerprint: RequestFingerprint,
     /// It is the one trial of a request in quarantine.
-    pub is_trial: bool,
+    pub is_probe: bool,
     /// Its route.
     pub route: Arc<RouteSpec>,
     /// Service drawn from the route's split.
@@ -67,35 +67,35 @@
     /// Team of its key.
     pub team: Option<Arc<TeamSpec>>,
     /// Units taken from the team's limit.
-    pub units: f64,
+    pub charged_units: f64,
     /// Its rank.
     pub rank: RequestRank,
     /// Its size.
     pub size: RequestSize,
     /// Tokens of its answer as the caller expects.
-    pub output: u32,
+    pub expected_output_tokens: u32,
     /// Parts of its prompt.
-    pub parts: Vec<PromptPart>,
+    pub prompt_parts: Vec<PromptPart>,
     /// When it came.
     pub arrived_at: MonotonicTime,
     /// When it must have its final answer.
     pub give_up_at: MonotonicTime,
     /// When its caller leaves if nothing has come.
-    pub leave_at: MonotonicTime,
+    pub caller_timeout_at: MonotonicTime,
     /// Where it is.
-    pub place: RequestPlace,
+    pub state: RequestState,
     /// Upstreams that have had it.
-    pub tried: Vec<UpstreamLabel>,
+    pub attempted_upstreams: Vec<UpstreamLabel>,
     /// Times that it was sent.
-    pub sends: u32,
+    pub attempts: u32,
     /// Upstreams that may have run it.
-    pub runs: u32,
+    pub executions: u32,
     /// An upstream's own failure is kept for the caller.
-    pub has_failure: bool,
+    pub has_upstream_failure: bool,
     /// A try of the budget is already spent for its next send.
-    pub has_try: bool,
+    pub has_reserved_retry: bool,
     /// Events or bytes have reached the caller.
-    pub has_begun: bool,
+    pub response_started: bool,
 }
 
 /// Time kept for a refusal's way to a caller that is about to leave.
@@ -112,11 +112,11 @@
 
     /// The route allows one more run beside the one under way.
     pub fn allows_concurrent_execution(&self) -> bool {
-        self.route.repeat.is_idempotent() && self.runs + 1 < self.route.max_attempts
+        self.route.repeat.is_idempotent() && self.executions + 1 < self.route.max_attempts
     }
 
     /// A second run is allowed by the route.
     pub fn allows_another_execution(&self) -> bool {
-        self.route.repeat.is_idempotent() && self.runs < self.route.max_attempts.max(1)
+        self.route.repeat.is_idempotent() && self.executions < self.route.max_attempts.max(1)
     }
 }
--- a/crates/savorywood-gateway/src/gateway/stall_detection.rs
+++ b/crates/savorywood-gateway/src/gateway/stall_detection.rs
@@ -2,7 +2,7 @@
 
 use super::{
     Gateway, GatewayEffects,
-    record::{RequestPlace, RequestRecord, RunningAttempt},
+    record::{RequestRecord, RequestState, RunningAttempt},
 };
 use crate::{arrival::LocalRequest, effect::GatewayEffect, upstream::UpstreamState};
 use savorywood_core::{LogLevel, LogLine};
@@ -52,10 +52,10 @@
     /// from it comes to nothing if no other has room. So an attempt is ended only where the next
     /// one is sure: another upstream has a place for it and a try is left.
     pub(super) fn detect_stalls(&mut self, now: MonotonicTime, effects: &mut GatewayEffects) {
-        let before = self.watched_at.replace(now);
+        let before = self.stalls_checked_at.replace(now);
         if before.is_none_or(|before| now.since(before) > SUSPEND_THRESHOLD) {
             // What came while this process slept has not been read yet.
-            self.awake_at = now;
+            self.last_wake_at = now;
         }
         for (request, kind) in self.stalled_requests(now) {
             self.abandon_stalled(now, request, kind, effects);
@@ -65,7 +65,7 @@
     fn stalled_requests(&self, now: MonotonicTime) -> Vec<(LocalRequest, StallKind)> {
         let mut silent = Vec::new();
         for (request, record) in &self.requests {
-            let RequestPlace::Running(attempt) = &record.place else {
+            let RequestState::Running(attempt) = &record.state else {
                 continue;
             };
             if !record.allows_concurrent_execution() || attempt.abandoned {
@@ -87,10 +87,11 @@
         attempt: &RunningAttempt,
         state: &UpstreamState,
     ) -> Option<StallKind> {
-        let received_at = attempt.moved_at.unwrap_or(attempt.sent_at);
-        let own = now.since(received_at.max(self.awake_at));
-        if attempt.began_at.is_none() {
-            let expected = Duration::from_secs_f64(attempt.expected_ms * FIRST_EVENT_FACTOR / 1e3);
+        let received_at = attempt.last_event_at.unwrap_or(attempt.dispatched_at);
+        let own = now.since(received_at.max(self.last_wake_at));
+        if attempt.first_event_at.is_none() {
+            let expected =
+                Duration::from_secs_f64(attempt.expected_first_event_ms * FIRST_EVENT_FACTOR / 1e3);
             let objective = record.route.objective.mul_f64(OBJECTIVE_FRACTION);
             let mut most = expected.max(objective).max(MIN_STALL);
             let others_go_on = state.received_at > received_at;
@@ -103,13 +104,16 @@
         let usual = self.fleet.usual(&record.service);
         let pause = Duration::from_secs_f64(state.pace.pause_ms(&usual) / 1e3);
         let reading = self.prefill_allowance(record, state);
-        let whole = now.since(state.received_at.max(received_at).max(self.awake_at));
+        let whole = now.since(state.received_at.max(received_at).max(self.last_wake_at));
         if whole > pause.mul_f64(EVENT_GAP_FACTOR).max(MIN_STALL) + reading
             && self.receives_from_others(now, record, state)
         {
             return Some(StallKind::Upstream);
         }
-        let most = pause.mul_f64(SINGLE_STREAM_FACTOR).max(MIN_SINGLE_STREAM_STALL) + reading;
+        let most = pause
+            .mul_f64(SINGLE_STREAM_FACTOR)
+            .max(MIN_SINGLE_STREAM_STALL)
+            + reading;
         (own > most).then_some(StallKind::Stream)
     }
 
@@ -153,10 +157,10 @@
         let Some(record) = self.requests.get(&request) else {
             return;
         };
-        let RequestPlace::Running(attempt) = record.place.clone() else {
+        let RequestState::Running(attempt) = record.state.clone() else {
             return;
         };
-        let mut tried = record.tried.clone();
+        let mut tried = record.attempted_upstreams.clone();
         tried.push(attempt.upstream.clone());
         if self.pick_excluding(now, record, &tried).is_err() || !self.spend_retry(now, request) {
             return;
@@ -164,18 +168,21 @@
         let Some(record) = self.requests.get_mut(&request) else {
             return;
         };
-        record.has_try = true;
-        if let RequestPlace::Running(attempt) = &mut record.place {
+        record.has_reserved_retry = true;
+        if let RequestState::Running(attempt) = &mut record.state {
             attempt.abandoned = true;
         }
-        let silent = now.since(attempt.moved_at.unwrap_or(attempt.sent_at));
+        let silent = now.since(attempt.last_event_at.unwrap_or(attempt.dispatched_at));
         let line = LogLine::new(LogLevel::Info, "attempt-abandoned")
-            .with("request", &record.identity)
+            .with("request", &record.request_id)
             .with("upstream", &attempt.upstream)
             .with("silent", kind)
             .with("silent_ms", silent.as_millis())
             .with("events", attempt.events)
-            .with("expected_ms", format_args!("{:.0}", attempt.expected_ms));
+            .with(
+                "expected_ms",
+                format_args!("{:.0}", attempt.expected_first_event_ms),
+            );
         effects.push(GatewayEffect::Log(line));
         effects.push(GatewayEffect::AbandonAttempt { request });
     }
--- a/crates/savorywood-gateway/src/gateway/state_updates.rs
+++ b/crates/savorywood-gateway/src/gateway/state_updates.rs
@@ -223,15 +223,17 @@
         summary: &PeerSummary,
         effects: &mut GatewayEffects,
     ) {
-        self.reads.record_summary(now, summary);
+        self.store_reads.record_summary(now, summary);
         if let Some(attestation) = summary.attestation {
             let era = attestation.declared.last_change.era;
             self.store_era_seen(now, era, effects);
         }
         let own = name_digest(self.options.host.as_str());
-        let proof = self.reads.confirmed_at(own, summary, SharedTable::Declared);
+        let proof = self
+            .store_reads
+            .confirmed_at(own, summary, SharedTable::Declared);
         if let Some(at) = proof {
-            self.proof_at = Some(self.proof_at.map_or(at, |known| known.max(at)));
+            self.confirmed_at = Some(self.confirmed_at.map_or(at, |known| known.max(at)));
             self.log_readiness_change(now, effects);
         }
         let failed = summary
@@ -351,7 +353,11 @@
     }
 
     /// Logs a change of readiness with what decided it.
-    pub(super) fn log_readiness_change(&mut self, now: MonotonicTime, effects: &mut GatewayEffects) {
+    pub(super) fn log_readiness_change(
+        &mut self,
+        now: MonotonicTime,
+        effects: &mut GatewayEffects,
+    ) {
         let ready = self.is_ready(now);
         if ready == self.ready_logged {
             return;
--- a/crates/savorywood-gateway/src/gateway/store_reads.rs
+++ b/crates/savorywood-gateway/src/gateway/store_reads.rs
@@ -64,7 +64,7 @@
         let confirmed = self.time_since_confirmed(now) < stale;
         let relies = self.contacts.uses_zone_digests() && !self.stopping && confirmed;
         let plan = if relies {
-            self.reads.read_plan(now, &self.options.host, table)
+            self.store_reads.read_plan(now, &self.options.host, table)
         } else {
             ReadPlan::Direct
         };
--- a/crates/savorywood-gateway/src/gateway/store_restore.rs
+++ b/crates/savorywood-gateway/src/gateway/store_restore.rs
@@ -24,7 +24,7 @@
         let Some(before) = before.filter(|before| *before < era) else {
             return;
         };
-        self.restored_at = Some(now);
+        self.store_restored_at = Some(now);
         // Registrations that the backup lacks are written again.
         self.fleet.store_failed(now);
         self.rollouts.store_restored(era);
@@ -37,17 +37,17 @@
 
     /// What the restored store lacks may still be written again.
     pub(super) fn is_rewrite_complete(&self, now: MonotonicTime) -> bool {
-        self.restored_at
+        self.store_restored_at
             .is_none_or(|at| now.since(at) >= REWRITE_PERIOD)
     }
 
     /// Withdrawals that were put off since the store was restored take effect, unless the order was
     /// written again.
     pub(super) fn apply_withdrawals(&mut self, now: MonotonicTime, effects: &mut GatewayEffects) {
-        if self.withdrawals.is_empty() || !self.is_rewrite_complete(now) {
+        if self.pending_withdrawals.is_empty() || !self.is_rewrite_complete(now) {
             return;
         }
-        for order in std::mem::take(&mut self.withdrawals) {
+        for order in std::mem::take(&mut self.pending_withdrawals) {
             self.evacuation_withdrawn(now, order, effects);
         }
     }
