--- a/crates/savorywood-gateway/src/gossip.rs
+++ b/crates/savorywood-gateway/src/gossip.rs
@@ -17,22 +17,22 @@
 pub const MAX_DIRECT_DAEMONS: u32 = 13;
 /// A contact that was neither seen nor read for this long is forgotten. The list of daemons is
 /// read more often.
-const FORGET_TIME: Duration = Duration::from_secs(75);
+const CONTACT_TTL: Duration = Duration::from_secs(75);
 /// Time between two messages to the same daemon.
 const SUMMARY_INTERVAL: Duration = Duration::from_millis(250);
 /// Time between two messages on slots alone.
 const SLOT_UPDATE_INTERVAL: Duration = Duration::from_millis(80);
 /// Slots of a zone in one message of its usual size. A zone with more sends them more rarely, so
 /// that the bytes between two daemons do not grow with the upstreams.
-const USUAL_SLOTS: usize = 175;
+const SLOTS_PER_MESSAGE: usize = 175;
 /// Part of the time between two messages on a zone's slots that must have passed: the messages of
 /// a daemon come in rounds that are spread a little.
-const SLOT_ROUND_PART: f64 = 0.6;
+const MIN_SLOT_ROUND_FRACTION: f64 = 0.6;
 /// Time between two heartbeats of a member of the entry set.
-const HEARTBEAT_TIME: Duration = Duration::from_millis(160);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(160);
 /// Daemons of the own zone that get summaries so often; with more, each gets them more rarely, so that
 /// the cost of a daemon does not grow with its zone.
-const OFTEN_SENT: usize = 16;
+const PEERS_PER_ROUND: usize = 16;
 
 /// What travels between daemons.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -83,7 +83,7 @@
 /// Usual messages that so many slots are worth.
 #[must_use]
 pub fn slot_rounds(slots: usize) -> u32 {
-    u32::try_from(slots.div_ceil(USUAL_SLOTS).max(1)).unwrap_or(u32::MAX)
+    u32::try_from(slots.div_ceil(SLOTS_PER_MESSAGE).max(1)).unwrap_or(u32::MAX)
 }
 
 /// Slots of a zone that were sent last.
@@ -98,7 +98,7 @@
 impl SentSlots {
     /// The next message is due.
     fn is_next_due(&self, now: MonotonicTime) -> bool {
-        let rounds = f64::from(slot_rounds(self.count)) - 1.0 + SLOT_ROUND_PART;
+        let rounds = f64::from(slot_rounds(self.count)) - 1.0 + MIN_SLOT_ROUND_FRACTION;
         now.since(self.sent_at) >= SLOT_UPDATE_INTERVAL.mul_f64(rounds)
     }
 }
@@ -179,7 +179,7 @@
     /// Time until a member of the entry set sends its next heartbeat.
     #[must_use]
     pub fn heartbeat_interval(&self) -> Duration {
-        HEARTBEAT_TIME
+        HEARTBEAT_INTERVAL
     }
 
     /// Daemons of the own zone.
@@ -192,7 +192,7 @@
 
     fn rounds(&self) -> u32 {
         let near = self.contacts.values().filter(|known| self.is_near(known));
-        let rounds = near.count().div_ceil(OFTEN_SENT).max(1);
+        let rounds = near.count().div_ceil(PEERS_PER_ROUND).max(1);
         u32::try_from(rounds).unwrap_or(u32::MAX)
     }
 
@@ -206,7 +206,7 @@
     /// Who gets which messages now.
     pub fn plan(&mut self, now: MonotonicTime, peers: &PeerTable) -> GossipPlan {
         self.contacts
-            .retain(|_, known| now.since(known.seen_at) < FORGET_TIME);
+            .retain(|_, known| now.since(known.seen_at) < CONTACT_TTL);
         let mut plan = GossipPlan::default();
         if !self.uses_zone_digests() {
             plan.summary_targets = self.contacts.keys().copied().collect();
--- a/crates/savorywood-gateway/src/peer.rs
+++ b/crates/savorywood-gateway/src/peer.rs
@@ -14,15 +14,15 @@
 };
 
 /// A peer whose last message is older than this gets no callers sent.
-const ALIVE_TIME: Duration = Duration::from_millis(1_300);
+const LIVENESS_TIMEOUT: Duration = Duration::from_millis(1_300);
 /// Slots that a peer reported are counted for this long.
 const SLOTS_TIMEOUT: Duration = Duration::from_millis(1_300);
 /// A member of the entry set that sent nothing for this long is left out.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(600);
 /// Peers that must leave an upstream out before others hold back.
-const ENOUGH_SUSPECTING: u32 = 2;
+const MIN_EJECTING_PEERS: u32 = 2;
 /// A peer silent for this long is forgotten.
-const FORGET_TIME: Duration = Duration::from_secs(60);
+const PEER_TTL: Duration = Duration::from_secs(60);
 
 /// Short number of a name, the same at all daemons (FNV-1a).
 #[must_use]
@@ -86,7 +86,7 @@
     ) -> Duration {
         let age = Duration::from_millis(self.summary.uptime_ms) + now.since(self.received_at);
         let resumed = self.resumed_at.filter(|at| {
-            let is_own = |own: MonotonicTime| *at >= own && at.since(own) < ALIVE_TIME;
+            let is_own = |own: MonotonicTime| *at >= own && at.since(own) < LIVENESS_TIMEOUT;
             !own_resumed_at.is_some_and(is_own)
         });
         resumed.map_or(age, |at| now.since(at).min(age))
@@ -94,7 +94,7 @@
 
     /// Notes a message; a silence that it ends is remembered.
     fn record_message(&mut self, now: MonotonicTime) {
-        if now.since(self.received_at) >= ALIVE_TIME {
+        if now.since(self.received_at) >= LIVENESS_TIMEOUT {
             self.resumed_at = Some(now);
         }
         self.received_at = now;
@@ -103,7 +103,7 @@
     /// It was seen lately.
     #[must_use]
     pub fn is_live(&self, now: MonotonicTime) -> bool {
-        now.since(self.received_at) < ALIVE_TIME
+        now.since(self.received_at) < LIVENESS_TIMEOUT
     }
 }
 
@@ -244,7 +244,7 @@
     /// Time passes: what others reported drops out of the sums once they are silent for too long.
     pub fn refresh(&mut self, now: MonotonicTime) {
         self.peers
-            .retain(|_, peer| now.since(peer.received_at) < FORGET_TIME);
+            .retain(|_, peer| now.since(peer.received_at) < PEER_TTL);
         self.note_change(now);
     }
 
@@ -293,7 +293,7 @@
     pub fn is_ejected_by_peers(&self, upstream: &UpstreamLabel) -> bool {
         let digest = name_digest(upstream.as_str());
         let peers = self.sums().suspects.get(&digest).copied();
-        peers.unwrap_or_default() >= ENOUGH_SUSPECTING
+        peers.unwrap_or_default() >= MIN_EJECTING_PEERS
     }
 
     /// A peer was seen lately.
--- a/crates/savorywood-gateway/src/store_reads.rs
+++ b/crates/savorywood-gateway/src/store_reads.rs
@@ -14,11 +14,11 @@
 /// An attestation that was not renewed within this time ends; its daemon died, or is cut off.
 const ATTESTATION_TIMEOUT: Duration = Duration::from_millis(900);
 /// A proof older than this is not attested: its daemon can't reach the store itself.
-const LONGEST_PROOF: Duration = Duration::from_millis(1_900);
+const MAX_ATTESTED_AGE: Duration = Duration::from_millis(1_900);
 /// Messages older than this are not echoed.
-const ECHO_TIME: Duration = Duration::from_millis(900);
+const ECHO_TTL: Duration = Duration::from_millis(900);
 /// Failures of the store that lie longer ago than this are not reported.
-const FAILURE_TIME: Duration = Duration::from_secs(4);
+const FAILURE_REPORT_WINDOW: Duration = Duration::from_secs(4);
 
 /// Tables whose contents all daemons hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -179,9 +179,9 @@
         };
         let failed = self.failed_at.map(|at| now.since(at));
         Some(StoreAttestation {
-            declared: of(&self.declared, LONGEST_PROOF)?,
-            upstreams: of(&self.upstreams, LONGEST_PROOF * 2)?,
-            store_failure_age_ms: failed.filter(|age| *age < FAILURE_TIME).map(millis),
+            declared: of(&self.declared, MAX_ATTESTED_AGE)?,
+            upstreams: of(&self.upstreams, MAX_ATTESTED_AGE * 2)?,
+            store_failure_age_ms: failed.filter(|age| *age < FAILURE_REPORT_WINDOW).map(millis),
         })
     }
 
@@ -189,7 +189,7 @@
     #[must_use]
     pub fn echoes(&self, now: MonotonicTime) -> Vec<PeerEcho> {
         let fresh = self.held.iter();
-        let fresh = fresh.filter(|(_, summary)| now.since(summary.received_at) < ECHO_TIME);
+        let fresh = fresh.filter(|(_, summary)| now.since(summary.received_at) < ECHO_TTL);
         let echoes = fresh.map(|(peer, summary)| PeerEcho {
             peer: *peer,
             sent: summary.sent,
@@ -202,7 +202,7 @@
     /// Forgets messages and attestations that are too old to matter.
     pub fn expire(&mut self, now: MonotonicTime) {
         self.held
-            .retain(|_, summary| now.since(summary.received_at) < ECHO_TIME);
+            .retain(|_, summary| now.since(summary.received_at) < ECHO_TTL);
         self.attestations
             .retain(|_, received| now.since(received.received_at) < ATTESTATION_TIMEOUT);
     }
--- a/crates/savorywood-gateway/src/zone.rs
+++ b/crates/savorywood-gateway/src/zone.rs
@@ -13,10 +13,10 @@
 use std::{net::SocketAddr, time::Duration};
 
 /// A zone that was not reported for this long counts as silent; its daemons' own summaries count then.
-const FRESH_TIME: Duration = Duration::from_millis(1_300);
+const DIGEST_TTL: Duration = Duration::from_millis(1_300);
 /// Slots sent between two digests go before those of the digests for this long; large ones, which
 /// are sent more rarely, for as many times.
-const SLOTS_TIME: Duration = Duration::from_millis(300);
+const SLOT_UPDATE_TTL: Duration = Duration::from_millis(300);
 /// A second daemon that reports a zone is ignored while the first was received within this
 /// time: each keeps its own account of what teams used, and accounts of two must not be mixed.
 const SENDER_TIMEOUT: Duration = Duration::from_millis(700);
@@ -134,7 +134,7 @@
         let slots = self.slots.as_ref();
         slots.is_some_and(|slots| {
             let rounds = slot_rounds(slots.update.slots.len());
-            now.since(slots.received_at) < SLOTS_TIME.saturating_mul(rounds)
+            now.since(slots.received_at) < SLOT_UPDATE_TTL.saturating_mul(rounds)
         })
     }
 
@@ -148,7 +148,7 @@
     /// It was reported lately.
     #[must_use]
     pub fn is_fresh(&self, now: MonotonicTime) -> bool {
-        now.since(self.received_at) < FRESH_TIME
+        now.since(self.received_at) < DIGEST_TTL
     }
 
     /// What a digest brings.
