--- a/crates/savorywood-gateway/src/gateway.rs
+++ b/crates/savorywood-gateway/src/gateway.rs
@@ -28,7 +28,7 @@
     entry::{EntrySet, HostResources, LoadPeak},
     evacuation::EvacuationOrder,
     event::GatewayEvent,
-    gossip::{ContactTable, SentSlots},
+    gossip::{ContactTable, LastSlotUpdate},
     lease::MemberLeases,
     limit::{LimitTolerance, TeamMeter},
     message::SlotUse,
@@ -164,7 +164,7 @@
     /// Slots as they were reported last.
     last_sent_slots: Vec<SlotUse>,
     /// Slots of the own zone as they were sent to other zones last.
-    last_sent_zone_slots: SentSlots,
+    last_sent_zone_slots: LastSlotUpdate,
     dispatches: u64,
     started_at: Option<MonotonicTime>,
     /// When running attempts were looked at last.
@@ -215,7 +215,7 @@
             ready_logged: false,
             sequence: 0,
             last_sent_slots: Vec::new(),
-            last_sent_zone_slots: SentSlots::default(),
+            last_sent_zone_slots: LastSlotUpdate::default(),
             dispatches: 0,
             started_at: None,
             stalls_checked_at: None,
--- a/crates/savorywood-gateway/src/gateway/entry.rs
+++ b/crates/savorywood-gateway/src/gateway/entry.rs
@@ -162,7 +162,7 @@
         let is_own = zone == self.options.zone.as_str();
         let heartbeats = is_own && self.contacts.uses_zone_digests();
         // A host that just lost power must not be called in for one that was lost with it.
-        let overdue = self.contacts.pause().mul_f64(OVERDUE_FACTOR);
+        let overdue = self.contacts.gossip_interval().mul_f64(OVERDUE_FACTOR);
         let mut candidates = Vec::new();
         let mut load = HostResources::default();
         for peer in self.peers.member_candidates(now, zone, heartbeats) {
@@ -225,7 +225,7 @@
             return true;
         }
         let received = self.peers.neighbours(now).count();
-        received * 2 >= self.contacts.near().len()
+        received * 2 >= self.contacts.zone_contacts().len()
     }
 
     /// Addresses for a caller of a zone, those of its own zone alone if there are any: bytes
--- a/crates/savorywood-gateway/src/gateway/gossip.rs
+++ b/crates/savorywood-gateway/src/gateway/gossip.rs
@@ -2,7 +2,7 @@
 
 use super::{Gateway, entry::DISCOVERY_PERIOD, record::RequestState};
 use crate::{
-    gossip::{GossipPlan, SentSlots, SlotPlan},
+    gossip::{GossipPlan, LastSlotUpdate, SlotPlan},
     message::{
         DaemonRole, PeerHeartbeat, PeerPhase, PeerSummary, SlotScope, SlotUpdate, SlotUse, TeamUse,
     },
@@ -207,7 +207,7 @@
         self.sequence += 1;
         let zone = name_digest(self.options.zone.as_str());
         let slots = self.zone_slots(now);
-        self.last_sent_zone_slots = SentSlots {
+        self.last_sent_zone_slots = LastSlotUpdate {
             sent_at: now,
             count: slots.len(),
         };
@@ -233,7 +233,7 @@
             incarnation: self.options.incarnation,
             sequence: self.sequence,
         };
-        Some((beat, self.contacts.near()))
+        Some((beat, self.contacts.zone_contacts()))
     }
 
     /// Time until the next heartbeat.
@@ -345,7 +345,7 @@
     /// Time until the next round of gossip.
     #[must_use]
     pub fn gossip_interval(&self, now: MonotonicTime) -> Duration {
-        let pause = self.contacts.pause();
+        let pause = self.contacts.gossip_interval();
         if self.contacts.uses_zone_digests() && self.uptime(now) < DISCOVERY_PERIOD {
             pause.min(DISCOVERY_INTERVAL)
         } else {
--- a/crates/savorywood-gateway/src/gateway/quarantine.rs
+++ b/crates/savorywood-gateway/src/gateway/quarantine.rs
@@ -121,7 +121,7 @@
         if self.quarantine.is_empty() {
             return None;
         }
-        let round = self.contacts.pause();
+        let round = self.contacts.gossip_interval();
         let reports = self.quarantine.reports(now, scope, round);
         let zone = name_digest(self.options.zone.as_str());
         (!reports.is_empty()).then_some(CrashGossip { zone, reports })
--- a/crates/savorywood-gateway/src/gateway/rate_limits.rs
+++ b/crates/savorywood-gateway/src/gateway/rate_limits.rs
@@ -79,7 +79,10 @@
     /// What peers get of limits in a round of gossip.
     #[must_use]
     pub fn limit_gossip(&self, now: MonotonicTime, scope: ReportScope) -> Option<LimitGossip> {
-        let within = self.contacts.pause().saturating_mul(REPORT_ROUNDS);
+        let within = self
+            .contacts
+            .gossip_interval()
+            .saturating_mul(REPORT_ROUNDS);
         let of_zone = scope == ReportScope::Zone;
         let reports = self.fleet.iter().filter_map(|state| {
             let reading = state.limit.reported(now, within, of_zone)?;
--- a/crates/savorywood-gateway/src/gateway/state_updates.rs
+++ b/crates/savorywood-gateway/src/gateway/state_updates.rs
@@ -75,7 +75,11 @@
                     let fresh = !first || self.options.first_start;
                     let tolerance = self.options.bounds.limit_tolerance;
                     let mut meter = TeamMeter::new(now, limit, tolerance, fresh);
-                    meter.expect(now, self.contacts.daemons(), self.contacts.pause());
+                    meter.expect(
+                        now,
+                        self.contacts.daemons(),
+                        self.contacts.gossip_interval(),
+                    );
                     meter.set_members(members);
                     self.meters.insert(team.name.clone(), meter);
                 }
@@ -180,7 +184,7 @@
         if !self.peers.receive(now, summary.clone()) {
             return;
         }
-        self.contacts.learn(
+        self.contacts.record(
             now,
             PeerContact {
                 address: summary.peer_address,
@@ -269,7 +273,7 @@
                 address: member.peer_address,
                 zone: Some(zone.clone()),
             };
-            self.contacts.learn(now, contact);
+            self.contacts.record(now, contact);
         }
         let account = UsageSource {
             peer: digest.sender.rotate_left(1),
@@ -297,10 +301,14 @@
 
     pub(super) fn record_contacts(&mut self, now: MonotonicTime, contacts: Vec<PeerContact>) {
         for contact in contacts {
-            self.contacts.learn(now, contact);
+            self.contacts.record(now, contact);
         }
         for meter in self.meters.values_mut() {
-            meter.expect(now, self.contacts.daemons(), self.contacts.pause());
+            meter.expect(
+                now,
+                self.contacts.daemons(),
+                self.contacts.gossip_interval(),
+            );
         }
     }
 
--- a/crates/savorywood-gateway/src/gossip.rs
+++ b/crates/savorywood-gateway/src/gossip.rs
@@ -88,14 +88,14 @@
 
 /// Slots of a zone that were sent last.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct SentSlots {
+pub struct LastSlotUpdate {
     /// When.
     pub sent_at: MonotonicTime,
     /// How many.
     pub count: usize,
 }
 
-impl SentSlots {
+impl LastSlotUpdate {
     /// The next message is due.
     fn is_next_due(&self, now: MonotonicTime) -> bool {
         let rounds = f64::from(slot_rounds(self.count)) - 1.0 + MIN_SLOT_ROUND_FRACTION;
@@ -104,7 +104,7 @@
 }
 
 #[derive(Debug, Clone)]
-struct KnownContact {
+struct ContactState {
     number: u64,
     zone: Option<ZoneLabel>,
     seen_at: MonotonicTime,
@@ -116,7 +116,7 @@
     own_address: SocketAddr,
     own_number: u64,
     own_zone: ZoneLabel,
-    contacts: BTreeMap<SocketAddr, KnownContact>,
+    contacts: BTreeMap<SocketAddr, ContactState>,
 }
 
 fn peer_number(peer: &PeerState) -> u64 {
@@ -136,12 +136,12 @@
     }
 
     /// A daemon is or may be at an address.
-    pub fn learn(&mut self, now: MonotonicTime, contact: PeerContact) {
+    pub fn record(&mut self, now: MonotonicTime, contact: PeerContact) {
         if contact.address == self.own_address {
             return;
         }
         let known = self.contacts.entry(contact.address);
-        let known = known.or_insert(KnownContact {
+        let known = known.or_insert(ContactState {
             number: address_number(contact.address),
             zone: None,
             seen_at: now,
@@ -166,8 +166,8 @@
 
     /// Time until the next messages.
     #[must_use]
-    pub fn pause(&self) -> Duration {
-        SUMMARY_INTERVAL.saturating_mul(self.rounds())
+    pub fn gossip_interval(&self) -> Duration {
+        SUMMARY_INTERVAL.saturating_mul(self.summary_rounds())
     }
 
     /// Time until the next message on slots alone, while these are scarce.
@@ -184,19 +184,22 @@
 
     /// Daemons of the own zone.
     #[must_use]
-    pub fn near(&self) -> Vec<SocketAddr> {
+    pub fn zone_contacts(&self) -> Vec<SocketAddr> {
         let near = self.contacts.iter();
-        let near = near.filter(|(_, known)| self.is_near(known));
+        let near = near.filter(|(_, known)| self.is_in_own_zone(known));
         near.map(|(address, _)| *address).collect()
     }
 
-    fn rounds(&self) -> u32 {
-        let near = self.contacts.values().filter(|known| self.is_near(known));
+    fn summary_rounds(&self) -> u32 {
+        let near = self
+            .contacts
+            .values()
+            .filter(|known| self.is_in_own_zone(known));
         let rounds = near.count().div_ceil(PEERS_PER_ROUND).max(1);
         u32::try_from(rounds).unwrap_or(u32::MAX)
     }
 
-    fn is_near(&self, contact: &KnownContact) -> bool {
+    fn is_in_own_zone(&self, contact: &ContactState) -> bool {
         contact
             .zone
             .as_ref()
@@ -215,9 +218,9 @@
         let senders: Vec<u64> = peers.neighbours(now).map(peer_number).collect();
         let placing = peers.remote_serving_addresses(now);
         for (address, contact) in &self.contacts {
-            if self.is_near(contact) {
+            if self.is_in_own_zone(contact) {
                 plan.summary_targets.push(*address);
-            } else if self.sends_to(contact.number, &senders) {
+            } else if self.is_sender_for(contact.number, &senders) {
                 if placing.contains(address) {
                     plan.digest_targets.push(*address);
                 } else {
@@ -235,7 +238,7 @@
         &self,
         now: MonotonicTime,
         peers: &PeerTable,
-        sent: Option<SentSlots>,
+        sent: Option<LastSlotUpdate>,
     ) -> SlotPlan {
         let mut plan = SlotPlan::default();
         if !self.uses_zone_digests() {
@@ -256,7 +259,7 @@
         if sent.is_some_and(|sent| sent.is_next_due(now)) {
             let far = peers.remote_serving_addresses(now).into_iter();
             plan.zone_slot_targets = far
-                .filter(|address| self.sends_to(address_number(*address), &senders))
+                .filter(|address| self.is_sender_for(address_number(*address), &senders))
                 .collect();
         }
         plan
@@ -264,7 +267,7 @@
 
     /// Each daemon of another zone learns of this zone from one of its daemons, chosen alike by
     /// all of them, so that the work is spread evenly.
-    fn sends_to(&self, receiver: u64, senders: &[u64]) -> bool {
+    fn is_sender_for(&self, receiver: u64, senders: &[u64]) -> bool {
         let own = pair_weight(self.own_number, receiver);
         let mut others = senders.iter();
         others.all(|sender| pair_weight(*sender, receiver) < own)
--- a/crates/savorywood-gateway/src/peer.rs
+++ b/crates/savorywood-gateway/src/peer.rs
@@ -117,16 +117,16 @@
     changed_at: MonotonicTime,
     /// Sums as of then, once somebody asks for them: messages are many more than picks at a
     /// daemon that stands by.
-    sums: OnceCell<PeerSums>,
+    totals: OnceCell<ReportedTotals>,
 }
 
 /// What all others reported, by the digest of an upstream's name.
 #[derive(Debug, Clone, Default)]
-struct PeerSums {
+struct ReportedTotals {
     /// Slots in use.
     slots: HashMap<u32, SlotTotal>,
     /// Peers that leave the upstream out.
-    suspects: HashMap<u64, u32>,
+    ejecting_peers: HashMap<u64, u32>,
 }
 
 impl PeerTable {
@@ -138,7 +138,7 @@
             peers: BTreeMap::new(),
             zones: BTreeMap::new(),
             changed_at: MonotonicTime::default(),
-            sums: OnceCell::new(),
+            totals: OnceCell::new(),
         }
     }
 
@@ -167,7 +167,7 @@
                 self.peers.insert(host, peer);
             }
         }
-        self.note_change(now);
+        self.invalidate_totals(now);
         true
     }
 
@@ -188,7 +188,7 @@
                     self.zones.insert(zone, ZoneState::new(now, digest));
                 }
             }
-            self.note_change(now);
+            self.invalidate_totals(now);
         }
         outcome
     }
@@ -214,7 +214,7 @@
             }
         };
         if taken {
-            self.note_change(now);
+            self.invalidate_totals(now);
         }
         taken
     }
@@ -241,38 +241,39 @@
         self.peers.remove(host);
     }
 
-    /// Time passes: what others reported drops out of the sums once they are silent for too long.
+    /// Time passes: what others reported drops out of the totals once they are silent for too long.
     pub fn refresh(&mut self, now: MonotonicTime) {
         self.peers
             .retain(|_, peer| now.since(peer.received_at) < PEER_TTL);
-        self.note_change(now);
+        self.invalidate_totals(now);
     }
 
-    fn note_change(&mut self, now: MonotonicTime) {
+    fn invalidate_totals(&mut self, now: MonotonicTime) {
         self.changed_at = now;
-        self.sums.take();
+        self.totals.take();
     }
 
-    fn sums(&self) -> &PeerSums {
-        self.sums.get_or_init(|| self.sum_up(self.changed_at))
+    fn totals(&self) -> &ReportedTotals {
+        self.totals
+            .get_or_init(|| self.compute_totals(self.changed_at))
     }
 
-    fn sum_up(&self, now: MonotonicTime) -> PeerSums {
-        let mut sums = PeerSums::default();
+    fn compute_totals(&self, now: MonotonicTime) -> ReportedTotals {
+        let mut totals = ReportedTotals::default();
         let fresh = |at: MonotonicTime| now.since(at) < SLOTS_TIMEOUT;
         let peers = self.peers.values().filter(|peer| fresh(peer.received_at));
         for peer in peers {
-            if counts_itself(&self.own_zone, &self.zones, now, &peer.summary.zone) {
-                add_slots(&mut sums.slots, &peer.summary.slots);
+            if uses_direct_summary(&self.own_zone, &self.zones, now, &peer.summary.zone) {
+                add_slots(&mut totals.slots, &peer.summary.slots);
                 for upstream in &peer.summary.ejected_upstreams {
-                    *sums.suspects.entry(*upstream).or_default() += 1;
+                    *totals.ejecting_peers.entry(*upstream).or_default() += 1;
                 }
             }
         }
         for zone in self.zones.values().filter(|zone| zone.is_fresh(now)) {
-            add_slots(&mut sums.slots, zone.slots());
+            add_slots(&mut totals.slots, zone.slots());
         }
-        sums
+        totals
     }
 
     /// Requests of all others at an upstream, as they last reported.
@@ -284,7 +285,7 @@
     /// The same for an upstream by the digest of its name.
     #[must_use]
     pub fn slots_by_digest(&self, digest: u64) -> SlotTotal {
-        let sum = self.sums().slots.get(&slot_key(digest));
+        let sum = self.totals().slots.get(&slot_key(digest));
         sum.copied().unwrap_or_default()
     }
 
@@ -292,7 +293,7 @@
     #[must_use]
     pub fn is_ejected_by_peers(&self, upstream: &UpstreamLabel) -> bool {
         let digest = name_digest(upstream.as_str());
-        let peers = self.sums().suspects.get(&digest).copied();
+        let peers = self.totals().ejecting_peers.get(&digest).copied();
         peers.unwrap_or_default() >= MIN_EJECTING_PEERS
     }
 
@@ -311,7 +312,7 @@
     /// The message of this peer counts, not that of another daemon of its zone.
     #[must_use]
     pub fn uses_direct_summary(&self, now: MonotonicTime, zone: &str) -> bool {
-        counts_itself(&self.own_zone, &self.zones, now, zone)
+        uses_direct_summary(&self.own_zone, &self.zones, now, zone)
     }
 
     /// Peers that take callers, as far as they count themselves.
@@ -385,14 +386,14 @@
             if zone.is_fresh(now) {
                 known += u64::from(zone.digest.daemons);
                 seen += u64::from(zone.digest.daemons);
-            } else if !self.sees_zone(now, &zone.digest.zone) {
+            } else if !self.is_zone_live(now, &zone.digest.zone) {
                 known += u64::from(zone.digest.daemons);
             }
         }
         seen * 2 > known
     }
 
-    fn sees_zone(&self, now: MonotonicTime, zone: &str) -> bool {
+    fn is_zone_live(&self, now: MonotonicTime, zone: &str) -> bool {
         self.live_peers(now).any(|peer| peer.summary.zone == zone)
     }
 
@@ -409,7 +410,7 @@
     }
 }
 
-fn counts_itself(
+fn uses_direct_summary(
     own_zone: &ZoneLabel,
     zones: &BTreeMap<ZoneLabel, ZoneState>,
     now: MonotonicTime,
@@ -418,9 +419,9 @@
     zone == own_zone.as_str() || zones.get(zone).is_none_or(|known| !known.is_fresh(now))
 }
 
-fn add_slots(sums: &mut HashMap<u32, SlotTotal>, slots: &[SlotUse]) {
+fn add_slots(totals: &mut HashMap<u32, SlotTotal>, slots: &[SlotUse]) {
     for slot in slots {
-        let sum = sums.entry(slot_key(slot.upstream)).or_default();
+        let sum = totals.entry(slot_key(slot.upstream)).or_default();
         sum.running += u32::from(slot.running);
         sum.unread_prompt_tokens = sum
             .unread_prompt_tokens
--- a/crates/savorywood-gateway/src/store_reads.rs
+++ b/crates/savorywood-gateway/src/store_reads.rs
@@ -87,13 +87,13 @@
 
 #[derive(Debug, Clone, Copy, Default)]
 struct ReadState {
-    knowledge: TablePosition,
-    proof_at: Option<MonotonicTime>,
+    position: TablePosition,
+    confirmed_at: Option<MonotonicTime>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct HeldSummary {
-    sent: MonotonicTime,
+struct LastMessage {
+    sent_at: MonotonicTime,
     received_at: MonotonicTime,
 }
 
@@ -109,7 +109,7 @@
     declared: ReadState,
     upstreams: ReadState,
     failed_at: Option<MonotonicTime>,
-    held: BTreeMap<u64, HeldSummary>,
+    last_messages: BTreeMap<u64, LastMessage>,
     attestations: BTreeMap<HostLabel, ReceivedAttestation>,
 }
 
@@ -129,15 +129,15 @@
     pub fn record_read(
         &mut self,
         table: SharedTable,
-        knowledge: TablePosition,
-        proof_at: Option<MonotonicTime>,
+        position: TablePosition,
+        confirmed_at: Option<MonotonicTime>,
     ) {
         let state = match table {
             SharedTable::Declared => &mut self.declared,
             SharedTable::Upstreams => &mut self.upstreams,
         };
-        state.knowledge = knowledge;
-        state.proof_at = state.proof_at.max(proof_at);
+        state.position = position;
+        state.confirmed_at = state.confirmed_at.max(confirmed_at);
     }
 
     /// A call to the store failed.
@@ -147,11 +147,12 @@
 
     /// A neighbour's message came.
     pub fn record_summary(&mut self, now: MonotonicTime, summary: &PeerSummary) {
-        let message = HeldSummary {
-            sent: summary.sent_at,
+        let message = LastMessage {
+            sent_at: summary.sent_at,
             received_at: now,
         };
-        self.held.insert(name_digest(&summary.host), message);
+        self.last_messages
+            .insert(name_digest(&summary.host), message);
         let host = HostLabel::from(summary.host.as_str());
         match summary.attestation {
             Some(attestation) => {
@@ -171,9 +172,9 @@
     #[must_use]
     pub fn attestation(&self, now: MonotonicTime) -> Option<StoreAttestation> {
         let of = |state: &ReadState, longest: Duration| {
-            let age = now.since(state.proof_at?);
+            let age = now.since(state.confirmed_at?);
             (age < longest).then(|| TableAttestation {
-                last_change: state.knowledge.last_change,
+                last_change: state.position.last_change,
                 confirmation_age_ms: millis(age) + 1,
             })
         };
@@ -181,18 +182,20 @@
         Some(StoreAttestation {
             declared: of(&self.declared, MAX_ATTESTED_AGE)?,
             upstreams: of(&self.upstreams, MAX_ATTESTED_AGE * 2)?,
-            store_failure_age_ms: failed.filter(|age| *age < FAILURE_REPORT_WINDOW).map(millis),
+            store_failure_age_ms: failed
+                .filter(|age| *age < FAILURE_REPORT_WINDOW)
+                .map(millis),
         })
     }
 
     /// Echoes of what neighbours said lately.
     #[must_use]
     pub fn echoes(&self, now: MonotonicTime) -> Vec<PeerEcho> {
-        let fresh = self.held.iter();
+        let fresh = self.last_messages.iter();
         let fresh = fresh.filter(|(_, summary)| now.since(summary.received_at) < ECHO_TTL);
         let echoes = fresh.map(|(peer, summary)| PeerEcho {
             peer: *peer,
-            sent: summary.sent,
+            sent: summary.sent_at,
             held_micros: u32::try_from(now.since(summary.received_at).as_micros())
                 .unwrap_or(u32::MAX),
         });
@@ -201,14 +204,18 @@
 
     /// Forgets messages and attestations that are too old to matter.
     pub fn expire(&mut self, now: MonotonicTime) {
-        self.held
+        self.last_messages
             .retain(|_, summary| now.since(summary.received_at) < ECHO_TTL);
         self.attestations
             .retain(|_, received| now.since(received.received_at) < ATTESTATION_TIMEOUT);
     }
 
     /// Attestation of the first neighbour that goes before this daemon.
-    fn followed(&self, now: MonotonicTime, own: &HostLabel) -> Option<&StoreAttestation> {
+    fn preferred_attestation(
+        &self,
+        now: MonotonicTime,
+        own: &HostLabel,
+    ) -> Option<&StoreAttestation> {
         let mut attestations = self.attestations.iter();
         let found = attestations
             .find(|(_, received)| now.since(received.received_at) < ATTESTATION_TIMEOUT);
@@ -219,14 +226,14 @@
     /// How to learn of a table now.
     #[must_use]
     pub fn read_plan(&self, now: MonotonicTime, own: &HostLabel, table: SharedTable) -> ReadPlan {
-        let Some(attestation) = self.followed(now, own) else {
+        let Some(attestation) = self.preferred_attestation(now, own) else {
             return ReadPlan::Direct;
         };
         let reported = match table {
             SharedTable::Declared => attestation.declared,
             SharedTable::Upstreams => attestation.upstreams,
         };
-        if self.state(table).knowledge.read_through < reported.last_change {
+        if self.state(table).position.read_through < reported.last_change {
             ReadPlan::CatchUp
         } else {
             ReadPlan::FollowAttestation
@@ -250,7 +257,7 @@
             SharedTable::Declared => attestation.declared,
             SharedTable::Upstreams => attestation.upstreams,
         };
-        if self.state(table).knowledge.read_through < reported.last_change {
+        if self.state(table).position.read_through < reported.last_change {
             return None;
         }
         let echo = summary.echoes.iter().find(|echo| echo.peer == own)?;
