--- a/crates/savorywood-gateway/src/arrival.rs
+++ b/crates/savorywood-gateway/src/arrival.rs
@@ -1,31 +1,32 @@
-//! A caller's request as the decisions see it.
+//! A caller's request as parsed by the adapter for the reducer.
 
 use std::{fmt, time::Duration};
 
-/// Names a request within one daemon's life.
+/// Identifier of a request, unique within one incarnation of a daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LocalRequest(pub u64);
 
-/// Tokens of a request to a model.
+/// Size of a model request, in tokens.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct RequestSize {
     /// Tokens of the prompt.
     pub prompt_tokens: u32,
-    /// Tokens of the answer at most.
+    /// Maximum number of tokens of the response.
     pub max_output_tokens: u32,
 }
 
-/// One part of a prompt, in order from its beginning.
+/// A segment of a prompt; segments are listed in order from the beginning of the prompt. Shared
+/// leading segments indicate a shared prefix.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Same text, same number.
+    /// Identifier of the segment's text: equal texts have equal identifiers.
     pub id: u64,
-    /// Its tokens.
+    /// Tokens of the segment.
     pub tokens: u32,
 }
 
-/// Digest of what a caller asks, the same at all daemons and for each repeat: method, host, path and
-/// body, or the query where there is no body.
+/// Digest of a request's content, equal at all daemons and for each repeat: it covers method, host,
+/// path and body, or the query where there is no body.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ContentDigest(pub u64);
 
@@ -35,25 +36,25 @@
     }
 }
 
-/// A request that has arrived whole.
+/// A complete request of a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestArrival {
-    /// Identity that the caller gave it, for the log.
+    /// Request identifier given by the caller, for the log.
     pub request_id: String,
-    /// Host that the caller named, in lower case, without port.
+    /// Host that the caller named, in lower case and without port.
     pub host: String,
     /// Path without query.
     pub path: String,
-    /// What it asks, to recognise repeats.
+    /// Digest of the content, used to recognise repeats.
     pub content_digest: ContentDigest,
-    /// Key that the caller showed.
+    /// API key of the caller; absent when the request carries none.
     pub api_key: Option<String>,
-    /// Time that the caller will wait.
+    /// Time that the caller is willing to wait for the response, from arrival.
     pub deadline: Option<Duration>,
-    /// Tokens, where the request names them.
+    /// Size in tokens; absent when the request does not report it.
     pub size: Option<RequestSize>,
-    /// Tokens of the answer as the caller guesses.
+    /// Length of the response in tokens as estimated by the caller.
     pub expected_output_tokens: Option<u32>,
-    /// Parts of the prompt.
+    /// Segments of the prompt; empty when the request does not report them.
     pub prompt_parts: Vec<PromptPart>,
 }
--- a/crates/savorywood-gateway/src/effect.rs
+++ b/crates/savorywood-gateway/src/effect.rs
@@ -1,4 +1,4 @@
-//! What a gateway wants done.
+//! Actions that the reducer of a gateway asks the I/O layer to perform.
 
 use crate::{
     arrival::LocalRequest,
@@ -11,63 +11,64 @@
 use savorywood_protocol::MonotonicTime;
 use std::{net::SocketAddr, time::Duration};
 
-/// Sends a request to an upstream.
+/// One attempt to be dispatched to an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DispatchOrder {
-    /// Which request.
+    /// Request to be dispatched.
     pub request: LocalRequest,
-    /// Which send this is, from 1.
+    /// Number of the attempt, from 1.
     pub attempt: u32,
-    /// Service that it is for.
+    /// Service that the request's route selected.
     pub service: ServiceLabel,
-    /// Rank of its route, 0 is the most urgent.
+    /// Rank of the request's route; 0 is the most urgent.
     pub priority: u32,
-    /// To whom.
+    /// Upstream that receives the request.
     pub upstream: UpstreamLabel,
-    /// Where.
+    /// Address of the upstream.
     pub address: SocketAddr,
-    /// Team that the upstream gets.
+    /// Team reported to the upstream; absent when the request's key belongs to no team.
     pub team: Option<TeamLabel>,
-    /// When it is given up.
+    /// Deadline of the attempt.
     pub give_up_at: MonotonicTime,
-    /// The answer is a stream of events.
+    /// The response is a stream of events.
     pub stream: bool,
-    /// The request may run again after it may have run.
+    /// The request may be executed again even if an earlier attempt may have executed it.
     pub idempotent: bool,
 }
 
-/// One thing that a gateway wants done.
+/// Action that the reducer asks the I/O layer to perform.
 #[derive(Debug, Clone, PartialEq)]
 pub enum GatewayEffect {
-    /// Send a request.
+    /// Dispatch a request to an upstream.
     Dispatch(DispatchOrder),
-    /// Give a request its final answer at once.
+    /// Respond to the caller with a refusal.
     Refuse {
-        /// Which request.
+        /// Request to be refused.
         request: LocalRequest,
-        /// Why.
+        /// Reason of the refusal.
         reason: RefusalReason,
-        /// When the caller may come back.
+        /// Retry-after delay sent to the caller; absent when a retry could execute the request
+        /// twice.
         retry_after: Option<Duration>,
     },
-    /// Pass on the failure that the upstream gave.
+    /// Forward the failure response of the upstream to the caller.
     ForwardFailure {
-        /// Which request.
+        /// Request that failed.
         request: LocalRequest,
     },
-    /// End the attempt under way: its upstream is silent, and another one has a place.
+    /// Cancel the attempt in flight: its upstream is stalled and another upstream has a free slot.
     AbandonAttempt {
-        /// Which request.
+        /// Request whose attempt is cancelled.
         request: LocalRequest,
     },
-    /// Break off the answer that has begun.
+    /// Abort a response of which a part has been sent to the caller.
     AbortResponse {
-        /// Which request.
+        /// Request whose response is aborted.
         request: LocalRequest,
     },
-    /// Write the state of a roll-out.
+    /// Write the status of a roll-out to the store.
     WriteRollout(RolloutWrite),
-    /// Write or remove the row of a request in quarantine.
+    /// Write or remove the row of a quarantined request in the store.
     WriteQuarantine(QuarantineWrite),
     /// Write a line to the log.
     Log(LogLine),
--- a/crates/savorywood-gateway/src/event.rs
+++ b/crates/savorywood-gateway/src/event.rs
@@ -1,4 +1,4 @@
-//! Everything that can happen to a gateway.
+//! Events that the reducer of a gateway handles, and the outcomes of attempts that they carry.
 
 use crate::{
     arrival::{LocalRequest, RequestArrival},
@@ -20,78 +20,83 @@
 use savorywood_protocol::MonotonicTime;
 use std::{sync::Arc, time::Duration};
 
-/// Load of an upstream as one of its answers reports it.
+/// Load of an upstream as reported in one of its responses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReportedLoad {
-    /// Requests that run.
+    /// Requests that the upstream is executing.
     pub running: u32,
-    /// Requests that wait there.
+    /// Requests that wait in the upstream's own queue.
     pub waiting: u32,
-    /// Requests that it runs at once.
+    /// Requests that the upstream executes concurrently.
     pub slots: u32,
 }
 
-/// What an answer's head says beside the answer itself.
+/// Metadata that a response head carries beside the response itself. The adapter parses it; a field
+/// is absent when the upstream does not report it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ResponseMetadata {
-    /// Load there.
+    /// Load of the upstream.
     pub load: Option<ReportedLoad>,
-    /// The upstream ends its connections: it is leaving, or just tidies up.
+    /// The upstream closes the connection after this response: it is leaving, or it closes idle
+    /// connections.
     pub closes_connection: bool,
-    /// Time for which it is still cold, where it says so.
+    /// Remaining time for which the upstream is still cold.
     pub cold_for: Option<Duration>,
-    /// Requests that it takes from all daemons together, while it is in need.
+    /// Rate that the upstream accepts from all daemons together; present while it limits its
+    /// callers.
     pub rate_limit: Option<RateLimit>,
 }
 
-/// How a stream stopped before its end.
+/// Interruption of a stream before its last event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StreamInterruption {
-    /// Events passed on so far.
+    /// Events forwarded to the caller before the interruption.
     pub events: u32,
-    /// The upstream fell silent; otherwise the connection broke.
+    /// No data was received for too long. Otherwise the connection broke.
     pub stalled: bool,
 }
 
-/// How an attempt ended.
+/// Result of one attempt at an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// No byte left this host.
+    /// No byte of the request left this host.
     NotSent,
-    /// The upstream says that it did not run it.
+    /// The upstream reports that it did not execute the request.
     NotRun {
-        /// Another incarnation answers at that address.
+        /// Another incarnation of the upstream responded at that address.
         misdirected: bool,
-        /// Marks of its answer.
+        /// Metadata of the response head.
         metadata: ResponseMetadata,
     },
-    /// The upstream said itself that it failed; its answer is kept and may be passed on.
+    /// The upstream reported a failure of its own. The response is kept and may be forwarded to the
+    /// caller.
     Failed {
-        /// Marks of its answer.
+        /// Metadata of the response head.
         metadata: ResponseMetadata,
     },
-    /// No whole answer came, and nothing of it has reached the caller.
+    /// No complete response was received, and none of it has reached the caller.
     Broken {
-        /// The upstream fell silent; otherwise the connection broke or the answer was nonsense.
+        /// No data was received for too long. Otherwise the connection broke or the response was
+        /// malformed.
         stalled: bool,
     },
-    /// A stream of which events have reached the caller stopped early.
+    /// A stream was interrupted after some of its events had reached the caller.
     StreamBroken(StreamInterruption),
-    /// The whole answer reached the caller.
+    /// The complete response reached the caller.
     Delivered {
-        /// Marks of its answer.
+        /// Metadata of the response head.
         metadata: ResponseMetadata,
-        /// Events of a stream.
+        /// Events of a stream; not meaningful for other responses.
         events: u32,
     },
-    /// The time for it is up.
+    /// The deadline of the request passed.
     Expired,
-    /// The caller has gone.
+    /// The caller closed its connection.
     CallerDisconnected,
 }
 
 impl AttemptOutcome {
-    /// The upstream said something.
+    /// Returns whether the upstream sent a response.
     #[must_use]
     pub fn was_received(&self) -> bool {
         matches!(
@@ -100,7 +105,7 @@
         )
     }
 
-    /// Its name in logs and metrics.
+    /// Returns the name of the outcome in logs and metrics.
     #[must_use]
     pub fn name(&self) -> &'static str {
         match self {
@@ -121,127 +126,128 @@
     }
 }
 
-/// Everything that can happen to a gateway.
+/// Input of the reducer: requests and responses, rows of the store, messages of peers, and time.
 #[derive(Debug, Clone)]
 pub enum GatewayEvent {
-    /// A request arrived whole.
+    /// A complete request was received from a caller.
     Arrived {
-        /// Its name here.
+        /// Identifier assigned by this daemon.
         request: LocalRequest,
-        /// What it asks.
+        /// Parsed content of the request.
         arrival: Box<RequestArrival>,
     },
-    /// Its caller closed the connection before an attempt was under way.
+    /// The caller closed its connection before an attempt was dispatched.
     CallerDisconnected(LocalRequest),
-    /// The first event of a stream (or the head of a plain answer) came.
+    /// The first event of a stream, or the head of another response, was received.
     ResponseStarted {
-        /// Which request.
+        /// Request that the response belongs to.
         request: LocalRequest,
-        /// Marks of its head.
+        /// Metadata of the response head.
         metadata: ResponseMetadata,
     },
-    /// More events of a stream have reached its caller.
+    /// Further events of a stream were forwarded to the caller.
     ResponseProgressed {
-        /// Which request.
+        /// Request that the stream belongs to.
         request: LocalRequest,
-        /// Events passed on together.
+        /// Events forwarded since the previous report.
         events: u32,
     },
     /// An attempt ended.
     AttemptEnded {
-        /// Which request.
+        /// Request that was attempted.
         request: LocalRequest,
-        /// How.
+        /// Result of the attempt.
         outcome: AttemptOutcome,
     },
-    /// A version of the configuration was read.
+    /// A version of the configuration was read from the store or received from a neighbour.
     ConfigRead(Arc<DeclaredConfig>),
-    /// All upstream registrations were read.
+    /// A complete list of upstream registrations was read.
     UpstreamsRead(Vec<UpstreamEntry>),
-    /// One upstream registration was written.
+    /// An upstream registration was added or changed.
     UpstreamWritten(UpstreamEntry),
-    /// One upstream registration was removed.
+    /// An upstream registration was removed.
     UpstreamRemoved(UpstreamLabel),
-    /// The store answered: its rows of the configuration were as known at that moment.
+    /// The store confirmed that the rows of the configuration held here were current at a moment.
     ConfigConfirmed {
-        /// When they were.
+        /// The moment, by this daemon's clock.
         at: MonotonicTime,
     },
-    /// A table was read, or rows of it were handed on by a neighbour.
+    /// A table was read, or a neighbour forwarded some of its rows.
     TableRead {
-        /// Which.
+        /// Table that the rows belong to.
         table: SharedTable,
-        /// What is known of it now.
+        /// How far the copy held here follows the table.
         position: TablePosition,
-        /// When the store is proved to have said so; none for rows that were handed on.
+        /// Moment at which the store confirmed the rows; absent for rows that a neighbour
+        /// forwarded.
         confirmed_at: Option<MonotonicTime>,
     },
-    /// An operator evacuates a zone.
+    /// An operator ordered the evacuation of an availability zone.
     EvacuationOrdered(EvacuationOrder),
-    /// An operator took an evacuation back, at the order's position.
+    /// An operator withdrew the evacuation order with this position.
     EvacuationWithdrawn(EvacuationOrder),
-    /// All orders of evacuations were read.
+    /// A complete list of evacuation orders was read.
     EvacuationsRead {
-        /// Those in force.
+        /// Orders in force.
         orders: Vec<EvacuationOrder>,
-        /// Position of the store that was read.
+        /// Position of the store at the time of the read.
         revision: StorePosition,
     },
-    /// An answer of the store names its era.
+    /// A response of the store reported its era.
     StoreEraObserved(u64),
     /// Bounds were read from changed settings.
     BoundsRead(GatewayBounds),
-    /// The store failed to answer a call.
+    /// A call to the store failed.
     StoreFailed,
-    /// An operator ordered a roll-out, or changed one.
+    /// An operator ordered a roll-out or changed its order.
     RolloutOrdered(RolloutOrder),
-    /// What the store says of a roll-out.
+    /// The status of a roll-out was read from the store.
     RolloutStatusRead(RolloutStatus),
-    /// The write of a roll-out's status was answered, or not.
+    /// The write of a roll-out's status completed or failed.
     RolloutWriteFinished {
-        /// Which service's.
+        /// Service that is rolled out.
         service: ServiceLabel,
-        /// It is known to be in the store.
+        /// The store confirmed the write.
         accepted: bool,
-        /// Era of the store that said so.
+        /// Era of the store that responded.
         era: u64,
     },
-    /// Another daemon reported itself.
+    /// Another daemon sent its summary.
     SummaryReceived(Box<PeerSummary>),
-    /// A daemon of another zone reported its zone.
+    /// A daemon of another zone sent the digest of its zone.
     DigestReceived(Box<ZoneDigest>),
-    /// Another daemon sent its slots, or its zone's.
+    /// Another daemon sent newer slots in use, its own or those of its zone.
     SlotsReceived(SlotUpdate),
-    /// Where other daemons may be, as the settings say.
+    /// Addresses of possible peers were read from the settings.
     SeedsRead(Vec<PeerContact>),
     /// The list of daemons was read from the store.
     ContactsRead(Vec<PeerContact>),
-    /// A member of the entry set sent a sign of life.
+    /// A member of the entry set sent a heartbeat.
     HeartbeatReceived(PeerHeartbeat),
     /// Another daemon reported requests under which upstreams crashed.
     CrashesReported(CrashGossip),
-    /// Another daemon reported limits that upstreams name.
+    /// Another daemon reported rate limits that upstreams had sent.
     LimitsReported(LimitGossip),
-    /// Requests in quarantine were read from the store.
+    /// The rows of quarantined requests were read from the store.
     QuarantineRead(Vec<QuarantineRow>),
-    /// The write of a row on a request in quarantine was answered, or not.
+    /// The write of a quarantined request's row completed or failed.
     QuarantineWriteFinished {
-        /// What was written.
+        /// The write in question.
         write: QuarantineWrite,
-        /// It is known to be in the store.
+        /// The store confirmed the write.
         accepted: bool,
-        /// Era of the store that said so.
+        /// Era of the store that responded.
         era: u64,
     },
-    /// What this process uses of its host was measured.
+    /// Resources of the host that this process uses were measured.
     LoadMeasured(HostResources),
-    /// Another daemon is known to have ended.
+    /// A peer is known to have ended.
     PeerEnded(HostLabel),
-    /// Time passes; comes every few milliseconds while requests wait.
+    /// Periodic timer; fires every few milliseconds while requests wait.
     Tick,
-    /// The process was ordered to stop within a time.
+    /// The process was asked to stop.
     StopRequested {
-        /// Time until it is killed.
+        /// Time until the process is killed.
         grace: Duration,
     },
 }
--- a/crates/savorywood-gateway/src/message.rs
+++ b/crates/savorywood-gateway/src/message.rs
@@ -1,4 +1,7 @@
-//! Messages between daemons, but for digests of zones.
+//! Messages exchanged between daemons, except for zone digests.
+//!
+//! All types here are encoded with postcard: the order of fields and variants is part of the
+//! format.
 
 use crate::{
     entry::HostResources,
@@ -9,152 +12,152 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What a daemon does.
+/// Readiness of a daemon as it reports it to its peers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerPhase {
-    /// It can't serve: it starts, or can't confirm its configuration.
+    /// The daemon cannot serve: it is starting, or cannot confirm its configuration.
     Unready,
-    /// It takes callers.
+    /// The daemon accepts callers.
     Ready,
-    /// It is about to end.
+    /// The daemon is stopping.
     Leaving,
 }
 
-/// Part that a daemon has in placing requests.
+/// Role of a daemon in dispatching requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DaemonRole {
-    /// The directory names it to callers.
+    /// A member of the entry set, which the directory lists for callers.
     Entry,
-    /// Callers of an older answer of the directory still have requests there.
+    /// No longer a member, but callers with an older directory response still have requests here.
     Draining,
-    /// It takes over when a member of the entry set fails.
+    /// Takes over when a member of the entry set fails.
     #[default]
     Standby,
 }
 
-/// Requests of a daemon at one upstream.
+/// Slots that one daemon or zone uses at one upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotUse {
-    /// Digest of the upstream's name; only its lower half counts.
+    /// Digest of the upstream's name; only the lower 32 bits are compared.
     pub upstream: u64,
-    /// Requests there.
+    /// Requests in progress there.
     pub running: u16,
-    /// Prompt tokens of those of which no event has come yet.
+    /// Prompt tokens of the requests whose first event has not been received yet (prefill backlog).
     pub unread_prompt_tokens: u32,
 }
 
-/// Whose slots they are.
+/// Owner of the slots in a [`SlotUpdate`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SlotScope {
-    /// Those of the daemon that reports.
+    /// The daemon that reports.
     Daemon,
-    /// Those of the zone whose name has this digest.
+    /// The zone whose name has this digest.
     Zone(u64),
 }
 
-/// Slots alone, sent between two full summaries while they are scarce.
+/// Slots in use, sent between two summaries while free slots are scarce.
 ///
-/// A slot turns over in less time than passes between two full summaries. A daemon that learns late
-/// that one is free keeps its callers waiting beside it; one that learns late that it is taken
-/// sends there, and the request waits inside the upstream, where ranks count nothing.
+/// A slot changes hands faster than summaries are sent. A daemon that observes a free slot late
+/// keeps its callers waiting; one that observes a used slot late dispatches there, and the request
+/// waits inside the upstream, where ranks have no effect.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotUpdate {
-    /// Digest of the host that reports.
+    /// Digest of the reporting daemon's host name.
     pub sender: u64,
-    /// Its life.
+    /// Incarnation of the reporting daemon.
     pub incarnation: u64,
-    /// Counts on from its full summaries.
+    /// Sequence number, shared with the daemon's summaries.
     pub sequence: u64,
-    /// Whose slots they are.
+    /// Owner of the slots.
     pub scope: SlotScope,
-    /// Its requests at upstreams, all of them.
+    /// All slots in use by the owner; they replace those of earlier messages.
     pub slots: Vec<SlotUse>,
 }
 
-/// What a team has used at a daemon in that daemon's life.
+/// Usage of a team at one daemon, counted over the daemon's incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TeamUse {
     /// Digest of the team's name.
     pub team: u64,
-    /// Units used.
+    /// Units charged to the team's limit: tokens or requests.
     pub total: u64,
     /// Levels of the sender's copy of the team's buckets.
     pub levels: MeterLevels,
 }
 
-/// Answers that a daemon has seen from one side of a roll-out.
+/// Results that one daemon has observed for one roll-out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionTally {
     /// Digest of the service's name and the new version.
     pub rollout: u64,
-    /// Answers of the new version.
+    /// Responses of the new version.
     pub new_responses: u32,
-    /// Bad ones among them.
+    /// Failed or far too slow responses among them.
     pub new_bad: u32,
-    /// Answers of the old versions meanwhile.
+    /// Responses of the old versions in the same period.
     pub old_responses: u32,
-    /// Bad ones among them.
+    /// Failed or far too slow responses among them.
     pub old_bad: u32,
-    /// Requests of the service that went anywhere meanwhile.
+    /// Requests of the service dispatched in the same period, to any version.
     pub dispatched: u32,
-    /// Those that went to the new version.
+    /// Requests dispatched to the new version.
     pub dispatched_new: u32,
-    /// This daemon holds the version for bad.
+    /// The daemon has rejected the new version.
     pub rejected: bool,
 }
 
-/// Summary of a daemon.
+/// State of one daemon, sent to its peers at regular intervals.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerSummary {
-    /// Its host.
+    /// Host of the daemon.
     pub host: String,
-    /// Its life; a later one is larger.
+    /// Incarnation of the daemon; a later one is larger.
     pub incarnation: u64,
-    /// Age of that life in milliseconds.
+    /// Uptime of the incarnation, in milliseconds.
     pub uptime_ms: u64,
-    /// Grows with each summary of a life.
+    /// Sequence number; grows with each message of an incarnation.
     pub sequence: u64,
-    /// Its zone.
+    /// Availability zone of the daemon.
     pub zone: String,
-    /// Where other daemons reach it.
+    /// Address at which other daemons reach the daemon.
     pub peer_address: SocketAddr,
-    /// Where callers reach it.
+    /// Address at which callers reach the daemon.
     pub caller_address: SocketAddr,
-    /// What it does.
+    /// Readiness of the daemon.
     pub phase: PeerPhase,
-    /// Configuration version that it has in force.
+    /// Version of the configuration that the daemon has in force; 0 when it has none.
     pub config_version: u64,
-    /// Its requests at upstreams.
+    /// Slots that the daemon uses at upstreams.
     pub slots: Vec<SlotUse>,
-    /// Digests of the names of upstreams that it leaves out for now.
+    /// Digests of the names of upstreams that the daemon has ejected for now.
     pub ejected_upstreams: Vec<u64>,
-    /// What teams have used there.
+    /// Usage of teams at the daemon.
     pub usage: Vec<TeamUse>,
-    /// What it has seen of roll-outs.
+    /// Results that the daemon has observed for roll-outs.
     pub tallies: Vec<VersionTally>,
-    /// Its part in placing requests.
+    /// Role of the daemon in dispatching requests.
     pub role: DaemonRole,
-    /// What its host has.
+    /// Resources of the daemon's host.
     pub capacity: HostResources,
-    /// What it uses of that.
+    /// Resources that the daemon uses.
     pub load: HostResources,
-    /// Highest load of its zone lately.
+    /// Recent peak load of the daemon's zone.
     pub peak: HostResources,
-    /// Its clock when it said this.
+    /// Clock of the daemon at the time of sending.
     pub sent_at: MonotonicTime,
-    /// What it attests to, if it reads the store itself.
+    /// Attestation of the store's state; present only when the daemon reads the store itself.
     pub attestation: Option<StoreAttestation>,
-    /// Echoes of its neighbours' last messages, where it attests.
+    /// Echoes of the neighbours' last messages; empty when the daemon does not attest.
     pub echoes: Vec<PeerEcho>,
 }
 
-/// Sign of life of a member of the entry set, between two summaries.
+/// Heartbeat of a member of the entry set, sent between two summaries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerHeartbeat {
-    /// Digest of its host's name.
+    /// Digest of the sender's host name.
     pub sender: u64,
-    /// Its life.
+    /// Incarnation of the sender.
     pub incarnation: u64,
-    /// Grows with each message of a life.
+    /// Sequence number, shared with the sender's summaries.
     pub sequence: u64,
 }
--- a/crates/savorywood-gateway/src/refusal.rs
+++ b/crates/savorywood-gateway/src/refusal.rs
@@ -1,40 +1,43 @@
-//! Final answers that the daemon gives itself.
+//! Reasons for which the daemon refuses a request itself.
 
 use strum::{Display, EnumIter, IntoStaticStr};
 
-/// Why a request gets no answer of an upstream.
+/// Reason for which a request gets no response of an upstream.
+///
+/// The text form is part of the metrics, the log and the responses to callers.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Display, EnumIter, IntoStaticStr,
 )]
 #[strum(serialize_all = "kebab-case")]
 pub enum RefusalReason {
-    /// Configuration or upstreams are not known, or not confirmed lately.
+    /// The configuration or the upstreams have not been read, or have not been confirmed recently.
     NotReady,
-    /// No route matches.
+    /// No route matches the host and path.
     NoRoute,
-    /// A key is needed and none, or one that nobody holds, was shown.
+    /// A key is required, and the request has none or an unknown one.
     UnknownKey,
-    /// The team is over its limit.
+    /// The team has exceeded its limit.
     OverLimit,
-    /// No upstream of the service is known.
+    /// The service has no upstream that the request could be dispatched to.
     NoUpstream,
-    /// It would not be answered in time.
+    /// The response would come too late (load shedding).
     Overloaded,
-    /// All upstreams asked said that they did not run it.
+    /// All attempted upstreams reported that they did not execute the request.
     NotRun,
-    /// The time is up and it was never sent.
+    /// The deadline passed before the request was dispatched.
     ExpiredUnsent,
-    /// The time is up and it may have run.
+    /// The deadline passed, and an upstream may have executed the request.
     ExpiredUnknown,
-    /// Upstreams crashed under earlier requests that asked the same.
+    /// Upstreams crashed under earlier requests with the same fingerprint.
     Quarantined,
-    /// It was sent, and no whole answer came.
+    /// The request was dispatched, and no complete response was received.
     #[strum(serialize = "broken-answer")]
     IncompleteResponse,
 }
 
 impl RefusalReason {
-    /// Says whether the reason promises that the request has not run and never will.
+    /// Returns whether the refusal guarantees that the request has not been and will not be
+    /// executed.
     #[must_use]
     pub fn guarantees_not_executed(self) -> bool {
         match self {
