--- a/crates/savorywood-gateway/src/freshness.rs
+++ b/crates/savorywood-gateway/src/freshness.rs
@@ -1,35 +1,38 @@
-//! At which moment of this daemon's clock an answer of the store was true.
+//! Mapping of the store's clock to this daemon's, to date the content of a response.
 
 use savorywood_protocol::MonotonicTime;
 
-/// The store may report its clock in whole milliseconds: the true time is less than this later.
+/// The store may report its clock in whole milliseconds: the true time is up to this much later.
 const CLOCK_STEP_MICROS: i128 = 1_000;
 
-/// One call to the store: when it was sent, when its answer came, and the store's clock in it.
+/// Times of one call to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoreExchange {
-    /// The call left.
+    /// Time at which the call was sent.
     pub sent: MonotonicTime,
-    /// The answer came.
+    /// Time at which the response was received.
     pub received: MonotonicTime,
-    /// Clock of the store when it answered, in microseconds; it never jumps.
+    /// Monotonic clock of the store when it responded, in microseconds; absent when it is not
+    /// reported.
     pub store_micros: Option<u64>,
 }
 
 /// Maps the store's clock to this daemon's.
 ///
-/// An answer proves what was true when the store made it. That moment lies between sending and
-/// receiving, and after a freeze or on a slow link these are far apart: taken as of receiving, an
-/// old answer would let a revoked key work on. Taken as of sending, each long poll would look as
-/// old as its wait. Quick exchanges bound the difference of the clocks, and with it the moment.
+/// A response reflects the store's state at the moment when the store produced it, between sending
+/// and receiving. After a freeze or on a slow link these two are far apart. Dating an old response
+/// by its receipt would let a revoked key keep working; dating a long poll by its sending would
+/// make it look as old as its wait. Short exchanges bound the offset between the clocks, and with
+/// it that moment.
 #[derive(Debug, Clone, Default)]
 pub struct FreshnessClock {
-    /// Least of the store's clock minus the time of sending.
+    /// Smallest observed difference between the store's clock and the time of sending, in
+    /// microseconds.
     max_offset: Option<i128>,
 }
 
 impl FreshnessClock {
-    /// Earliest moment at which the store can have made the answer.
+    /// Returns the earliest moment at which the store can have produced the response.
     pub fn earliest_response_time(&mut self, exchange: StoreExchange) -> MonotonicTime {
         let Some(store) = exchange.store_micros else {
             return exchange.sent;
@@ -37,7 +40,7 @@
         let latest_difference = i128::from(store) + CLOCK_STEP_MICROS - i128::from(exchange.sent.0);
         let earliest_difference = i128::from(store) - i128::from(exchange.received.0);
         let upper = match self.max_offset {
-            // The store's clock is another one than before: begin anew.
+            // The store's clock was replaced or reset: the estimate starts over.
             Some(upper) if upper < earliest_difference => latest_difference,
             Some(upper) => upper.min(latest_difference),
             None => latest_difference,
--- a/crates/savorywood-gateway/src/gossip.rs
+++ b/crates/savorywood-gateway/src/gossip.rs
@@ -1,4 +1,5 @@
-//! Who gets which messages of a daemon.
+//! Selection of the peers that receive each kind of gossip message, and of the intervals between
+//! them.
 
 use crate::{
     message::{DaemonRole, PeerHeartbeat, PeerSummary, SlotUpdate},
@@ -13,90 +14,92 @@
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
-/// Up to so many daemons all send each other summaries; with more, zones exchange digests.
+/// Up to this many daemons send summaries to each other directly; above it, zones exchange digests.
 pub const MAX_DIRECT_DAEMONS: u32 = 13;
-/// A contact that was neither seen nor read for this long is forgotten. The list of daemons is
-/// read more often.
+/// A contact is removed when it was neither heard from nor listed for this long. The list of
+/// daemons is read at shorter intervals.
 const CONTACT_TTL: Duration = Duration::from_secs(75);
-/// Time between two messages to the same daemon.
+/// Interval between two summaries or digests sent to the same daemon, for one round.
 const SUMMARY_INTERVAL: Duration = Duration::from_millis(250);
-/// Time between two messages on slots alone.
+/// Interval between two slot updates.
 const SLOT_UPDATE_INTERVAL: Duration = Duration::from_millis(80);
-/// Slots of a zone in one message of its usual size. A zone with more sends them more rarely, so
-/// that the bytes between two daemons do not grow with the upstreams.
+/// Slots in a slot update of typical size. A zone that uses more sends its updates at longer
+/// intervals, so that the bytes sent between two daemons do not grow with the number of upstreams.
 const SLOTS_PER_MESSAGE: usize = 175;
-/// Part of the time between two messages on a zone's slots that must have passed: the messages of
-/// a daemon come in rounds that are spread a little.
+/// Fraction of the last interval between slot updates of a zone that must have passed before the
+/// next one: the rounds of a daemon are jittered.
 const MIN_SLOT_ROUND_FRACTION: f64 = 0.6;
-/// Time between two heartbeats of a member of the entry set.
+/// Interval between two heartbeats of a member of the entry set.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(160);
-/// Daemons of the own zone that get summaries so often; with more, each gets them more rarely, so that
-/// the cost of a daemon does not grow with its zone.
+/// Daemons of the own zone that one round of summaries covers. With more daemons each of them
+/// receives summaries less often, so that the cost of a daemon does not grow with its zone.
 const PEERS_PER_ROUND: usize = 16;
 
-/// What travels between daemons.
+/// Message between daemons. Encoded with postcard: the order of variants is part of the format.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// A daemon on itself.
+    /// State of the sending daemon.
     Summary(Box<PeerSummary>),
-    /// A daemon on its zone.
+    /// State of the sending daemon's zone.
     Digest(ZoneDigest),
-    /// Newer slots of a daemon or of its zone.
+    /// Newer slots in use of a daemon or of its zone.
     Slots(SlotUpdate),
-    /// Sign of life of a member of the entry set.
+    /// Heartbeat of a member of the entry set.
     Heartbeat(PeerHeartbeat),
     /// Requests under which upstreams crashed.
     Crashes(CrashGossip),
-    /// Limits that upstreams name.
+    /// Rate limits that upstreams sent.
     Limits(LimitGossip),
 }
 
-/// A daemon that may be reached at an address.
+/// Address at which a daemon may be reachable.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerContact {
-    /// Where.
+    /// Address for messages between daemons.
     pub address: SocketAddr,
-    /// Its zone, where it is known.
+    /// Availability zone of the daemon; absent when it is not known, as for addresses from the
+    /// settings.
     pub zone: Option<ZoneLabel>,
 }
 
-/// Messages to be sent now.
+/// Targets of the summaries and digests that are due.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct GossipPlan {
-    /// Who gets a summary of this daemon.
+    /// Daemons that receive a summary of this daemon.
     pub summary_targets: Vec<SocketAddr>,
-    /// Who gets a digest of this daemon's zone with its slots: daemons that place requests.
+    /// Daemons that receive a digest of this daemon's zone with its slots, as they dispatch
+    /// requests.
     pub digest_targets: Vec<SocketAddr>,
-    /// Who gets a digest without slots.
+    /// Daemons that receive a digest without slots, as they dispatch no requests.
     pub slotless_digest_targets: Vec<SocketAddr>,
 }
 
-/// Who gets newer slots now.
+/// Targets of the slot updates that are due.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SlotPlan {
-    /// Who gets those of this daemon.
+    /// Daemons that receive the slots of this daemon.
     pub daemon_slot_targets: Vec<SocketAddr>,
-    /// Who gets those of this daemon's zone.
+    /// Daemons that receive the slots of this daemon's zone.
     pub zone_slot_targets: Vec<SocketAddr>,
 }
 
-/// Usual messages that so many slots are worth.
+/// Returns the number of typical messages that an update with this many slots is worth.
 #[must_use]
 pub fn slot_rounds(slots: usize) -> u32 {
     u32::try_from(slots.div_ceil(SLOTS_PER_MESSAGE).max(1)).unwrap_or(u32::MAX)
 }
 
-/// Slots of a zone that were sent last.
+/// The last update of the own zone's slots that this daemon sent.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct LastSlotUpdate {
-    /// When.
+    /// Time of sending.
     pub sent_at: MonotonicTime,
-    /// How many.
+    /// Slots in the message.
     pub count: usize,
 }
 
 impl LastSlotUpdate {
-    /// The next message is due.
+    /// Returns whether the next update is due. The interval grows with the size of the last one.
     fn is_next_due(&self, now: MonotonicTime) -> bool {
         let rounds = f64::from(slot_rounds(self.count)) - 1.0 + MIN_SLOT_ROUND_FRACTION;
         now.since(self.sent_at) >= SLOT_UPDATE_INTERVAL.mul_f64(rounds)
@@ -110,7 +113,7 @@
     seen_at: MonotonicTime,
 }
 
-/// Addresses of other daemons.
+/// Addresses of other daemons, from the settings, the store and received messages.
 #[derive(Debug, Clone)]
 pub struct ContactTable {
     own_address: SocketAddr,
@@ -124,7 +127,7 @@
 }
 
 impl ContactTable {
-    /// A book without contacts.
+    /// Creates a table without contacts. `own_address` is never recorded.
     #[must_use]
     pub fn new(own_address: SocketAddr, own_zone: ZoneLabel) -> Self {
         Self {
@@ -135,7 +138,7 @@
         }
     }
 
-    /// A daemon is or may be at an address.
+    /// Records that a daemon is or may be reachable at an address.
     pub fn record(&mut self, now: MonotonicTime, contact: PeerContact) {
         if contact.address == self.own_address {
             return;
@@ -152,37 +155,38 @@
         }
     }
 
-    /// Daemons that there may be, this one included.
+    /// Returns the number of daemons that may exist, this one included.
     #[must_use]
     pub fn daemons(&self) -> u32 {
         u32::try_from(self.contacts.len() + 1).unwrap_or(u32::MAX)
     }
 
-    /// There are so many daemons that zones exchange digests.
+    /// Returns whether there are so many daemons that zones exchange digests.
     #[must_use]
     pub fn uses_zone_digests(&self) -> bool {
         self.daemons() > MAX_DIRECT_DAEMONS
     }
 
-    /// Time until the next messages.
+    /// Returns the interval between two rounds of summaries and digests; it grows with the own
+    /// zone.
     #[must_use]
     pub fn gossip_interval(&self) -> Duration {
         SUMMARY_INTERVAL.saturating_mul(self.summary_rounds())
     }
 
-    /// Time until the next message on slots alone, while these are scarce.
+    /// Returns the interval between two slot updates while free slots are scarce.
     #[must_use]
     pub fn slot_update_interval(&self) -> Duration {
         SLOT_UPDATE_INTERVAL
     }
 
-    /// Time until a member of the entry set sends its next heartbeat.
+    /// Returns the interval between two heartbeats of a member of the entry set.
     #[must_use]
     pub fn heartbeat_interval(&self) -> Duration {
         HEARTBEAT_INTERVAL
     }
 
-    /// Daemons of the own zone.
+    /// Returns the contacts of the own zone; contacts without a known zone count as its own.
     #[must_use]
     pub fn zone_contacts(&self) -> Vec<SocketAddr> {
         let near = self.contacts.iter();
@@ -206,7 +210,7 @@
             .is_none_or(|zone| *zone == self.own_zone)
     }
 
-    /// Who gets which messages now.
+    /// Removes expired contacts and returns the targets of the summaries and digests that are due.
     pub fn plan(&mut self, now: MonotonicTime, peers: &PeerTable) -> GossipPlan {
         self.contacts
             .retain(|_, known| now.since(known.seen_at) < CONTACT_TTL);
@@ -231,8 +235,11 @@
         plan
     }
 
-    /// Who gets newer slots now. Only daemons that place requests need them; `sent`: the zone's
-    /// slots as this daemon sent them last, if it is one of those that send these to other zones.
+    /// Returns the targets of the slot updates that are due; only daemons that dispatch requests
+    /// need them.
+    ///
+    /// `sent` is the last update of the zone's slots that this daemon sent. It is absent when the
+    /// daemon is not a member of the entry set and so does not send them.
     #[must_use]
     pub fn plan_slots(
         &self,
@@ -265,8 +272,8 @@
         plan
     }
 
-    /// Each daemon of another zone learns of this zone from one of its daemons, chosen alike by
-    /// all of them, so that the work is spread evenly.
+    /// Returns whether this daemon is the one of its zone that sends to `receiver`. All daemons of
+    /// the zone select the same sender by rendezvous hashing, which spreads the work evenly.
     fn is_sender_for(&self, receiver: u64, senders: &[u64]) -> bool {
         let own = pair_weight(self.own_number, receiver);
         let mut others = senders.iter();
--- a/crates/savorywood-gateway/src/lib.rs
+++ b/crates/savorywood-gateway/src/lib.rs
@@ -1,7 +1,8 @@
-//! Decisions of a daemon whose routes, teams and upstreams are declared in a shared store.
+//! Request scheduling, gossip and roll-out decisions of a gateway daemon whose routes, teams and
+//! upstreams are declared in a shared store.
 //!
-//! [`Gateway`] is one reducer over all events with effects as data: it reads no clock and does no
-//! I/O, so the same events give the same effects.
+//! [`Gateway`] is a single reducer: it handles every event and returns effects as data. It reads no
+//! clock and does no I/O, so equal events give equal effects.
 
 mod affinity;
 mod arrival;
--- a/crates/savorywood-gateway/src/peer.rs
+++ b/crates/savorywood-gateway/src/peer.rs
@@ -1,4 +1,4 @@
-//! State that daemons gossip, and what each knows of the others.
+//! State received from peers: summaries of daemons, digests of other zones, and totals over both.
 
 use crate::{
     message::{DaemonRole, PeerHeartbeat, PeerPhase, PeerSummary, SlotScope, SlotUpdate, SlotUse},
@@ -13,18 +13,18 @@
     time::Duration,
 };
 
-/// A peer whose last message is older than this gets no callers sent.
+/// A peer that was not heard from for this long is not live and is given no callers.
 const LIVENESS_TIMEOUT: Duration = Duration::from_millis(1_300);
-/// Slots that a peer reported are counted for this long.
+/// Slots reported by a peer count for this long after its last message.
 const SLOTS_TIMEOUT: Duration = Duration::from_millis(1_300);
-/// A member of the entry set that sent nothing for this long is left out.
+/// A member of the entry set that was not heard from for this long is no candidate any more.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(600);
-/// Peers that must leave an upstream out before others hold back.
+/// Number of peers that must have ejected an upstream before others avoid it as well.
 const MIN_EJECTING_PEERS: u32 = 2;
-/// A peer silent for this long is forgotten.
+/// A peer that was not heard from for this long is removed.
 const PEER_TTL: Duration = Duration::from_secs(60);
 
-/// Short number of a name, the same at all daemons (FNV-1a).
+/// Returns a digest of a name that is equal at all daemons (FNV-1a).
 #[must_use]
 pub fn name_digest(name: &str) -> u64 {
     name.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
@@ -32,43 +32,44 @@
     })
 }
 
-/// Part of an upstream's digest by which slots are counted: messages on slots are most of what
-/// daemons exchange, and half of a digest is enough for some thousand upstreams.
+/// Returns the part of an upstream's digest by which slots are counted. Slot updates are most of
+/// the traffic between daemons, and 32 bits suffice for some thousand upstreams.
 #[must_use]
 pub fn slot_key(digest: u64) -> u32 {
     digest as u32
 }
 
-/// Requests at one upstream as the sum of what was reported.
+/// Slots in use at one upstream, summed over the reports of all peers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct SlotTotal {
-    /// Requests there.
+    /// Requests in progress there.
     pub running: u32,
-    /// Prompt tokens of those of which no event has come yet.
+    /// Prompt tokens of the requests whose first event has not been received yet (prefill backlog).
     pub unread_prompt_tokens: u32,
 }
 
-/// A peer and when it was last seen.
+/// Last state received from a peer.
 #[derive(Debug, Clone)]
 pub struct PeerState {
-    /// Its newest message.
+    /// Newest summary, with the slots and sequence number of newer messages.
     pub summary: PeerSummary,
-    /// When that came.
+    /// Time of the last message.
     pub received_at: MonotonicTime,
-    /// Digest of its host's name.
+    /// Digest of the peer's host name.
     pub digest: u64,
-    /// End of its last silence, if it had one.
+    /// Time at which messages resumed after the last gap that exceeded [`LIVENESS_TIMEOUT`].
     resumed_at: Option<MonotonicTime>,
 }
 
 impl PeerState {
-    /// It takes callers now.
+    /// Returns whether the peer is live and ready for callers.
     #[must_use]
     pub fn accepts_callers(&self, now: MonotonicTime) -> bool {
         self.summary.phase == PeerPhase::Ready && self.is_live(now)
     }
 
-    /// It takes callers, and sends the heartbeats that a member of the entry set owes.
+    /// Returns whether the peer accepts callers and, if it is a member of the entry set and
+    /// `heartbeats` are in use, has sent its heartbeats.
     #[must_use]
     pub fn is_member_candidate(&self, now: MonotonicTime, heartbeats: bool) -> bool {
         let owes = heartbeats && self.summary.role == DaemonRole::Entry;
@@ -76,8 +77,10 @@
         self.accepts_callers(now) && !(owes && silent)
     }
 
-    /// Time for which it has been running without a silence that was noticed here. Silences that
-    /// ended when the observer itself went on, at `own_resumed_at`, were the observer's.
+    /// Returns the time for which the peer has been running without a gap in its messages.
+    ///
+    /// Gaps that ended when this daemon itself resumed, at `own_resumed_at`, do not count: this
+    /// daemon was the one that was frozen.
     #[must_use]
     pub fn stable_for(
         &self,
@@ -92,7 +95,7 @@
         resumed.map_or(age, |at| now.since(at).min(age))
     }
 
-    /// Notes a message; a silence that it ends is remembered.
+    /// Records that a message was received, and the end of a gap in the messages.
     fn record_message(&mut self, now: MonotonicTime) {
         if now.since(self.received_at) >= LIVENESS_TIMEOUT {
             self.resumed_at = Some(now);
@@ -100,37 +103,38 @@
         self.received_at = now;
     }
 
-    /// It was seen lately.
+    /// Returns whether a message was received within [`LIVENESS_TIMEOUT`].
     #[must_use]
     pub fn is_live(&self, now: MonotonicTime) -> bool {
         now.since(self.received_at) < LIVENESS_TIMEOUT
     }
 }
 
-/// All peers: those seen directly, and other zones as one of their daemons reports them.
+/// State of all peers: daemons that send summaries here, and other zones as one of their daemons
+/// reports them.
 #[derive(Debug, Clone)]
 pub struct PeerTable {
     own_zone: ZoneLabel,
     peers: BTreeMap<HostLabel, PeerState>,
     zones: BTreeMap<ZoneLabel, ZoneState>,
-    /// When something changed last.
+    /// Time of the last change.
     changed_at: MonotonicTime,
-    /// Sums as of then, once somebody asks for them: messages are many more than picks at a
-    /// daemon that stands by.
+    /// Totals as of the last change, computed on first use: a standby daemon receives many more
+    /// messages than it selects upstreams.
     totals: OnceCell<ReportedTotals>,
 }
 
-/// What all others reported, by the digest of an upstream's name.
+/// Totals over the reports of all peers, by the digest of the upstream's name.
 #[derive(Debug, Clone, Default)]
 struct ReportedTotals {
     /// Slots in use.
     slots: HashMap<u32, SlotTotal>,
-    /// Peers that leave the upstream out.
+    /// Number of peers that have ejected the upstream.
     ejecting_peers: HashMap<u64, u32>,
 }
 
 impl PeerTable {
-    /// A table of a daemon in a zone.
+    /// Creates a table without peers. `own_zone` is the availability zone of this daemon.
     #[must_use]
     pub fn new(own_zone: ZoneLabel) -> Self {
         Self {
@@ -142,7 +146,7 @@
         }
     }
 
-    /// Takes a peer's message, unless a newer one is known. Returns whether it was taken.
+    /// Records the summary of a peer. Returns false when a newer message was received already.
     pub fn receive(&mut self, now: MonotonicTime, summary: PeerSummary) -> bool {
         let host = HostLabel::from(summary.host.as_str());
         let known = self.peers.get(&host).map(|peer| &peer.summary);
@@ -171,7 +175,7 @@
         true
     }
 
-    /// Takes the message of a daemon of another zone on that zone.
+    /// Records the digest that a daemon of another zone sent about that zone.
     pub fn receive_digest(&mut self, now: MonotonicTime, digest: ZoneDigest) -> DigestOutcome {
         let zone = ZoneLabel::from(digest.zone.as_str());
         if zone == self.own_zone {
@@ -193,7 +197,7 @@
         outcome
     }
 
-    /// Takes newer slots of a peer, or of a zone, that is known. Returns whether they were taken.
+    /// Records newer slots of a known peer or zone. Returns false when they are not applied.
     pub fn apply_slot_update(&mut self, now: MonotonicTime, slots: SlotUpdate) -> bool {
         let taken = match slots.scope {
             SlotScope::Daemon => {
@@ -219,7 +223,8 @@
         taken
     }
 
-    /// Takes a sign of life of a peer that is known, unless it is an old one.
+    /// Records a heartbeat and returns its sender. Returns `None` when the sender is unknown, has
+    /// another incarnation, or sent a newer message already.
     pub fn apply_heartbeat(
         &mut self,
         now: MonotonicTime,
@@ -236,12 +241,12 @@
         Some(peer)
     }
 
-    /// Forgets a peer that ended.
+    /// Removes a peer that ended.
     pub fn remove(&mut self, host: &HostLabel) {
         self.peers.remove(host);
     }
 
-    /// Time passes: what others reported drops out of the totals once they are silent for too long.
+    /// Removes expired peers and drops expired reports from the totals.
     pub fn refresh(&mut self, now: MonotonicTime) {
         self.peers
             .retain(|_, peer| now.since(peer.received_at) < PEER_TTL);
@@ -276,20 +281,21 @@
         totals
     }
 
-    /// Requests of all others at an upstream, as they last reported.
+    /// Returns the slots that all peers together use at an upstream, as last reported.
     #[must_use]
     pub fn slots_at(&self, upstream: &UpstreamLabel) -> SlotTotal {
         self.slots_by_digest(name_digest(upstream.as_str()))
     }
 
-    /// The same for an upstream by the digest of its name.
+    /// Returns the slots that all peers together use at the upstream whose name has this digest.
     #[must_use]
     pub fn slots_by_digest(&self, digest: u64) -> SlotTotal {
         let sum = self.totals().slots.get(&slot_key(digest));
         sum.copied().unwrap_or_default()
     }
 
-    /// Several peers leave an upstream out. One alone may have lost its way there.
+    /// Returns whether several peers have ejected an upstream. A single peer may have lost its own
+    /// connection to it.
     #[must_use]
     pub fn is_ejected_by_peers(&self, upstream: &UpstreamLabel) -> bool {
         let digest = name_digest(upstream.as_str());
@@ -297,37 +303,38 @@
         peers.unwrap_or_default() >= MIN_EJECTING_PEERS
     }
 
-    /// A peer was seen lately.
+    /// Returns whether the peer with this host name was heard from within [`LIVENESS_TIMEOUT`].
     #[must_use]
     pub fn is_live(&self, now: MonotonicTime, host: &str) -> bool {
         self.peers.get(host).is_some_and(|peer| peer.is_live(now))
     }
 
-    /// Peers that count by their own message: those of a zone of which a digest is known do not.
+    /// Returns the peers whose own summaries are used, rather than a digest of their zone.
     fn direct_peers(&self, now: MonotonicTime) -> impl Iterator<Item = &PeerState> {
         let peers = self.peers.values();
         peers.filter(move |peer| self.uses_direct_summary(now, &peer.summary.zone))
     }
 
-    /// The message of this peer counts, not that of another daemon of its zone.
+    /// Returns whether the own summaries of a zone's daemons are used, rather than a digest of the
+    /// zone.
     #[must_use]
     pub fn uses_direct_summary(&self, now: MonotonicTime, zone: &str) -> bool {
         uses_direct_summary(&self.own_zone, &self.zones, now, zone)
     }
 
-    /// Peers that take callers, as far as they count themselves.
+    /// Returns the peers that are ready for callers, among those whose own summaries are used.
     pub fn ready_peers(&self, now: MonotonicTime) -> impl Iterator<Item = &PeerState> {
         self.direct_peers(now)
             .filter(move |peer| peer.accepts_callers(now))
     }
 
-    /// Other zones of which one daemon reports.
+    /// Returns the digests of other zones that are not stale.
     pub fn zone_digests(&self, now: MonotonicTime) -> impl Iterator<Item = &ZoneDigest> {
         let fresh = self.zones.values().filter(move |zone| zone.is_fresh(now));
         fresh.map(|zone| &zone.digest)
     }
 
-    /// Peers of the own zone seen lately that do not leave.
+    /// Returns the live peers of the own zone that are not leaving.
     pub fn neighbours(&self, now: MonotonicTime) -> impl Iterator<Item = &PeerState> {
         let alive = self.live_peers(now);
         alive.filter(|peer| {
@@ -335,7 +342,8 @@
         })
     }
 
-    /// Peers of a zone that could be members of its entry set. `heartbeats`: members send these.
+    /// Returns the peers of a zone that are candidates for its entry set. `heartbeats`: members of
+    /// the set send heartbeats.
     pub fn member_candidates<'a>(
         &'a self,
         now: MonotonicTime,
@@ -348,20 +356,22 @@
         })
     }
 
-    /// Zones of which the daemons count themselves, the own one included.
+    /// Returns the zones whose daemons' own summaries are used, the own zone included.
     pub fn direct_zones(&self, now: MonotonicTime) -> BTreeSet<&str> {
         let peers = self.direct_peers(now);
         peers.map(|peer| peer.summary.zone.as_str()).collect()
     }
 
-    /// Daemons of other zones that place requests, as these zones' digests name them.
+    /// Returns the peer addresses of the daemons of other zones that dispatch requests, according
+    /// to the digests of these zones.
     #[must_use]
     pub fn remote_serving_addresses(&self, now: MonotonicTime) -> BTreeSet<SocketAddr> {
         let members = self.zone_digests(now).flat_map(|zone| &zone.members);
         members.map(|member| member.peer_address).collect()
     }
 
-    /// Daemons of the own zone that have not left, this one and silent ones included.
+    /// Returns the number of daemons of the own zone that are not leaving, including this one and
+    /// those that are not live.
     #[must_use]
     pub fn zone_daemon_count(&self) -> usize {
         let peers = self.peers.values();
@@ -371,8 +381,8 @@
         here.count() + 1
     }
 
-    /// More than half of the daemons that are known were seen or reported lately, this one
-    /// included.
+    /// Returns whether more than half of the known daemons, this one included, are live or reported
+    /// in a digest that is not stale.
     #[must_use]
     pub fn sees_majority(&self, now: MonotonicTime) -> bool {
         let mut seen = 1;
@@ -382,7 +392,7 @@
             seen += u64::from(peer.is_live(now));
         }
         for zone in self.zones.values() {
-            // A zone of which no digest comes may be reported by its daemons themselves.
+            // Without a digest, the daemons of the zone may still report themselves.
             if zone.is_fresh(now) {
                 known += u64::from(zone.digest.daemons);
                 seen += u64::from(zone.digest.daemons);
@@ -397,12 +407,13 @@
         self.live_peers(now).any(|peer| peer.summary.zone == zone)
     }
 
-    /// Peers seen lately.
+    /// Returns the peers that were heard from within [`LIVENESS_TIMEOUT`].
     pub fn live_peers(&self, now: MonotonicTime) -> impl Iterator<Item = &PeerState> {
         self.peers.values().filter(move |peer| peer.is_live(now))
     }
 
-    /// Number of other daemons seen or reported within the last minute.
+    /// Returns the number of other daemons, including those not heard from that have not been
+    /// removed yet.
     #[must_use]
     pub fn peer_count(&self, now: MonotonicTime) -> usize {
         let far = self.zone_digests(now).map(|zone| zone.daemons as usize);
--- a/crates/savorywood-gateway/src/position.rs
+++ b/crates/savorywood-gateway/src/position.rs
@@ -1,25 +1,25 @@
-//! Moments in the history of the store.
+//! Positions in the history of the store's rows.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A moment in the history of the store's rows.
+/// A position in the history of the store's rows.
 ///
-/// A store that was restored from a backup gives out versions once more that it had given out
-/// before, for other content. So a version says something within an era alone, and every moment of
-/// a later era comes after all moments of earlier ones.
+/// A store that was restored from a backup assigns versions again that it had assigned to other
+/// content before. Versions are therefore comparable within one era only, and every position of a
+/// later era follows all positions of earlier ones.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct StorePosition {
-    /// Grows each time the store is restored.
+    /// Era of the store; grows each time the store is restored.
     pub era: u64,
     /// Grows with each change within an era.
     pub version: u64,
 }
 
 impl StorePosition {
-    /// A position.
+    /// Creates the position `version` of an era.
     #[must_use]
     pub fn new(era: u64, version: u64) -> Self {
         Self { era, version }
--- a/crates/savorywood-gateway/src/store_reads.rs
+++ b/crates/savorywood-gateway/src/store_reads.rs
@@ -1,9 +1,10 @@
-//! Who reads the store in a zone, and what the others take from it.
+//! Selection of the daemon that reads the store for its zone, and what the others take from it.
 //!
-//! Read by every daemon, the store is asked as often as there are daemons, and each change is sent
-//! as often. So where zones exchange digests, the first daemon of a zone that can read the store
-//! does so and attests to what the others hold; it hands on changed rows at once. Whoever sees no
-//! such daemon reads by itself.
+//! If every daemon read the store, the load of the store would grow with the number of daemons,
+//! both for reads and for changes. Where zones exchange digests, the first daemon of a zone that
+//! can reach the store therefore reads it, attests that the copies of the others are current, and
+//! forwards changed rows at once. A daemon that receives no such attestation reads the store
+//! itself.
 
 use crate::{message::PeerSummary, name::HostLabel, peer::name_digest, position::StorePosition};
 use savorywood_protocol::MonotonicTime;
@@ -11,77 +12,79 @@
 use std::{collections::BTreeMap, time::Duration};
 use strum::Display;
 
-/// An attestation that was not renewed within this time ends; its daemon died, or is cut off.
+/// An attestation that was not renewed within this time expires: its daemon ended or is
+/// unreachable.
 const ATTESTATION_TIMEOUT: Duration = Duration::from_millis(900);
-/// A proof older than this is not attested: its daemon can't reach the store itself.
+/// A copy confirmed longer ago than this is not attested: the daemon cannot reach the store itself.
 const MAX_ATTESTED_AGE: Duration = Duration::from_millis(1_900);
-/// Messages older than this are not echoed.
+/// Messages received longer ago than this are not echoed.
 const ECHO_TTL: Duration = Duration::from_millis(900);
-/// Failures of the store that lie longer ago than this are not reported.
+/// Failures of the store longer ago than this are not reported.
 const FAILURE_REPORT_WINDOW: Duration = Duration::from_secs(4);
 
-/// Tables whose contents all daemons hold.
+/// Table of the store of which all daemons hold a copy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SharedTable {
-    /// What operators declare.
+    /// Resources that operators declare.
     Declared,
     /// Registrations of upstreams.
     Upstreams,
 }
 
-/// What a daemon says of a table in the store.
+/// Statement of one daemon about the state of a table in the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableAttestation {
-    /// Position of its last change.
+    /// Position of the last change of the table.
     pub last_change: StorePosition,
-    /// Age in milliseconds of the proof that nothing changed since.
+    /// Milliseconds since the store confirmed that nothing changed after that position.
     pub confirmation_age_ms: u32,
 }
 
-/// What a daemon that reads the store itself says of it.
+/// Statement of a daemon that reads the store itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreAttestation {
-    /// What operators declare.
+    /// State of the declared resources.
     pub declared: TableAttestation,
-    /// Registrations of upstreams.
+    /// State of the registrations of upstreams.
     pub upstreams: TableAttestation,
-    /// Time in milliseconds since a call to the store failed, if that was lately.
+    /// Milliseconds since a call to the store last failed; absent when none failed recently.
     pub store_failure_age_ms: Option<u32>,
 }
 
-/// When a peer's last message was sent, by that peer's clock, and for how long it has been held here.
+/// Echo of the last message of a peer. It lets the peer relate this daemon's message to its own
+/// clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerEcho {
-    /// Digest of the peer's name.
+    /// Digest of the peer's host name.
     pub peer: u64,
-    /// Its clock when it sent the message.
+    /// Clock of the peer when it sent the message.
     pub sent: MonotonicTime,
-    /// Microseconds between the message's coming and the echo.
+    /// Microseconds between receiving the message and sending the echo.
     pub held_micros: u32,
 }
 
-/// How a daemon learns of a table now.
+/// How a daemon keeps its copy of a table current. The text form is part of the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 #[strum(serialize_all = "kebab-case")]
 pub enum ReadPlan {
-    /// It reads the store.
+    /// Reads the store continuously.
     Direct,
-    /// It reads once what it lacks.
+    /// Reads the changes that are missing once.
     CatchUp,
-    /// Another daemon attests to what it holds.
+    /// Relies on the attestation of another daemon.
     #[strum(serialize = "rest")]
     FollowAttestation,
-    /// It waits until another daemon may attest to what it has just read.
+    /// Waits until another daemon may attest to what was just read.
     #[strum(serialize = "await")]
     AwaitReader,
 }
 
-/// What is known of a table.
+/// How far the copy of a table follows the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct TablePosition {
-    /// All changes up to this position are known.
+    /// All changes up to this position have been applied.
     pub read_through: StorePosition,
-    /// Position of the last change, as far as it is known.
+    /// Position of the last change that was observed.
     pub last_change: StorePosition,
 }
 
@@ -103,7 +106,7 @@
     received_at: MonotonicTime,
 }
 
-/// Own reads, messages to be echoed, and attestations of others.
+/// Own reads of the store, messages to be echoed, and attestations of neighbours.
 #[derive(Debug, Clone, Default)]
 pub struct StoreReadTracker {
     declared: ReadState,
@@ -125,7 +128,8 @@
         }
     }
 
-    /// A table was read, or rows of it were handed on; only a read proves anything.
+    /// Records that a table was read, or that rows of it were forwarded by a neighbour; only a read
+    /// has a `confirmed_at`.
     pub fn record_read(
         &mut self,
         table: SharedTable,
@@ -140,12 +144,12 @@
         state.confirmed_at = state.confirmed_at.max(confirmed_at);
     }
 
-    /// A call to the store failed.
+    /// Records that a call to the store failed.
     pub fn record_store_failure(&mut self, now: MonotonicTime) {
         self.failed_at = Some(now);
     }
 
-    /// A neighbour's message came.
+    /// Records the message of a neighbour, to be echoed, and its attestation.
     pub fn record_summary(&mut self, now: MonotonicTime, summary: &PeerSummary) {
         let message = LastMessage {
             sent_at: summary.sent_at,
@@ -168,7 +172,8 @@
         }
     }
 
-    /// What this daemon attests to: it has read both tables itself lately.
+    /// Returns the attestation of this daemon; absent unless it has read both tables itself
+    /// recently.
     #[must_use]
     pub fn attestation(&self, now: MonotonicTime) -> Option<StoreAttestation> {
         let of = |state: &ReadState, longest: Duration| {
@@ -188,7 +193,7 @@
         })
     }
 
-    /// Echoes of what neighbours said lately.
+    /// Returns the echoes of recent messages of neighbours.
     #[must_use]
     pub fn echoes(&self, now: MonotonicTime) -> Vec<PeerEcho> {
         let fresh = self.last_messages.iter();
@@ -202,7 +207,7 @@
         echoes.collect()
     }
 
-    /// Forgets messages and attestations that are too old to matter.
+    /// Removes expired messages and attestations.
     pub fn expire(&mut self, now: MonotonicTime) {
         self.last_messages
             .retain(|_, summary| now.since(summary.received_at) < ECHO_TTL);
@@ -210,7 +215,7 @@
             .retain(|_, received| now.since(received.received_at) < ATTESTATION_TIMEOUT);
     }
 
-    /// Attestation of the first neighbour that goes before this daemon.
+    /// Returns the attestation of the first neighbour by host name, if that precedes this daemon.
     fn preferred_attestation(
         &self,
         now: MonotonicTime,
@@ -223,7 +228,7 @@
         (host < own).then_some(&received.attestation)
     }
 
-    /// How to learn of a table now.
+    /// Returns how to keep the copy of a table current.
     #[must_use]
     pub fn read_plan(&self, now: MonotonicTime, own: &HostLabel, table: SharedTable) -> ReadPlan {
         let Some(attestation) = self.preferred_attestation(now, own) else {
@@ -240,11 +245,12 @@
         }
     }
 
-    /// Moment of this daemon's clock at which an attestation proves what this daemon holds of a table.
+    /// Returns the moment, by this daemon's clock, at which a neighbour's attestation confirms the
+    /// copy of a table held here.
     ///
-    /// The neighbour's clock means nothing here, and its message may have been on its way for long. But
-    /// it echoes a message of this daemon: what it proved at a time after that message's coming was true
-    /// at a time after the message's sending.
+    /// The neighbour's clock cannot be compared with this one, and its message may have been
+    /// delayed. It echoes a message of this daemon, however: what the neighbour confirmed at some
+    /// time after receiving that message was true at least that long after the message was sent.
     #[must_use]
     pub fn confirmed_at(
         &self,
--- a/crates/savorywood-gateway/src/zone.rs
+++ b/crates/savorywood-gateway/src/zone.rs
@@ -1,8 +1,9 @@
 //! Digest of a zone that one of its daemons sends to daemons of other zones.
 //!
-//! Sent by each daemon to each, state costs a daemon bytes and processor time that grow with the
-//! number of daemons, and links between zones carry most of it. So daemons of a zone exchange
-//! summaries, and every daemon of another zone learns of them from one of them.
+//! If each daemon sent its state to every other one, the bytes and processor time per daemon would
+//! grow with the number of daemons, and most bytes would cross the links between zones. Daemons of
+//! a zone therefore exchange summaries, and each daemon of another zone receives a digest from one
+//! of them.
 
 use crate::{
     gossip::slot_rounds,
@@ -12,86 +13,87 @@
 use serde::{Deserialize, Serialize};
 use std::{net::SocketAddr, time::Duration};
 
-/// A zone that was not reported for this long counts as silent; its daemons' own summaries count then.
+/// A digest older than this is stale; the summaries of the zone's daemons are used in its place.
 const DIGEST_TTL: Duration = Duration::from_millis(1_300);
-/// Slots sent between two digests go before those of the digests for this long; large ones, which
-/// are sent more rarely, for as many times.
+/// A slot update takes precedence over the slots of later digests for this long. Large updates are
+/// sent less often, and their time grows by the same factor.
 const SLOT_UPDATE_TTL: Duration = Duration::from_millis(300);
-/// A second daemon that reports a zone is ignored while the first was received within this
-/// time: each keeps its own account of what teams used, and accounts of two must not be mixed.
+/// Digests of a second sender are ignored while the first was received within this time: each
+/// sender accounts for the usage of teams on its own, and two accounts must not be mixed.
 const SENDER_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// A daemon of a zone.
+/// A daemon of a zone, as listed in the digest of the zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneMember {
-    /// Where other daemons reach it.
+    /// Address at which other daemons reach the daemon.
     pub peer_address: SocketAddr,
-    /// Where callers reach it.
+    /// Address at which callers reach the daemon.
     pub caller_address: SocketAddr,
-    /// What it does.
+    /// Readiness of the daemon.
     pub phase: PeerPhase,
-    /// Its part in placing requests.
+    /// Role of the daemon in dispatching requests.
     pub role: DaemonRole,
 }
 
-/// A zone as one of its daemons sees it.
+/// State of a zone as one of its daemons reports it. Encoded with postcard: the order of fields is
+/// part of the format.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneDigest {
-    /// The zone.
+    /// Name of the availability zone.
     pub zone: String,
-    /// Digest of the host that reports.
+    /// Digest of the sender's host name.
     pub sender: u64,
-    /// Its life; a later one is larger.
+    /// Incarnation of the sender; a later one is larger.
     pub incarnation: u64,
-    /// Age of that life in milliseconds.
+    /// Uptime of the incarnation, in milliseconds.
     pub uptime_ms: u64,
-    /// Grows with each message of a life.
+    /// Sequence number; grows with each message of an incarnation.
     pub sequence: u64,
-    /// Daemons of the zone that place requests.
+    /// Daemons of the zone that dispatch requests.
     pub members: Vec<ZoneMember>,
-    /// Daemons of the zone that count for limits, silent ones included.
+    /// Daemons of the zone that share limits, including those that are not live.
     pub daemons: u32,
-    /// Requests of all of them at upstreams; none for daemons that place no requests.
+    /// Slots in use by all daemons of the zone; empty when the receiver dispatches no requests.
     pub slots: Vec<SlotUse>,
-    /// What teams used at all of them since the sender began to count.
+    /// Usage of teams at all daemons of the zone since the sender began to count.
     pub usage: Vec<TeamUse>,
-    /// What they have seen of roll-outs.
+    /// Results that the zone's daemons have observed for roll-outs.
     pub tallies: Vec<VersionTally>,
 }
 
-/// A zone and when it was reported.
+/// Last state received from another zone.
 #[derive(Debug, Clone)]
 pub struct ZoneState {
-    /// The newest message.
+    /// Newest digest.
     pub digest: ZoneDigest,
-    /// When that came.
+    /// Time at which the digest was received.
     pub received_at: MonotonicTime,
     slots: Option<ZoneSlotUpdate>,
 }
 
-/// Slots of a zone as a member of its entry set sent them last.
+/// Slots of a zone as last sent by a member of its entry set.
 #[derive(Debug, Clone)]
 struct ZoneSlotUpdate {
     update: SlotUpdate,
     received_at: MonotonicTime,
 }
 
-/// What a digest is against those before it.
+/// Relation of a received digest to the one held.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DigestOutcome {
-    /// Older than what is known, or of a second sender.
+    /// Older than the one held, or from a second sender while the first still reports.
     Ignored,
-    /// The sender goes on.
+    /// Newer, from the same sender.
     SameSender,
-    /// Another daemon of the zone reports now.
+    /// Newer, from another daemon of the zone.
     NewSender {
-        /// Digest of the host that reported before.
+        /// Digest of the previous sender's host name; absent for the first digest of a zone.
         before: Option<u64>,
     },
 }
 
 impl ZoneState {
-    /// A zone's first digest.
+    /// Creates the state of a zone from its first digest.
     #[must_use]
     pub fn new(now: MonotonicTime, digest: ZoneDigest) -> Self {
         Self {
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Puts a newer digest in force.
+    /// Replaces the digest, and drops a slot update that has expired.
     pub fn replace(&mut self, now: MonotonicTime, digest: ZoneDigest) {
         self.digest = digest;
         self.received_at = now;
@@ -110,7 +112,8 @@
         }
     }
 
-    /// Takes slots of the zone, unless newer ones are known or another member sends them.
+    /// Applies a slot update. Returns false when a newer one is held, or when another member's
+    /// update has not expired.
     pub fn apply_slot_update(&mut self, now: MonotonicTime, update: SlotUpdate) -> bool {
         let fresh = self.has_fresh_slots(now);
         let known = self.slots.as_ref().map(|slots| &slots.update);
@@ -138,20 +141,20 @@
         })
     }
 
-    /// Requests of the zone at upstreams.
+    /// Returns the slots in use by the zone, from the newest slot update or else from the digest.
     #[must_use]
     pub fn slots(&self) -> &[SlotUse] {
         let slots = self.slots.as_ref();
         slots.map_or(&self.digest.slots, |slots| &slots.update.slots)
     }
 
-    /// It was reported lately.
+    /// Returns whether the digest is recent enough to be used.
     #[must_use]
     pub fn is_fresh(&self, now: MonotonicTime) -> bool {
         now.since(self.received_at) < DIGEST_TTL
     }
 
-    /// What a digest brings.
+    /// Classifies a received digest relative to the one held.
     #[must_use]
     pub fn compare(&self, now: MonotonicTime, digest: &ZoneDigest) -> DigestOutcome {
         let known = &self.digest;
