--- a/crates/savorywood-gateway/src/gateway.rs
+++ b/crates/savorywood-gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! The whole gateway: one reducer over all events.
+//! The reducer of a gateway daemon: dispatches each event to the module that handles it.
 
 mod admission;
 mod completion;
@@ -48,52 +48,53 @@
 use savorywood_protocol::MonotonicTime;
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
-/// Options of a gateway at its start.
+/// Options of a gateway, fixed at its start except for the bounds.
 #[derive(Debug, Clone)]
 pub struct GatewayOptions {
-    /// Own host.
+    /// Host of this daemon.
     pub host: HostLabel,
-    /// Own availability zone.
+    /// Availability zone of this daemon.
     pub zone: ZoneLabel,
-    /// This life; later ones are larger.
+    /// Incarnation of this daemon; that of a later start is larger.
     pub incarnation: u64,
-    /// Where other daemons reach this daemon.
+    /// Address at which other daemons reach this daemon.
     pub peer_address: SocketAddr,
-    /// Where callers reach this daemon.
+    /// Address at which callers reach this daemon.
     pub caller_address: SocketAddr,
-    /// The whole system starts for the first time.
+    /// The deployment starts for the first time, so no earlier usage or list of daemons exists.
     pub first_start: bool,
-    /// Bounds that must hold; they may change later.
+    /// Bounds from the settings; [`GatewayEvent::BoundsRead`] changes them.
     pub bounds: GatewayBounds,
-    /// Seed of all draws.
+    /// Seed of the random sequences.
     pub seed: u64,
-    /// What the choice of upstreams goes by.
+    /// Policy by which upstreams are selected.
     pub routing: RoutingPolicy,
-    /// What the host has for this process.
+    /// Resources of the host that this process may use.
     pub capacity: HostResources,
-    /// Regions of the zones.
+    /// Regions of the availability zones.
     pub regions: RegionMap,
 }
 
-/// Bounds that must hold.
+/// Bounds that the settings set.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct GatewayBounds {
-    /// A key must not work for longer than this after it was taken away; `None`: no such bound.
+    /// Maximum time for which a revoked key may keep working; `None` sets no bound.
     pub revocation_delay: Option<Duration>,
-    /// Bounds of second tries.
+    /// Bounds of retries.
     pub retry_budget: BudgetOptions,
-    /// By how much teams may exceed their limits.
+    /// Amount by which teams may exceed their limits.
     pub limit_tolerance: LimitTolerance,
-    /// Share of traffic that an unproved version may get.
+    /// Fraction of a service's traffic, 0 to 1, that an unproven version may receive.
     pub max_canary_fraction: f64,
-    /// By how much cold upstreams' rates may be exceeded; `None`: no such bound is declared.
+    /// Amount by which the rates of cold upstreams may be exceeded; `None` sets no bound.
     pub warmup_tolerance: Option<WarmupTolerance>,
 }
 
-/// Bound of proofs where keys have none.
+/// Maximum confirmation age when no bound for revoked keys is set.
 const DEFAULT_MAX_CONFIRMATION_AGE: Duration = Duration::from_secs(5);
 impl GatewayBounds {
-    /// Age at which a proof of the configuration is worth nothing.
+    /// Returns the time since the last confirmation after which the configuration held here is
+    /// unusable. The thresholds of readiness, refusals and reads are fractions of it.
     #[must_use]
     pub fn max_confirmation_age(&self) -> Duration {
         self.revocation_delay
@@ -101,7 +102,7 @@
     }
 }
 
-/// Evenly drawn numbers (SplitMix64).
+/// Uniformly distributed random numbers from 0 up to 1 (SplitMix64).
 #[derive(Debug, Clone)]
 struct RandomSequence(u64);
 
@@ -116,12 +117,12 @@
     }
 }
 
-/// Decisions of one daemon.
+/// State of one daemon: requests, upstreams, peers and the configuration in force.
 #[derive(Debug)]
 pub struct Gateway {
     options: GatewayOptions,
     random: RandomSequence,
-    /// Draws for requests near a team's limit.
+    /// Separate sequence for requests near a team's limit; it differs between daemons.
     limit_random: RandomSequence,
     config: Option<Arc<DeclaredConfig>>,
     fleet: UpstreamFleet,
@@ -134,25 +135,25 @@
     peers: PeerTable,
     contacts: ContactTable,
     contacts_read: bool,
-    /// What this process uses of its host.
+    /// Resources that this process uses.
     load: HostResources,
-    /// Load of the own zone, remembered at its peak.
+    /// Recent peak load of the own zone.
     peak: LoadPeak,
     entry: EntrySet,
-    /// Daemons of all zones that the directory names.
+    /// Members of the entry sets of all zones.
     entry_daemons: usize,
     entry_refreshed_at: MonotonicTime,
-    /// What this daemon does for all.
+    /// Leases that this daemon holds among all members of entry sets.
     leases: MemberLeases,
     leases_refreshed_at: MonotonicTime,
     /// Requests under which upstreams crashed.
     quarantine: QuarantineBook,
     store_era: Option<u64>,
-    /// When the store was seen to have been restored.
+    /// Time at which a restore of the store was observed.
     store_restored_at: Option<MonotonicTime>,
-    /// Withdrawals of evacuations that a restored store may only seem to report.
+    /// Withdrawals of evacuations that may only reflect rows lost in a restore of the store.
     pending_withdrawals: Vec<EvacuationOrder>,
-    /// When this process went on after it was frozen.
+    /// Time at which this process resumed after it was frozen.
     resumed_at: Option<MonotonicTime>,
     store_reads: StoreReadTracker,
     meters: BTreeMap<TeamLabel, TeamMeter>,
@@ -161,23 +162,23 @@
     stopping: bool,
     ready_logged: bool,
     sequence: u64,
-    /// Slots as they were reported last.
+    /// Own slots in use as last sent.
     last_sent_slots: Vec<SlotUse>,
-    /// Slots of the own zone as they were sent to other zones last.
+    /// Last update of the own zone's slots sent to other zones.
     last_sent_zone_slots: LastSlotUpdate,
     dispatches: u64,
     started_at: Option<MonotonicTime>,
-    /// When running attempts were looked at last.
+    /// Time of the last check for stalled attempts.
     stalls_checked_at: Option<MonotonicTime>,
-    /// When this process was last seen to wake up.
+    /// Time at which this process last woke from a suspension.
     last_wake_at: MonotonicTime,
 }
 
-/// Effects of one step, in order.
+/// Effects of one step, in the order in which they are to be performed.
 pub type GatewayEffects = Vec<GatewayEffect>;
 
 impl Gateway {
-    /// A gateway that knows nothing yet.
+    /// Creates a gateway without configuration, upstreams or peers.
     #[must_use]
     pub fn new(options: GatewayOptions) -> Self {
         Self {
@@ -223,7 +224,7 @@
         }
     }
 
-    /// Handles one event; what is to be done is appended to `effects`.
+    /// Handles one event at the time `now` and appends the resulting effects to `effects`.
     pub fn step(&mut self, now: MonotonicTime, event: GatewayEvent, effects: &mut GatewayEffects) {
         match event {
             GatewayEvent::Arrived { request, arrival } => {
@@ -311,43 +312,43 @@
         }
     }
 
-    /// Configuration in force.
+    /// Returns the configuration in force; `None` before the first read.
     #[must_use]
     pub fn config(&self) -> Option<&Arc<DeclaredConfig>> {
         self.config.as_ref()
     }
 
-    /// Upstreams as known.
+    /// Returns the registered upstreams and their observed state.
     #[must_use]
     pub fn fleet(&self) -> &UpstreamFleet {
         &self.fleet
     }
 
-    /// Peers as known.
+    /// Returns the state received from peers.
     #[must_use]
     pub fn peers(&self) -> &PeerTable {
         &self.peers
     }
 
-    /// There are so many daemons that zones exchange digests.
+    /// Returns whether there are so many daemons that zones exchange digests.
     #[must_use]
     pub fn uses_zone_digests(&self) -> bool {
         self.contacts.uses_zone_digests()
     }
 
-    /// Requests that wait or run.
+    /// Returns the number of requests that wait or run.
     #[must_use]
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Requests that wait for a place.
+    /// Returns the number of requests that wait for a free slot.
     #[must_use]
     pub fn waiting_requests(&self) -> usize {
         self.queues.values().map(WaitQueue::len).sum()
     }
 
-    /// A roll-out is under way, or its end is not in the store yet.
+    /// Returns whether a roll-out is in progress, or its final status is not in the store yet.
     #[must_use]
     pub fn has_active_rollouts(&self) -> bool {
         self.rollouts.is_active()
--- a/crates/savorywood-gateway/src/gateway/admission.rs
+++ b/crates/savorywood-gateway/src/gateway/admission.rs
@@ -1,4 +1,4 @@
-//! Arrivals: what is checked before a request is scheduled.
+//! Admission of arriving requests: routing, authentication, quarantine and limits of teams.
 
 use super::{
     Gateway, GatewayEffects,
@@ -19,33 +19,36 @@
 use savorywood_protocol::MonotonicTime;
 use std::{sync::Arc, time::Duration};
 
-/// Part of the bound after which keys are confirmed no more. The rest covers a feed that was deaf
-/// for a second before its history was dropped: until then its empty answers prove too much.
+/// Fraction of the maximum confirmation age after which keys are no longer accepted. The rest
+/// covers a feed that had received no changes for a second before its history was dropped: until
+/// then its empty responses confirm too much.
 const KEY_CONFIRMATION_FRACTION: f64 = 0.76;
-/// Part of the bound after which a daemon sends no "no such route" and no "unknown key".
+/// Fraction of the maximum confirmation age after which a daemon no longer responds that there is
+/// no such route or that the key is unknown.
 const REFUSAL_CONFIRMATION_FRACTION: f64 = 0.5;
-/// When to come back to a daemon that can't confirm its configuration; another address is better.
+/// Retry-after delay of a daemon that cannot confirm its configuration; the caller should retry at
+/// another address.
 const UNCONFIRMED_RETRY_AFTER: Duration = Duration::from_millis(200);
-/// Time kept for the final answer's way to the caller.
+/// Time reserved for sending the final response to the caller.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(25);
-/// Longest time for a request that names no deadline on a route without a time limit.
+/// Timeout of a request without a deadline on a route without a timeout.
 const MAX_REQUEST_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// A refusal and when to come back.
+/// Refusal of an arriving request.
 pub struct Refusal {
-    /// Why.
+    /// Reason of the refusal.
     pub reason: RefusalReason,
-    /// When to come back.
+    /// Retry-after delay; absent when a retry cannot succeed.
     pub retry_after: Option<Duration>,
-    /// Team of the key, where it was known.
+    /// Team of the API key, if it was determined before the refusal.
     pub team: Option<TeamLabel>,
-    /// What decided, where the team is over its limit.
+    /// State of the team's meter, if the team has exceeded its limit.
     pub meter: Option<MeterSnapshot>,
-    /// Upstreams that crashed under requests that asked the same.
+    /// Number of crashes recorded for the fingerprint, if the request is quarantined.
     pub crashes: Option<u32>,
 }
 
-/// A team's meter at a refusal.
+/// State of a team's meter at the time of a refusal.
 #[derive(Debug, Clone, Copy)]
 pub struct MeterSnapshot {
     limit: TeamLimit,
@@ -145,14 +148,16 @@
         self.config.as_ref().map_or(0, |config| config.version)
     }
 
-    /// Age of the newest proof that the configuration is the store's.
+    /// Returns the time since the store last confirmed the configuration held here.
     pub(super) fn time_since_confirmed(&self, now: MonotonicTime) -> Duration {
         let proof = self.confirmed_at.map(|at| now.since(at));
         proof.unwrap_or(Duration::from_secs(3_600))
     }
 
-    /// A key that was taken away must not work here after the bound, also when this daemon can't
-    /// learn of it: cut off from the store it would let a shut-out caller in for ever.
+    /// Returns whether the keys held here were confirmed recently enough to be accepted.
+    ///
+    /// A revoked key must not be accepted after the bound, even when this daemon cannot read the
+    /// revocation: without the bound, a daemon cut off from the store would accept it indefinitely.
     pub(super) fn are_keys_confirmed(&self, now: MonotonicTime) -> bool {
         let bound = self.options.bounds.revocation_delay;
         bound.is_none_or(|bound| {
@@ -234,8 +239,8 @@
             .ok_or_else(|| self.final_refusal(now, RefusalReason::NoRoute))
     }
 
-    /// "There is no such thing" is final for a caller: a daemon that may have missed the newest
-    /// configuration says "not ready" in its place.
+    /// Builds a refusal that is final for the caller. A daemon that may have missed the newest
+    /// configuration responds "not ready" instead.
     fn final_refusal(&self, now: MonotonicTime, reason: RefusalReason) -> Refusal {
         if self.time_since_confirmed(now)
             < self
@@ -282,7 +287,7 @@
         let Some(limit) = team.limit else {
             return Ok(0.0);
         };
-        // Beyond its limit a team gets only what nobody else waits for.
+        // Above its limit a team is admitted only while no other request of the service waits.
         let idle = self
             .queues
             .get(service)
--- a/crates/savorywood-gateway/src/gateway/completion.rs
+++ b/crates/savorywood-gateway/src/gateway/completion.rs
@@ -1,4 +1,4 @@
-//! Attempts end, and what becomes of the request.
+//! Completion of attempts: retries, final responses and the end of requests.
 
 use super::{
     Gateway, GatewayEffects,
@@ -54,7 +54,7 @@
         self.dispatch_waiting(now, &service, effects);
     }
 
-    /// Logs what an upstream ended under: which request, beside how many other requests.
+    /// Logs an interrupted attempt with the number of concurrent requests at the upstream.
     fn log_interruption(
         &self,
         request: LocalRequest,
@@ -83,7 +83,7 @@
         effects.push(GatewayEffect::Log(line));
     }
 
-    /// Sends the request once more, or gives it its final answer.
+    /// Retries the request or gives it its final response.
     fn retry_or_finish(
         &mut self,
         now: MonotonicTime,
@@ -145,7 +145,8 @@
         budget.spend(now, &self.options.bounds.retry_budget, daemons)
     }
 
-    /// Puts a request back into its queue; it has waited and goes first in its rank.
+    /// Returns a request to its queue, ahead of the requests of its rank that have not been
+    /// attempted.
     fn requeue(
         &mut self,
         now: MonotonicTime,
@@ -159,7 +160,7 @@
         if let RequestState::Running(attempt) = &record.state
             && let Some(moved_at) = attempt.last_event_at
         {
-            // Its caller's timeout begins anew with each event.
+            // The caller's timeout restarts with each event.
             record.caller_timeout_at = record.caller_timeout_after(moved_at);
         }
         let place = QueuePlace {
@@ -178,8 +179,8 @@
         queue.insert(place);
     }
 
-    /// Gives a request its final answer. This is the one place that decides which statuses are
-    /// true: what may have run is never refused as not run.
+    /// Gives a request its final response. No other function decides what the caller is told about
+    /// execution: a request that may have been executed is never refused as not executed.
     pub(super) fn finish(
         &mut self,
         now: MonotonicTime,
--- a/crates/savorywood-gateway/src/gateway/dispatch.rs
+++ b/crates/savorywood-gateway/src/gateway/dispatch.rs
@@ -1,4 +1,4 @@
-//! Waiting requests get places at upstreams.
+//! Dispatch of waiting requests to upstreams with free slots.
 
 use super::{
     Gateway, GatewayEffects,
@@ -17,16 +17,16 @@
 use savorywood_protocol::MonotonicTime;
 use std::time::Duration;
 
-/// Requests without a place that are looked at before a service counts as full.
+/// Requests of a rank that may find no free slot before the rest of the rank is skipped.
 const MAX_FULL_PICKS: usize = 3;
-/// Part of an upstream's cost by which daemons see it differently.
+/// Random spread of an upstream's cost, as a fraction, by which the selections of daemons differ.
 const COST_SPREAD: f64 = 0.05;
-/// The same where zones exchange digests: state is older there and read by more, and daemons that
-/// all hold the same upstream for the best would meet at it.
+/// The same where zones exchange digests: state is older there and used by more daemons, which
+/// would otherwise all select the same upstream at once.
 const ZONED_COST_SPREAD: f64 = 0.6;
-/// Part of the objective for which a request waits for a service that has no upstream.
+/// Fraction of the objective for which a request waits while its service has no upstream.
 const NO_UPSTREAM_WAIT_FRACTION: f64 = 0.12;
-/// Part of the expected time that must be left when an attempt begins.
+/// Fraction of the expected duration that must remain when an attempt is dispatched.
 const MIN_REMAINING_FRACTION: f64 = 0.6;
 
 impl Gateway {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Gives places at upstreams of a service to the most urgent requests.
+    /// Dispatches the most urgent requests of a service to upstreams with free slots.
     pub(super) fn dispatch_waiting(
         &mut self,
         now: MonotonicTime,
@@ -74,8 +74,9 @@
         }
     }
 
-    /// Most urgent rank first; within a rank those that can still be in time before those that
-    /// can't: a late answer is worth little, and it would make the next one late as well.
+    /// Returns the queue in order of dispatch: the most urgent rank first, and within a rank
+    /// requests that can still meet their objective before those that cannot. A late response is
+    /// worth little, and serving it first would make the next one late as well.
     fn queue_in_order(&self, now: MonotonicTime, service: &ServiceLabel) -> Vec<QueuePlace> {
         let Some(queue) = self.queues.get(service) else {
             return Vec::new();
@@ -93,7 +94,7 @@
         self.pick_excluding(now, record, &record.attempted_upstreams)
     }
 
-    /// Chooses an upstream that is none of those that have had the request.
+    /// Selects an upstream other than the excluded ones.
     pub(super) fn pick_excluding(
         &self,
         now: MonotonicTime,
@@ -220,7 +221,7 @@
         effects.push(GatewayEffect::Dispatch(order));
     }
 
-    /// All upstreams of the service are gone, or have had the request.
+    /// Handles a request when its service has no upstreams or all of them have been attempted.
     fn handle_no_upstream(
         &mut self,
         now: MonotonicTime,
@@ -234,7 +235,7 @@
             && record.executions == 0
             && record.attempts < MAX_ATTEMPTS
         {
-            // All said that they were full or could not be reached: they may have room by now.
+            // All attempted upstreams were full or unreachable; they may have free slots by now.
             record.attempted_upstreams.clear();
         }
         let waited = now.since(record.arrived_at);
@@ -243,7 +244,7 @@
         }
     }
 
-    /// Gives up requests that could not be answered in time any more.
+    /// Refuses waiting requests that can no longer be answered in time.
     pub(super) fn expire_waiting(&mut self, now: MonotonicTime, effects: &mut GatewayEffects) {
         let mut expired = Vec::new();
         let mut too_late = Vec::new();
@@ -282,5 +283,5 @@
     }
 }
 
-/// Times that a request is sent at most, those included that upstreams did not run.
+/// Maximum number of attempts of a request, including those that upstreams did not execute.
 pub(super) const MAX_ATTEMPTS: u32 = 4;
--- a/crates/savorywood-gateway/src/gateway/entry.rs
+++ b/crates/savorywood-gateway/src/gateway/entry.rs
@@ -1,4 +1,4 @@
-//! Members of the entry set as this daemon computes them.
+//! Computation of the entry set, its leases, and the addresses for callers.
 
 use super::{Gateway, GatewayEffects};
 use crate::{
@@ -14,24 +14,26 @@
 use savorywood_protocol::MonotonicTime;
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
-/// Time between two computations of the set.
+/// Interval between two computations of the entry set.
 const ENTRY_REFRESH_INTERVAL: Duration = Duration::from_millis(50);
-/// A process that did nothing for this long was frozen; its peers took it for lost.
+/// A process that handled no event for this long was frozen, and its peers have recorded it as not
+/// live.
 const FREEZE_THRESHOLD: Duration = Duration::from_millis(1_300);
-/// A daemon whose summary is late by this factor may be gone.
+/// A daemon whose summary is late by this factor may be unreachable.
 const OVERDUE_FACTOR: f64 = 1.4;
-/// A daemon that has been running for less does not know what its last life sent to cold upstreams
-/// within the second that their bound counts.
+/// Minimum uptime for holding leases. A younger daemon does not know what its previous incarnation
+/// dispatched to cold upstreams within the second over which their rate is counted.
 const MIN_LEASE_UPTIME: Duration = Duration::from_millis(1_100);
-/// Time between two computations of leases that nothing needs: the members must be known for a
-/// while once it does.
+/// Interval between two computations of leases while nothing needs them. It is not longer because
+/// the members must have been known for a while once something does.
 const IDLE_LEASE_INTERVAL: Duration = Duration::from_millis(500);
-/// A daemon that has been running for less, and has not seen most of its zone, does not know
-/// the set.
+/// Uptime below which a daemon that has not heard from most of its zone does not know the entry
+/// set.
 pub(super) const DISCOVERY_PERIOD: Duration = Duration::from_millis(700);
 
 impl Gateway {
-    /// Computes the members of the own zone anew, and counts those of all zones.
+    /// Recomputes the entry set of the own zone, its leases, and the number of members of all
+    /// zones.
     pub(super) fn refresh_entry(&mut self, now: MonotonicTime, effects: &mut GatewayEffects) {
         if now.since(self.entry_refreshed_at) < ENTRY_REFRESH_INTERVAL {
             return;
@@ -46,7 +48,8 @@
         let zone = self.options.zone.as_str();
         let peers = self.peers.live_peers(now);
         let near: Vec<&PeerState> = peers.filter(|peer| peer.summary.zone == zone).collect();
-        // What hosts that stand by use goes into gossip and tables, not into callers.
+        // The resources that standby hosts use go into gossip and tables rather than into serving
+        // callers.
         let placing = near
             .iter()
             .filter(|peer| peer.summary.role != DaemonRole::Standby);
@@ -84,10 +87,10 @@
         effects.push(GatewayEffect::Log(line));
     }
 
-    /// Leases among the members of all zones.
+    /// Recomputes the leases among the members of all zones.
     ///
-    /// Daemons that see few others each take themselves for the only holder of every lease, so
-    /// those that do not see most daemons hold none.
+    /// A daemon that hears from few others would regard itself as the only holder of every lease,
+    /// so daemons that do not hear from a majority hold none.
     fn refresh_leases(&mut self, now: MonotonicTime, own_members: &[u64]) {
         let is_entry_member = own_members.contains(&name_digest(self.options.host.as_str()));
         if !is_entry_member || self.uptime(now) < MIN_LEASE_UPTIME || !self.peers.sees_majority(now)
@@ -121,7 +124,8 @@
         self.leases.update(now, own, members);
     }
 
-    /// Numbers, by address, of members of a zone whose daemons send summaries here.
+    /// Returns the address digests of the selected members of a zone whose daemons send summaries
+    /// here.
     fn member_numbers(&self, now: MonotonicTime, zone: &str, members: &[u64]) -> Vec<u64> {
         let mut numbers = Vec::new();
         if members.contains(&name_digest(self.options.host.as_str())) {
@@ -133,19 +137,19 @@
         numbers
     }
 
-    /// This daemon is a member of the entry set of its zone.
+    /// Returns whether this daemon is a member of the entry set of its zone.
     #[must_use]
     pub fn is_entry_member(&self) -> bool {
         self.entry.contains(name_digest(self.options.host.as_str()))
     }
 
-    /// Daemons of the own zone that the directory names.
+    /// Returns the size of the entry set of the own zone.
     #[must_use]
     pub fn entry_member_count(&self) -> usize {
         self.entry.count()
     }
 
-    /// Part of this daemon in placing requests.
+    /// Returns the role of this daemon in dispatching requests.
     #[must_use]
     pub fn role(&self) -> DaemonRole {
         if self.is_entry_member() {
@@ -157,11 +161,11 @@
         }
     }
 
-    /// Members of a zone whose daemons send summaries here.
+    /// Selects the members of a zone whose daemons send summaries here.
     fn select_members(&self, now: MonotonicTime, zone: &str) -> Vec<u64> {
         let is_own = zone == self.options.zone.as_str();
         let heartbeats = is_own && self.contacts.uses_zone_digests();
-        // A host that just lost power must not be called in for one that was lost with it.
+        // A host that has just lost power must not replace another one that was lost with it.
         let overdue = self.contacts.gossip_interval().mul_f64(OVERDUE_FACTOR);
         let mut candidates = Vec::new();
         let mut load = HostResources::default();
@@ -196,7 +200,7 @@
         }
     }
 
-    /// Daemons that place requests in all zones, of which `own` are in the own one.
+    /// Returns the number of members of all zones, of which `own` are in the own zone; at least 1.
     fn count_entry_daemons(&self, now: MonotonicTime, own: usize) -> usize {
         let own_zone = self.options.zone.as_str();
         let direct = self.peers.direct_zones(now).into_iter();
@@ -214,12 +218,13 @@
         (own + direct + far).max(1)
     }
 
-    /// Time since this daemon's first message.
+    /// Returns the time since the first event or message of this incarnation.
     pub(super) fn uptime(&self, now: MonotonicTime) -> Duration {
         self.started_at.map_or(Duration::ZERO, |at| now.since(at))
     }
 
-    /// This daemon has seen most of its zone, or should have by now.
+    /// Returns whether this daemon has heard from at least half of its zone, or has had the time
+    /// to.
     pub(super) fn has_discovered_zone(&self, now: MonotonicTime) -> bool {
         if self.uptime(now) >= DISCOVERY_PERIOD || !self.contacts.uses_zone_digests() {
             return true;
@@ -228,14 +233,15 @@
         received * 2 >= self.contacts.zone_contacts().len()
     }
 
-    /// Addresses for a caller of a zone, those of its own zone alone if there are any: bytes
-    /// between zones are dear.
+    /// Returns at most `most` addresses for a caller: those of its own zone only, if there are any,
+    /// as traffic between zones is expensive.
     ///
-    /// None while this daemon does not know its zone yet: named too soon, it would take the
-    /// callers of the whole zone without knowing where slots are free.
+    /// Returns none while this daemon has not discovered its zone: listed too early, it would
+    /// receive the callers of the whole zone without information on free slots.
     ///
-    /// A caller whose zone has no members gets those of its region, then those of the home regions
-    /// of the host that it calls: its requests must not pass through any other.
+    /// A caller whose zone has no members receives the addresses of its region, or else those of
+    /// the home regions of the host that it calls: its requests must not pass through any other
+    /// region.
     #[must_use]
     pub fn caller_addresses(
         &self,
@@ -271,7 +277,7 @@
         addresses
     }
 
-    /// Addresses for a caller whose own zone has none.
+    /// Returns the addresses for a caller whose own zone has none.
     fn fallback_addresses(
         &self,
         caller: CallerPlace<'_>,
@@ -300,7 +306,7 @@
         }
     }
 
-    /// Addresses of the members of a zone whose daemons send summaries here.
+    /// Returns the caller addresses of the members of a zone whose daemons send summaries here.
     fn member_addresses(&self, now: MonotonicTime, zone: &str) -> Vec<SocketAddr> {
         let members = self.select_members(now, zone);
         let mut addresses = Vec::new();
--- a/crates/savorywood-gateway/src/gateway/evacuation.rs
+++ b/crates/savorywood-gateway/src/gateway/evacuation.rs
@@ -1,4 +1,4 @@
-//! Orders of operators to evacuate availability zones.
+//! Evacuation of availability zones by operators.
 
 use super::{Gateway, GatewayEffects};
 use crate::{
@@ -8,7 +8,7 @@
 use savorywood_protocol::MonotonicTime;
 
 impl Gateway {
-    /// From now on nothing new goes to the zone's upstreams; what runs there goes on.
+    /// Stops dispatching to the zone's upstreams; requests in progress there continue.
     pub(super) fn evacuation_ordered(
         &mut self,
         order: EvacuationOrder,
@@ -23,8 +23,8 @@
         }
     }
 
-    /// The zone's upstreams get work again, at the pace of cold ones. An order that a restored store
-    /// lacks may be written again at once, so it stays in force for a while.
+    /// Resumes dispatching to the zone's upstreams, at the rate of cold ones. An order that is
+    /// missing from a restored store may be written again soon, so it stays in force for a while.
     pub(super) fn evacuation_withdrawn(
         &mut self,
         now: MonotonicTime,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Orders that a full read lacks were withdrawn while nobody followed the changes.
+    /// Orders that are missing from a complete read were withdrawn while changes were not followed.
     pub(super) fn evacuations_read(
         &mut self,
         now: MonotonicTime,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Zones under evacuation.
+    /// Returns the zones under evacuation.
     pub fn evacuated_zones(&self) -> impl Iterator<Item = &ZoneLabel> {
         self.fleet.evacuations().zones()
     }
--- a/crates/savorywood-gateway/src/gateway/feedback.rs
+++ b/crates/savorywood-gateway/src/gateway/feedback.rs
@@ -1,4 +1,4 @@
-//! What answers and attempts that ended say of upstreams and versions.
+//! Feedback from responses and ended attempts to the state of upstreams and versions.
 
 use super::{
     Gateway, GatewayEffects,
@@ -15,26 +15,27 @@
 use savorywood_protocol::MonotonicTime;
 use std::time::Duration;
 
-/// A plain answer that took this many times what was expected speaks against a version.
+/// Factor over the expected duration above which a non-stream response counts against its version.
 const SLOW_FACTOR: f64 = 3.0;
-/// And so many milliseconds more.
+/// Margin, in milliseconds, that must be exceeded in addition to the factor.
 const SLOW_MARGIN_MS: f64 = 200.0;
-/// An upstream from which nothing came in this many times what was expected is at fault.
+/// Factor over the expected time to the first event above which a missing response counts against
+/// its upstream.
 const OVERDUE_FACTOR: f64 = 4.0;
-/// And in so many milliseconds more.
+/// Margin, in milliseconds, that must be exceeded in addition to the factor.
 const OVERDUE_MARGIN_MS: f64 = 500.0;
 
-/// A whole answer, as far as speed can be learned from it.
+/// Measurements of a complete response that update latency models.
 struct CompletedResponse {
-    /// Events, if it was a stream.
+    /// Number of events; absent for a response that is not a stream.
     events: Option<u32>,
     /// Tokens that the caller expected.
     output: u32,
-    /// Longest pause between its events.
+    /// Longest gap between two events.
     longest_pause: Duration,
-    /// Time from its first event to its last.
+    /// Time from the first event to the last.
     after_first: Duration,
-    /// Time from the sending to its end.
+    /// Time from dispatch to the end.
     whole: Duration,
 }
 
@@ -50,7 +51,8 @@
     }
 }
 
-/// Nothing came for so long that the upstream is at fault, not the size of the request.
+/// Returns whether the first event is so late that the upstream is at fault rather than the size of
+/// the request.
 fn is_past_expected(now: MonotonicTime, attempt: &RunningAttempt) -> bool {
     let millis = now.since(attempt.dispatched_at).as_secs_f64() * 1e3;
     let late = millis > attempt.expected_first_event_ms * OVERDUE_FACTOR + OVERDUE_MARGIN_MS;
@@ -96,7 +98,7 @@
         self.apply_metadata(now, &upstream, marks);
     }
 
-    /// More events of a stream came.
+    /// Records further events of a stream.
     pub(super) fn response_progressed(
         &mut self,
         now: MonotonicTime,
@@ -126,7 +128,7 @@
         }
     }
 
-    /// Frees the place and learns from the outcome.
+    /// Frees the slot and updates latency models, outlier state and roll-outs from the outcome.
     pub(super) fn release_slot(
         &mut self,
         now: MonotonicTime,
@@ -162,7 +164,7 @@
         }
         self.update_outlier_state(now, &service, attempt, outcome, effects);
         self.record_rollout_result(now, &service, attempt, outcome, stream);
-        // The head of a stream was read at its beginning, and says nothing newer at its end.
+        // Metadata of a stream's head was applied at its beginning and is outdated at its end.
         let is_read = attempt.first_event_at.is_some();
         match outcome {
             AttemptOutcome::NotRun { metadata, .. }
@@ -196,7 +198,7 @@
         }
     }
 
-    /// Whether the upstream is left out, or in again.
+    /// Ejects the upstream after failures, or ends its ejection after a success.
     fn update_outlier_state(
         &mut self,
         now: MonotonicTime,
@@ -205,7 +207,7 @@
         outcome: &AttemptOutcome,
         effects: &mut GatewayEffects,
     ) {
-        // Only failures of its own are compared with those of the whole service.
+        // Only failures that the upstream reports itself are compared with the rate of the service.
         let is_failure = matches!(outcome, AttemptOutcome::Failed { .. });
         let usual = is_failure.then(|| self.fleet.usual_failures(now, service));
         let overdue = is_past_expected(now, attempt);
@@ -213,7 +215,8 @@
             return;
         };
         state.running = state.running.saturating_sub(1);
-        // One answer may be lost where others go on; an upstream that says nothing is out at once.
+        // A single response may be lost while others continue; an upstream that sends no data at
+        // all is ejected at once.
         let dark = state.received_at <= attempt.last_event_at.unwrap_or(attempt.dispatched_at);
         let outlier = &mut state.outlier;
         let mut is_back = false;
@@ -265,7 +268,7 @@
         }
     }
 
-    /// What the outcome says of the version that the upstream runs, while a roll-out is under way.
+    /// Records the outcome for the version that the upstream runs, while a roll-out is in progress.
     fn record_rollout_result(
         &mut self,
         now: MonotonicTime,
