--- a/crates/savorywood-front/src/feeds/rollouts.rs
+++ b/crates/savorywood-front/src/feeds/rollouts.rs
@@ -50,23 +50,23 @@
 }
 
 async fn write_status(shared: &FrontShared, link: &mut StoreLink, write: RolloutWrite) {
-    if write.expected.version != 0 && write.expected.era != shared.era.get() {
+    if write.expected_position.version != 0 && write.expected_position.era != shared.era.get() {
         // The version that it expects may stand for another content by now.
         read_statuses(shared, link).await;
         return shared.step(GatewayEvent::RolloutWriteFinished {
             service: write.service,
             accepted: false,
-            era: write.expected.era,
+            era: write.expected_position.era,
         });
     }
-    let row = shared.dialect.rollout_row(&write);
+    let row = shared.adapter.encode_rollout_row(&write);
     let table_write = TableWrite {
         table: StoreTable::Status,
         key: row.key,
         value: Some(row.value),
-        expected: Some(write.expected.version),
+        expected_version: Some(write.expected_position.version),
     };
-    let call = shared.dialect.write_row(&table_write);
+    let call = shared.adapter.write_row_call(&table_write);
     let answer = link.call(&call, CALL_TIME).await;
     let accepted = matches!(&answer, Ok(answer) if answer.status == 200);
     let era = answer.as_ref().map_or(0, |answer| shared.note_era(answer));
@@ -74,7 +74,7 @@
         "event=rollout-status-written service={} state={} expected={} accepted={accepted}",
         write.service,
         write.phase,
-        write.expected
+        write.expected_position
     );
     // Whatever became of it, the row is read back: an answer may be lost after the write.
     read_statuses(shared, link).await;
@@ -86,15 +86,15 @@
 }
 
 async fn read_statuses(shared: &FrontShared, link: &mut StoreLink) {
-    let call = shared.dialect.read_rows(StoreTable::Status, None);
+    let call = shared.adapter.read_rows_call(StoreTable::Status, None);
     let answer = link.call(&call, CALL_TIME).await;
     let page = answer.ok().filter(|answer| answer.status == 200);
     let page = page.and_then(|answer| {
         let era = shared.note_era(&answer);
-        shared.dialect.page(era, &answer.body)
+        shared.adapter.parse_page(era, &answer.body)
     });
     for row in page.into_iter().flat_map(|page| page.rows) {
-        if let Some(status) = shared.dialect.rollout_status(&row) {
+        if let Some(status) = shared.adapter.parse_rollout_status(&row) {
             shared.step(GatewayEvent::RolloutStatusRead(status));
         }
     }
--- a/crates/savorywood-gateway/src/gateway.rs
+++ b/crates/savorywood-gateway/src/gateway.rs
@@ -19,27 +19,27 @@
 pub use gossip::GatewayStatus;
 
 use crate::{
-    affinity::PartIndex,
+    affinity::PrefixCacheIndex,
     arrival::LocalRequest,
-    budget::{BudgetOptions, RetryBudget},
-    declared::DeclaredConfig,
-    demand::DemandBook,
+    config::DeclaredConfig,
+    demand::DemandTracker,
     effect::GatewayEffect,
-    entry::{EntrySet, HostResources, LoadPeak},
+    entry_set::{EntrySet, HostResources, PeakLoad},
     evacuation::EvacuationOrder,
     event::GatewayEvent,
     gossip::{ContactTable, LastSlotUpdate},
+    label::{HostLabel, ServiceLabel, TeamLabel, ZoneLabel},
     lease::MemberLeases,
-    limit::{LimitTolerance, TeamMeter},
     message::SlotUse,
-    name::{HostLabel, ServiceLabel, TeamLabel, ZoneLabel},
     peer::{PeerTable, name_digest},
-    pick::RoutingPolicy,
-    quarantine::QuarantineBook,
+    quarantine::QuarantineTable,
     queue::WaitQueue,
     region::RegionMap,
-    rollout::{RolloutBook, TrialOptions},
+    retry_budget::{RetryBudget, RetryBudgetOptions},
+    rollout::{CanaryOptions, RolloutTable},
+    selection::RoutingPolicy,
     store_reads::StoreReadTracker,
+    team_limit::{LimitTolerance, TeamLimiter},
     upstream::UpstreamFleet,
     warmup::WarmupTolerance,
 };
@@ -81,7 +81,7 @@
     /// Maximum time for which a revoked key may keep working; `None` sets no bound.
     pub revocation_delay: Option<Duration>,
     /// Bounds of retries.
-    pub retry_budget: BudgetOptions,
+    pub retry_budget: RetryBudgetOptions,
     /// Amount by which teams may exceed their limits.
     pub limit_tolerance: LimitTolerance,
     /// Fraction of a service's traffic, 0 to 1, that an unproven version may receive.
@@ -130,15 +130,15 @@
     confirmed_at: Option<MonotonicTime>,
     requests: BTreeMap<LocalRequest, RequestRecord>,
     queues: BTreeMap<ServiceLabel, WaitQueue>,
-    demands: BTreeMap<ServiceLabel, DemandBook>,
-    part_index: PartIndex,
+    demands: BTreeMap<ServiceLabel, DemandTracker>,
+    part_index: PrefixCacheIndex,
     peers: PeerTable,
     contacts: ContactTable,
     contacts_read: bool,
     /// Resources that this process uses.
     load: HostResources,
     /// Recent peak load of the own zone.
-    peak: LoadPeak,
+    peak: PeakLoad,
     entry: EntrySet,
     /// Members of the entry sets of all zones.
     entry_daemons: usize,
@@ -147,7 +147,7 @@
     leases: MemberLeases,
     leases_refreshed_at: MonotonicTime,
     /// Requests under which upstreams crashed.
-    quarantine: QuarantineBook,
+    quarantine: QuarantineTable,
     store_era: Option<u64>,
     /// Time at which a restore of the store was observed.
     store_restored_at: Option<MonotonicTime>,
@@ -156,9 +156,9 @@
     /// Time at which this process resumed after it was frozen.
     resumed_at: Option<MonotonicTime>,
     store_reads: StoreReadTracker,
-    meters: BTreeMap<TeamLabel, TeamMeter>,
+    meters: BTreeMap<TeamLabel, TeamLimiter>,
     budgets: BTreeMap<ServiceLabel, RetryBudget>,
-    rollouts: RolloutBook,
+    rollouts: RolloutTable,
     stopping: bool,
     ready_logged: bool,
     sequence: u64,
@@ -188,13 +188,13 @@
             contacts: ContactTable::new(options.peer_address, options.zone.clone()),
             contacts_read: false,
             load: HostResources::default(),
-            peak: LoadPeak::default(),
+            peak: PeakLoad::default(),
             entry: EntrySet::default(),
             entry_daemons: 1,
             entry_refreshed_at: MonotonicTime::default(),
             leases: MemberLeases::default(),
             leases_refreshed_at: MonotonicTime::default(),
-            quarantine: QuarantineBook::default(),
+            quarantine: QuarantineTable::default(),
             store_era: None,
             store_restored_at: None,
             pending_withdrawals: Vec::new(),
@@ -208,10 +208,10 @@
             requests: BTreeMap::new(),
             queues: BTreeMap::new(),
             demands: BTreeMap::new(),
-            part_index: PartIndex::default(),
+            part_index: PrefixCacheIndex::default(),
             meters: BTreeMap::new(),
             budgets: BTreeMap::new(),
-            rollouts: RolloutBook::default(),
+            rollouts: RolloutTable::default(),
             stopping: false,
             ready_logged: false,
             sequence: 0,
@@ -263,18 +263,18 @@
                 confirmed_at,
             } => self.store_reads.record_read(table, position, confirmed_at),
             GatewayEvent::StoreFailed => {
-                self.fleet.store_failed(now);
+                self.fleet.record_store_failure(now);
                 self.store_reads.record_store_failure(now);
             }
             GatewayEvent::RolloutOrdered(order) => self.rollout_ordered(now, order, effects),
-            GatewayEvent::RolloutStatusRead(status) => self.rollouts.read(&status),
+            GatewayEvent::RolloutStatusRead(status) => self.rollouts.apply_status(&status),
             GatewayEvent::RolloutWriteFinished {
                 service,
                 accepted,
                 era,
             } => {
                 let accepted = accepted && era >= self.store_era();
-                self.rollouts.written(now, &service, accepted);
+                self.rollouts.record_write(now, &service, accepted);
             }
             GatewayEvent::SummaryReceived(summary) => self.summary_received(now, *summary, effects),
             GatewayEvent::DigestReceived(digest) => self.digest_received(now, *digest, effects),
@@ -295,7 +295,7 @@
                 era,
             } => {
                 let accepted = accepted && era >= self.store_era();
-                self.quarantine.written(&write, accepted);
+                self.quarantine.record_write(&write, accepted);
             }
             GatewayEvent::LoadMeasured(load) => self.load = load,
             GatewayEvent::SeedsRead(contacts) => self.record_contacts(now, contacts),
@@ -354,8 +354,8 @@
         self.rollouts.is_active()
     }
 
-    fn canary_options(&self) -> TrialOptions {
-        TrialOptions {
+    fn canary_options(&self) -> CanaryOptions {
+        CanaryOptions {
             share: self.options.bounds.max_canary_fraction,
         }
     }
@@ -369,15 +369,15 @@
         self.expire_waiting(now, effects);
         self.detect_stalls(now, effects);
         self.dispatch_all_waiting(now, effects);
-        self.fleet.sweep(now);
-        self.quarantine.sweep(now);
+        self.fleet.remove_ended(now);
+        self.quarantine.evict_expired(now);
         self.write_quarantine(now, effects);
         self.apply_withdrawals(now, effects);
         let is_leader = self.is_leader(now);
         for write in self.rollouts.advance(now, is_leader) {
             let line = LogLine::new(LogLevel::Info, "rollout-step")
                 .with("service", &write.service)
-                .with("to", &write.to)
+                .with("to", &write.target_version)
                 .with("state", write.phase);
             effects.push(GatewayEffect::Log(line));
             effects.push(GatewayEffect::WriteRollout(write));
--- a/crates/savorywood-gateway/src/gateway/admission.rs
+++ b/crates/savorywood-gateway/src/gateway/admission.rs
@@ -6,14 +6,14 @@
 };
 use crate::{
     arrival::{LocalRequest, RequestArrival},
-    declared::{DeclaredConfig, RouteSpec, TeamLimit, TeamSpec},
+    config::{DeclaredConfig, RouteSpec, TeamLimit, TeamSpec},
     effect::GatewayEffect,
-    limit::{MeterLevels, MeterQuery, MeterVerdict, TeamMeter},
-    name::{ServiceLabel, TeamLabel},
-    pace::nominal_first_ms,
+    label::{ServiceLabel, TeamLabel},
+    latency::nominal_first_event_ms,
     quarantine::RequestFingerprint,
-    queue::{QueuePlace, RequestRank},
+    queue::{QueuePosition, RequestRank},
     refusal::RefusalReason,
+    team_limit::{BucketLevels, LimitQuery, LimitVerdict, TeamLimiter},
 };
 use savorywood_core::{LogLevel, LogLine};
 use savorywood_protocol::MonotonicTime;
@@ -52,7 +52,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct MeterSnapshot {
     limit: TeamLimit,
-    levels: MeterLevels,
+    levels: BucketLevels,
 }
 
 impl Refusal {
@@ -102,9 +102,9 @@
                     .with("proof_age_ms", self.time_since_confirmed(now).as_millis());
                 effects.push(GatewayEffect::Log(line));
                 let service = record.service.clone();
-                self.budgets.entry(service.clone()).or_default().earn(now);
+                self.budgets.entry(service.clone()).or_default().record_request(now);
                 let demand = self.demands.entry(service.clone()).or_default();
-                demand.arrived(now, record.rank);
+                demand.record_arrival(now, record.rank);
                 self.enqueue(request, record);
                 self.dispatch_waiting(now, &service, effects);
             }
@@ -180,7 +180,7 @@
         let fingerprint = RequestFingerprint::new(arrival.content_digest, team_name);
         let is_probe = self.check_quarantine(now, fingerprint, team_name)?;
         let draw = self.random.next();
-        let service = route.choose(draw).cloned();
+        let service = route.choose_service(draw).cloned();
         let service = service.ok_or_else(|| Refusal::new(RefusalReason::NoUpstream))?;
         let mut charged_units = 0.0;
         if let Some(team) = &team {
@@ -193,7 +193,7 @@
             team: team.as_ref().and_then(|team| team.priority).unwrap_or(0),
             route: route.priority,
         };
-        let expected = Duration::from_secs_f64(nominal_first_ms(size.prompt_tokens) / 1e3);
+        let expected = Duration::from_secs_f64(nominal_first_event_ms(size.prompt_tokens) / 1e3);
         let give_up_at = now + longest.saturating_sub(RESPONSE_MARGIN);
         let begin_by = now + route.objective.saturating_sub(expected);
         Ok(RequestRecord {
@@ -212,8 +212,9 @@
             arrived_at: now,
             give_up_at,
             caller_timeout_at: give_up_at,
-            state: RequestState::Waiting(QueuePlace {
+            state: RequestState::Waiting(QueuePosition {
                 rank,
+                start_by:
                 begin_by,
                 request,
             }),
@@ -265,8 +266,8 @@
         let team = arrival
             .api_key
             .as_deref()
-            .and_then(|key| config.team_of(key));
-        if route.public || !config.needs_keys() {
+            .and_then(|key| config.team_for_key(key));
+        if route.public || !config.requires_keys() {
             return Ok(team.cloned());
         }
         if !self.are_keys_confirmed(now) {
@@ -296,7 +297,7 @@
             let size = arrival
                 .size
                 .map(|size| size.prompt_tokens + size.max_output_tokens);
-            f64::from(size.unwrap_or(limit.plain_tokens))
+            f64::from(size.unwrap_or(limit.default_tokens))
         } else {
             1.0
         };
@@ -305,22 +306,22 @@
         let meter = self
             .meters
             .entry(team.name.clone())
-            .or_insert_with(|| TeamMeter::new(now, limit, tolerance, fresh));
-        let query = MeterQuery {
+            .or_insert_with(|| TeamLimiter::new(now, limit, tolerance, fresh));
+        let query = LimitQuery {
             units,
             rank: route.priority,
-            draw: self.limit_random.next(),
+            sample: self.limit_random.next(),
         };
-        let verdict = meter.look(now, &query);
+        let verdict = meter.check(now, &query);
         let refused = match verdict {
-            MeterVerdict::Within => false,
-            MeterVerdict::Tolerated => !idle,
-            MeterVerdict::Beyond { .. } => true,
+            LimitVerdict::Within => false,
+            LimitVerdict::Tolerated => !idle,
+            LimitVerdict::Exceeded { .. } => true,
         };
         if refused {
             return Err(Refusal {
                 reason: RefusalReason::OverLimit,
-                retry_after: Some(meter.wait()),
+                retry_after: Some(meter.retry_after()),
                 team: Some(team.name.clone()),
                 meter: Some(MeterSnapshot {
                     limit,
@@ -329,7 +330,7 @@
                 crashes: None,
             });
         }
-        meter.take(units, verdict);
+        meter.charge(units, verdict);
         Ok(units)
     }
 
--- a/crates/savorywood-gateway/src/gateway/completion.rs
+++ b/crates/savorywood-gateway/src/gateway/completion.rs
@@ -6,8 +6,8 @@
     record::{RequestState, RunningAttempt},
 };
 use crate::{
-    arrival::LocalRequest, effect::GatewayEffect, event::AttemptOutcome, name::ServiceLabel,
-    queue::QueuePlace, refusal::RefusalReason,
+    arrival::LocalRequest, effect::GatewayEffect, event::AttemptOutcome, label::ServiceLabel,
+    queue::QueuePosition, refusal::RefusalReason,
 };
 use savorywood_core::{LogLevel, LogLine};
 use savorywood_protocol::MonotonicTime;
@@ -142,7 +142,7 @@
         }
         let daemons = self.peers.peer_count(now) + 1;
         let budget = self.budgets.entry(record.service.clone()).or_default();
-        budget.spend(now, &self.options.bounds.retry_budget, daemons)
+        budget.try_acquire(now, &self.options.bounds.retry_budget, daemons)
     }
 
     /// Returns a request to its queue, ahead of the requests of its rank that have not been
@@ -163,9 +163,9 @@
             // The caller's timeout restarts with each event.
             record.caller_timeout_at = record.caller_timeout_after(moved_at);
         }
-        let place = QueuePlace {
+        let place = QueuePosition {
             rank: record.rank,
-            begin_by: now,
+            start_by: now,
             request,
         };
         record.state = RequestState::Waiting(place);
@@ -226,7 +226,7 @@
             && record.executions == 0
             && let Some(meter) = self.meters.get_mut(&team.name)
         {
-            meter.give_back(record.charged_units);
+            meter.refund(record.charged_units);
         }
     }
 
@@ -262,7 +262,7 @@
         effects.push(GatewayEffect::Log(line));
     }
 
-    fn remove_from_queue(&mut self, service: &ServiceLabel, place: &QueuePlace) {
+    fn remove_from_queue(&mut self, service: &ServiceLabel, place: &QueuePosition) {
         if let Some(queue) = self.queues.get_mut(service) {
             queue.remove(place);
         }
--- a/crates/savorywood-gateway/src/gateway/dispatch.rs
+++ b/crates/savorywood-gateway/src/gateway/dispatch.rs
@@ -8,10 +8,10 @@
     arrival::LocalRequest,
     demand::UrgentArrivals,
     effect::{DispatchOrder, GatewayEffect},
-    name::{ServiceLabel, UpstreamLabel},
-    pick::{PickFailure, PickQuery, PickScene, PickedUpstream},
-    queue::QueuePlace,
+    label::{ServiceLabel, UpstreamLabel},
+    queue::QueuePosition,
     refusal::RefusalReason,
+    selection::{SelectedUpstream, SelectionContext, SelectionFailure, SelectionQuery},
 };
 use savorywood_core::{LogLevel, LogLine};
 use savorywood_protocol::MonotonicTime;
@@ -68,8 +68,9 @@
             }
             match self.pick(now, record) {
                 Ok(picked) => self.dispatch(now, place.request, &picked, effects),
-                Err(PickFailure::Full) => full += 1,
-                Err(PickFailure::None) => self.handle_no_upstream(now, place.request, effects),
+                Err(SelectionFailure::AllFull) => full += 1,
+                Err(SelectionFailure::NoCandidate) => { self.handle_no_upstream(now, place.request, effects)
+                }
             }
         }
     }
@@ -77,12 +78,12 @@
     /// Returns the queue in order of dispatch: the most urgent rank first, and within a rank
     /// requests that can still meet their objective before those that cannot. A late response is
     /// worth little, and serving it first would make the next one late as well.
-    fn queue_in_order(&self, now: MonotonicTime, service: &ServiceLabel) -> Vec<QueuePlace> {
+    fn queue_in_order(&self, now: MonotonicTime, service: &ServiceLabel) -> Vec<QueuePosition> {
         let Some(queue) = self.queues.get(service) else {
             return Vec::new();
         };
-        let mut places: Vec<QueuePlace> = queue.iter().copied().collect();
-        places.sort_by_key(|place| (place.rank, place.begin_by < now, place.begin_by));
+        let mut places: Vec<QueuePosition> = queue.iter().copied().collect();
+        places.sort_by_key(|place| (place.rank, place.start_by < now, place.start_by));
         places
     }
 
@@ -90,7 +91,7 @@
         &self,
         now: MonotonicTime,
         record: &RequestRecord,
-    ) -> Result<PickedUpstream, PickFailure> {
+    ) -> Result<SelectedUpstream, SelectionFailure> {
         self.pick_excluding(now, record, &record.attempted_upstreams)
     }
 
@@ -100,51 +101,52 @@
         now: MonotonicTime,
         record: &RequestRecord,
         tried: &[UpstreamLabel],
-    ) -> Result<PickedUpstream, PickFailure> {
+    ) -> Result<SelectedUpstream, SelectionFailure> {
         let waited = now.since(record.arrived_at);
-        let query = PickQuery {
+        let query = SelectionQuery {
             service: &record.service,
-            prompt: record.size.prompt_tokens,
-            output: record.expected_output_tokens,
-            slack_ms: record.route.objective.as_secs_f64() * 1e3 - waited.as_secs_f64() * 1e3,
-            left_ms: record.give_up_at.since(now).as_secs_f64() * 1e3,
-            stream: record.route.repeat.is_stream(),
-            parts: &record.prompt_parts,
+            prompt_tokens: record.size.prompt_tokens,
+            expected_tokens: record.expected_output_tokens,
+            first_event_budget_ms: record.route.objective.as_secs_f64() * 1e3 - waited.as_secs_f64() * 1e3,
+            remaining_ms: record.give_up_at.since(now).as_secs_f64() * 1e3,
+            stream: record.route.retry_safety.is_stream(),
+            prompt_parts: &record.prompt_parts,
+            attempted:
             tried,
-            homes: [
-                &record.route.homes,
-                record.team.as_ref().map_or(&[], |team| &team.homes),
+            home_regions: [
+                &record.route.home_regions,
+                record.team.as_ref().map_or(&[], |team| &team.home_regions),
             ],
             versions: self
                 .rollouts
-                .choose(now, &record.service, self.canary_options()),
-            urgent: self.urgent_arrivals(now, record),
-            may_try: record.allows_concurrent_execution(),
+                .version_filter(now, &record.service, self.canary_options()),
+            urgent_arrivals: self.urgent_arrivals(now, record),
+            allow_probe: record.allows_concurrent_execution(),
         };
-        let scene = PickScene {
+        let scene = SelectionContext {
             now,
             fleet: &self.fleet,
             peers: &self.peers,
-            parts: &self.part_index,
+            prefix_cache: &self.part_index,
             zone: &self.options.zone,
             policy: self.options.routing,
             regions: &self.options.regions,
             leases: &self.leases,
             warmup: self.options.bounds.warmup_tolerance,
-            spread: if self.contacts.uses_zone_digests() {
+            jitter: if self.contacts.uses_zone_digests() {
                 ZONED_COST_SPREAD
             } else {
                 COST_SPREAD
             },
         };
         let mut draws = self.random.clone();
-        scene.pick(&query, || draws.next())
+        scene.select(&query, || draws.next())
     }
 
     fn urgent_arrivals(&self, now: MonotonicTime, record: &RequestRecord) -> UrgentArrivals {
         let demand = self.demands.get(&record.service);
         demand
-            .map(|demand| demand.urgent(now, record.rank, self.entry_daemons))
+            .map(|demand| demand.urgent_arrivals(now, record.rank, self.entry_daemons))
             .unwrap_or_default()
     }
 
@@ -152,7 +154,7 @@
         &mut self,
         now: MonotonicTime,
         request: LocalRequest,
-        picked: &PickedUpstream,
+        picked: &SelectedUpstream,
         effects: &mut GatewayEffects,
     ) {
         self.random.next();
@@ -163,19 +165,19 @@
             return;
         };
         state.running += 1;
-        state.unread += record.size.prompt_tokens;
+        state.unread_tokens += record.size.prompt_tokens;
         self.dispatches += 1;
-        state.chosen = self.dispatches;
-        state.outlier.sent();
-        state.sent_at = now;
-        state.limit.spend();
+        state.last_dispatch_number = self.dispatches;
+        state.outlier.record_dispatch();
+        state.last_dispatch_at = now;
+        state.limit.record_dispatch();
         if let RequestState::Waiting(place) = &record.state
             && let Some(queue) = self.queues.get_mut(&record.service)
         {
             queue.remove(place);
         }
         let demand = self.demands.entry(record.service.clone()).or_default();
-        demand.dispatched(now, record.rank);
+        demand.record_dispatch(now, record.rank);
         record.attempts += 1;
         record.state = RequestState::Running(RunningAttempt {
             upstream: picked.name.clone(),
@@ -188,8 +190,8 @@
             abandoned: false,
         });
         self.part_index
-            .read(now, &record.prompt_parts, &picked.name);
-        self.rollouts.sent(&record.service, &state.entry.version);
+            .record_prompt(now, &record.prompt_parts, &picked.name);
+        self.rollouts.record_dispatch(&record.service, &state.entry.version);
         let order = DispatchOrder {
             request,
             attempt: record.attempts,
@@ -199,8 +201,8 @@
             address: state.entry.address,
             team: record.team.as_ref().map(|team| team.name.clone()),
             give_up_at: record.give_up_at,
-            stream: record.route.repeat.is_stream(),
-            idempotent: record.route.repeat.is_idempotent(),
+            stream: record.route.retry_safety.is_stream(),
+            idempotent: record.route.retry_safety.is_idempotent(),
         };
         let line = LogLine::new(LogLevel::Info, "request-dispatched")
             .with("request", &record.request_id)
@@ -209,9 +211,9 @@
             .with("waited_ms", now.since(record.arrived_at).as_millis())
             .with("expected_ms", format_args!("{:.0}", picked.expected_ms))
             .with("score", format_args!("{:.0}", picked.score))
-            .with("occupied", picked.occupied)
+            .with("occupied", picked.slots_in_use)
             .with("slots", state.entry.slots)
-            .with("unread", state.unread)
+            .with("unread", state.unread_tokens)
             .with("cold_ms", state.cold_until.since(now).as_millis());
         let line = match state.limit.limit() {
             Some(limit) => line.with("limit", limit.per_second()),
@@ -249,22 +251,22 @@
         let mut expired = Vec::new();
         let mut too_late = Vec::new();
         for (service, queue) in &self.queues {
-            let usual = self.fleet.usual(service);
+            let usual = self.fleet.service_latency(service);
             for place in queue.iter() {
                 let Some(record) = self.requests.get(&place.request) else {
                     continue;
                 };
-                let first = usual.first_ms(&usual, record.size.prompt_tokens)
+                let first = usual.first_event_ms(&usual, record.size.prompt_tokens)
                     * MIN_REMAINING_FRACTION
                     / 1e3;
-                let stream = record.route.repeat.is_stream();
+                let stream = record.route.retry_safety.is_stream();
                 if stream && now + Duration::from_secs_f64(first) >= record.caller_timeout_at {
                     too_late.push(place.request);
                     continue;
                 }
-                let needed = if record.route.repeat.is_stream() {
-                    usual.first_ms(&usual, record.size.prompt_tokens)
-                        + usual.rest_ms(&usual, record.expected_output_tokens)
+                let needed = if record.route.retry_safety.is_stream() {
+                    usual.first_event_ms(&usual, record.size.prompt_tokens)
+                        + usual.streaming_ms(&usual, record.expected_output_tokens)
                 } else {
                     usual.whole_ms(&usual)
                 };
--- a/crates/savorywood-gateway/src/gateway/feedback.rs
+++ b/crates/savorywood-gateway/src/gateway/feedback.rs
@@ -8,8 +8,8 @@
     arrival::LocalRequest,
     effect::GatewayEffect,
     event::{AttemptOutcome, ResponseMetadata},
-    name::{ServiceLabel, UpstreamLabel},
-    pace::PaceEstimate,
+    label::{ServiceLabel, UpstreamLabel},
+    latency::LatencyModel,
 };
 use savorywood_core::{LogLevel, LogLine};
 use savorywood_protocol::MonotonicTime;
@@ -40,13 +40,13 @@
 }
 
 impl CompletedResponse {
-    fn record_in(&self, pace: &mut PaceEstimate) {
+    fn record_in(&self, pace: &mut LatencyModel) {
         match self.events {
             Some(events) => {
-                pace.saw_stream(events, self.output, self.after_first, self.whole);
-                pace.saw_pause(self.longest_pause);
+                pace.record_stream(events, self.output, self.after_first, self.whole);
+                pace.record_longest_gap(self.longest_pause);
             }
-            None => pace.saw_answer(self.whole),
+            None => pace.record_response(self.whole),
         }
     }
 }
@@ -76,21 +76,21 @@
         let is_first = attempt.first_event_at.is_none();
         attempt.first_event_at.get_or_insert(now);
         attempt.record_events(now, 1);
-        record.response_started |= record.route.repeat.is_stream();
+        record.response_started |= record.route.retry_safety.is_stream();
         let elapsed = now.since(attempt.dispatched_at);
         let upstream = attempt.upstream.clone();
-        self.fleet.received(now, &upstream);
+        self.fleet.record_received(now, &upstream);
         let sent_at = attempt.dispatched_at;
         if is_first && let Some(state) = self.fleet.get_mut(&upstream) {
-            state.unread = state.unread.saturating_sub(record.size.prompt_tokens);
+            state.unread_tokens = state.unread_tokens.saturating_sub(record.size.prompt_tokens);
         }
-        if record.route.repeat.is_stream() {
+        if record.route.retry_safety.is_stream() {
             let prompt = record.size.prompt_tokens;
             self.fleet
-                .usual_mut(&record.service)
-                .saw_first(prompt, elapsed);
+                .service_latency_mut(&record.service)
+                .record_first_event(prompt, elapsed);
             if let Some(state) = self.fleet.get_mut(&upstream) {
-                state.pace.saw_first(prompt, elapsed);
+                state.latency.record_first_event(prompt, elapsed);
             }
         }
         self.record_response(now, &upstream, sent_at);
@@ -110,7 +110,7 @@
         };
         if let RequestState::Running(attempt) = &mut record.state {
             attempt.record_events(now, events);
-            self.fleet.received(now, &attempt.upstream);
+            self.fleet.record_received(now, &attempt.upstream);
         }
     }
 
@@ -124,7 +124,7 @@
             return;
         };
         if let Some(cold) = marks.cold_for {
-            state.stay_cold(now + cold);
+            state.extend_cold(now + cold);
         }
     }
 
@@ -141,15 +141,15 @@
             return;
         };
         let service = record.service.clone();
-        let stream = record.route.repeat.is_stream();
+        let stream = record.route.retry_safety.is_stream();
         if attempt.first_event_at.is_none()
             && let Some(state) = self.fleet.get_mut(&attempt.upstream)
         {
-            state.unread = state.unread.saturating_sub(record.size.prompt_tokens);
+            state.unread_tokens = state.unread_tokens.saturating_sub(record.size.prompt_tokens);
         }
         let output = record.expected_output_tokens;
         if outcome.was_received() {
-            self.fleet.received(now, &attempt.upstream);
+            self.fleet.record_received(now, &attempt.upstream);
             self.record_response(now, &attempt.upstream, attempt.dispatched_at);
         }
         if let AttemptOutcome::Delivered { events, .. } = outcome {
@@ -192,9 +192,9 @@
         upstream: &UpstreamLabel,
         seen: &CompletedResponse,
     ) {
-        seen.record_in(self.fleet.usual_mut(service));
+        seen.record_in(self.fleet.service_latency_mut(service));
         if let Some(state) = self.fleet.get_mut(upstream) {
-            seen.record_in(&mut state.pace);
+            seen.record_in(&mut state.latency);
         }
     }
 
@@ -209,7 +209,7 @@
     ) {
         // Only failures that the upstream reports itself are compared with the rate of the service.
         let is_failure = matches!(outcome, AttemptOutcome::Failed { .. });
-        let usual = is_failure.then(|| self.fleet.usual_failures(now, service));
+        let usual = is_failure.then(|| self.fleet.median_failure_ratio(now, service));
         let overdue = is_past_expected(now, attempt);
         let Some(state) = self.fleet.get_mut(&attempt.upstream) else {
             return;
@@ -217,23 +217,25 @@
         state.running = state.running.saturating_sub(1);
         // A single response may be lost while others continue; an upstream that sends no data at
         // all is ejected at once.
-        let dark = state.received_at <= attempt.last_event_at.unwrap_or(attempt.dispatched_at);
+        let dark = state.last_received_at <= attempt.last_event_at.unwrap_or(attempt.dispatched_at);
         let outlier = &mut state.outlier;
         let mut is_back = false;
         let taken_out = match outcome {
-            AttemptOutcome::NotSent => outlier.broke(now, false),
-            AttemptOutcome::Failed { .. } => outlier.failed(now, usual.unwrap_or_default()),
-            AttemptOutcome::Broken { stalled } => outlier.broke(now, *stalled && dark),
-            AttemptOutcome::StreamBroken(end) => outlier.broke(now, end.stalled && dark),
-            AttemptOutcome::Expired if overdue => outlier.broke(now, false),
+            AttemptOutcome::NotSent => outlier.record_connection_failure(now, false),
+            AttemptOutcome::Failed { .. } => outlier.record_failure(now, usual.unwrap_or_default()),
+            AttemptOutcome::Broken { stalled } => { outlier.record_connection_failure(now, *stalled && dark)
+            }
+            AttemptOutcome::StreamBroken(end) => { outlier.record_connection_failure(now, end.stalled && dark)
+            }
+            AttemptOutcome::Expired if overdue => outlier.record_connection_failure(now, false),
             AttemptOutcome::Delivered { .. } => {
-                is_back = outlier.succeeded(now);
+                is_back = outlier.record_success(now);
                 false
             }
             AttemptOutcome::NotRun { .. }
             | AttemptOutcome::Expired
             | AttemptOutcome::CallerDisconnected => {
-                outlier.unknown();
+                outlier.cancel_probe();
                 false
             }
         };
@@ -241,7 +243,7 @@
             misdirected: true, ..
         } = outcome
         {
-            state.gone_at = Some(now);
+            state.removed_at = Some(now);
         }
         let loses = match outcome {
             AttemptOutcome::NotSent => true,
@@ -249,9 +251,9 @@
             AttemptOutcome::StreamBroken(end) => end.stalled && dark,
             _ => false,
         };
-        state.lost |= taken_out && loses;
+        state.unreachable |= taken_out && loses;
         if is_back {
-            self.fleet.found_again(now, &attempt.upstream);
+            self.fleet.record_recovery(now, &attempt.upstream);
             let line =
                 LogLine::new(LogLevel::Info, "upstream-back").with("upstream", &attempt.upstream);
             effects.push(GatewayEffect::Log(line));
@@ -292,7 +294,7 @@
             | AttemptOutcome::CallerDisconnected => return,
         };
         if let Some(state) = self.fleet.get(&attempt.upstream) {
-            self.rollouts.answered(service, &state.entry.version, bad);
+            self.rollouts.record_response(service, &state.entry.version, bad);
         }
     }
 }
--- a/crates/savorywood-gateway/src/gateway/gossip.rs
+++ b/crates/savorywood-gateway/src/gateway/gossip.rs
@@ -3,10 +3,9 @@
 use super::{Gateway, entry::DISCOVERY_PERIOD, record::RequestState};
 use crate::{
     gossip::{GossipPlan, LastSlotUpdate, SlotPlan},
+    label::{ServiceLabel, ZoneLabel},
     message::{
-        DaemonRole, PeerHeartbeat, PeerPhase, PeerSummary, SlotScope, SlotUpdate, SlotUse, TeamUse,
-    },
-    name::{ServiceLabel, ZoneLabel},
+        DaemonRole, PeerHeartbeat, PeerPhase, PeerSummary, SlotScope, SlotUpdate, SlotUse, TeamUse,},
     peer::{name_digest, slot_key},
     store_reads::StoreAttestation,
     zone::{ZoneDigest, ZoneMember},
@@ -94,7 +93,7 @@
         let uptime_ms = self.uptime_ms(now);
         let attestation = self.attestation(now);
         for meter in self.meters.values_mut() {
-            meter.reported();
+            meter.mark_reported();
         }
         let usage = self.meters.iter().map(|(team, meter)| TeamUse {
             team: name_digest(team.as_str()),
@@ -149,7 +148,7 @@
 
     fn own_ejected(&self, now: MonotonicTime) -> Vec<u64> {
         let states = self.fleet.iter();
-        let failed = states.filter(|state| state.outlier.failed_lately(now));
+        let failed = states.filter(|state| state.outlier.ejected_recently(now));
         failed.map(|state| state.digest).collect()
     }
 
@@ -158,7 +157,7 @@
         let slots = states.map(|state| SlotUse {
             upstream: u64::from(slot_key(state.digest)),
             running: u16::try_from(state.running).unwrap_or(u16::MAX),
-            unread_prompt_tokens: state.unread,
+            unread_prompt_tokens: state.unread_tokens,
         });
         slots.collect()
     }
--- a/crates/savorywood-gateway/src/gateway/record.rs
+++ b/crates/savorywood-gateway/src/gateway/record.rs
@@ -2,10 +2,10 @@
 
 use crate::{
     arrival::{PromptPart, RequestSize},
-    declared::{RouteSpec, TeamSpec},
-    name::{ServiceLabel, UpstreamLabel},
+    config::{RouteSpec, TeamSpec},
+    label::{ServiceLabel, UpstreamLabel},
     quarantine::RequestFingerprint,
-    queue::{QueuePlace, RequestRank},
+    queue::{QueuePosition, RequestRank},
 };
 use savorywood_protocol::MonotonicTime;
 use std::{sync::Arc, time::Duration};
@@ -46,7 +46,7 @@
 #[derive(Debug, Clone)]
 pub enum RequestState {
     /// It waits.
-    Waiting(QueuePlace),
+    Waiting(QueuePosition),
     /// It runs.
     Running(RunningAttempt),
 }
@@ -104,7 +104,7 @@
 impl RequestRecord {
     /// When its caller leaves if nothing comes after this moment.
     pub fn caller_timeout_after(&self, received_at: MonotonicTime) -> MonotonicTime {
-        let caller_timeout = self.route.caller_timeout;
+        let caller_timeout = self.route.caller_idle_timeout;
         let leave_at = caller_timeout
             .map(|caller_timeout| received_at + caller_timeout.saturating_sub(LEAVING_MARGIN));
         leave_at.map_or(self.give_up_at, |at| at.min(self.give_up_at))
@@ -112,11 +112,11 @@
 
     /// The route allows one more run beside the one under way.
     pub fn allows_concurrent_execution(&self) -> bool {
-        self.route.repeat.is_idempotent() && self.executions + 1 < self.route.max_attempts
+        self.route.retry_safety.is_idempotent() && self.executions + 1 < self.route.max_attempts
     }
 
     /// A second run is allowed by the route.
     pub fn allows_another_execution(&self) -> bool {
-        self.route.repeat.is_idempotent() && self.executions < self.route.max_attempts.max(1)
+        self.route.retry_safety.is_idempotent() && self.executions < self.route.max_attempts.max(1)
     }
 }
--- a/crates/savorywood-gateway/src/gateway/stall_detection.rs
+++ b/crates/savorywood-gateway/src/gateway/stall_detection.rs
@@ -94,17 +94,17 @@
                 Duration::from_secs_f64(attempt.expected_first_event_ms * FIRST_EVENT_FACTOR / 1e3);
             let objective = record.route.objective.mul_f64(OBJECTIVE_FRACTION);
             let mut most = expected.max(objective).max(MIN_STALL);
-            let others_go_on = state.received_at > received_at;
-            if record.route.repeat.is_stream() && others_go_on {
+            let others_go_on = state.last_received_at > received_at;
+            if record.route.retry_safety.is_stream() && others_go_on {
                 // It reads the prompts that came before this one.
                 most = most.max(record.route.objective);
             }
             return (own > most).then_some(StallKind::First);
         }
-        let usual = self.fleet.usual(&record.service);
-        let pause = Duration::from_secs_f64(state.pace.pause_ms(&usual) / 1e3);
+        let usual = self.fleet.service_latency(&record.service);
+        let pause = Duration::from_secs_f64(state.latency.pause_ms(&usual) / 1e3);
         let reading = self.prefill_allowance(record, state);
-        let whole = now.since(state.received_at.max(received_at).max(self.last_wake_at));
+        let whole = now.since(state.last_received_at.max(received_at).max(self.last_wake_at));
         if whole > pause.mul_f64(EVENT_GAP_FACTOR).max(MIN_STALL) + reading
             && self.receives_from_others(now, record, state)
         {
@@ -120,7 +120,7 @@
     /// Time for which an upstream may be silent because it reads the prompts that are still to be
     /// read there.
     fn prefill_allowance(&self, record: &RequestRecord, state: &UpstreamState) -> Duration {
-        let unread = state.unread
+        let unread = state.unread_tokens
             + self
                 .peers
                 .slots_by_digest(state.digest)
@@ -128,8 +128,8 @@
         if unread == 0 {
             return Duration::ZERO;
         }
-        let usual = self.fleet.usual(&record.service);
-        let millis = state.pace.first_ms(&usual, unread) * PREFILL_FACTOR;
+        let usual = self.fleet.service_latency(&record.service);
+        let millis = state.latency.first_event_ms(&usual, unread) * PREFILL_FACTOR;
         Duration::from_secs_f64(millis / 1e3).min(MAX_PREFILL_ALLOWANCE)
     }
 
@@ -143,7 +143,7 @@
         let mut members = self.fleet.members(&record.service);
         members.any(|state| {
             state.entry.name != silent.entry.name
-                && now.since(state.received_at) < UPSTREAM_SEEN_WINDOW
+                && now.since(state.last_received_at) < UPSTREAM_SEEN_WINDOW
         })
     }
 
--- a/crates/savorywood-gateway/src/gateway/store_restore.rs
+++ b/crates/savorywood-gateway/src/gateway/store_restore.rs
@@ -26,9 +26,9 @@
         };
         self.store_restored_at = Some(now);
         // Registrations that the backup lacks are written again.
-        self.fleet.store_failed(now);
-        self.rollouts.store_restored(era);
-        self.quarantine.store_restored();
+        self.fleet.record_store_failure(now);
+        self.rollouts.on_store_restored(era);
+        self.quarantine.on_store_restored();
         let line = LogLine::new(LogLevel::Warn, "store-restored")
             .with("era", era)
             .with("before", before);
--- a/crates/savorywood-gateway/src/gossip.rs
+++ b/crates/savorywood-gateway/src/gossip.rs
@@ -2,12 +2,12 @@
 //! them.
 
 use crate::{
+    label::ZoneLabel,
     message::{DaemonRole, PeerHeartbeat, PeerSummary, SlotUpdate},
-    name::ZoneLabel,
     peer::{PeerState, PeerTable},
     quarantine::CrashGossip,
-    rate_limit::LimitGossip,
-    rendezvous::{address_number, pair_weight},
+    rendezvous::{address_hash, rendezvous_weight},
+    upstream_limit::LimitGossip,
     zone::ZoneDigest,
 };
 use savorywood_protocol::MonotonicTime;
@@ -123,7 +123,7 @@
 }
 
 fn peer_number(peer: &PeerState) -> u64 {
-    address_number(peer.summary.peer_address)
+    address_hash(peer.summary.peer_address)
 }
 
 impl ContactTable {
@@ -132,7 +132,7 @@
     pub fn new(own_address: SocketAddr, own_zone: ZoneLabel) -> Self {
         Self {
             own_address,
-            own_number: address_number(own_address),
+            own_number: address_hash(own_address),
             own_zone,
             contacts: BTreeMap::new(),
         }
@@ -145,7 +145,7 @@
         }
         let known = self.contacts.entry(contact.address);
         let known = known.or_insert(ContactState {
-            number: address_number(contact.address),
+            number: address_hash(contact.address),
             zone: None,
             seen_at: now,
         });
@@ -266,7 +266,7 @@
         if sent.is_some_and(|sent| sent.is_next_due(now)) {
             let far = peers.remote_serving_addresses(now).into_iter();
             plan.zone_slot_targets = far
-                .filter(|address| self.is_sender_for(address_number(*address), &senders))
+                .filter(|address| self.is_sender_for(address_hash(*address), &senders))
                 .collect();
         }
         plan
@@ -275,8 +275,8 @@
     /// Returns whether this daemon is the one of its zone that sends to `receiver`. All daemons of
     /// the zone select the same sender by rendezvous hashing, which spreads the work evenly.
     fn is_sender_for(&self, receiver: u64, senders: &[u64]) -> bool {
-        let own = pair_weight(self.own_number, receiver);
+        let own = rendezvous_weight(self.own_number, receiver);
         let mut others = senders.iter();
-        others.all(|sender| pair_weight(*sender, receiver) < own)
+        others.all(|sender| rendezvous_weight(*sender, receiver) < own)
     }
 }
--- a/crates/savorywood-gateway/src/message.rs
+++ b/crates/savorywood-gateway/src/message.rs
@@ -4,9 +4,9 @@
 //! format.
 
 use crate::{
-    entry::HostResources,
-    limit::MeterLevels,
+    entry_set::HostResources,
     store_reads::{PeerEcho, StoreAttestation},
+    team_limit::BucketLevels,
 };
 use savorywood_protocol::MonotonicTime;
 use serde::{Deserialize, Serialize};
@@ -82,7 +82,7 @@
     /// Units charged to the team's limit: tokens or requests.
     pub total: u64,
     /// Levels of the sender's copy of the team's buckets.
-    pub levels: MeterLevels,
+    pub levels: BucketLevels,
 }
 
 /// Results that one daemon has observed for one roll-out.
--- a/crates/savorywood-gateway/src/peer.rs
+++ b/crates/savorywood-gateway/src/peer.rs
@@ -1,8 +1,8 @@
 //! State received from peers: summaries of daemons, digests of other zones, and totals over both.
 
 use crate::{
+    label::{HostLabel, UpstreamLabel, ZoneLabel},
     message::{DaemonRole, PeerHeartbeat, PeerPhase, PeerSummary, SlotScope, SlotUpdate, SlotUse},
-    name::{HostLabel, UpstreamLabel, ZoneLabel},
     zone::{DigestOutcome, ZoneDigest, ZoneState},
 };
 use savorywood_protocol::MonotonicTime;
--- a/crates/savorywood-gateway/src/store_reads.rs
+++ b/crates/savorywood-gateway/src/store_reads.rs
@@ -6,7 +6,7 @@
 //! forwards changed rows at once. A daemon that receives no such attestation reads the store
 //! itself.
 
-use crate::{message::PeerSummary, name::HostLabel, peer::name_digest, position::StorePosition};
+use crate::{label::HostLabel, message::PeerSummary, peer::name_digest, position::StorePosition};
 use savorywood_protocol::MonotonicTime;
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, time::Duration};
--- a/crates/savorywood-gateway/tests/rate_limits.rs
+++ b/crates/savorywood-gateway/tests/rate_limits.rs
@@ -18,7 +18,7 @@
 
 fn marks(per_second: Option<f64>) -> ResponseMetadata {
     ResponseMetadata {
-        rate_limit: per_second.and_then(RateLimit::of),
+        rate_limit: per_second.and_then(RateLimit::from_per_second),
         ..ResponseMetadata::default()
     }
 }
@@ -249,7 +249,7 @@
     let waiting = scene.arrive(arrival("/safe/2"));
     assert!(scene.orders(waiting).is_empty());
     let reborn = UpstreamEntry {
-        born: 2,
+        incarnation: 2,
         ..upstream(1, 1)
     };
     scene.step(GatewayEvent::UpstreamWritten(reborn));
--- a/crates/savorywood-gateway/tests/regions.rs
+++ b/crates/savorywood-gateway/tests/regions.rs
@@ -4,8 +4,8 @@
 mod scene;
 
 use savorywood_gateway::{
-    CallerPlace, DeclaredConfig, GatewayEvent, PeerContact, RefusalReason, RegionLabel, RegionMap,
-    RepeatKind, TeamLabel, TeamSpec, UpstreamEntry, ZoneLabel,
+    CallerLocation, DeclaredConfig, GatewayEvent, PeerContact, RefusalReason, RegionLabel,
+    RegionMap, RetrySafety, TeamLabel, TeamSpec, UpstreamEntry, ZoneLabel,
 };
 use scene::{GatewayScene, arrival, config, options, route, upstream};
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
@@ -34,8 +34,8 @@
 fn declared() -> DeclaredConfig {
     let mut config = config(1, None);
     for name in ["north", "south"] {
-        let mut route = route(&format!("/{name}/"), RepeatKind::Safe, 1);
-        route.homes = homes(&[name]);
+        let mut route = route(&format!("/{name}/"), RetrySafety::Idempotent, 1);
+        route.home_regions = homes(&[name]);
         route.host = format!("{name}.example");
         config.add_route(route);
     }
@@ -43,7 +43,7 @@
         name: TeamLabel::from("southern"),
         priority: None,
         limit: None,
-        homes: homes(&["south"]),
+        home_regions: homes(&["south"]),
     };
     config.add_team(team, vec!["southern".to_owned()]);
     config
@@ -140,7 +140,7 @@
     scene.step(GatewayEvent::SummaryReceived(Box::new(summary)));
     scene.step(GatewayEvent::Tick);
     let named = |region: &'static str, host: &'static str| {
-        let caller = CallerPlace {
+        let caller = CallerLocation {
             zone: Some("elsewhere"),
             region: Some(region),
             host: Some(host),
--- a/crates/savorywood-gateway/tests/restoring.rs
+++ b/crates/savorywood-gateway/tests/restoring.rs
@@ -5,7 +5,7 @@
 
 use quickcheck::quickcheck;
 use savorywood_gateway::{
-    BrokenAttempt, ContentDigest, EvacuationOrder, GatewayEffect, GatewayEvent, QuarantineBook,
+    ContentDigest, EvacuationOrder, FailedAttempt, GatewayEffect, GatewayEvent, QuarantineTable,
     RequestFingerprint, RolloutOrder, RolloutPhase, RolloutStatus, RolloutWrite, ServiceLabel,
     StorePosition, UpstreamEntry, VersionLabel, ZoneLabel,
 };
@@ -138,7 +138,7 @@
     assert!(scene.gateway.fleet().get(&name).is_none());
     // A new start under the same name is another one.
     let reborn = UpstreamEntry {
-        born: 2,
+        incarnation: 2,
         ..upstream(1, 1)
     };
     scene.step(GatewayEvent::UpstreamWritten(reborn));
@@ -148,8 +148,8 @@
 fn rollout(era: u64, version: u64) -> RolloutOrder {
     RolloutOrder {
         service: ServiceLabel::from("engine"),
-        to: VersionLabel::from("v2"),
-        within: Duration::from_secs(20),
+        target_version: VersionLabel::from("v2"),
+        time_limit: Duration::from_secs(20),
         position: position(era, version),
     }
 }
@@ -166,7 +166,7 @@
 fn status(phase: Option<RolloutPhase>, position: StorePosition) -> RolloutStatus {
     RolloutStatus {
         service: ServiceLabel::from("engine"),
-        to: phase.map(|_| VersionLabel::from("v2")),
+        target_version: phase.map(|_| VersionLabel::from("v2")),
         phase,
         position,
     }
@@ -207,7 +207,7 @@
     let writes = rollout_writes(&mut scene);
     let first = writes.first().expect("it is written again");
     assert_eq!(first.phase, RolloutPhase::Completed);
-    assert_eq!(first.expected, position(2, 55));
+    assert_eq!(first.expected_position, position(2, 55));
     assert!(
         writes
             .iter()
@@ -236,31 +236,31 @@
 /// read at the next start.
 #[test]
 fn a_row_of_a_quarantine_that_ended_is_removed_again() {
-    let mut book = QuarantineBook::default();
+    let mut book = QuarantineTable::default();
     let now = MonotonicTime(1_000_000_000);
     let request = RequestFingerprint::new(ContentDigest(1), None);
     for upstream in 1..=3 {
-        let attempt = BrokenAttempt {
+        let attempt = FailedAttempt {
             fingerprint: request,
             upstream,
             sent_at: MonotonicTime::default(),
         };
-        book.broke(now, attempt);
+        book.record_failed_attempt(now, attempt);
     }
-    let write_all = |book: &mut QuarantineBook| {
+    let write_all = |book: &mut QuarantineTable| {
         let writes = book.due_writes(now, |_| true);
         for write in &writes {
-            book.written(write, true);
+            book.record_write(write, true);
         }
         let crashes = writes.iter().map(|write| write.crashes.as_ref());
         crashes.map(|all| all.map(Vec::len)).collect::<Vec<_>>()
     };
     assert_eq!(write_all(&mut book), [Some(3)]);
-    book.store_restored();
+    book.on_store_restored();
     assert_eq!(write_all(&mut book), [Some(3)]);
-    book.served(now, request);
+    book.record_complete_response(now, request);
     assert_eq!(write_all(&mut book), [None]);
-    book.store_restored();
+    book.on_store_restored();
     assert_eq!(write_all(&mut book), [None]);
 }
 
