--- a/crates/savorywood-gateway/src/gateway/admission.rs
+++ b/crates/savorywood-gateway/src/gateway/admission.rs
@@ -102,7 +102,10 @@
                     .with("proof_age_ms", self.time_since_confirmed(now).as_millis());
                 effects.push(GatewayEffect::Log(line));
                 let service = record.service.clone();
-                self.budgets.entry(service.clone()).or_default().record_request(now);
+                self.budgets
+                    .entry(service.clone())
+                    .or_default()
+                    .record_request(now);
                 let demand = self.demands.entry(service.clone()).or_default();
                 demand.record_arrival(now, record.rank);
                 self.enqueue(request, record);
@@ -214,8 +217,7 @@
             caller_timeout_at: give_up_at,
             state: RequestState::Waiting(QueuePosition {
                 rank,
-                start_by:
-                begin_by,
+                start_by: begin_by,
                 request,
             }),
             attempted_upstreams: Vec::new(),
--- a/crates/savorywood-gateway/src/gateway/dispatch.rs
+++ b/crates/savorywood-gateway/src/gateway/dispatch.rs
@@ -69,7 +69,8 @@
             match self.pick(now, record) {
                 Ok(picked) => self.dispatch(now, place.request, &picked, effects),
                 Err(SelectionFailure::AllFull) => full += 1,
-                Err(SelectionFailure::NoCandidate) => { self.handle_no_upstream(now, place.request, effects)
+                Err(SelectionFailure::NoCandidate) => {
+                    self.handle_no_upstream(now, place.request, effects)
                 }
             }
         }
@@ -107,12 +108,12 @@
             service: &record.service,
             prompt_tokens: record.size.prompt_tokens,
             expected_tokens: record.expected_output_tokens,
-            first_event_budget_ms: record.route.objective.as_secs_f64() * 1e3 - waited.as_secs_f64() * 1e3,
+            first_event_budget_ms: record.route.objective.as_secs_f64() * 1e3
+                - waited.as_secs_f64() * 1e3,
             remaining_ms: record.give_up_at.since(now).as_secs_f64() * 1e3,
             stream: record.route.retry_safety.is_stream(),
             prompt_parts: &record.prompt_parts,
-            attempted:
-            tried,
+            attempted: tried,
             home_regions: [
                 &record.route.home_regions,
                 record.team.as_ref().map_or(&[], |team| &team.home_regions),
@@ -191,7 +192,8 @@
         });
         self.part_index
             .record_prompt(now, &record.prompt_parts, &picked.name);
-        self.rollouts.record_dispatch(&record.service, &state.entry.version);
+        self.rollouts
+            .record_dispatch(&record.service, &state.entry.version);
         let order = DispatchOrder {
             request,
             attempt: record.attempts,
--- a/crates/savorywood-gateway/src/gateway/entry.rs
+++ b/crates/savorywood-gateway/src/gateway/entry.rs
@@ -97,8 +97,9 @@
         {
             return self.leases.release();
         }
-        let is_needed =
-            self.fleet.has_warmups() || self.fleet.has_limits() || self.quarantine.quarantined_count() > 0;
+        let is_needed = self.fleet.has_warmups()
+            || self.fleet.has_limits()
+            || self.quarantine.quarantined_count() > 0;
         if !is_needed && now.since(self.leases_refreshed_at) < IDLE_LEASE_INTERVAL {
             return;
         }
--- a/crates/savorywood-gateway/src/gateway/feedback.rs
+++ b/crates/savorywood-gateway/src/gateway/feedback.rs
@@ -82,7 +82,9 @@
         self.fleet.record_received(now, &upstream);
         let sent_at = attempt.dispatched_at;
         if is_first && let Some(state) = self.fleet.get_mut(&upstream) {
-            state.unread_tokens = state.unread_tokens.saturating_sub(record.size.prompt_tokens);
+            state.unread_tokens = state
+                .unread_tokens
+                .saturating_sub(record.size.prompt_tokens);
         }
         if record.route.retry_safety.is_stream() {
             let prompt = record.size.prompt_tokens;
@@ -145,7 +147,9 @@
         if attempt.first_event_at.is_none()
             && let Some(state) = self.fleet.get_mut(&attempt.upstream)
         {
-            state.unread_tokens = state.unread_tokens.saturating_sub(record.size.prompt_tokens);
+            state.unread_tokens = state
+                .unread_tokens
+                .saturating_sub(record.size.prompt_tokens);
         }
         let output = record.expected_output_tokens;
         if outcome.was_received() {
@@ -223,9 +227,11 @@
         let taken_out = match outcome {
             AttemptOutcome::NotSent => outlier.record_connection_failure(now, false),
             AttemptOutcome::Failed { .. } => outlier.record_failure(now, usual.unwrap_or_default()),
-            AttemptOutcome::Broken { stalled } => { outlier.record_connection_failure(now, *stalled && dark)
+            AttemptOutcome::Broken { stalled } => {
+                outlier.record_connection_failure(now, *stalled && dark)
             }
-            AttemptOutcome::StreamBroken(end) => { outlier.record_connection_failure(now, end.stalled && dark)
+            AttemptOutcome::StreamBroken(end) => {
+                outlier.record_connection_failure(now, end.stalled && dark)
             }
             AttemptOutcome::Expired if overdue => outlier.record_connection_failure(now, false),
             AttemptOutcome::Delivered { .. } => {
@@ -294,7 +300,8 @@
             | AttemptOutcome::CallerDisconnected => return,
         };
         if let Some(state) = self.fleet.get(&attempt.upstream) {
-            self.rollouts.record_response(service, &state.entry.version, bad);
+            self.rollouts
+                .record_response(service, &state.entry.version, bad);
         }
     }
 }
--- a/crates/savorywood-gateway/src/gateway/gossip.rs
+++ b/crates/savorywood-gateway/src/gateway/gossip.rs
@@ -5,7 +5,8 @@
     gossip::{GossipPlan, LastSlotUpdate, SlotPlan},
     label::{ServiceLabel, ZoneLabel},
     message::{
-        DaemonRole, PeerHeartbeat, PeerPhase, PeerSummary, SlotScope, SlotUpdate, SlotUse, TeamUse,},
+        DaemonRole, PeerHeartbeat, PeerPhase, PeerSummary, SlotScope, SlotUpdate, SlotUse, TeamUse,
+    },
     peer::{name_digest, slot_key},
     store_reads::StoreAttestation,
     zone::{ZoneDigest, ZoneMember},
--- a/crates/savorywood-gateway/src/gateway/quarantine.rs
+++ b/crates/savorywood-gateway/src/gateway/quarantine.rs
@@ -31,8 +31,10 @@
     ) -> Result<bool, Refusal> {
         let (crashes, trial_at) = match self.quarantine.verdict(fingerprint) {
             QuarantineVerdict::Clear => return Ok(false),
-            QuarantineVerdict::Quarantined { crashes,
-                probe_at: trial_at, } => (crashes, trial_at),
+            QuarantineVerdict::Quarantined {
+                crashes,
+                probe_at: trial_at,
+            } => (crashes, trial_at),
         };
         // Daemons that all tried it at the same moment would crash an upstream each.
         if now >= trial_at && self.leases.holds_key(now, fingerprint.as_u64()) {
@@ -60,7 +62,8 @@
         match self.quarantine.verdict(fingerprint) {
             QuarantineVerdict::Clear => MIN_RETRY_AFTER,
             QuarantineVerdict::Quarantined {
-                probe_at: trial_at, .. } => trial_at.since(now).max(MIN_RETRY_AFTER),
+                probe_at: trial_at, ..
+            } => trial_at.since(now).max(MIN_RETRY_AFTER),
         }
     }
 
@@ -87,7 +90,8 @@
                 };
                 self.quarantine.record_failed_attempt(now, broken)
             }
-            AttemptOutcome::Delivered { .. } => { self.quarantine.record_complete_response(now, fingerprint)
+            AttemptOutcome::Delivered { .. } => {
+                self.quarantine.record_complete_response(now, fingerprint)
             }
             _ => return,
         };
--- a/crates/savorywood-gateway/src/gateway/stall_detection.rs
+++ b/crates/savorywood-gateway/src/gateway/stall_detection.rs
@@ -104,7 +104,12 @@
         let usual = self.fleet.service_latency(&record.service);
         let pause = Duration::from_secs_f64(state.latency.pause_ms(&usual) / 1e3);
         let reading = self.prefill_allowance(record, state);
-        let whole = now.since(state.last_received_at.max(received_at).max(self.last_wake_at));
+        let whole = now.since(
+            state
+                .last_received_at
+                .max(received_at)
+                .max(self.last_wake_at),
+        );
         if whole > pause.mul_f64(EVENT_GAP_FACTOR).max(MIN_STALL) + reading
             && self.receives_from_others(now, record, state)
         {
