--- a/crates/savorywood-gateway/src/gateway/gossip.rs
+++ b/crates/savorywood-gateway/src/gateway/gossip.rs
@@ -1,4 +1,4 @@
-//! What a gateway sends to callers, peers and whoever watches it.
+//! Readiness of the daemon, and the state that it sends to its peers.
 
 use super::{Gateway, entry::DISCOVERY_PERIOD, record::RequestState};
 use crate::{
@@ -14,35 +14,37 @@
 use savorywood_protocol::MonotonicTime;
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
-/// Part of the bound after which a daemon without a newer proof is not ready: callers are better
-/// off elsewhere.
+/// Fraction of the maximum confirmation age after which a daemon without a newer confirmation is
+/// not ready: callers are better served elsewhere.
 const READY_CONFIRMATION_FRACTION: f64 = 0.54;
-/// Time between two rounds of gossip of a daemon that has just started. After a kill of all daemons
-/// each must know the others before it knows what it may spend of teams' limits.
+/// Interval between two rounds of gossip of a daemon that has just started. When all daemons
+/// restart together, each must discover the others before it knows what it may admit of the teams'
+/// limits.
 const DISCOVERY_INTERVAL: Duration = Duration::from_millis(100);
-/// Part of a service's slots that is taken when they are scarce.
+/// Fraction of a service's slots in use above which free slots count as scarce.
 const SCARCE_SLOT_FRACTION: f64 = 0.7;
 
-/// Slots of a service.
+/// Slots of a service, used by this daemon and its peers.
 #[derive(Default)]
 struct SlotCount {
     taken: u32,
     all: u32,
 }
 
-/// State of a gateway at a moment.
+/// Status of a gateway at one moment, for metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GatewayStatus {
-    /// It takes callers.
+    /// The daemon is ready for callers.
     pub ready: bool,
-    /// Configuration version in force.
+    /// Version of the configuration in force; 0 when there is none.
     pub config_version: u64,
-    /// Age of the newest proof that it is the store's.
+    /// Time since the store last confirmed the configuration; an hour when it never did.
     pub time_since_confirmed: Duration,
 }
 
 impl Gateway {
-    /// It takes callers.
+    /// Returns whether the daemon is ready for callers: it is not stopping, and its configuration,
+    /// upstreams and peers are known and the configuration was confirmed recently.
     #[must_use]
     pub fn is_ready(&self, now: MonotonicTime) -> bool {
         let known = self.config.is_some() && self.upstreams_read;
@@ -57,13 +59,13 @@
                     .mul_f64(READY_CONFIRMATION_FRACTION)
     }
 
-    /// The number of daemons is known: a daemon that starts again without it would spend much
-    /// more of a team's limit than its part.
+    /// Returns whether the number of daemons is known. A restarted daemon that does not know it
+    /// would admit much more of a team's limit than its share.
     pub(super) fn has_peer_list(&self) -> bool {
         self.contacts_read || self.options.first_start
     }
 
-    /// State now.
+    /// Returns the status at the time `now`.
     #[must_use]
     pub fn status(&self, now: MonotonicTime) -> GatewayStatus {
         GatewayStatus {
@@ -88,7 +90,7 @@
         u64::try_from(now.since(started_at).as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// Summary of this daemon.
+    /// Returns the next summary of this daemon and advances the sequence number.
     pub fn summary(&mut self, now: MonotonicTime) -> PeerSummary {
         self.sequence += 1;
         let uptime_ms = self.uptime_ms(now);
@@ -129,7 +131,8 @@
         }
     }
 
-    /// A daemon that stops leaves the reading to others.
+    /// Returns the attestation of this daemon. A stopping daemon gives none, so that another one
+    /// takes over reading the store.
     fn attestation(&self, now: MonotonicTime) -> Option<StoreAttestation> {
         let attestations = self.contacts.uses_zone_digests() && !self.stopping;
         attestations
@@ -137,7 +140,8 @@
             .flatten()
     }
 
-    /// Neighbours to whom changed rows are handed on at once.
+    /// Returns the neighbours to which changed rows are forwarded at once; none unless this daemon
+    /// attests.
     #[must_use]
     pub fn row_update_targets(&self, now: MonotonicTime) -> Vec<SocketAddr> {
         if self.attestation(now).is_none() {
@@ -163,7 +167,7 @@
         slots.collect()
     }
 
-    /// Requests of all daemons of this zone at upstreams.
+    /// Returns the slots that all daemons of this zone use, by upstream.
     fn zone_slots(&self, now: MonotonicTime) -> Vec<SlotUse> {
         let mut sums: BTreeMap<u64, SlotUse> = BTreeMap::new();
         let mut add = |of: &[SlotUse]| {
@@ -186,8 +190,8 @@
         sums.into_values().collect()
     }
 
-    /// Slots of this daemon alone, sent between two full summaries: nothing while slots are
-    /// plenty, or where none has changed.
+    /// Returns an update of this daemon's slots to be sent between two summaries; absent while
+    /// slots are not scarce or no slot has changed.
     pub fn slot_update(&mut self, now: MonotonicTime) -> Option<SlotUpdate> {
         let is_idle = self.requests.is_empty() && self.last_sent_slots.is_empty();
         if is_idle || !self.are_slots_scarce(now) {
@@ -202,7 +206,7 @@
         Some(self.build_slot_update(SlotScope::Daemon, slots))
     }
 
-    /// The same of its whole zone.
+    /// Returns an update of the slots of the whole zone.
     pub fn zone_slot_update(&mut self, now: MonotonicTime) -> SlotUpdate {
         self.sequence += 1;
         let zone = name_digest(self.options.zone.as_str());
@@ -214,15 +218,17 @@
         self.build_slot_update(SlotScope::Zone(zone), slots)
     }
 
-    /// Who gets newer slots now.
+    /// Returns the targets of the slot updates that are due.
     #[must_use]
     pub fn plan_slots(&self, now: MonotonicTime) -> SlotPlan {
         let sent = self.is_entry_member().then_some(self.last_sent_zone_slots);
         self.contacts.plan_slots(now, &self.peers, sent)
     }
 
-    /// Heartbeat of a member of the entry set, and who gets it: daemons of its zone, so that they
-    /// replace it soon after it fails. Few daemons send each other summaries as often.
+    /// Returns the heartbeat of a member of the entry set and the daemons of its zone that receive
+    /// it, so that they replace the member soon after it fails.
+    ///
+    /// Absent when zones do not exchange digests: the summaries of few daemons are as frequent.
     pub fn heartbeat(&mut self) -> Option<(PeerHeartbeat, Vec<SocketAddr>)> {
         if !self.contacts.uses_zone_digests() || !self.is_entry_member() {
             return None;
@@ -236,7 +242,7 @@
         Some((beat, self.contacts.zone_contacts()))
     }
 
-    /// Time until the next heartbeat.
+    /// Returns the interval between two heartbeats.
     #[must_use]
     pub fn heartbeat_interval(&self) -> Duration {
         self.contacts.heartbeat_interval()
@@ -252,7 +258,7 @@
         }
     }
 
-    /// Requests wait, or most slots of a service are taken.
+    /// Returns whether requests wait, or most slots of some service are in use.
     fn are_slots_scarce(&self, now: MonotonicTime) -> bool {
         if self.waiting_requests() > 0 {
             return true;
@@ -268,13 +274,14 @@
         counts.any(|count| f64::from(count.taken) > f64::from(count.all) * SCARCE_SLOT_FRACTION)
     }
 
-    /// Time until the next message on slots alone.
+    /// Returns the interval between two slot updates.
     #[must_use]
     pub fn slot_update_interval(&self) -> Duration {
         self.contacts.slot_update_interval()
     }
 
-    /// Digest of this daemon's zone. `slots`: the receivers place requests.
+    /// Returns the digest of this daemon's zone. `slots`: include the slots in use, for receivers
+    /// that dispatch requests.
     pub fn zone_digest(&mut self, now: MonotonicTime, slots: bool) -> ZoneDigest {
         self.sequence += 1;
         let uptime_ms = self.uptime_ms(now);
@@ -303,7 +310,7 @@
         }
     }
 
-    /// Daemons of the own zone that place requests.
+    /// Returns the daemons of the own zone that dispatch requests.
     fn serving_members(&self, now: MonotonicTime) -> Vec<ZoneMember> {
         let own = ZoneMember {
             peer_address: self.options.peer_address,
@@ -330,19 +337,19 @@
             .collect()
     }
 
-    /// Who gets state of this daemon and its zone now.
+    /// Returns the targets of the summaries and digests that are due.
     pub fn plan_gossip(&mut self, now: MonotonicTime) -> GossipPlan {
         let mut plan = self.contacts.plan(now, &self.peers);
         if self.stopping || !self.has_discovered_zone(now) {
-            // Another daemon of the zone takes over before this one is gone; and daemons that do
-            // not know each other yet would all send digests to all others.
+            // Another daemon of the zone takes over before this one has stopped; and daemons that
+            // have not discovered each other yet would all send digests to all other daemons.
             plan.digest_targets.clear();
             plan.slotless_digest_targets.clear();
         }
         plan
     }
 
-    /// Time until the next round of gossip.
+    /// Returns the interval between two rounds of gossip.
     #[must_use]
     pub fn gossip_interval(&self, now: MonotonicTime) -> Duration {
         let pause = self.contacts.gossip_interval();
@@ -353,8 +360,9 @@
         }
     }
 
-    /// The ready daemon with the first name is_leader: it writes what one is enough for. Two that
-    /// both think so are harmless, as each write has a condition.
+    /// Returns whether this daemon is the leader, which performs writes that one daemon suffices
+    /// for: the ready daemon with the first host name in the first zone. Two daemons that both
+    /// regard themselves as the leader do no harm, as each write is conditional.
     pub(super) fn is_leader(&self, now: MonotonicTime) -> bool {
         let own = self.options.host.as_str();
         let zone = self.options.zone.as_str();
@@ -369,13 +377,13 @@
         self.is_ready(now) && first_here && first_zone
     }
 
-    /// Zone of this daemon.
+    /// Returns the availability zone of this daemon.
     #[must_use]
     pub fn zone(&self) -> &ZoneLabel {
         &self.options.zone
     }
 
-    /// Requests that run at upstreams.
+    /// Returns the number of requests in progress at upstreams.
     #[must_use]
     pub fn running_requests(&self) -> usize {
         let records = self.requests.values();
--- a/crates/savorywood-gateway/src/gateway/quarantine.rs
+++ b/crates/savorywood-gateway/src/gateway/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests under which upstreams crash: what is noted, what is refused, what peers and the store get.
+//! Quarantine of requests under which upstreams crash: recording, refusal, gossip and store rows.
 
 use super::{Gateway, GatewayEffects, admission::Refusal, record::RunningAttempt};
 use crate::{
@@ -17,12 +17,12 @@
 use savorywood_protocol::MonotonicTime;
 use std::time::Duration;
 
-/// Least time after which a caller whose request is in quarantine is asked to come back.
+/// Minimum retry-after delay for a quarantined request.
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Gateway {
-    /// Refuses a request in quarantine, unless this daemon may try it now; whether it is such a
-    /// trial.
+    /// Refuses a quarantined request, unless this daemon may send it now as a probe. Returns
+    /// whether the request is a probe.
     pub(super) fn check_quarantine(
         &mut self,
         now: MonotonicTime,
@@ -36,7 +36,7 @@
                 probe_at: trial_at,
             } => (crashes, trial_at),
         };
-        // Daemons that all tried it at the same moment would crash an upstream each.
+        // If all daemons sent the probe at the same time, each could crash an upstream.
         if now >= trial_at && self.leases.holds_key(now, fingerprint.as_u64()) {
             self.quarantine.begin_probe(now, fingerprint);
             return Ok(true);
@@ -53,7 +53,7 @@
         self.quarantine.verdict(fingerprint) != QuarantineVerdict::Clear
     }
 
-    /// Time until a request in quarantine may be tried.
+    /// Returns the time until a probe of the quarantined request is allowed.
     pub(super) fn probe_delay(
         &self,
         now: MonotonicTime,
@@ -67,7 +67,8 @@
         }
     }
 
-    /// Notes what an attempt's end says of its request: an upstream ended under it, or served it.
+    /// Records what the end of an attempt indicates about its request: the upstream crashed under
+    /// it, or served it.
     pub(super) fn record_crash(
         &mut self,
         now: MonotonicTime,
@@ -98,7 +99,8 @@
         log_change(fingerprint, change, "own", effects);
     }
 
-    /// An upstream answered what was sent there at a moment.
+    /// Records that an upstream responded to a request dispatched at `sent_at`, which shows that it
+    /// was running then.
     pub(super) fn record_response(
         &mut self,
         now: MonotonicTime,
@@ -123,7 +125,7 @@
         }
     }
 
-    /// What peers get of crashes in a round of gossip.
+    /// Returns the crash reports for one round of gossip; absent when there are none.
     pub fn crash_gossip(&mut self, now: MonotonicTime, scope: ReportScope) -> Option<CrashGossip> {
         if self.quarantine.is_empty() {
             return None;
@@ -147,7 +149,8 @@
         effects.push(GatewayEffect::Log(line));
     }
 
-    /// Has one daemon write what must last beyond all of them.
+    /// Emits the writes for which this daemon holds the lease, so that quarantine outlasts all
+    /// daemons.
     pub(super) fn write_quarantine(&mut self, now: MonotonicTime, effects: &mut GatewayEffects) {
         let leases = &self.leases;
         let holds = |fingerprint: RequestFingerprint| leases.holds_key(now, fingerprint.as_u64());
@@ -155,7 +158,7 @@
         effects.extend(writes.into_iter().map(GatewayEffect::WriteQuarantine));
     }
 
-    /// Requests in quarantine.
+    /// Returns the number of requests in quarantine.
     #[must_use]
     pub fn quarantined_requests(&self) -> usize {
         self.quarantine.quarantined_count()
--- a/crates/savorywood-gateway/src/gateway/rate_limits.rs
+++ b/crates/savorywood-gateway/src/gateway/rate_limits.rs
@@ -1,4 +1,4 @@
-//! Limits that upstreams name: what answers and peers say of them, and this daemon's part.
+//! Rate limits that upstreams report, and this daemon's share of them.
 
 use super::{Gateway, GatewayEffects};
 use crate::{
@@ -12,13 +12,14 @@
 use savorywood_protocol::MonotonicTime;
 use std::time::Duration;
 
-/// Rounds of gossip for which a reading is reported: messages get lost.
+/// Rounds of gossip in which a reading is reported, as messages may be lost.
 const REPORT_ROUNDS: u32 = 4;
-/// Reports in one message at most, so that it passes links in one piece.
+/// Maximum number of reports in a message, which keeps it within one datagram.
 const MAX_REPORTS: usize = 64;
 
 impl Gateway {
-    /// An upstream answered what was sent to it at a moment, and named a limit or none.
+    /// Records the limit in a response to a request dispatched at `sent_at`; `None` when the
+    /// response reports no limit.
     pub(super) fn record_limit(
         &mut self,
         now: MonotonicTime,
@@ -30,7 +31,7 @@
         let Some(state) = self.fleet.get_mut(upstream) else {
             return;
         };
-        // An answer without a limit may have begun before one that names it.
+        // A response without a limit may have started before one that reports it.
         let at = if limit.is_some() { now } else { sent_at };
         let before = state.limit.limit();
         let reading = LimitObservation {
@@ -79,7 +80,7 @@
         }
     }
 
-    /// What peers get of limits in a round of gossip.
+    /// Returns the limits to be reported in one round of gossip; absent when there are none.
     #[must_use]
     pub fn limit_gossip(&self, now: MonotonicTime, scope: ReportScope) -> Option<LimitGossip> {
         let within = self
@@ -101,7 +102,7 @@
         (!reports.is_empty()).then_some(LimitGossip { zone, reports })
     }
 
-    /// This daemon's part of what limited upstreams take grows with time.
+    /// Refills this daemon's share of the rates that limited upstreams accept.
     pub(super) fn refill_limits(&mut self, now: MonotonicTime) {
         let leases = &self.leases;
         for state in self.fleet.iter_mut() {
--- a/crates/savorywood-gateway/src/gateway/record.rs
+++ b/crates/savorywood-gateway/src/gateway/record.rs
@@ -1,4 +1,4 @@
-//! What a gateway knows of one open request.
+//! State of one open request.
 
 use crate::{
     arrival::{PromptPart, RequestSize},
@@ -10,29 +10,30 @@
 use savorywood_protocol::MonotonicTime;
 use std::{sync::Arc, time::Duration};
 
-/// An attempt under way.
+/// An attempt in progress at an upstream.
 #[derive(Debug, Clone)]
 pub struct RunningAttempt {
-    /// Where.
+    /// Upstream that received the request.
     pub upstream: UpstreamLabel,
-    /// Since when.
+    /// Time of dispatch.
     pub dispatched_at: MonotonicTime,
-    /// When its answer began.
+    /// Time of the first event, or of the head of a response that is not a stream.
     pub first_event_at: Option<MonotonicTime>,
-    /// Milliseconds that were expected until then.
+    /// Expected milliseconds from dispatch to the first event, or to the end of a response that is
+    /// not a stream.
     pub expected_first_event_ms: f64,
-    /// When its newest event came.
+    /// Time of the newest event.
     pub last_event_at: Option<MonotonicTime>,
-    /// Longest pause between its events.
+    /// Longest gap between two events.
     pub max_event_gap: Duration,
-    /// Events that came.
+    /// Events received.
     pub events: u32,
-    /// It is being ended, as its upstream is silent.
+    /// The attempt is being cancelled because its upstream is stalled.
     pub abandoned: bool,
 }
 
 impl RunningAttempt {
-    /// Events came.
+    /// Records received events and the gap before them.
     pub fn record_events(&mut self, now: MonotonicTime, events: u32) {
         if let Some(before) = self.last_event_at {
             self.max_event_gap = self.max_event_gap.max(now.since(before));
@@ -42,67 +43,67 @@
     }
 }
 
-/// Where a request is.
+/// State of an open request.
 #[derive(Debug, Clone)]
 pub enum RequestState {
-    /// It waits.
+    /// It waits for a free slot.
     Waiting(QueuePosition),
-    /// It runs.
+    /// It is in progress at an upstream.
     Running(RunningAttempt),
 }
 
-/// One open request.
+/// An admitted request that has no final response yet.
 #[derive(Debug, Clone)]
 pub struct RequestRecord {
-    /// Identity of the caller's, for the log.
+    /// Request identifier given by the caller, for the log.
     pub request_id: String,
-    /// What it asks, to recognise repeats.
+    /// Fingerprint of the content and team, used by the quarantine.
     pub fingerprint: RequestFingerprint,
-    /// It is the one trial of a request in quarantine.
+    /// The request is the probe of a quarantined fingerprint.
     pub is_probe: bool,
-    /// Its route.
+    /// Route that the request matched.
     pub route: Arc<RouteSpec>,
-    /// Service drawn from the route's split.
+    /// Service selected at random by the route's traffic split.
     pub service: ServiceLabel,
-    /// Team of its key.
+    /// Team of the API key; absent on public routes without a known key.
     pub team: Option<Arc<TeamSpec>>,
-    /// Units taken from the team's limit.
+    /// Units charged to the team's limit: tokens or requests; 0 without a limit.
     pub charged_units: f64,
-    /// Its rank.
+    /// Priority in the queue.
     pub rank: RequestRank,
-    /// Its size.
+    /// Size in tokens; zero when the request does not report it.
     pub size: RequestSize,
-    /// Tokens of its answer as the caller expects.
+    /// Expected tokens of the response: the caller's estimate, or else the maximum.
     pub expected_output_tokens: u32,
-    /// Parts of its prompt.
+    /// Segments of the prompt.
     pub prompt_parts: Vec<PromptPart>,
-    /// When it came.
+    /// Time of arrival.
     pub arrived_at: MonotonicTime,
-    /// When it must have its final answer.
+    /// Deadline of the final response.
     pub give_up_at: MonotonicTime,
-    /// When its caller leaves if nothing has come.
+    /// Time at which the caller is expected to give up if it receives nothing more.
     pub caller_timeout_at: MonotonicTime,
-    /// Where it is.
+    /// Whether the request waits or is in progress.
     pub state: RequestState,
-    /// Upstreams that have had it.
+    /// Upstreams that have received an attempt.
     pub attempted_upstreams: Vec<UpstreamLabel>,
-    /// Times that it was sent.
+    /// Number of attempts dispatched.
     pub attempts: u32,
-    /// Upstreams that may have run it.
+    /// Number of attempts that an upstream may have executed.
     pub executions: u32,
-    /// An upstream's own failure is kept for the caller.
+    /// The failure response of an upstream is kept and can be forwarded.
     pub has_upstream_failure: bool,
-    /// A try of the budget is already spent for its next send.
+    /// A retry has already been charged to the budget for the next attempt.
     pub has_reserved_retry: bool,
-    /// Events or bytes have reached the caller.
+    /// Events of a stream have reached the caller, or are about to.
     pub response_started: bool,
 }
 
-/// Time kept for a refusal's way to a caller that is about to leave.
+/// Time reserved for sending a refusal to a caller before its timeout.
 const LEAVING_MARGIN: Duration = Duration::from_millis(100);
 
 impl RequestRecord {
-    /// When its caller leaves if nothing comes after this moment.
+    /// Returns when the caller is expected to give up if it receives nothing after `received_at`.
     pub fn caller_timeout_after(&self, received_at: MonotonicTime) -> MonotonicTime {
         let caller_timeout = self.route.caller_idle_timeout;
         let leave_at = caller_timeout
@@ -110,12 +111,12 @@
         leave_at.map_or(self.give_up_at, |at| at.min(self.give_up_at))
     }
 
-    /// The route allows one more run beside the one under way.
+    /// Returns whether the route allows one execution besides the one in progress.
     pub fn allows_concurrent_execution(&self) -> bool {
         self.route.retry_safety.is_idempotent() && self.executions + 1 < self.route.max_attempts
     }
 
-    /// A second run is allowed by the route.
+    /// Returns whether the route allows another execution after those that ended.
     pub fn allows_another_execution(&self) -> bool {
         self.route.retry_safety.is_idempotent() && self.executions < self.route.max_attempts.max(1)
     }
--- a/crates/savorywood-gateway/src/gateway/retry_after.rs
+++ b/crates/savorywood-gateway/src/gateway/retry_after.rs
@@ -1,26 +1,28 @@
-//! When a refused caller should come back.
+//! Retry-after delays of refused requests.
 
 use super::Gateway;
 use crate::{arrival::LocalRequest, queue::WaitQueue, refusal::RefusalReason};
 use savorywood_protocol::MonotonicTime;
 use std::time::Duration;
 
-/// When to come back where nothing better is known.
+/// Delay when no better estimate exists.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(400);
-/// Least time after which an overload may be over.
+/// Minimum delay after load shedding.
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Longest time for which the newest rate says anything.
+/// Maximum delay, as the measured dispatch rate predicts nothing beyond it.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(4);
-/// Part of the time that a caller has left after which it must be back: the rest is for its place
-/// in the queue and its answer.
+/// Maximum delay as a fraction of the caller's remaining time: the rest is left for queueing and
+/// for the response.
 const MAX_DEADLINE_FRACTION: f64 = 1.0 / 3.0;
-/// Part of the estimate by which returns are spread: callers that were refused together would be
-/// refused together once more.
+/// Width of the random spread of delays, as a fraction of the estimate: callers that were refused
+/// together would otherwise be refused together again.
 const RETRY_AFTER_SPREAD: f64 = 0.5;
 
 impl Gateway {
-    /// When the caller of a request that was not run should come back: once the work that is at
-    /// least as urgent and waits now has got its slots, at the rate of the last moments.
+    /// Returns the retry-after delay of a request that was not executed.
+    ///
+    /// After load shedding it is the time in which the waiting requests of the same or a more
+    /// urgent rank get their slots at the recent dispatch rate.
     pub(super) fn retry_after_delay(
         &mut self,
         now: MonotonicTime,
--- a/crates/savorywood-gateway/src/gateway/stall_detection.rs
+++ b/crates/savorywood-gateway/src/gateway/stall_detection.rs
@@ -1,4 +1,4 @@
-//! Attempts whose upstream has fallen silent, and what becomes of them.
+//! Detection of stalled attempts, and their retry at another upstream.
 
 use super::{
     Gateway, GatewayEffects,
@@ -10,51 +10,54 @@
 use std::time::Duration;
 use strum::Display;
 
-/// Silence before the first event that is out of the ordinary, against what was expected.
+/// Factor over the expected time to the first event above which the first event is overdue.
 const FIRST_EVENT_FACTOR: f64 = 4.0;
-/// The same against the route's objective.
+/// Fraction of the route's objective within which the first event is not overdue.
 const OBJECTIVE_FRACTION: f64 = 0.6;
-/// Silence of all that runs at an upstream that is out of the ordinary, against the longest
-/// pauses that are usual there.
+/// Factor over the upstream's usual longest event gap above which all its requests together count
+/// as stalled.
 const EVENT_GAP_FACTOR: f64 = 2.0;
-/// The same for one stream while others there go on: its connection may be dead.
+/// The same factor for a single stream while others there continue: its connection may be dead.
 const SINGLE_STREAM_FACTOR: f64 = 4.0;
-/// The same against the time in which its unread prompts are expected to be read.
+/// Factor over the expected time to read the unread prompt tokens, for the allowance that they
+/// give.
 const PREFILL_FACTOR: f64 = 2.0;
-/// Longest time by which unread prompts excuse a silence: callers leave a little later.
+/// Maximum time by which unread prompt tokens extend the thresholds: callers give up a little
+/// later.
 const MAX_PREFILL_ALLOWANCE: Duration = Duration::from_secs(1);
-/// Least silence that says anything.
+/// Minimum time without data that counts as a stall.
 const MIN_STALL: Duration = Duration::from_millis(400);
-/// Least silence of one stream while others there go on.
+/// Minimum time without data on a single stream while others there continue.
 const MIN_SINGLE_STREAM_STALL: Duration = Duration::from_millis(1_000);
-/// An upstream counts as seen for this long.
+/// Time since the last data within which an upstream counts as reachable.
 const UPSTREAM_SEEN_WINDOW: Duration = Duration::from_millis(300);
-/// A process that handled no event for this long has slept.
+/// A process that made no check for this long was suspended.
 const SUSPEND_THRESHOLD: Duration = Duration::from_millis(250);
 
-/// What is silent.
+/// Scope of a stall. The text form is part of the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 #[strum(serialize_all = "kebab-case")]
 enum StallKind {
-    /// Nothing of this request has come yet.
+    /// No event of this request has been received.
     First,
-    /// All that runs at the upstream.
+    /// No request at the upstream receives data.
     Upstream,
-    /// This stream alone.
+    /// Only this stream receives no data.
     Stream,
 }
 
 impl Gateway {
-    /// Moves requests away from silent upstreams.
+    /// Cancels attempts at stalled upstreams.
     ///
-    /// An upstream that lost its power or its way here says nothing: its callers would wait until
-    /// they leave. But one that reads a long prompt is silent as well, and an answer that is taken
-    /// from it comes to nothing if no other has room. So an attempt is ended only where the next
-    /// one is sure: another upstream has a place for it and a try is left.
+    /// An upstream that lost its power or its connection sends nothing, and its callers would wait
+    /// until they give up. An upstream that reads a long prompt also sends nothing, however, and
+    /// cancelling its response gains nothing if no other upstream has a free slot. An attempt is
+    /// therefore cancelled only when the next one is certain: another upstream has a free slot, and
+    /// the budget allows a retry.
     pub(super) fn detect_stalls(&mut self, now: MonotonicTime, effects: &mut GatewayEffects) {
         let before = self.stalls_checked_at.replace(now);
         if before.is_none_or(|before| now.since(before) > SUSPEND_THRESHOLD) {
-            // What came while this process slept has not been read yet.
+            // Data that arrived during the suspension has not been read yet.
             self.last_wake_at = now;
         }
         for (request, kind) in self.stalled_requests(now) {
@@ -96,7 +99,7 @@
             let mut most = expected.max(objective).max(MIN_STALL);
             let others_go_on = state.last_received_at > received_at;
             if record.route.retry_safety.is_stream() && others_go_on {
-                // It reads the prompts that came before this one.
+                // The upstream may still be reading the prompts that it received before this one.
                 most = most.max(record.route.objective);
             }
             return (own > most).then_some(StallKind::First);
@@ -122,8 +125,7 @@
         (own > most).then_some(StallKind::Stream)
     }
 
-    /// Time for which an upstream may be silent because it reads the prompts that are still to be
-    /// read there.
+    /// Returns the time for which an upstream may send nothing because it is reading prompts.
     fn prefill_allowance(&self, record: &RequestRecord, state: &UpstreamState) -> Duration {
         let unread = state.unread_tokens
             + self
@@ -138,7 +140,8 @@
         Duration::from_secs_f64(millis / 1e3).min(MAX_PREFILL_ALLOWANCE)
     }
 
-    /// A daemon that has lost its own way receives nothing: that is no evidence against an upstream.
+    /// Returns whether other upstreams of the service still send data. If none does, this daemon
+    /// may have lost its own connection, which is no evidence against an upstream.
     fn receives_from_others(
         &self,
         now: MonotonicTime,
--- a/crates/savorywood-gateway/src/gateway/state_updates.rs
+++ b/crates/savorywood-gateway/src/gateway/state_updates.rs
@@ -1,4 +1,4 @@
-//! Configuration, upstreams, roll-outs and peers as they change.
+//! Changes of the configuration, upstreams, roll-outs and peers.
 
 use super::{Gateway, GatewayBounds, GatewayEffects};
 use crate::{
@@ -18,7 +18,7 @@
 use savorywood_protocol::MonotonicTime;
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
-/// Whose use of teams is accounted.
+/// Daemon or zone whose reported usage of teams is accounted.
 #[derive(Debug, Clone, Copy)]
 struct UsageSource {
     peer: u64,
@@ -29,8 +29,8 @@
 }
 
 impl Gateway {
-    /// A version is never followed by an older one: a slow answer that comes late would bring
-    /// back routes and keys that operators took away.
+    /// Puts a version of the configuration in force. An older version is ignored: a delayed
+    /// response would bring back routes and keys that operators have removed.
     pub(super) fn config_read(
         &mut self,
         now: MonotonicTime,
@@ -87,8 +87,7 @@
         }
     }
 
-    /// Settings changed while the process runs: bounds follow at once, buckets begin anew where
-    /// their tolerance is another one.
+    /// Applies changed bounds at once; buckets start over if their tolerance changed.
     pub(super) fn bounds_read(
         &mut self,
         now: MonotonicTime,
@@ -200,7 +199,8 @@
         if summary.zone == self.options.zone.as_str() {
             self.neighbour_summary_received(now, &summary, effects);
         }
-        // Of a zone that another daemon reports, its message alone counts, or all would count twice.
+        // For a zone that a digest reports, only the digest counts; otherwise usage would count
+        // twice.
         if self.peers.uses_direct_summary(now, &summary.zone) {
             let account = UsageSource {
                 peer,
@@ -220,7 +220,7 @@
         self.dispatch_all_waiting(now, effects);
     }
 
-    /// A neighbour may attest to what this daemon holds.
+    /// Applies the attestation in a neighbour's message to the copies of tables held here.
     fn neighbour_summary_received(
         &mut self,
         now: MonotonicTime,
@@ -312,7 +312,7 @@
         }
     }
 
-    /// The entry set of a zone changed.
+    /// Updates the meters after the entry set of a zone changed.
     pub(super) fn members_changed(&mut self) {
         let members = self.limit_members();
         for meter in self.meters.values_mut() {
@@ -320,14 +320,14 @@
         }
     }
 
-    /// Daemons among which teams' limits are shared, if this one is among them.
+    /// Returns the number of daemons that share the teams' limits, if this one is among them.
     fn limit_members(&self) -> Option<u32> {
         let members = u32::try_from(self.entry_daemons).unwrap_or(u32::MAX);
         self.is_entry_member().then_some(members)
     }
 
-    /// Another daemon reports a zone now: what it says includes what was received before of that
-    /// zone's daemons, from themselves or from the one that reported.
+    /// Ends the accounts of a zone's daemons and of its previous sender: the digest of the new
+    /// sender includes what they reported.
     fn end_usage_sources(&mut self, now: MonotonicTime, zone: &ZoneLabel, before: Option<u64>) {
         let alive = self.peers.live_peers(now);
         let members = alive.filter(|peer| peer.summary.zone == zone.as_str());
@@ -342,7 +342,7 @@
         }
     }
 
-    /// A team that is not reported has used nothing there.
+    /// Records the usage of all teams; a team that is not reported has used nothing there.
     fn usage_received(&mut self, now: MonotonicTime, account: UsageSource, usage: &[TeamUse]) {
         let usage: HashMap<u64, &TeamUse> = usage.iter().map(|used| (used.team, used)).collect();
         for (team, meter) in &mut self.meters {
@@ -360,7 +360,7 @@
         }
     }
 
-    /// Logs a change of readiness with what decided it.
+    /// Logs a change of readiness with the values that determine it.
     pub(super) fn log_readiness_change(
         &mut self,
         now: MonotonicTime,
--- a/crates/savorywood-gateway/src/gateway/store_reads.rs
+++ b/crates/savorywood-gateway/src/gateway/store_reads.rs
@@ -1,25 +1,27 @@
-//! Who reads the store, how often, and from whom this daemon learns of a table.
+//! Selection of the daemons that read the store, and of how this daemon keeps its tables current.
 
 use super::Gateway;
 use crate::store_reads::{ReadPlan, SharedTable};
 use savorywood_protocol::MonotonicTime;
 use std::time::Duration;
 
-/// Part of the bound for which one call may wait for changes of what is declared.
+/// Fraction of the maximum confirmation age for which a call may wait for changes of the declared
+/// resources.
 const POLL_TIMEOUT_FRACTION: f64 = 0.28;
 /// The same at a daemon that attests to others.
 const READER_POLL_TIMEOUT_FRACTION: f64 = 0.14;
-/// Part of the bound for which a daemon with a new proof waits for its zone's reader.
+/// Fraction of the maximum confirmation age for which a daemon with a new confirmation waits for
+/// the daemon that reads the store for its zone.
 const AWAIT_READER_FRACTION: f64 = 0.2;
-/// Daemons of a zone that ask the store first.
+/// Daemons of a zone that read the store first while nothing is confirmed.
 const INITIAL_READERS: usize = 2;
-/// Part of the bound after which a daemon no longer relies on attestations.
+/// Fraction of the maximum confirmation age after which a daemon no longer relies on attestations.
 const STALE_ATTESTATION_FRACTION: f64 = 0.4;
 
 impl Gateway {
-    /// Time for which one call may wait for changes of what is declared: two that fail in a row
-    /// must not leave the daemon unready. One that attests to others asks more often, as its message
-    /// takes time to reach them.
+    /// Returns the time for which a call may wait for changes of the declared resources: two failed
+    /// calls in a row must not make the daemon unready. A daemon that attests to others calls more
+    /// often, as its message takes time to reach them.
     #[must_use]
     pub fn config_poll_timeout(&self) -> Duration {
         let part = if self.contacts.uses_zone_digests() {
@@ -30,7 +32,8 @@
         self.options.bounds.max_confirmation_age().mul_f64(part)
     }
 
-    /// Daemons that read the store themselves: one a zone where zones exchange digests.
+    /// Returns the number of daemons that read the store themselves: one per zone where zones
+    /// exchange digests.
     #[must_use]
     pub fn store_reader_count(&self, now: MonotonicTime) -> u32 {
         let readers = if self.contacts.uses_zone_digests() {
@@ -41,9 +44,11 @@
         u32::try_from(readers + 1).unwrap_or(u32::MAX)
     }
 
-    /// This daemon is one of those of its zone that ask the store first while nobody's proof is
-    /// known. The others ask more rarely: after an outage they have the proof by gossip before
-    /// they could all ask, and hundreds of them would keep a store busy that is just coming back.
+    /// Returns whether this daemon is one of those in its zone that read the store first while
+    /// nothing is confirmed.
+    ///
+    /// The others read less often: after an outage they receive the confirmation by gossip before
+    /// they could all read, and hundreds of readers would overload a store that is just recovering.
     #[must_use]
     pub fn is_initial_reader(&self, now: MonotonicTime) -> bool {
         let own = self.options.host.as_str();
@@ -52,10 +57,11 @@
         !self.contacts.uses_zone_digests() || before.count() < INITIAL_READERS
     }
 
-    /// How to learn of a table now.
+    /// Returns how to keep the copy of a table current.
     #[must_use]
     pub fn read_plan(&self, now: MonotonicTime, table: SharedTable) -> ReadPlan {
-        // A neighbour whose messages handle_arrival may not get those of this daemon, and then echoes nothing.
+        // A neighbour whose messages arrive may not receive those of this daemon, and then echoes
+        // nothing.
         let stale = self
             .options
             .bounds
@@ -75,8 +81,8 @@
         }
     }
 
-    /// What this daemon has just read is fresh enough to wait for the daemon that reads the store
-    /// for its zone.
+    /// Returns whether what this daemon has just read is recent enough to wait for the daemon that
+    /// reads the store for its zone.
     fn awaits_reader(&self, now: MonotonicTime) -> bool {
         let fresh = self
             .options
--- a/crates/savorywood-gateway/src/gateway/store_restore.rs
+++ b/crates/savorywood-gateway/src/gateway/store_restore.rs
@@ -1,4 +1,4 @@
-//! The store was restored from a backup that is some seconds old.
+//! Handling of a store that was restored from a backup that is some seconds old.
 
 use super::{Gateway, GatewayEffects};
 use crate::effect::GatewayEffect;
@@ -6,12 +6,12 @@
 use savorywood_protocol::MonotonicTime;
 use std::time::Duration;
 
-/// Time within which operators and upstreams write again what a restored store has lost. Until
-/// then a row that is missing was not removed.
+/// Period after a restore in which operators and upstreams write lost rows again. During this
+/// period a missing row does not count as removed.
 const REWRITE_PERIOD: Duration = Duration::from_secs(6);
 
 impl Gateway {
-    /// An answer or a peer names an era of the store.
+    /// Records the era that a response of the store or a peer reports.
     pub(super) fn store_era_seen(
         &mut self,
         now: MonotonicTime,
@@ -35,14 +35,13 @@
         effects.push(GatewayEffect::Log(line));
     }
 
-    /// What the restored store lacks may still be written again.
+    /// Returns whether the period in which lost rows are written again has ended.
     pub(super) fn is_rewrite_complete(&self, now: MonotonicTime) -> bool {
         self.store_restored_at
             .is_none_or(|at| now.since(at) >= REWRITE_PERIOD)
     }
 
-    /// Withdrawals that were put off since the store was restored take effect, unless the order was
-    /// written again.
+    /// Applies the withdrawals deferred since the restore, unless their order was written again.
     pub(super) fn apply_withdrawals(&mut self, now: MonotonicTime, effects: &mut GatewayEffects) {
         if self.pending_withdrawals.is_empty() || !self.is_rewrite_complete(now) {
             return;
@@ -52,7 +51,8 @@
         }
     }
 
-    /// Era of the store, as answers and peers name it.
+    /// Returns the newest era of the store reported by responses and peers; 0 before the first
+    /// report.
     #[must_use]
     pub fn store_era(&self) -> u64 {
         self.store_era.unwrap_or_default()
