--- a/crates/savorywood-gateway/src/freshness.rs
+++ b/crates/savorywood-gateway/src/freshness.rs
@@ -34,19 +34,21 @@
 impl FreshnessClock {
     /// Returns the earliest moment at which the store can have produced the response.
     pub fn earliest_response_time(&mut self, exchange: StoreExchange) -> MonotonicTime {
-        let Some(store) = exchange.store_micros else {
+        let Some(store_micros) = exchange.store_micros else {
             return exchange.sent;
         };
-        let latest_difference = i128::from(store) + CLOCK_STEP_MICROS - i128::from(exchange.sent.0);
-        let earliest_difference = i128::from(store) - i128::from(exchange.received.0);
-        let upper = match self.max_offset {
+        let max_difference =
+            i128::from(store_micros) + CLOCK_STEP_MICROS - i128::from(exchange.sent.0);
+        let min_difference = i128::from(store_micros) - i128::from(exchange.received.0);
+        let max_offset = match self.max_offset {
             // The store's clock was replaced or reset: the estimate starts over.
-            Some(upper) if upper < earliest_difference => latest_difference,
-            Some(upper) => upper.min(latest_difference),
-            None => latest_difference,
+            Some(max_offset) if max_offset < min_difference => max_difference,
+            Some(max_offset) => max_offset.min(max_difference),
+            None => max_difference,
         };
-        self.max_offset = Some(upper);
-        let moment = u64::try_from(i128::from(store) - upper).unwrap_or_default();
-        MonotonicTime(moment.clamp(exchange.sent.0, exchange.received.0))
+        self.max_offset = Some(max_offset);
+        let response_micros =
+            u64::try_from(i128::from(store_micros) - max_offset).unwrap_or_default();
+        MonotonicTime(response_micros.clamp(exchange.sent.0, exchange.received.0))
     }
 }
--- a/crates/savorywood-gateway/src/gateway.rs
+++ b/crates/savorywood-gateway/src/gateway.rs
@@ -283,8 +283,8 @@
                     self.dispatch_all_waiting(now, effects);
                 }
             }
-            GatewayEvent::HeartbeatReceived(beat) => {
-                self.peers.apply_heartbeat(now, beat);
+            GatewayEvent::HeartbeatReceived(heartbeat) => {
+                self.peers.apply_heartbeat(now, heartbeat);
             }
             GatewayEvent::CrashesReported(gossip) => self.crashes_reported(now, &gossip, effects),
             GatewayEvent::LimitsReported(gossip) => self.limits_reported(now, &gossip, effects),
--- a/crates/savorywood-gateway/src/gateway/admission.rs
+++ b/crates/savorywood-gateway/src/gateway/admission.rs
@@ -174,30 +174,30 @@
         request: LocalRequest,
         arrival: &RequestArrival,
     ) -> Result<RequestRecord, Refusal> {
-        let known = self.upstreams_read && self.has_peer_list();
-        let config = self.config.clone().filter(|_| known);
+        let is_initialized = self.upstreams_read && self.has_peer_list();
+        let config = self.config.clone().filter(|_| is_initialized);
         let config = config.ok_or_else(Refusal::unconfirmed)?;
         let route = self.match_route(now, &config, arrival)?;
         let team = self.authenticate(now, &config, &route, arrival)?;
         let team_name = team.as_ref().map(|team| &team.name);
         let fingerprint = RequestFingerprint::new(arrival.content_digest, team_name);
         let is_probe = self.check_quarantine(now, fingerprint, team_name)?;
-        let draw = self.random.next();
-        let service = route.choose_service(draw).cloned();
+        let sample = self.random.next();
+        let service = route.choose_service(sample).cloned();
         let service = service.ok_or_else(|| Refusal::new(RefusalReason::NoUpstream))?;
         let mut charged_units = 0.0;
         if let Some(team) = &team {
             charged_units = self.charge_team(now, team, &route, arrival, &service)?;
         }
         let deadline = arrival.deadline.unwrap_or(MAX_REQUEST_TIMEOUT);
-        let longest = deadline.min(route.timeout.unwrap_or(MAX_REQUEST_TIMEOUT));
+        let timeout = deadline.min(route.timeout.unwrap_or(MAX_REQUEST_TIMEOUT));
         let size = arrival.size.unwrap_or_default();
         let rank = RequestRank {
             team: team.as_ref().and_then(|team| team.priority).unwrap_or(0),
             route: route.priority,
         };
         let expected = Duration::from_secs_f64(nominal_first_event_ms(size.prompt_tokens) / 1e3);
-        let give_up_at = now + longest.saturating_sub(RESPONSE_MARGIN);
+        let give_up_at = now + timeout.saturating_sub(RESPONSE_MARGIN);
         let begin_by = now + route.objective.saturating_sub(expected);
         Ok(RequestRecord {
             request_id: arrival.request_id.clone(),
@@ -337,9 +337,9 @@
     }
 
     fn enqueue(&mut self, request: LocalRequest, record: RequestRecord) {
-        if let RequestState::Waiting(place) = &record.state {
+        if let RequestState::Waiting(position) = &record.state {
             let queue = self.queues.entry(record.service.clone()).or_default();
-            queue.insert(*place);
+            queue.insert(*position);
         }
         self.requests.insert(request, record);
     }
--- a/crates/savorywood-gateway/src/gateway/completion.rs
+++ b/crates/savorywood-gateway/src/gateway/completion.rs
@@ -70,16 +70,17 @@
             return;
         };
         let state = self.fleet.get(&attempt.upstream);
-        let own = state.map_or(0, |state| state.running.saturating_sub(1));
-        let peers = state.map_or(0, |state| self.peers.slots_by_digest(state.digest).running);
+        let own_concurrent = state.map_or(0, |state| state.running.saturating_sub(1));
+        let peer_concurrent =
+            state.map_or(0, |state| self.peers.slots_by_digest(state.digest).running);
         let line = LogLine::new(LogLevel::Info, "attempt-broken")
             .with("request", &record.request_id)
             .with("fingerprint", record.fingerprint)
             .with("upstream", &attempt.upstream)
             .with("cause", outcome.name())
             .with("events", attempt.events)
-            .with("beside_own", own)
-            .with("beside_peers", peers);
+            .with("beside_own", own_concurrent)
+            .with("beside_peers", peer_concurrent);
         effects.push(GatewayEffect::Log(line));
     }
 
@@ -125,9 +126,9 @@
                 record.executions += 1
             }
         }
-        let again = record.allows_another_execution() && record.attempts < MAX_ATTEMPTS;
+        let may_retry = record.allows_another_execution() && record.attempts < MAX_ATTEMPTS;
         let fingerprint = record.fingerprint;
-        if again && !self.is_quarantined(fingerprint) && self.spend_retry(now, request) {
+        if may_retry && !self.is_quarantined(fingerprint) && self.spend_retry(now, request) {
             return self.requeue(now, request, outcome, effects);
         }
         self.finish(now, request, RefusalReason::IncompleteResponse, effects);
@@ -158,17 +159,17 @@
             return;
         };
         if let RequestState::Running(attempt) = &record.state
-            && let Some(moved_at) = attempt.last_event_at
+            && let Some(last_event_at) = attempt.last_event_at
         {
             // The caller's timeout restarts with each event.
-            record.caller_timeout_at = record.caller_timeout_after(moved_at);
+            record.caller_timeout_at = record.caller_timeout_after(last_event_at);
         }
-        let place = QueuePosition {
+        let position = QueuePosition {
             rank: record.rank,
             start_by: now,
             request,
         };
-        record.state = RequestState::Waiting(place);
+        record.state = RequestState::Waiting(position);
         let line = LogLine::new(LogLevel::Info, "request-again")
             .with("request", &record.request_id)
             .with("after", outcome.name())
@@ -176,10 +177,10 @@
             .with("runs", record.executions);
         effects.push(GatewayEffect::Log(line));
         let queue = self.queues.entry(record.service.clone()).or_default();
-        queue.insert(place);
+        queue.insert(position);
     }
 
-    /// Gives a request its final response. No other function decides what the caller is told about
+    /// Gives a request its final response. No other function decides what the response states about
     /// execution: a request that may have been executed is never refused as not executed.
     pub(super) fn finish(
         &mut self,
@@ -234,26 +235,29 @@
         &mut self,
         now: MonotonicTime,
         request: LocalRequest,
-        end: &'static str,
+        outcome: &'static str,
         effects: &mut GatewayEffects,
     ) {
         let Some(record) = self.requests.remove(&request) else {
             return;
         };
-        if let RequestState::Waiting(place) = &record.state {
-            self.remove_from_queue(&record.service, place);
+        if let RequestState::Waiting(position) = &record.state {
+            self.remove_from_queue(&record.service, position);
         }
         let mut line = LogLine::new(LogLevel::Info, "request-ended")
             .with("request", &record.request_id)
-            .with("end", end)
+            .with("end", outcome)
             .with("took_ms", now.since(record.arrived_at).as_millis())
             .with("sends", record.attempts)
             .with("runs", record.executions);
         if let RequestState::Running(attempt) = &record.state {
             line = line.with("upstream", &attempt.upstream);
-            if let Some(began_at) = attempt.first_event_at {
+            if let Some(first_event_at) = attempt.first_event_at {
                 line = line
-                    .with("first_ms", began_at.since(record.arrived_at).as_millis())
+                    .with(
+                        "first_ms",
+                        first_event_at.since(record.arrived_at).as_millis(),
+                    )
                     .with("pause_ms", attempt.max_event_gap.as_millis())
                     .with("events", attempt.events)
                     .with("guess", record.expected_output_tokens);
@@ -262,9 +266,9 @@
         effects.push(GatewayEffect::Log(line));
     }
 
-    fn remove_from_queue(&mut self, service: &ServiceLabel, place: &QueuePosition) {
+    fn remove_from_queue(&mut self, service: &ServiceLabel, position: &QueuePosition) {
         if let Some(queue) = self.queues.get_mut(service) {
-            queue.remove(place);
+            queue.remove(position);
         }
     }
 }
--- a/crates/savorywood-gateway/src/gateway/dispatch.rs
+++ b/crates/savorywood-gateway/src/gateway/dispatch.rs
@@ -49,28 +49,28 @@
         service: &ServiceLabel,
         effects: &mut GatewayEffects,
     ) {
-        let places = self.queue_in_order(now, service);
-        let mut full = 0;
+        let positions = self.queue_in_order(now, service);
+        let mut full_picks = 0;
         let mut rank = None;
-        for place in places {
-            if rank.replace(place.rank) != Some(place.rank) {
-                full = 0;
+        for position in positions {
+            if rank.replace(position.rank) != Some(position.rank) {
+                full_picks = 0;
             }
-            if full >= MAX_FULL_PICKS {
+            if full_picks >= MAX_FULL_PICKS {
                 continue;
             }
-            let Some(record) = self.requests.get(&place.request) else {
+            let Some(record) = self.requests.get(&position.request) else {
                 continue;
             };
             if !record.is_probe && self.is_quarantined(record.fingerprint) {
-                self.finish(now, place.request, RefusalReason::Quarantined, effects);
+                self.finish(now, position.request, RefusalReason::Quarantined, effects);
                 continue;
             }
             match self.pick(now, record) {
-                Ok(picked) => self.dispatch(now, place.request, &picked, effects),
-                Err(SelectionFailure::AllFull) => full += 1,
+                Ok(picked) => self.dispatch(now, position.request, &picked, effects),
+                Err(SelectionFailure::AllFull) => full_picks += 1,
                 Err(SelectionFailure::NoCandidate) => {
-                    self.handle_no_upstream(now, place.request, effects)
+                    self.handle_no_upstream(now, position.request, effects)
                 }
             }
         }
@@ -83,9 +83,10 @@
         let Some(queue) = self.queues.get(service) else {
             return Vec::new();
         };
-        let mut places: Vec<QueuePosition> = queue.iter().copied().collect();
-        places.sort_by_key(|place| (place.rank, place.start_by < now, place.start_by));
-        places
+        let mut positions: Vec<QueuePosition> = queue.iter().copied().collect();
+        positions
+            .sort_by_key(|position| (position.rank, position.start_by < now, position.start_by));
+        positions
     }
 
     fn pick(
@@ -101,7 +102,7 @@
         &self,
         now: MonotonicTime,
         record: &RequestRecord,
-        tried: &[UpstreamLabel],
+        excluded: &[UpstreamLabel],
     ) -> Result<SelectedUpstream, SelectionFailure> {
         let waited = now.since(record.arrived_at);
         let query = SelectionQuery {
@@ -113,7 +114,7 @@
             remaining_ms: record.give_up_at.since(now).as_secs_f64() * 1e3,
             stream: record.route.retry_safety.is_stream(),
             prompt_parts: &record.prompt_parts,
-            attempted: tried,
+            attempted: excluded,
             home_regions: [
                 &record.route.home_regions,
                 record.team.as_ref().map_or(&[], |team| &team.home_regions),
@@ -124,7 +125,7 @@
             urgent_arrivals: self.urgent_arrivals(now, record),
             allow_probe: record.allows_concurrent_execution(),
         };
-        let scene = SelectionContext {
+        let context = SelectionContext {
             now,
             fleet: &self.fleet,
             peers: &self.peers,
@@ -140,8 +141,8 @@
                 COST_SPREAD
             },
         };
-        let mut draws = self.random.clone();
-        scene.select(&query, || draws.next())
+        let mut random = self.random.clone();
+        context.select(&query, || random.next())
     }
 
     fn urgent_arrivals(&self, now: MonotonicTime, record: &RequestRecord) -> UrgentArrivals {
@@ -172,10 +173,10 @@
         state.outlier.record_dispatch();
         state.last_dispatch_at = now;
         state.limit.record_dispatch();
-        if let RequestState::Waiting(place) = &record.state
+        if let RequestState::Waiting(position) = &record.state
             && let Some(queue) = self.queues.get_mut(&record.service)
         {
-            queue.remove(place);
+            queue.remove(position);
         }
         let demand = self.demands.entry(record.service.clone()).or_default();
         demand.record_dispatch(now, record.rank);
@@ -253,28 +254,32 @@
         let mut expired = Vec::new();
         let mut too_late = Vec::new();
         for (service, queue) in &self.queues {
-            let usual = self.fleet.service_latency(service);
-            for place in queue.iter() {
-                let Some(record) = self.requests.get(&place.request) else {
+            let service_latency = self.fleet.service_latency(service);
+            for position in queue.iter() {
+                let Some(record) = self.requests.get(&position.request) else {
                     continue;
                 };
-                let first = usual.first_event_ms(&usual, record.size.prompt_tokens)
+                let min_first_event_s = service_latency
+                    .first_event_ms(&service_latency, record.size.prompt_tokens)
                     * MIN_REMAINING_FRACTION
                     / 1e3;
                 let stream = record.route.retry_safety.is_stream();
-                if stream && now + Duration::from_secs_f64(first) >= record.caller_timeout_at {
-                    too_late.push(place.request);
+                if stream
+                    && now + Duration::from_secs_f64(min_first_event_s) >= record.caller_timeout_at
+                {
+                    too_late.push(position.request);
                     continue;
                 }
                 let needed = if record.route.retry_safety.is_stream() {
-                    usual.first_event_ms(&usual, record.size.prompt_tokens)
-                        + usual.streaming_ms(&usual, record.expected_output_tokens)
+                    service_latency.first_event_ms(&service_latency, record.size.prompt_tokens)
+                        + service_latency
+                            .streaming_ms(&service_latency, record.expected_output_tokens)
                 } else {
-                    usual.whole_ms(&usual)
+                    service_latency.whole_ms(&service_latency)
                 };
                 let needed = Duration::from_secs_f64(needed * MIN_REMAINING_FRACTION / 1e3);
                 if now + needed >= record.give_up_at {
-                    expired.push(place.request);
+                    expired.push(position.request);
                 }
             }
         }
--- a/crates/savorywood-gateway/src/gateway/entry.rs
+++ b/crates/savorywood-gateway/src/gateway/entry.rs
@@ -27,8 +27,8 @@
 /// Interval between two computations of leases while nothing needs them. It is not longer because
 /// the members must have been known for a while once something does.
 const IDLE_LEASE_INTERVAL: Duration = Duration::from_millis(500);
-/// Uptime below which a daemon that has not heard from most of its zone does not know the entry
-/// set.
+/// Uptime below which a daemon that has received no messages from most of its zone has not
+/// discovered the entry set.
 pub(super) const DISCOVERY_PERIOD: Duration = Duration::from_millis(700);
 
 impl Gateway {
@@ -46,11 +46,13 @@
         self.entry_refreshed_at = now;
         self.started_at.get_or_insert(now);
         let zone = self.options.zone.as_str();
-        let peers = self.peers.live_peers(now);
-        let near: Vec<&PeerState> = peers.filter(|peer| peer.summary.zone == zone).collect();
+        let live_peers = self.peers.live_peers(now);
+        let neighbours: Vec<&PeerState> = live_peers
+            .filter(|peer| peer.summary.zone == zone)
+            .collect();
         // The resources that standby hosts use go into gossip and tables rather than into serving
         // callers.
-        let placing = near
+        let serving = neighbours
             .iter()
             .filter(|peer| peer.summary.role != DaemonRole::Standby);
         let own = if self.role() == DaemonRole::Standby {
@@ -58,21 +60,21 @@
         } else {
             self.load
         };
-        let load = placing.fold(own, |sum, peer| sum.plus(&peer.summary.load));
-        let daemons = near.len() + 1;
-        let peaks = near.iter().map(|peer| peer.summary.peak);
+        let load = serving.fold(own, |sum, peer| sum.plus(&peer.summary.load));
+        let daemons = neighbours.len() + 1;
+        let peaks = neighbours.iter().map(|peer| peer.summary.peak);
         self.peak.update(now, load, peaks);
         let members = self.select_members(now, zone);
         let was_member = self.is_entry_member();
         let count = members.len();
         self.refresh_leases(now, &members);
         let entry_daemons = self.count_entry_daemons(now, count);
-        let was_counted = std::mem::replace(&mut self.entry_daemons, entry_daemons);
-        let is_other_set = self.entry.replace(members);
-        if is_other_set || was_counted != entry_daemons {
+        let previous_entry_daemons = std::mem::replace(&mut self.entry_daemons, entry_daemons);
+        let is_changed = self.entry.replace(members);
+        if is_changed || previous_entry_daemons != entry_daemons {
             self.members_changed();
         }
-        if !is_other_set {
+        if !is_changed {
             return;
         }
         let line = LogLine::new(LogLevel::Info, "entry-set-changed")
@@ -89,8 +91,8 @@
 
     /// Recomputes the leases among the members of all zones.
     ///
-    /// A daemon that hears from few others would regard itself as the only holder of every lease,
-    /// so daemons that do not hear from a majority hold none.
+    /// A daemon that receives messages from few others would regard itself as the only holder of
+    /// every lease, so a daemon that does not receive messages from a majority holds none.
     fn refresh_leases(&mut self, now: MonotonicTime, own_members: &[u64]) {
         let is_entry_member = own_members.contains(&name_digest(self.options.host.as_str()));
         if !is_entry_member || self.uptime(now) < MIN_LEASE_UPTIME || !self.peers.sees_majority(now)
@@ -106,8 +108,8 @@
         self.leases_refreshed_at = now;
         let own_zone = self.options.zone.clone();
         let mut members: BTreeMap<ZoneLabel, Vec<u64>> = BTreeMap::new();
-        let near = self.member_numbers(now, own_zone.as_str(), own_members);
-        members.insert(own_zone.clone(), near);
+        let own_numbers = self.member_numbers(now, own_zone.as_str(), own_members);
+        members.insert(own_zone.clone(), own_numbers);
         let direct = self.peers.direct_zones(now).into_iter();
         for zone in direct.filter(|zone| *zone != own_zone.as_str()) {
             let selected = self.select_members(now, zone);
@@ -201,22 +203,23 @@
         }
     }
 
-    /// Returns the number of members of all zones, of which `own` are in the own zone; at least 1.
-    fn count_entry_daemons(&self, now: MonotonicTime, own: usize) -> usize {
+    /// Returns the number of members of all zones, of which `own_members` are in the own zone; at
+    /// least 1.
+    fn count_entry_daemons(&self, now: MonotonicTime, own_members: usize) -> usize {
         let own_zone = self.options.zone.as_str();
         let direct = self.peers.direct_zones(now).into_iter();
         let direct = direct.filter(|zone| *zone != own_zone);
         let direct: usize = direct
             .map(|zone| self.select_members(now, zone).len())
             .sum();
-        let far = self
+        let reported = self
             .peers
             .zone_digests(now)
             .flat_map(|digest| &digest.members);
-        let far = far
+        let reported = reported
             .filter(|member| member.role == DaemonRole::Entry)
             .count();
-        (own + direct + far).max(1)
+        (own_members + direct + reported).max(1)
     }
 
     /// Returns the time since the first event or message of this incarnation.
@@ -224,8 +227,8 @@
         self.started_at.map_or(Duration::ZERO, |at| now.since(at))
     }
 
-    /// Returns whether this daemon has heard from at least half of its zone, or has had the time
-    /// to.
+    /// Returns whether this daemon has received messages from at least half of its zone, or has had
+    /// the time to.
     pub(super) fn has_discovered_zone(&self, now: MonotonicTime) -> bool {
         if self.uptime(now) >= DISCOVERY_PERIOD || !self.contacts.uses_zone_digests() {
             return true;
@@ -234,11 +237,11 @@
         received * 2 >= self.contacts.zone_contacts().len()
     }
 
-    /// Returns at most `most` addresses for a caller: those of its own zone only, if there are any,
-    /// as traffic between zones is expensive.
+    /// Returns at most `max_addresses` addresses for a caller: those of its own zone only, if there
+    /// are any, as traffic between zones is expensive.
     ///
     /// Returns none while this daemon has not discovered its zone: listed too early, it would
-    /// receive the callers of the whole zone without information on free slots.
+    /// receive the callers of its complete zone without information on free slots.
     ///
     /// A caller whose zone has no members receives the addresses of its region, or else those of
     /// the home regions of the host that it calls: its requests must not pass through any other
@@ -248,7 +251,7 @@
         &self,
         now: MonotonicTime,
         caller: CallerLocation<'_>,
-        most: usize,
+        max_addresses: usize,
     ) -> Vec<SocketAddr> {
         if !self.has_discovered_zone(now) {
             return Vec::new();
@@ -269,12 +272,12 @@
             let addresses = members.map(|member| member.caller_address);
             by_zone.insert(&digest.zone, addresses.collect());
         }
-        let near = caller.zone.and_then(|zone| by_zone.remove(zone));
-        let mut addresses = near.unwrap_or_default();
+        let zone_addresses = caller.zone.and_then(|zone| by_zone.remove(zone));
+        let mut addresses = zone_addresses.unwrap_or_default();
         if addresses.is_empty() {
             addresses = self.fallback_addresses(caller, &by_zone);
         }
-        addresses.truncate(most);
+        addresses.truncate(max_addresses);
         addresses
     }
 
--- a/crates/savorywood-gateway/src/gateway/feedback.rs
+++ b/crates/savorywood-gateway/src/gateway/feedback.rs
@@ -30,23 +30,28 @@
     /// Number of events; absent for a response that is not a stream.
     events: Option<u32>,
     /// Tokens that the caller expected.
-    output: u32,
+    expected_output_tokens: u32,
     /// Longest gap between two events.
-    longest_pause: Duration,
+    max_event_gap: Duration,
     /// Time from the first event to the last.
-    after_first: Duration,
+    after_first_event: Duration,
     /// Time from dispatch to the end.
-    whole: Duration,
+    total: Duration,
 }
 
 impl CompletedResponse {
-    fn record_in(&self, pace: &mut LatencyModel) {
+    fn record_in(&self, latency: &mut LatencyModel) {
         match self.events {
             Some(events) => {
-                pace.record_stream(events, self.output, self.after_first, self.whole);
-                pace.record_longest_gap(self.longest_pause);
+                latency.record_stream(
+                    events,
+                    self.expected_output_tokens,
+                    self.after_first_event,
+                    self.total,
+                );
+                latency.record_longest_gap(self.max_event_gap);
             }
-            None => pace.record_response(self.whole),
+            None => latency.record_response(self.total),
         }
     }
 }
@@ -151,30 +156,30 @@
                 .unread_tokens
                 .saturating_sub(record.size.prompt_tokens);
         }
-        let output = record.expected_output_tokens;
+        let expected_output_tokens = record.expected_output_tokens;
         if outcome.was_received() {
             self.fleet.record_received(now, &attempt.upstream);
             self.record_response(now, &attempt.upstream, attempt.dispatched_at);
         }
         if let AttemptOutcome::Delivered { events, .. } = outcome {
-            let seen = CompletedResponse {
+            let response = CompletedResponse {
                 events: stream.then_some(*events),
-                output,
-                longest_pause: attempt.max_event_gap,
-                after_first: now.since(attempt.first_event_at.unwrap_or(now)),
-                whole: now.since(attempt.dispatched_at),
+                expected_output_tokens,
+                max_event_gap: attempt.max_event_gap,
+                after_first_event: now.since(attempt.first_event_at.unwrap_or(now)),
+                total: now.since(attempt.dispatched_at),
             };
-            self.record_latency(&service, &attempt.upstream, &seen);
+            self.record_latency(&service, &attempt.upstream, &response);
         }
         self.update_outlier_state(now, &service, attempt, outcome, effects);
         self.record_rollout_result(now, &service, attempt, outcome, stream);
         // Metadata of a stream's head was applied at its beginning and is outdated at its end.
-        let is_read = attempt.first_event_at.is_some();
+        let metadata_applied = attempt.first_event_at.is_some();
         match outcome {
             AttemptOutcome::NotRun { metadata, .. }
             | AttemptOutcome::Failed { metadata }
             | AttemptOutcome::Delivered { metadata, .. }
-                if !is_read =>
+                if !metadata_applied =>
             {
                 let sent_at = attempt.dispatched_at;
                 self.record_limit(
@@ -194,11 +199,11 @@
         &mut self,
         service: &ServiceLabel,
         upstream: &UpstreamLabel,
-        seen: &CompletedResponse,
+        response: &CompletedResponse,
     ) {
-        seen.record_in(self.fleet.service_latency_mut(service));
+        response.record_in(self.fleet.service_latency_mut(service));
         if let Some(state) = self.fleet.get_mut(upstream) {
-            seen.record_in(&mut state.latency);
+            response.record_in(&mut state.latency);
         }
     }
 
@@ -213,7 +218,8 @@
     ) {
         // Only failures that the upstream reports itself are compared with the rate of the service.
         let is_failure = matches!(outcome, AttemptOutcome::Failed { .. });
-        let usual = is_failure.then(|| self.fleet.median_failure_ratio(now, service));
+        let service_failure_ratio =
+            is_failure.then(|| self.fleet.median_failure_ratio(now, service));
         let overdue = is_past_expected(now, attempt);
         let Some(state) = self.fleet.get_mut(&attempt.upstream) else {
             return;
@@ -221,21 +227,24 @@
         state.running = state.running.saturating_sub(1);
         // A single response may be lost while others continue; an upstream that sends no data at
         // all is ejected at once.
-        let dark = state.last_received_at <= attempt.last_event_at.unwrap_or(attempt.dispatched_at);
+        let no_data_since =
+            state.last_received_at <= attempt.last_event_at.unwrap_or(attempt.dispatched_at);
         let outlier = &mut state.outlier;
-        let mut is_back = false;
-        let taken_out = match outcome {
+        let mut has_recovered = false;
+        let ejected = match outcome {
             AttemptOutcome::NotSent => outlier.record_connection_failure(now, false),
-            AttemptOutcome::Failed { .. } => outlier.record_failure(now, usual.unwrap_or_default()),
+            AttemptOutcome::Failed { .. } => {
+                outlier.record_failure(now, service_failure_ratio.unwrap_or_default())
+            }
             AttemptOutcome::Broken { stalled } => {
-                outlier.record_connection_failure(now, *stalled && dark)
+                outlier.record_connection_failure(now, *stalled && no_data_since)
             }
             AttemptOutcome::StreamBroken(end) => {
-                outlier.record_connection_failure(now, end.stalled && dark)
+                outlier.record_connection_failure(now, end.stalled && no_data_since)
             }
             AttemptOutcome::Expired if overdue => outlier.record_connection_failure(now, false),
             AttemptOutcome::Delivered { .. } => {
-                is_back = outlier.record_success(now);
+                has_recovered = outlier.record_success(now);
                 false
             }
             AttemptOutcome::NotRun { .. }
@@ -251,26 +260,26 @@
         {
             state.removed_at = Some(now);
         }
-        let loses = match outcome {
+        let is_unreachable = match outcome {
             AttemptOutcome::NotSent => true,
-            AttemptOutcome::Broken { stalled } => *stalled && dark,
-            AttemptOutcome::StreamBroken(end) => end.stalled && dark,
+            AttemptOutcome::Broken { stalled } => *stalled && no_data_since,
+            AttemptOutcome::StreamBroken(end) => end.stalled && no_data_since,
             _ => false,
         };
-        state.unreachable |= taken_out && loses;
-        if is_back {
+        state.unreachable |= ejected && is_unreachable;
+        if has_recovered {
             self.fleet.record_recovery(now, &attempt.upstream);
             let line =
                 LogLine::new(LogLevel::Info, "upstream-back").with("upstream", &attempt.upstream);
             effects.push(GatewayEffect::Log(line));
         }
-        if taken_out {
+        if ejected {
             let mut line = LogLine::new(LogLevel::Warn, "upstream-suspected")
                 .with("upstream", &attempt.upstream)
                 .with("service", service)
                 .with("cause", outcome.name());
-            if let Some(usual) = usual {
-                line = line.with("usual_failures", format_args!("{usual:.2}"));
+            if let Some(service_failure_ratio) = service_failure_ratio {
+                line = line.with("usual_failures", format_args!("{service_failure_ratio:.2}"));
             }
             effects.push(GatewayEffect::Log(line));
         }
@@ -285,7 +294,7 @@
         outcome: &AttemptOutcome,
         stream: bool,
     ) {
-        let bad = match outcome {
+        let is_failure = match outcome {
             AttemptOutcome::Failed { .. }
             | AttemptOutcome::Broken { .. }
             | AttemptOutcome::StreamBroken(_) => true,
@@ -301,7 +310,7 @@
         };
         if let Some(state) = self.fleet.get(&attempt.upstream) {
             self.rollouts
-                .record_response(service, &state.entry.version, bad);
+                .record_response(service, &state.entry.version, is_failure);
         }
     }
 }
--- a/crates/savorywood-gateway/src/gateway/gossip.rs
+++ b/crates/savorywood-gateway/src/gateway/gossip.rs
@@ -27,8 +27,8 @@
 /// Slots of a service, used by this daemon and its peers.
 #[derive(Default)]
 struct SlotCount {
-    taken: u32,
-    all: u32,
+    in_use: u32,
+    total: u32,
 }
 
 /// Status of a gateway at one moment, for metrics.
@@ -234,12 +234,12 @@
             return None;
         }
         self.sequence += 1;
-        let beat = PeerHeartbeat {
+        let heartbeat = PeerHeartbeat {
             sender: name_digest(self.options.host.as_str()),
             incarnation: self.options.incarnation,
             sequence: self.sequence,
         };
-        Some((beat, self.contacts.zone_contacts()))
+        Some((heartbeat, self.contacts.zone_contacts()))
     }
 
     /// Returns the interval between two heartbeats.
@@ -267,11 +267,11 @@
         for state in self.fleet.iter().filter(|state| state.is_open(now)) {
             let count = services.entry(&state.entry.service).or_default();
             let others = self.peers.slots_by_digest(state.digest).running;
-            count.taken += state.running + others;
-            count.all += state.entry.slots;
+            count.in_use += state.running + others;
+            count.total += state.entry.slots;
         }
         let mut counts = services.values();
-        counts.any(|count| f64::from(count.taken) > f64::from(count.all) * SCARCE_SLOT_FRACTION)
+        counts.any(|count| f64::from(count.in_use) > f64::from(count.total) * SCARCE_SLOT_FRACTION)
     }
 
     /// Returns the interval between two slot updates.
@@ -280,9 +280,9 @@
         self.contacts.slot_update_interval()
     }
 
-    /// Returns the digest of this daemon's zone. `slots`: include the slots in use, for receivers
-    /// that dispatch requests.
-    pub fn zone_digest(&mut self, now: MonotonicTime, slots: bool) -> ZoneDigest {
+    /// Returns the digest of this daemon's zone. `include_slots`: list the slots in use, for
+    /// receivers that dispatch requests.
+    pub fn zone_digest(&mut self, now: MonotonicTime, include_slots: bool) -> ZoneDigest {
         self.sequence += 1;
         let uptime_ms = self.uptime_ms(now);
         let usage = self.meters.iter().map(|(team, meter)| TeamUse {
@@ -291,7 +291,7 @@
             levels: meter.levels(),
         });
         let neighbours = self.peers.neighbours(now);
-        let near: Vec<u64> = neighbours.map(|peer| peer.digest).collect();
+        let neighbour_digests: Vec<u64> = neighbours.map(|peer| peer.digest).collect();
         ZoneDigest {
             zone: self.options.zone.as_str().to_owned(),
             sender: name_digest(self.options.host.as_str()),
@@ -300,13 +300,13 @@
             sequence: self.sequence,
             members: self.serving_members(now),
             daemons: u32::try_from(self.peers.zone_daemon_count()).unwrap_or(u32::MAX),
-            slots: if slots {
+            slots: if include_slots {
                 self.zone_slots(now)
             } else {
                 Vec::new()
             },
             usage: usage.filter(|used| used.total > 0).collect(),
-            tallies: self.rollouts.tallies_with(&near),
+            tallies: self.rollouts.tallies_with(&neighbour_digests),
         }
     }
 
@@ -352,11 +352,11 @@
     /// Returns the interval between two rounds of gossip.
     #[must_use]
     pub fn gossip_interval(&self, now: MonotonicTime) -> Duration {
-        let pause = self.contacts.gossip_interval();
+        let interval = self.contacts.gossip_interval();
         if self.contacts.uses_zone_digests() && self.uptime(now) < DISCOVERY_PERIOD {
-            pause.min(DISCOVERY_INTERVAL)
+            interval.min(DISCOVERY_INTERVAL)
         } else {
-            pause
+            interval
         }
     }
 
--- a/crates/savorywood-gateway/src/gateway/rate_limits.rs
+++ b/crates/savorywood-gateway/src/gateway/rate_limits.rs
@@ -83,13 +83,13 @@
     /// Returns the limits to be reported in one round of gossip; absent when there are none.
     #[must_use]
     pub fn limit_gossip(&self, now: MonotonicTime, scope: ReportScope) -> Option<LimitGossip> {
-        let within = self
+        let window = self
             .contacts
             .gossip_interval()
             .saturating_mul(REPORT_ROUNDS);
         let of_zone = scope == ReportScope::Zone;
         let reports = self.fleet.iter().filter_map(|state| {
-            let reading = state.limit.recent_observation(now, within, of_zone)?;
+            let reading = state.limit.recent_observation(now, window, of_zone)?;
             let age = now.since(reading.observed_at).as_millis();
             Some(LimitReport {
                 upstream: state.digest,
--- a/crates/savorywood-gateway/src/gateway/retry_after.rs
+++ b/crates/savorywood-gateway/src/gateway/retry_after.rs
@@ -43,10 +43,10 @@
         });
         let demand = self.demands.get(&record.service);
         let rate = demand.map_or(0.0, |demand| demand.dispatch_rate(now, record.rank));
-        let wait_s = ahead as f64 / rate.max(f64::MIN_POSITIVE);
-        let wait_s = wait_s.clamp(MIN_RETRY_AFTER.as_secs_f64(), MAX_RETRY_AFTER.as_secs_f64());
-        let most = record.give_up_at.since(now).mul_f64(MAX_DEADLINE_FRACTION);
+        let delay_s = ahead as f64 / rate.max(f64::MIN_POSITIVE);
+        let delay_s = delay_s.clamp(MIN_RETRY_AFTER.as_secs_f64(), MAX_RETRY_AFTER.as_secs_f64());
+        let max_delay = record.give_up_at.since(now).mul_f64(MAX_DEADLINE_FRACTION);
         let spread = 1.0 - RETRY_AFTER_SPREAD / 2.0 + RETRY_AFTER_SPREAD * self.random.next();
-        Duration::from_secs_f64(wait_s * spread).min(most)
+        Duration::from_secs_f64(delay_s * spread).min(max_delay)
     }
 }
--- a/crates/savorywood-gateway/src/gateway/stall_detection.rs
+++ b/crates/savorywood-gateway/src/gateway/stall_detection.rs
@@ -66,7 +66,7 @@
     }
 
     fn stalled_requests(&self, now: MonotonicTime) -> Vec<(LocalRequest, StallKind)> {
-        let mut silent = Vec::new();
+        let mut stalled = Vec::new();
         for (request, record) in &self.requests {
             let RequestState::Running(attempt) = &record.state else {
                 continue;
@@ -78,9 +78,9 @@
                 continue;
             };
             let kind = self.stall_kind(now, record, attempt, state);
-            silent.extend(kind.map(|kind| (*request, kind)));
+            stalled.extend(kind.map(|kind| (*request, kind)));
         }
-        silent
+        stalled
     }
 
     fn stall_kind(
@@ -91,52 +91,55 @@
         state: &UpstreamState,
     ) -> Option<StallKind> {
         let received_at = attempt.last_event_at.unwrap_or(attempt.dispatched_at);
-        let own = now.since(received_at.max(self.last_wake_at));
+        let since_event = now.since(received_at.max(self.last_wake_at));
         if attempt.first_event_at.is_none() {
             let expected =
                 Duration::from_secs_f64(attempt.expected_first_event_ms * FIRST_EVENT_FACTOR / 1e3);
             let objective = record.route.objective.mul_f64(OBJECTIVE_FRACTION);
-            let mut most = expected.max(objective).max(MIN_STALL);
-            let others_go_on = state.last_received_at > received_at;
-            if record.route.retry_safety.is_stream() && others_go_on {
+            let mut threshold = expected.max(objective).max(MIN_STALL);
+            let others_receive_data = state.last_received_at > received_at;
+            if record.route.retry_safety.is_stream() && others_receive_data {
                 // The upstream may still be reading the prompts that it received before this one.
-                most = most.max(record.route.objective);
+                threshold = threshold.max(record.route.objective);
             }
-            return (own > most).then_some(StallKind::First);
+            return (since_event > threshold).then_some(StallKind::First);
         }
-        let usual = self.fleet.service_latency(&record.service);
-        let pause = Duration::from_secs_f64(state.latency.pause_ms(&usual) / 1e3);
-        let reading = self.prefill_allowance(record, state);
-        let whole = now.since(
+        let service_latency = self.fleet.service_latency(&record.service);
+        let event_gap = Duration::from_secs_f64(state.latency.pause_ms(&service_latency) / 1e3);
+        let prefill = self.prefill_allowance(record, state);
+        let since_any_data = now.since(
             state
                 .last_received_at
                 .max(received_at)
                 .max(self.last_wake_at),
         );
-        if whole > pause.mul_f64(EVENT_GAP_FACTOR).max(MIN_STALL) + reading
+        if since_any_data > event_gap.mul_f64(EVENT_GAP_FACTOR).max(MIN_STALL) + prefill
             && self.receives_from_others(now, record, state)
         {
             return Some(StallKind::Upstream);
         }
-        let most = pause
+        let threshold = event_gap
             .mul_f64(SINGLE_STREAM_FACTOR)
             .max(MIN_SINGLE_STREAM_STALL)
-            + reading;
-        (own > most).then_some(StallKind::Stream)
+            + prefill;
+        (since_event > threshold).then_some(StallKind::Stream)
     }
 
     /// Returns the time for which an upstream may send nothing because it is reading prompts.
     fn prefill_allowance(&self, record: &RequestRecord, state: &UpstreamState) -> Duration {
-        let unread = state.unread_tokens
+        let unread_tokens = state.unread_tokens
             + self
                 .peers
                 .slots_by_digest(state.digest)
                 .unread_prompt_tokens;
-        if unread == 0 {
+        if unread_tokens == 0 {
             return Duration::ZERO;
         }
-        let usual = self.fleet.service_latency(&record.service);
-        let millis = state.latency.first_event_ms(&usual, unread) * PREFILL_FACTOR;
+        let service_latency = self.fleet.service_latency(&record.service);
+        let millis = state
+            .latency
+            .first_event_ms(&service_latency, unread_tokens)
+            * PREFILL_FACTOR;
         Duration::from_secs_f64(millis / 1e3).min(MAX_PREFILL_ALLOWANCE)
     }
 
@@ -146,11 +149,11 @@
         &self,
         now: MonotonicTime,
         record: &RequestRecord,
-        silent: &UpstreamState,
+        stalled: &UpstreamState,
     ) -> bool {
         let mut members = self.fleet.members(&record.service);
         members.any(|state| {
-            state.entry.name != silent.entry.name
+            state.entry.name != stalled.entry.name
                 && now.since(state.last_received_at) < UPSTREAM_SEEN_WINDOW
         })
     }
@@ -168,9 +171,9 @@
         let RequestState::Running(attempt) = record.state.clone() else {
             return;
         };
-        let mut tried = record.attempted_upstreams.clone();
-        tried.push(attempt.upstream.clone());
-        if self.pick_excluding(now, record, &tried).is_err() || !self.spend_retry(now, request) {
+        let mut excluded = record.attempted_upstreams.clone();
+        excluded.push(attempt.upstream.clone());
+        if self.pick_excluding(now, record, &excluded).is_err() || !self.spend_retry(now, request) {
             return;
         }
         let Some(record) = self.requests.get_mut(&request) else {
@@ -180,12 +183,12 @@
         if let RequestState::Running(attempt) = &mut record.state {
             attempt.abandoned = true;
         }
-        let silent = now.since(attempt.last_event_at.unwrap_or(attempt.dispatched_at));
+        let without_data = now.since(attempt.last_event_at.unwrap_or(attempt.dispatched_at));
         let line = LogLine::new(LogLevel::Info, "attempt-abandoned")
             .with("request", &record.request_id)
             .with("upstream", &attempt.upstream)
             .with("silent", kind)
-            .with("silent_ms", silent.as_millis())
+            .with("silent_ms", without_data.as_millis())
             .with("events", attempt.events)
             .with(
                 "expected_ms",
--- a/crates/savorywood-gateway/src/gateway/state_updates.rs
+++ b/crates/savorywood-gateway/src/gateway/state_updates.rs
@@ -25,7 +25,7 @@
     incarnation: u64,
     age: Duration,
     daemons: u32,
-    near: bool,
+    same_zone: bool,
 }
 
 impl Gateway {
@@ -179,7 +179,7 @@
         if peer == name_digest(self.options.host.as_str()) {
             return;
         }
-        let was_alive = self.peers.is_live(now, &summary.host);
+        let was_live = self.peers.is_live(now, &summary.host);
         if !self.peers.receive(now, summary.clone()) {
             return;
         }
@@ -190,7 +190,7 @@
                 zone: Some(ZoneLabel::from(summary.zone.as_str())),
             },
         );
-        if !was_alive {
+        if !was_live {
             let line = LogLine::new(LogLevel::Info, "peer-seen")
                 .with("peer", &summary.host)
                 .with("phase", format_args!("{:?}", summary.phase));
@@ -207,7 +207,7 @@
                 incarnation: summary.incarnation,
                 age: Duration::from_millis(summary.uptime_ms),
                 daemons: 1,
-                near: summary.zone == self.options.zone.as_str(),
+                same_zone: summary.zone == self.options.zone.as_str(),
             };
             self.usage_received(now, account, &summary.usage);
             self.rollouts.record_peer_tallies(peer, &summary.tallies);
@@ -280,7 +280,7 @@
             incarnation: digest.incarnation,
             age: Duration::from_millis(digest.uptime_ms),
             daemons: digest.daemons,
-            near: false,
+            same_zone: false,
         };
         self.usage_received(now, account, &digest.usage);
         self.rollouts
@@ -329,8 +329,8 @@
     /// Ends the accounts of a zone's daemons and of its previous sender: the digest of the new
     /// sender includes what they reported.
     fn end_usage_sources(&mut self, now: MonotonicTime, zone: &ZoneLabel, before: Option<u64>) {
-        let alive = self.peers.live_peers(now);
-        let members = alive.filter(|peer| peer.summary.zone == zone.as_str());
+        let live = self.peers.live_peers(now);
+        let members = live.filter(|peer| peer.summary.zone == zone.as_str());
         let mut ended: Vec<u64> = members
             .map(|peer| name_digest(&peer.summary.host))
             .collect();
@@ -353,7 +353,7 @@
                 age: account.age,
                 total: used.map_or(0, |used| used.total),
                 daemons: account.daemons,
-                same_zone: account.near,
+                same_zone: account.same_zone,
                 levels: used.map(|used| used.levels),
             };
             meter.record_peer_usage(now, reading);
--- a/crates/savorywood-gateway/src/gateway/store_reads.rs
+++ b/crates/savorywood-gateway/src/gateway/store_reads.rs
@@ -24,12 +24,12 @@
     /// often, as its message takes time to reach them.
     #[must_use]
     pub fn config_poll_timeout(&self) -> Duration {
-        let part = if self.contacts.uses_zone_digests() {
+        let fraction = if self.contacts.uses_zone_digests() {
             READER_POLL_TIMEOUT_FRACTION
         } else {
             POLL_TIMEOUT_FRACTION
         };
-        self.options.bounds.max_confirmation_age().mul_f64(part)
+        self.options.bounds.max_confirmation_age().mul_f64(fraction)
     }
 
     /// Returns the number of daemons that read the store themselves: one per zone where zones
--- a/crates/savorywood-gateway/src/gossip.rs
+++ b/crates/savorywood-gateway/src/gossip.rs
@@ -143,15 +143,15 @@
         if contact.address == self.own_address {
             return;
         }
-        let known = self.contacts.entry(contact.address);
-        let known = known.or_insert(ContactState {
+        let state = self.contacts.entry(contact.address);
+        let state = state.or_insert(ContactState {
             number: address_hash(contact.address),
             zone: None,
             seen_at: now,
         });
-        known.seen_at = now;
+        state.seen_at = now;
         if contact.zone.is_some() {
-            known.zone = contact.zone;
+            state.zone = contact.zone;
         }
     }
 
@@ -189,17 +189,17 @@
     /// Returns the contacts of the own zone; contacts without a known zone count as its own.
     #[must_use]
     pub fn zone_contacts(&self) -> Vec<SocketAddr> {
-        let near = self.contacts.iter();
-        let near = near.filter(|(_, known)| self.is_in_own_zone(known));
-        near.map(|(address, _)| *address).collect()
+        let contacts = self.contacts.iter();
+        let contacts = contacts.filter(|(_, contact)| self.is_in_own_zone(contact));
+        contacts.map(|(address, _)| *address).collect()
     }
 
     fn summary_rounds(&self) -> u32 {
-        let near = self
+        let contacts = self
             .contacts
             .values()
-            .filter(|known| self.is_in_own_zone(known));
-        let rounds = near.count().div_ceil(PEERS_PER_ROUND).max(1);
+            .filter(|contact| self.is_in_own_zone(contact));
+        let rounds = contacts.count().div_ceil(PEERS_PER_ROUND).max(1);
         u32::try_from(rounds).unwrap_or(u32::MAX)
     }
 
@@ -213,19 +213,19 @@
     /// Removes expired contacts and returns the targets of the summaries and digests that are due.
     pub fn plan(&mut self, now: MonotonicTime, peers: &PeerTable) -> GossipPlan {
         self.contacts
-            .retain(|_, known| now.since(known.seen_at) < CONTACT_TTL);
+            .retain(|_, contact| now.since(contact.seen_at) < CONTACT_TTL);
         let mut plan = GossipPlan::default();
         if !self.uses_zone_digests() {
             plan.summary_targets = self.contacts.keys().copied().collect();
             return plan;
         }
         let senders: Vec<u64> = peers.neighbours(now).map(peer_number).collect();
-        let placing = peers.remote_serving_addresses(now);
+        let serving = peers.remote_serving_addresses(now);
         for (address, contact) in &self.contacts {
             if self.is_in_own_zone(contact) {
                 plan.summary_targets.push(*address);
             } else if self.is_sender_for(contact.number, &senders) {
-                if placing.contains(address) {
+                if serving.contains(address) {
                     plan.digest_targets.push(*address);
                 } else {
                     plan.slotless_digest_targets.push(*address);
@@ -264,8 +264,8 @@
             }
         }
         if sent.is_some_and(|sent| sent.is_next_due(now)) {
-            let far = peers.remote_serving_addresses(now).into_iter();
-            plan.zone_slot_targets = far
+            let remote = peers.remote_serving_addresses(now).into_iter();
+            plan.zone_slot_targets = remote
                 .filter(|address| self.is_sender_for(address_hash(*address), &senders))
                 .collect();
         }
--- a/crates/savorywood-gateway/src/peer.rs
+++ b/crates/savorywood-gateway/src/peer.rs
@@ -72,9 +72,9 @@
     /// `heartbeats` are in use, has sent its heartbeats.
     #[must_use]
     pub fn is_member_candidate(&self, now: MonotonicTime, heartbeats: bool) -> bool {
-        let owes = heartbeats && self.summary.role == DaemonRole::Entry;
-        let silent = now.since(self.received_at) >= HEARTBEAT_TIMEOUT;
-        self.accepts_callers(now) && !(owes && silent)
+        let sends_heartbeats = heartbeats && self.summary.role == DaemonRole::Entry;
+        let is_overdue = now.since(self.received_at) >= HEARTBEAT_TIMEOUT;
+        self.accepts_callers(now) && !(sends_heartbeats && is_overdue)
     }
 
     /// Returns the time for which the peer has been running without a gap in its messages.
@@ -199,14 +199,14 @@
 
     /// Records newer slots of a known peer or zone. Returns false when they are not applied.
     pub fn apply_slot_update(&mut self, now: MonotonicTime, slots: SlotUpdate) -> bool {
-        let taken = match slots.scope {
+        let applied = match slots.scope {
             SlotScope::Daemon => {
-                let beat = PeerHeartbeat {
+                let heartbeat = PeerHeartbeat {
                     sender: slots.sender,
                     incarnation: slots.incarnation,
                     sequence: slots.sequence,
                 };
-                self.apply_heartbeat(now, beat).is_some_and(|peer| {
+                self.apply_heartbeat(now, heartbeat).is_some_and(|peer| {
                     peer.summary.slots = slots.slots;
                     true
                 })
@@ -217,10 +217,10 @@
                 known.is_some_and(|(_, known)| known.apply_slot_update(now, slots))
             }
         };
-        if taken {
+        if applied {
             self.invalidate_totals(now);
         }
-        taken
+        applied
     }
 
     /// Records a heartbeat and returns its sender. Returns `None` when the sender is unknown, has
@@ -228,15 +228,15 @@
     pub fn apply_heartbeat(
         &mut self,
         now: MonotonicTime,
-        beat: PeerHeartbeat,
+        heartbeat: PeerHeartbeat,
     ) -> Option<&mut PeerState> {
         let mut peers = self.peers.values_mut();
-        let peer = peers.find(|peer| peer.digest == beat.sender)?;
+        let peer = peers.find(|peer| peer.digest == heartbeat.sender)?;
         let summary = &mut peer.summary;
-        if summary.incarnation != beat.incarnation || summary.sequence >= beat.sequence {
+        if summary.incarnation != heartbeat.incarnation || summary.sequence >= heartbeat.sequence {
             return None;
         }
-        summary.sequence = beat.sequence;
+        summary.sequence = heartbeat.sequence;
         peer.record_message(now);
         Some(peer)
     }
@@ -336,8 +336,8 @@
 
     /// Returns the live peers of the own zone that are not leaving.
     pub fn neighbours(&self, now: MonotonicTime) -> impl Iterator<Item = &PeerState> {
-        let alive = self.live_peers(now);
-        alive.filter(|peer| {
+        let live = self.live_peers(now);
+        live.filter(|peer| {
             peer.summary.zone == self.own_zone.as_str() && peer.summary.phase != PeerPhase::Leaving
         })
     }
@@ -375,32 +375,32 @@
     #[must_use]
     pub fn zone_daemon_count(&self) -> usize {
         let peers = self.peers.values();
-        let here = peers.filter(|peer| {
+        let zone_peers = peers.filter(|peer| {
             peer.summary.zone == self.own_zone.as_str() && peer.summary.phase != PeerPhase::Leaving
         });
-        here.count() + 1
+        zone_peers.count() + 1
     }
 
     /// Returns whether more than half of the known daemons, this one included, are live or reported
     /// in a digest that is not stale.
     #[must_use]
     pub fn sees_majority(&self, now: MonotonicTime) -> bool {
-        let mut seen = 1;
+        let mut live = 1;
         let mut known = 1;
         for peer in self.direct_peers(now) {
             known += 1;
-            seen += u64::from(peer.is_live(now));
+            live += u64::from(peer.is_live(now));
         }
         for zone in self.zones.values() {
             // Without a digest, the daemons of the zone may still report themselves.
             if zone.is_fresh(now) {
                 known += u64::from(zone.digest.daemons);
-                seen += u64::from(zone.digest.daemons);
+                live += u64::from(zone.digest.daemons);
             } else if !self.is_zone_live(now, &zone.digest.zone) {
                 known += u64::from(zone.digest.daemons);
             }
         }
-        seen * 2 > known
+        live * 2 > known
     }
 
     fn is_zone_live(&self, now: MonotonicTime, zone: &str) -> bool {
@@ -416,8 +416,8 @@
     /// removed yet.
     #[must_use]
     pub fn peer_count(&self, now: MonotonicTime) -> usize {
-        let far = self.zone_digests(now).map(|zone| zone.daemons as usize);
-        self.direct_peers(now).count() + far.sum::<usize>()
+        let reported = self.zone_digests(now).map(|zone| zone.daemons as usize);
+        self.direct_peers(now).count() + reported.sum::<usize>()
     }
 }
 
--- a/crates/savorywood-gateway/src/store_reads.rs
+++ b/crates/savorywood-gateway/src/store_reads.rs
@@ -176,17 +176,17 @@
     /// recently.
     #[must_use]
     pub fn attestation(&self, now: MonotonicTime) -> Option<StoreAttestation> {
-        let of = |state: &ReadState, longest: Duration| {
+        let attest = |state: &ReadState, max_age: Duration| {
             let age = now.since(state.confirmed_at?);
-            (age < longest).then(|| TableAttestation {
+            (age < max_age).then(|| TableAttestation {
                 last_change: state.position.last_change,
                 confirmation_age_ms: millis(age) + 1,
             })
         };
         let failed = self.failed_at.map(|at| now.since(at));
         Some(StoreAttestation {
-            declared: of(&self.declared, MAX_ATTESTED_AGE)?,
-            upstreams: of(&self.upstreams, MAX_ATTESTED_AGE * 2)?,
+            declared: attest(&self.declared, MAX_ATTESTED_AGE)?,
+            upstreams: attest(&self.upstreams, MAX_ATTESTED_AGE * 2)?,
             store_failure_age_ms: failed
                 .filter(|age| *age < FAILURE_REPORT_WINDOW)
                 .map(millis),
@@ -267,8 +267,8 @@
             return None;
         }
         let echo = summary.echoes.iter().find(|echo| echo.peer == own)?;
-        let held = Duration::from_micros(u64::from(echo.held_micros));
+        let held_for = Duration::from_micros(u64::from(echo.held_micros));
         let age = Duration::from_millis(u64::from(reported.confirmation_age_ms));
-        Some((echo.sent + held) - age)
+        Some((echo.sent + held_for) - age)
     }
 }
