--- a/crates/savorywood-gateway/src/event.rs
+++ b/crates/savorywood-gateway/src/event.rs
@@ -98,7 +98,7 @@
 impl AttemptOutcome {
     /// Returns whether the upstream sent a response.
     #[must_use]
-    pub fn was_received(&self) -> bool {
+    pub fn has_response(&self) -> bool {
         matches!(
             self,
             Self::NotRun { .. } | Self::Failed { .. } | Self::Delivered { .. }
--- a/crates/savorywood-gateway/src/gateway.rs
+++ b/crates/savorywood-gateway/src/gateway.rs
@@ -230,7 +230,9 @@
             GatewayEvent::Arrived { request, arrival } => {
                 self.handle_arrival(now, request, &arrival, effects);
             }
-            GatewayEvent::CallerDisconnected(request) => self.caller_left(now, request, effects),
+            GatewayEvent::CallerDisconnected(request) => {
+                self.caller_disconnected(now, request, effects)
+            }
             GatewayEvent::ResponseStarted { request, metadata } => {
                 self.response_started(now, request, metadata, effects);
             }
@@ -245,7 +247,7 @@
             GatewayEvent::UpstreamWritten(entry) => self.upstream_written(now, entry, effects),
             GatewayEvent::UpstreamRemoved(name) => self.upstream_removed(now, &name, effects),
             GatewayEvent::ConfigConfirmed { at } => {
-                self.confirmed_at = Some(self.confirmed_at.map_or(at, |proof| proof.max(at)));
+                self.confirmed_at = Some(self.confirmed_at.map_or(at, |previous| previous.max(at)));
                 self.log_readiness_change(now, effects);
             }
             GatewayEvent::EvacuationOrdered(order) => self.evacuation_ordered(order, effects),
@@ -255,7 +257,7 @@
             GatewayEvent::EvacuationsRead { orders, revision } => {
                 self.evacuations_read(now, orders, revision, effects);
             }
-            GatewayEvent::StoreEraObserved(era) => self.store_era_seen(now, era, effects),
+            GatewayEvent::StoreEraObserved(era) => self.store_era_observed(now, era, effects),
             GatewayEvent::BoundsRead(bounds) => self.bounds_read(now, bounds, effects),
             GatewayEvent::TableRead {
                 table,
--- a/crates/savorywood-gateway/src/gateway/admission.rs
+++ b/crates/savorywood-gateway/src/gateway/admission.rs
@@ -153,8 +153,8 @@
 
     /// Returns the time since the store last confirmed the configuration held here.
     pub(super) fn time_since_confirmed(&self, now: MonotonicTime) -> Duration {
-        let proof = self.confirmed_at.map(|at| now.since(at));
-        proof.unwrap_or(Duration::from_secs(3_600))
+        let age = self.confirmed_at.map(|at| now.since(at));
+        age.unwrap_or(Duration::from_secs(3_600))
     }
 
     /// Returns whether the keys held here were confirmed recently enough to be accepted.
@@ -291,7 +291,7 @@
             return Ok(0.0);
         };
         // Above its limit a team is admitted only while no other request of the service waits.
-        let idle = self
+        let queue_is_empty = self
             .queues
             .get(service)
             .is_none_or(|queue| queue.len() == 0);
@@ -303,24 +303,24 @@
         } else {
             1.0
         };
-        let fresh = self.options.first_start;
+        let is_first_start = self.options.first_start;
         let tolerance = self.options.bounds.limit_tolerance;
         let meter = self
             .meters
             .entry(team.name.clone())
-            .or_insert_with(|| TeamLimiter::new(now, limit, tolerance, fresh));
+            .or_insert_with(|| TeamLimiter::new(now, limit, tolerance, is_first_start));
         let query = LimitQuery {
             units,
             rank: route.priority,
             sample: self.limit_random.next(),
         };
         let verdict = meter.check(now, &query);
-        let refused = match verdict {
+        let is_refused = match verdict {
             LimitVerdict::Within => false,
-            LimitVerdict::Tolerated => !idle,
+            LimitVerdict::Tolerated => !queue_is_empty,
             LimitVerdict::Exceeded { .. } => true,
         };
-        if refused {
+        if is_refused {
             return Err(Refusal {
                 reason: RefusalReason::OverLimit,
                 retry_after: Some(meter.retry_after()),
--- a/crates/savorywood-gateway/src/gateway/completion.rs
+++ b/crates/savorywood-gateway/src/gateway/completion.rs
@@ -13,7 +13,7 @@
 use savorywood_protocol::MonotonicTime;
 
 impl Gateway {
-    pub(super) fn caller_left(
+    pub(super) fn caller_disconnected(
         &mut self,
         now: MonotonicTime,
         request: LocalRequest,
--- a/crates/savorywood-gateway/src/gateway/entry.rs
+++ b/crates/savorywood-gateway/src/gateway/entry.rs
@@ -108,20 +108,20 @@
         self.leases_refreshed_at = now;
         let own_zone = self.options.zone.clone();
         let mut members: BTreeMap<ZoneLabel, Vec<u64>> = BTreeMap::new();
-        let own_numbers = self.member_numbers(now, own_zone.as_str(), own_members);
-        members.insert(own_zone.clone(), own_numbers);
+        let own_digests = self.member_address_digests(now, own_zone.as_str(), own_members);
+        members.insert(own_zone.clone(), own_digests);
         let direct = self.peers.direct_zones(now).into_iter();
         for zone in direct.filter(|zone| *zone != own_zone.as_str()) {
             let selected = self.select_members(now, zone);
-            let numbers = self.member_numbers(now, zone, &selected);
-            members.insert(ZoneLabel::from(zone), numbers);
+            let digests = self.member_address_digests(now, zone, &selected);
+            members.insert(ZoneLabel::from(zone), digests);
         }
         for digest in self.peers.zone_digests(now) {
             let entry = digest.members.iter().filter(|member| {
                 member.phase == PeerPhase::Ready && member.role == DaemonRole::Entry
             });
-            let numbers = entry.map(|member| address_hash(member.peer_address));
-            members.insert(ZoneLabel::from(digest.zone.as_str()), numbers.collect());
+            let digests = entry.map(|member| address_hash(member.peer_address));
+            members.insert(ZoneLabel::from(digest.zone.as_str()), digests.collect());
         }
         let own = address_hash(self.options.peer_address);
         self.leases.update(now, own, members);
@@ -129,15 +129,15 @@
 
     /// Returns the address digests of the selected members of a zone whose daemons send summaries
     /// here.
-    fn member_numbers(&self, now: MonotonicTime, zone: &str, members: &[u64]) -> Vec<u64> {
-        let mut numbers = Vec::new();
+    fn member_address_digests(&self, now: MonotonicTime, zone: &str, members: &[u64]) -> Vec<u64> {
+        let mut digests = Vec::new();
         if members.contains(&name_digest(self.options.host.as_str())) {
-            numbers.push(address_hash(self.options.peer_address));
+            digests.push(address_hash(self.options.peer_address));
         }
         let peers = self.peers.member_candidates(now, zone, false);
-        let named = peers.filter(|peer| members.contains(&peer.digest));
-        numbers.extend(named.map(|peer| address_hash(peer.summary.peer_address)));
-        numbers
+        let selected = peers.filter(|peer| members.contains(&peer.digest));
+        digests.extend(selected.map(|peer| address_hash(peer.summary.peer_address)));
+        digests
     }
 
     /// Returns whether this daemon is a member of the entry set of its zone.
@@ -195,11 +195,11 @@
     }
 
     fn own_candidate(&self, now: MonotonicTime) -> EntryCandidate {
-        let steady_since = self.started_at.max(self.resumed_at);
+        let stable_since = self.started_at.max(self.resumed_at);
         EntryCandidate {
             host: name_digest(self.options.host.as_str()),
             capacity: self.options.capacity,
-            stable_for: steady_since.map_or(Duration::ZERO, |at| now.since(at)),
+            stable_for: stable_since.map_or(Duration::ZERO, |at| now.since(at)),
         }
     }
 
@@ -318,8 +318,8 @@
             addresses.push(self.options.caller_address);
         }
         let peers = self.peers.member_candidates(now, zone, false);
-        let named = peers.filter(|peer| members.contains(&peer.digest));
-        addresses.extend(named.map(|peer| peer.summary.caller_address));
+        let selected = peers.filter(|peer| members.contains(&peer.digest));
+        addresses.extend(selected.map(|peer| peer.summary.caller_address));
         addresses
     }
 }
--- a/crates/savorywood-gateway/src/gateway/feedback.rs
+++ b/crates/savorywood-gateway/src/gateway/feedback.rs
@@ -60,8 +60,9 @@
 /// the request.
 fn is_past_expected(now: MonotonicTime, attempt: &RunningAttempt) -> bool {
     let millis = now.since(attempt.dispatched_at).as_secs_f64() * 1e3;
-    let late = millis > attempt.expected_first_event_ms * OVERDUE_FACTOR + OVERDUE_MARGIN_MS;
-    attempt.first_event_at.is_none() && late
+    let exceeds_limit =
+        millis > attempt.expected_first_event_ms * OVERDUE_FACTOR + OVERDUE_MARGIN_MS;
+    attempt.first_event_at.is_none() && exceeds_limit
 }
 
 impl Gateway {
@@ -69,7 +70,7 @@
         &mut self,
         now: MonotonicTime,
         request: LocalRequest,
-        marks: ResponseMetadata,
+        metadata: ResponseMetadata,
         effects: &mut GatewayEffects,
     ) {
         let Some(record) = self.requests.get_mut(&request) else {
@@ -85,7 +86,7 @@
         let elapsed = now.since(attempt.dispatched_at);
         let upstream = attempt.upstream.clone();
         self.fleet.record_received(now, &upstream);
-        let sent_at = attempt.dispatched_at;
+        let dispatched_at = attempt.dispatched_at;
         if is_first && let Some(state) = self.fleet.get_mut(&upstream) {
             state.unread_tokens = state
                 .unread_tokens
@@ -100,9 +101,9 @@
                 state.latency.record_first_event(prompt, elapsed);
             }
         }
-        self.record_response(now, &upstream, sent_at);
-        self.record_limit(now, &upstream, sent_at, marks.rate_limit, effects);
-        self.apply_metadata(now, &upstream, marks);
+        self.record_response(now, &upstream, dispatched_at);
+        self.record_limit(now, &upstream, dispatched_at, metadata.rate_limit, effects);
+        self.apply_metadata(now, &upstream, metadata);
     }
 
     /// Records further events of a stream.
@@ -125,13 +126,13 @@
         &mut self,
         now: MonotonicTime,
         upstream: &UpstreamLabel,
-        marks: ResponseMetadata,
+        metadata: ResponseMetadata,
     ) {
         let Some(state) = self.fleet.get_mut(upstream) else {
             return;
         };
-        if let Some(cold) = marks.cold_for {
-            state.extend_cold(now + cold);
+        if let Some(cold_for) = metadata.cold_for {
+            state.extend_cold(now + cold_for);
         }
     }
 
@@ -157,7 +158,7 @@
                 .saturating_sub(record.size.prompt_tokens);
         }
         let expected_output_tokens = record.expected_output_tokens;
-        if outcome.was_received() {
+        if outcome.has_response() {
             self.fleet.record_received(now, &attempt.upstream);
             self.record_response(now, &attempt.upstream, attempt.dispatched_at);
         }
@@ -181,11 +182,11 @@
             | AttemptOutcome::Delivered { metadata, .. }
                 if !metadata_applied =>
             {
-                let sent_at = attempt.dispatched_at;
+                let dispatched_at = attempt.dispatched_at;
                 self.record_limit(
                     now,
                     &attempt.upstream,
-                    sent_at,
+                    dispatched_at,
                     metadata.rate_limit,
                     effects,
                 );
--- a/crates/savorywood-gateway/src/gateway/gossip.rs
+++ b/crates/savorywood-gateway/src/gateway/gossip.rs
@@ -169,16 +169,16 @@
 
     /// Returns the slots that all daemons of this zone use, by upstream.
     fn zone_slots(&self, now: MonotonicTime) -> Vec<SlotUse> {
-        let mut sums: BTreeMap<u64, SlotUse> = BTreeMap::new();
-        let mut add = |of: &[SlotUse]| {
-            for slot in of {
-                let sum = sums.entry(slot.upstream).or_insert(SlotUse {
+        let mut totals: BTreeMap<u64, SlotUse> = BTreeMap::new();
+        let mut add = |slots: &[SlotUse]| {
+            for slot in slots {
+                let total = totals.entry(slot.upstream).or_insert(SlotUse {
                     upstream: slot.upstream,
                     running: 0,
                     unread_prompt_tokens: 0,
                 });
-                sum.running = sum.running.saturating_add(slot.running);
-                sum.unread_prompt_tokens = sum
+                total.running = total.running.saturating_add(slot.running);
+                total.unread_prompt_tokens = total
                     .unread_prompt_tokens
                     .saturating_add(slot.unread_prompt_tokens);
             }
@@ -187,7 +187,7 @@
         for peer in self.peers.neighbours(now) {
             add(&peer.summary.slots);
         }
-        sums.into_values().collect()
+        totals.into_values().collect()
     }
 
     /// Returns an update of this daemon's slots to be sent between two summaries; absent while
@@ -366,15 +366,15 @@
     pub(super) fn is_leader(&self, now: MonotonicTime) -> bool {
         let own = self.options.host.as_str();
         let zone = self.options.zone.as_str();
-        let first_here = self
+        let leads_zone = self
             .peers
             .ready_peers(now)
             .all(|peer| peer.summary.host.as_str() > own);
         let mut zones = self.peers.zone_digests(now);
         let is_ready = |member: &ZoneMember| member.phase == PeerPhase::Ready;
-        let first_zone =
+        let is_first_zone =
             zones.all(|digest| digest.zone.as_str() > zone || !digest.members.iter().any(is_ready));
-        self.is_ready(now) && first_here && first_zone
+        self.is_ready(now) && leads_zone && is_first_zone
     }
 
     /// Returns the availability zone of this daemon.
--- a/crates/savorywood-gateway/src/gateway/quarantine.rs
+++ b/crates/savorywood-gateway/src/gateway/quarantine.rs
@@ -118,9 +118,9 @@
         gossip: &CrashGossip,
         effects: &mut GatewayEffects,
     ) {
-        let is_near = gossip.zone == name_digest(self.options.zone.as_str());
+        let is_same_zone = gossip.zone == name_digest(self.options.zone.as_str());
         for report in &gossip.reports {
-            let change = self.quarantine.merge(now, report, is_near);
+            let change = self.quarantine.merge(now, report, is_same_zone);
             log_change(report.fingerprint, change, "peer", effects);
         }
     }
--- a/crates/savorywood-gateway/src/gateway/rate_limits.rs
+++ b/crates/savorywood-gateway/src/gateway/rate_limits.rs
@@ -32,15 +32,18 @@
             return;
         };
         // A response without a limit may have started before one that reports it.
-        let at = if limit.is_some() { now } else { sent_at };
-        let before = state.limit.limit();
-        let reading = LimitObservation {
+        let effective_at = if limit.is_some() { now } else { sent_at };
+        let previous = state.limit.limit();
+        let observation = LimitObservation {
             limit,
-            observed_at: at,
+            observed_at: effective_at,
         };
-        if state.limit.observe(now, reading, ObservationSource::Own) {
+        if state
+            .limit
+            .observe(now, observation, ObservationSource::Own)
+        {
             effects.push(GatewayEffect::Log(limit_line(
-                upstream, before, limit, "own",
+                upstream, previous, limit, "own",
             )));
         }
     }
@@ -51,8 +54,8 @@
         gossip: &LimitGossip,
         effects: &mut GatewayEffects,
     ) {
-        let is_near = gossip.zone == name_digest(self.options.zone.as_str());
-        let source = if is_near {
+        let is_same_zone = gossip.zone == name_digest(self.options.zone.as_str());
+        let source = if is_same_zone {
             ObservationSource::Zone
         } else {
             ObservationSource::OtherZone
@@ -63,14 +66,14 @@
             let Some(state) = states.find(|state| state.digest == report.upstream) else {
                 continue;
             };
-            let reading = LimitObservation {
+            let observation = LimitObservation {
                 limit: report.limit,
                 observed_at: now - Duration::from_millis(u64::from(report.age_ms)),
             };
-            let before = state.limit.limit();
-            if state.limit.observe(now, reading, source) {
+            let previous = state.limit.limit();
+            if state.limit.observe(now, observation, source) {
                 let name = &state.entry.name;
-                let line = limit_line(name, before, report.limit, "peer");
+                let line = limit_line(name, previous, report.limit, "peer");
                 effects.push(GatewayEffect::Log(line));
                 is_lifted |= report.limit.is_none();
             }
@@ -87,13 +90,13 @@
             .contacts
             .gossip_interval()
             .saturating_mul(REPORT_ROUNDS);
-        let of_zone = scope == ReportScope::Zone;
+        let for_zone = scope == ReportScope::Zone;
         let reports = self.fleet.iter().filter_map(|state| {
-            let reading = state.limit.recent_observation(now, window, of_zone)?;
-            let age = now.since(reading.observed_at).as_millis();
+            let observation = state.limit.recent_observation(now, window, for_zone)?;
+            let age = now.since(observation.observed_at).as_millis();
             Some(LimitReport {
                 upstream: state.digest,
-                limit: reading.limit,
+                limit: observation.limit,
                 age_ms: u32::try_from(age).unwrap_or(u32::MAX),
             })
         });
@@ -116,7 +119,7 @@
 
 fn limit_line(
     upstream: &UpstreamLabel,
-    before: Option<RateLimit>,
+    previous: Option<RateLimit>,
     limit: Option<RateLimit>,
     source: &'static str,
 ) -> LogLine {
@@ -129,6 +132,6 @@
     LogLine::new(LogLevel::Info, event)
         .with("upstream", upstream)
         .with("per_second", per_second(limit))
-        .with("before", per_second(before))
+        .with("before", per_second(previous))
         .with("source", source)
 }
--- a/crates/savorywood-gateway/src/gateway/record.rs
+++ b/crates/savorywood-gateway/src/gateway/record.rs
@@ -106,9 +106,9 @@
     /// Returns when the caller is expected to give up if it receives nothing after `received_at`.
     pub fn caller_timeout_after(&self, received_at: MonotonicTime) -> MonotonicTime {
         let caller_timeout = self.route.caller_idle_timeout;
-        let leave_at = caller_timeout
+        let timeout_at = caller_timeout
             .map(|caller_timeout| received_at + caller_timeout.saturating_sub(LEAVING_MARGIN));
-        leave_at.map_or(self.give_up_at, |at| at.min(self.give_up_at))
+        timeout_at.map_or(self.give_up_at, |at| at.min(self.give_up_at))
     }
 
     /// Returns whether the route allows one execution besides the one in progress.
--- a/crates/savorywood-gateway/src/gateway/state_updates.rs
+++ b/crates/savorywood-gateway/src/gateway/state_updates.rs
@@ -61,7 +61,7 @@
 
     fn set_limits(&mut self, now: MonotonicTime, config: &DeclaredConfig) {
         self.meters.retain(|team, _| config.team(team).is_some());
-        let first = self.config.is_none();
+        let is_first_config = self.config.is_none();
         let members = self.limit_members();
         for team in config.teams() {
             let Some(limit) = team.limit else {
@@ -72,9 +72,9 @@
                 Some(meter) if meter.limit() != limit => meter.set_limit(now, limit),
                 Some(_) => {}
                 None => {
-                    let fresh = !first || self.options.first_start;
+                    let has_no_earlier_usage = !is_first_config || self.options.first_start;
                     let tolerance = self.options.bounds.limit_tolerance;
-                    let mut meter = TeamLimiter::new(now, limit, tolerance, fresh);
+                    let mut meter = TeamLimiter::new(now, limit, tolerance, has_no_earlier_usage);
                     meter.set_expected_daemons(
                         now,
                         self.contacts.daemons(),
@@ -230,20 +230,23 @@
         self.store_reads.record_summary(now, summary);
         if let Some(attestation) = summary.attestation {
             let era = attestation.declared.last_change.era;
-            self.store_era_seen(now, era, effects);
+            self.store_era_observed(now, era, effects);
         }
         let own = name_digest(self.options.host.as_str());
-        let proof = self
+        let confirmed_at = self
             .store_reads
             .confirmed_at(own, summary, SharedTable::Declared);
-        if let Some(at) = proof {
-            self.confirmed_at = Some(self.confirmed_at.map_or(at, |known| known.max(at)));
+        if let Some(confirmed_at) = confirmed_at {
+            self.confirmed_at = Some(
+                self.confirmed_at
+                    .map_or(confirmed_at, |previous| previous.max(confirmed_at)),
+            );
             self.log_readiness_change(now, effects);
         }
-        let failed = summary
+        let failure_age = summary
             .attestation
             .and_then(|attestation| attestation.store_failure_age_ms);
-        if let Some(age) = failed {
+        if let Some(age) = failure_age {
             let age = Duration::from_millis(u64::from(age));
             self.fleet.record_store_failure(now - age);
         }
--- a/crates/savorywood-gateway/src/gateway/store_reads.rs
+++ b/crates/savorywood-gateway/src/gateway/store_reads.rs
@@ -62,14 +62,14 @@
     pub fn read_plan(&self, now: MonotonicTime, table: SharedTable) -> ReadPlan {
         // A neighbour whose messages arrive may not receive those of this daemon, and then echoes
         // nothing.
-        let stale = self
+        let max_age = self
             .options
             .bounds
             .max_confirmation_age()
             .mul_f64(STALE_ATTESTATION_FRACTION);
-        let confirmed = self.time_since_confirmed(now) < stale;
-        let relies = self.contacts.uses_zone_digests() && !self.stopping && confirmed;
-        let plan = if relies {
+        let is_confirmed = self.time_since_confirmed(now) < max_age;
+        let uses_attestations = self.contacts.uses_zone_digests() && !self.stopping && is_confirmed;
+        let plan = if uses_attestations {
             self.store_reads.read_plan(now, &self.options.host, table)
         } else {
             ReadPlan::Direct
@@ -84,13 +84,13 @@
     /// Returns whether what this daemon has just read is recent enough to wait for the daemon that
     /// reads the store for its zone.
     fn awaits_reader(&self, now: MonotonicTime) -> bool {
-        let fresh = self
+        let max_age = self
             .options
             .bounds
             .max_confirmation_age()
             .mul_f64(AWAIT_READER_FRACTION);
         let is_reader = self.has_discovered_zone(now) && self.is_initial_reader(now);
         let may_follow = !self.contacts_read || (self.contacts.uses_zone_digests() && !is_reader);
-        !self.stopping && may_follow && self.time_since_confirmed(now) < fresh
+        !self.stopping && may_follow && self.time_since_confirmed(now) < max_age
     }
 }
--- a/crates/savorywood-gateway/src/gateway/store_restore.rs
+++ b/crates/savorywood-gateway/src/gateway/store_restore.rs
@@ -12,7 +12,7 @@
 
 impl Gateway {
     /// Records the era that a response of the store or a peer reports.
-    pub(super) fn store_era_seen(
+    pub(super) fn store_era_observed(
         &mut self,
         now: MonotonicTime,
         era: u64,
--- a/crates/savorywood-gateway/src/peer.rs
+++ b/crates/savorywood-gateway/src/peer.rs
@@ -183,7 +183,7 @@
         }
         let known = self.zones.get(&zone);
         let outcome = known.map_or(DigestOutcome::NewSender { before: None }, |known| {
-            known.compare(now, &digest)
+            known.classify(now, &digest)
         });
         if outcome != DigestOutcome::Ignored {
             match self.zones.get_mut(&zone) {
@@ -432,9 +432,9 @@
 
 fn add_slots(totals: &mut HashMap<u32, SlotTotal>, slots: &[SlotUse]) {
     for slot in slots {
-        let sum = totals.entry(slot_key(slot.upstream)).or_default();
-        sum.running += u32::from(slot.running);
-        sum.unread_prompt_tokens = sum
+        let total = totals.entry(slot_key(slot.upstream)).or_default();
+        total.running += u32::from(slot.running);
+        total.unread_prompt_tokens = total
             .unread_prompt_tokens
             .saturating_add(slot.unread_prompt_tokens);
     }
--- a/crates/savorywood-gateway/src/zone.rs
+++ b/crates/savorywood-gateway/src/zone.rs
@@ -156,7 +156,7 @@
 
     /// Classifies a received digest relative to the one held.
     #[must_use]
-    pub fn compare(&self, now: MonotonicTime, digest: &ZoneDigest) -> DigestOutcome {
+    pub fn classify(&self, now: MonotonicTime, digest: &ZoneDigest) -> DigestOutcome {
         let known = &self.digest;
         if known.sender != digest.sender {
             return if now.since(self.received_at) < SENDER_TIMEOUT {
