--- a/crates/savorywood-gateway/src/arrival.rs
+++ b/crates/savorywood-gateway/src/arrival.rs
@@ -9,7 +9,7 @@
 /// Size of a model request, in tokens.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct RequestSize {
-    /// Tokens of the prompt.
+    /// Number of tokens of the prompt.
     pub prompt_tokens: u32,
     /// Maximum number of tokens of the response.
     pub max_output_tokens: u32,
--- a/crates/savorywood-gateway/src/effect.rs
+++ b/crates/savorywood-gateway/src/effect.rs
@@ -47,8 +47,8 @@
         request: LocalRequest,
         /// Reason of the refusal.
         reason: RefusalReason,
-        /// Retry-after delay sent to the caller; absent when a retry could execute the request
-        /// twice.
+        /// Retry-after delay sent to the caller; absent when none can be recommended, as when a
+        /// retry could execute the request twice.
         retry_after: Option<Duration>,
     },
     /// Forward the failure response of the upstream to the caller.
--- a/crates/savorywood-gateway/src/event.rs
+++ b/crates/savorywood-gateway/src/event.rs
@@ -152,7 +152,7 @@
         /// Events forwarded since the previous report.
         events: u32,
     },
-    /// An attempt ended.
+    /// An attempt at an upstream ended, with or without a response.
     AttemptEnded {
         /// Request that was attempted.
         request: LocalRequest,
@@ -184,7 +184,7 @@
     },
     /// An operator ordered the evacuation of an availability zone.
     EvacuationOrdered(EvacuationOrder),
-    /// An operator withdrew the evacuation order with this position.
+    /// An operator withdrew the evacuation of a zone; the position is that of the withdrawal.
     EvacuationWithdrawn(EvacuationOrder),
     /// A complete list of evacuation orders was read.
     EvacuationsRead {
@@ -241,7 +241,7 @@
     },
     /// Resources of the host that this process uses were measured.
     LoadMeasured(HostResources),
-    /// A peer is known to have ended.
+    /// Another daemon has ended and is removed from the table of peers.
     PeerEnded(HostLabel),
     /// Periodic timer; fires every few milliseconds while requests wait.
     Tick,
--- a/crates/savorywood-gateway/src/gateway/admission.rs
+++ b/crates/savorywood-gateway/src/gateway/admission.rs
@@ -38,7 +38,7 @@
 pub struct Refusal {
     /// Reason of the refusal.
     pub reason: RefusalReason,
-    /// Retry-after delay; absent when a retry cannot succeed.
+    /// Retry-after delay sent to the caller; absent when none can be recommended.
     pub retry_after: Option<Duration>,
     /// Team of the API key, if it was determined before the refusal.
     pub team: Option<TeamLabel>,
--- a/crates/savorywood-gateway/src/gateway/entry.rs
+++ b/crates/savorywood-gateway/src/gateway/entry.rs
@@ -21,8 +21,8 @@
 const FREEZE_THRESHOLD: Duration = Duration::from_millis(1_300);
 /// A daemon whose summary is late by this factor may be unreachable.
 const OVERDUE_FACTOR: f64 = 1.4;
-/// Minimum uptime for holding leases. A younger daemon does not know what its previous incarnation
-/// dispatched to cold upstreams within the second over which their rate is counted.
+/// Minimum uptime for holding leases. A younger daemon has no record of what its previous
+/// incarnation dispatched to cold upstreams within the second over which their rate is counted.
 const MIN_LEASE_UPTIME: Duration = Duration::from_millis(1_100);
 /// Interval between two computations of leases while nothing needs them. It is not longer because
 /// the members must have been known for a while once something does.
@@ -222,7 +222,7 @@
         (own_members + direct + reported).max(1)
     }
 
-    /// Returns the time since the first event or message of this incarnation.
+    /// Returns the time since this incarnation first sent a message or computed the entry set.
     pub(super) fn uptime(&self, now: MonotonicTime) -> Duration {
         self.started_at.map_or(Duration::ZERO, |at| now.since(at))
     }
--- a/crates/savorywood-gateway/src/gateway/gossip.rs
+++ b/crates/savorywood-gateway/src/gateway/gossip.rs
@@ -18,8 +18,7 @@
 /// not ready: callers are better served elsewhere.
 const READY_CONFIRMATION_FRACTION: f64 = 0.54;
 /// Interval between two rounds of gossip of a daemon that has just started. When all daemons
-/// restart together, each must discover the others before it knows what it may admit of the teams'
-/// limits.
+/// restart together, each must discover the others to determine its share of the teams' limits.
 const DISCOVERY_INTERVAL: Duration = Duration::from_millis(100);
 /// Fraction of a service's slots in use above which free slots count as scarce.
 const SCARCE_SLOT_FRACTION: f64 = 0.7;
@@ -59,8 +58,8 @@
                     .mul_f64(READY_CONFIRMATION_FRACTION)
     }
 
-    /// Returns whether the number of daemons is known. A restarted daemon that does not know it
-    /// would admit much more of a team's limit than its share.
+    /// Returns whether the number of daemons is known. A restarted daemon without this number would
+    /// admit much more of a team's limit than its share.
     pub(super) fn has_peer_list(&self) -> bool {
         self.contacts_read || self.options.first_start
     }
@@ -206,7 +205,7 @@
         Some(self.build_slot_update(SlotScope::Daemon, slots))
     }
 
-    /// Returns an update of the slots of the whole zone.
+    /// Returns an update of the slots that all daemons of the zone use.
     pub fn zone_slot_update(&mut self, now: MonotonicTime) -> SlotUpdate {
         self.sequence += 1;
         let zone = name_digest(self.options.zone.as_str());
--- a/crates/savorywood-gateway/src/gateway/rate_limits.rs
+++ b/crates/savorywood-gateway/src/gateway/rate_limits.rs
@@ -14,7 +14,7 @@
 
 /// Rounds of gossip in which a reading is reported, as messages may be lost.
 const REPORT_ROUNDS: u32 = 4;
-/// Maximum number of reports in a message, which keeps it within one datagram.
+/// Maximum number of reports in a message, so that its datagram is not fragmented.
 const MAX_REPORTS: usize = 64;
 
 impl Gateway {
