--- a/crates/savorywood-gateway/src/gateway.rs
+++ b/crates/savorywood-gateway/src/gateway.rs
@@ -231,7 +231,7 @@
                 self.handle_arrival(now, request, &arrival, effects);
             }
             GatewayEvent::CallerDisconnected(request) => {
-                self.caller_disconnected(now, request, effects)
+                self.caller_disconnected(now, request, effects);
             }
             GatewayEvent::ResponseStarted { request, metadata } => {
                 self.response_started(now, request, metadata, effects);
--- a/crates/savorywood-gateway/src/gateway/completion.rs
+++ b/crates/savorywood-gateway/src/gateway/completion.rs
@@ -123,7 +123,7 @@
                 record.has_upstream_failure = true;
             }
             AttemptOutcome::Broken { .. } | AttemptOutcome::StreamBroken(_) => {
-                record.executions += 1
+                record.executions += 1;
             }
         }
         let may_retry = record.allows_another_execution() && record.attempts < MAX_ATTEMPTS;
--- a/crates/savorywood-gateway/src/gateway/dispatch.rs
+++ b/crates/savorywood-gateway/src/gateway/dispatch.rs
@@ -70,7 +70,7 @@
                 Ok(picked) => self.dispatch(now, position.request, &picked, effects),
                 Err(SelectionFailure::AllFull) => full_picks += 1,
                 Err(SelectionFailure::NoCandidate) => {
-                    self.handle_no_upstream(now, position.request, effects)
+                    self.handle_no_upstream(now, position.request, effects);
                 }
             }
         }
