--- a/crates/savorywood-gateway/src/gateway/admission.rs
+++ b/crates/savorywood-gateway/src/gateway/admission.rs
@@ -42,15 +42,15 @@
     pub retry_after: Option<Duration>,
     /// Team of the API key, if it was determined before the refusal.
     pub team: Option<TeamLabel>,
-    /// State of the team's meter, if the team has exceeded its limit.
-    pub meter: Option<MeterSnapshot>,
+    /// State of the team's limiter, if the team has exceeded its limit.
+    pub limiter: Option<LimiterSnapshot>,
     /// Number of crashes recorded for the fingerprint, if the request is quarantined.
     pub crashes: Option<u32>,
 }
 
-/// State of a team's meter at the time of a refusal.
+/// State of a team's limiter at the time of a refusal.
 #[derive(Debug, Clone, Copy)]
-pub struct MeterSnapshot {
+pub struct LimiterSnapshot {
     limit: TeamLimit,
     levels: BucketLevels,
 }
@@ -61,7 +61,7 @@
             reason,
             retry_after: None,
             team: None,
-            meter: None,
+            limiter: None,
             crashes: None,
         }
     }
@@ -102,11 +102,11 @@
                     .with("proof_age_ms", self.time_since_confirmed(now).as_millis());
                 effects.push(GatewayEffect::Log(line));
                 let service = record.service.clone();
-                self.budgets
+                self.retry_budgets
                     .entry(service.clone())
                     .or_default()
                     .record_request(now);
-                let demand = self.demands.entry(service.clone()).or_default();
+                let demand = self.demand_trackers.entry(service.clone()).or_default();
                 demand.record_arrival(now, record.rank);
                 self.enqueue(request, record);
                 self.dispatch_waiting(now, &service, effects);
@@ -127,12 +127,12 @@
                     )
                     .with("config", self.config_version())
                     .with("proof_age_ms", self.time_since_confirmed(now).as_millis());
-                if let Some(meter) = denial.meter {
+                if let Some(limiter) = denial.limiter {
                     line = line
-                        .with("level", meter.levels.strict)
-                        .with("tolerated", meter.levels.tolerated)
-                        .with("per_second", meter.limit.per_second)
-                        .with("burst", meter.limit.burst);
+                        .with("level", limiter.levels.strict)
+                        .with("tolerated", limiter.levels.tolerated)
+                        .with("per_second", limiter.limit.per_second)
+                        .with("burst", limiter.limit.burst);
                 }
                 if let Some(crashes) = denial.crashes {
                     line = line.with("crashes", crashes);
@@ -305,8 +305,8 @@
         };
         let is_first_start = self.options.first_start;
         let tolerance = self.options.bounds.limit_tolerance;
-        let meter = self
-            .meters
+        let limiter = self
+            .team_limiters
             .entry(team.name.clone())
             .or_insert_with(|| TeamLimiter::new(now, limit, tolerance, is_first_start));
         let query = LimitQuery {
@@ -314,7 +314,7 @@
             rank: route.priority,
             sample: self.limit_random.next(),
         };
-        let verdict = meter.check(now, &query);
+        let verdict = limiter.check(now, &query);
         let is_refused = match verdict {
             LimitVerdict::Within => false,
             LimitVerdict::Tolerated => !queue_is_empty,
@@ -323,16 +323,16 @@
         if is_refused {
             return Err(Refusal {
                 reason: RefusalReason::OverLimit,
-                retry_after: Some(meter.retry_after()),
+                retry_after: Some(limiter.retry_after()),
                 team: Some(team.name.clone()),
-                meter: Some(MeterSnapshot {
+                limiter: Some(LimiterSnapshot {
                     limit,
-                    levels: meter.levels(),
+                    levels: limiter.levels(),
                 }),
                 crashes: None,
             });
         }
-        meter.charge(units, verdict);
+        limiter.charge(units, verdict);
         Ok(units)
     }
 
--- a/crates/savorywood-gateway/src/gateway/completion.rs
+++ b/crates/savorywood-gateway/src/gateway/completion.rs
@@ -142,7 +142,10 @@
             return true;
         }
         let daemons = self.peers.peer_count(now) + 1;
-        let budget = self.budgets.entry(record.service.clone()).or_default();
+        let budget = self
+            .retry_budgets
+            .entry(record.service.clone())
+            .or_default();
         budget.try_acquire(now, &self.options.bounds.retry_budget, daemons)
     }
 
@@ -225,9 +228,9 @@
         };
         if let Some(team) = &record.team
             && record.executions == 0
-            && let Some(meter) = self.meters.get_mut(&team.name)
+            && let Some(limiter) = self.team_limiters.get_mut(&team.name)
         {
-            meter.refund(record.charged_units);
+            limiter.refund(record.charged_units);
         }
     }
 
--- a/crates/savorywood-gateway/src/gateway/dispatch.rs
+++ b/crates/savorywood-gateway/src/gateway/dispatch.rs
@@ -146,7 +146,7 @@
     }
 
     fn urgent_arrivals(&self, now: MonotonicTime, record: &RequestRecord) -> UrgentArrivals {
-        let demand = self.demands.get(&record.service);
+        let demand = self.demand_trackers.get(&record.service);
         demand
             .map(|demand| demand.urgent_arrivals(now, record.rank, self.entry_daemons))
             .unwrap_or_default()
@@ -178,7 +178,10 @@
         {
             queue.remove(position);
         }
-        let demand = self.demands.entry(record.service.clone()).or_default();
+        let demand = self
+            .demand_trackers
+            .entry(record.service.clone())
+            .or_default();
         demand.record_dispatch(now, record.rank);
         record.attempts += 1;
         record.state = RequestState::Running(RunningAttempt {
--- a/crates/savorywood-gateway/src/gateway/entry.rs
+++ b/crates/savorywood-gateway/src/gateway/entry.rs
@@ -108,36 +108,36 @@
         self.leases_refreshed_at = now;
         let own_zone = self.options.zone.clone();
         let mut members: BTreeMap<ZoneLabel, Vec<u64>> = BTreeMap::new();
-        let own_digests = self.member_address_digests(now, own_zone.as_str(), own_members);
-        members.insert(own_zone.clone(), own_digests);
+        let own_hashes = self.member_address_hashes(now, own_zone.as_str(), own_members);
+        members.insert(own_zone.clone(), own_hashes);
         let direct = self.peers.direct_zones(now).into_iter();
         for zone in direct.filter(|zone| *zone != own_zone.as_str()) {
             let selected = self.select_members(now, zone);
-            let digests = self.member_address_digests(now, zone, &selected);
-            members.insert(ZoneLabel::from(zone), digests);
+            let hashes = self.member_address_hashes(now, zone, &selected);
+            members.insert(ZoneLabel::from(zone), hashes);
         }
         for digest in self.peers.zone_digests(now) {
             let entry = digest.members.iter().filter(|member| {
                 member.phase == PeerPhase::Ready && member.role == DaemonRole::Entry
             });
-            let digests = entry.map(|member| address_hash(member.peer_address));
-            members.insert(ZoneLabel::from(digest.zone.as_str()), digests.collect());
+            let hashes = entry.map(|member| address_hash(member.peer_address));
+            members.insert(ZoneLabel::from(digest.zone.as_str()), hashes.collect());
         }
         let own = address_hash(self.options.peer_address);
         self.leases.update(now, own, members);
     }
 
-    /// Returns the address digests of the selected members of a zone whose daemons send summaries
+    /// Returns the address hashes of the selected members of a zone whose daemons send summaries
     /// here.
-    fn member_address_digests(&self, now: MonotonicTime, zone: &str, members: &[u64]) -> Vec<u64> {
-        let mut digests = Vec::new();
+    fn member_address_hashes(&self, now: MonotonicTime, zone: &str, members: &[u64]) -> Vec<u64> {
+        let mut hashes = Vec::new();
         if members.contains(&name_digest(self.options.host.as_str())) {
-            digests.push(address_hash(self.options.peer_address));
+            hashes.push(address_hash(self.options.peer_address));
         }
         let peers = self.peers.member_candidates(now, zone, false);
         let selected = peers.filter(|peer| members.contains(&peer.digest));
-        digests.extend(selected.map(|peer| address_hash(peer.summary.peer_address)));
-        digests
+        hashes.extend(selected.map(|peer| address_hash(peer.summary.peer_address)));
+        hashes
     }
 
     /// Returns whether this daemon is a member of the entry set of its zone.
--- a/crates/savorywood-gateway/src/gateway/gossip.rs
+++ b/crates/savorywood-gateway/src/gateway/gossip.rs
@@ -94,13 +94,13 @@
         self.sequence += 1;
         let uptime_ms = self.uptime_ms(now);
         let attestation = self.attestation(now);
-        for meter in self.meters.values_mut() {
-            meter.mark_reported();
+        for limiter in self.team_limiters.values_mut() {
+            limiter.mark_reported();
         }
-        let usage = self.meters.iter().map(|(team, meter)| TeamUse {
+        let usage = self.team_limiters.iter().map(|(team, limiter)| TeamUse {
             team: name_digest(team.as_str()),
-            total: meter.own_total(),
-            levels: meter.levels(),
+            total: limiter.own_total(),
+            levels: limiter.levels(),
         });
         PeerSummary {
             host: self.options.host.as_str().to_owned(),
@@ -284,10 +284,10 @@
     pub fn zone_digest(&mut self, now: MonotonicTime, include_slots: bool) -> ZoneDigest {
         self.sequence += 1;
         let uptime_ms = self.uptime_ms(now);
-        let usage = self.meters.iter().map(|(team, meter)| TeamUse {
+        let usage = self.team_limiters.iter().map(|(team, limiter)| TeamUse {
             team: name_digest(team.as_str()),
-            total: meter.zone_total(),
-            levels: meter.levels(),
+            total: limiter.zone_total(),
+            levels: limiter.levels(),
         });
         let neighbours = self.peers.neighbours(now);
         let neighbour_digests: Vec<u64> = neighbours.map(|peer| peer.digest).collect();
--- a/crates/savorywood-gateway/src/gateway/retry_after.rs
+++ b/crates/savorywood-gateway/src/gateway/retry_after.rs
@@ -41,7 +41,7 @@
         let ahead = queue.map_or(0, |queue: &WaitQueue| {
             queue.count_at_least_as_urgent(record.rank)
         });
-        let demand = self.demands.get(&record.service);
+        let demand = self.demand_trackers.get(&record.service);
         let rate = demand.map_or(0.0, |demand| demand.dispatch_rate(now, record.rank));
         let delay_s = ahead as f64 / rate.max(f64::MIN_POSITIVE);
         let delay_s = delay_s.clamp(MIN_RETRY_AFTER.as_secs_f64(), MAX_RETRY_AFTER.as_secs_f64());
--- a/crates/savorywood-gateway/src/gateway/state_updates.rs
+++ b/crates/savorywood-gateway/src/gateway/state_updates.rs
@@ -60,28 +60,29 @@
     }
 
     fn set_limits(&mut self, now: MonotonicTime, config: &DeclaredConfig) {
-        self.meters.retain(|team, _| config.team(team).is_some());
+        self.team_limiters
+            .retain(|team, _| config.team(team).is_some());
         let is_first_config = self.config.is_none();
         let members = self.limit_members();
         for team in config.teams() {
             let Some(limit) = team.limit else {
-                self.meters.remove(&team.name);
+                self.team_limiters.remove(&team.name);
                 continue;
             };
-            match self.meters.get_mut(&team.name) {
-                Some(meter) if meter.limit() != limit => meter.set_limit(now, limit),
+            match self.team_limiters.get_mut(&team.name) {
+                Some(limiter) if limiter.limit() != limit => limiter.set_limit(now, limit),
                 Some(_) => {}
                 None => {
                     let has_no_earlier_usage = !is_first_config || self.options.first_start;
                     let tolerance = self.options.bounds.limit_tolerance;
-                    let mut meter = TeamLimiter::new(now, limit, tolerance, has_no_earlier_usage);
-                    meter.set_expected_daemons(
+                    let mut limiter = TeamLimiter::new(now, limit, tolerance, has_no_earlier_usage);
+                    limiter.set_expected_daemons(
                         now,
                         self.contacts.daemons(),
                         self.contacts.gossip_interval(),
                     );
-                    meter.set_members(members);
-                    self.meters.insert(team.name.clone(), meter);
+                    limiter.set_members(members);
+                    self.team_limiters.insert(team.name.clone(), limiter);
                 }
             }
         }
@@ -106,8 +107,8 @@
             .with("limit_slack", bounds.limit_tolerance.slack);
         effects.push(GatewayEffect::Log(line));
         if self.options.bounds.limit_tolerance != bounds.limit_tolerance {
-            for meter in self.meters.values_mut() {
-                *meter = TeamLimiter::new(now, meter.limit(), bounds.limit_tolerance, false);
+            for limiter in self.team_limiters.values_mut() {
+                *limiter = TeamLimiter::new(now, limiter.limit(), bounds.limit_tolerance, false);
             }
         }
         self.options.bounds = bounds;
@@ -202,19 +203,19 @@
         // For a zone that a digest reports, only the digest counts; otherwise usage would count
         // twice.
         if self.peers.uses_direct_summary(now, &summary.zone) {
-            let account = UsageSource {
+            let source = UsageSource {
                 peer,
                 incarnation: summary.incarnation,
                 age: Duration::from_millis(summary.uptime_ms),
                 daemons: 1,
                 same_zone: summary.zone == self.options.zone.as_str(),
             };
-            self.usage_received(now, account, &summary.usage);
+            self.usage_received(now, source, &summary.usage);
             self.rollouts.record_peer_tallies(peer, &summary.tallies);
         }
         if summary.phase == PeerPhase::Leaving {
-            for meter in self.meters.values_mut() {
-                meter.record_peer_ended(now, peer);
+            for limiter in self.team_limiters.values_mut() {
+                limiter.record_peer_ended(now, peer);
             }
         }
         self.dispatch_all_waiting(now, effects);
@@ -278,14 +279,14 @@
             };
             self.contacts.record(now, contact);
         }
-        let account = UsageSource {
+        let source = UsageSource {
             peer: digest.sender.rotate_left(1),
             incarnation: digest.incarnation,
             age: Duration::from_millis(digest.uptime_ms),
             daemons: digest.daemons,
             same_zone: false,
         };
-        self.usage_received(now, account, &digest.usage);
+        self.usage_received(now, source, &digest.usage);
         self.rollouts
             .record_peer_tallies(name_digest(zone.as_str()), &digest.tallies);
         self.dispatch_all_waiting(now, effects);
@@ -306,8 +307,8 @@
         for contact in contacts {
             self.contacts.record(now, contact);
         }
-        for meter in self.meters.values_mut() {
-            meter.set_expected_daemons(
+        for limiter in self.team_limiters.values_mut() {
+            limiter.set_expected_daemons(
                 now,
                 self.contacts.daemons(),
                 self.contacts.gossip_interval(),
@@ -315,11 +316,11 @@
         }
     }
 
-    /// Updates the meters after the entry set of a zone changed.
+    /// Updates the team_limiters after the entry set of a zone changed.
     pub(super) fn members_changed(&mut self) {
         let members = self.limit_members();
-        for meter in self.meters.values_mut() {
-            meter.set_members(members);
+        for limiter in self.team_limiters.values_mut() {
+            limiter.set_members(members);
         }
     }
 
@@ -338,28 +339,28 @@
             .map(|peer| name_digest(&peer.summary.host))
             .collect();
         ended.extend(before.map(|sender| sender.rotate_left(1)));
-        for meter in self.meters.values_mut() {
+        for limiter in self.team_limiters.values_mut() {
             for peer in &ended {
-                meter.record_peer_ended(now, *peer);
+                limiter.record_peer_ended(now, *peer);
             }
         }
     }
 
     /// Records the usage of all teams; a team that is not reported has used nothing there.
-    fn usage_received(&mut self, now: MonotonicTime, account: UsageSource, usage: &[TeamUse]) {
+    fn usage_received(&mut self, now: MonotonicTime, source: UsageSource, usage: &[TeamUse]) {
         let usage: HashMap<u64, &TeamUse> = usage.iter().map(|used| (used.team, used)).collect();
-        for (team, meter) in &mut self.meters {
+        for (team, limiter) in &mut self.team_limiters {
             let used = usage.get(&name_digest(team.as_str()));
-            let reading = PeerUsage {
-                peer: account.peer,
-                incarnation: account.incarnation,
-                age: account.age,
+            let peer_usage = PeerUsage {
+                peer: source.peer,
+                incarnation: source.incarnation,
+                age: source.age,
                 total: used.map_or(0, |used| used.total),
-                daemons: account.daemons,
-                same_zone: account.same_zone,
+                daemons: source.daemons,
+                same_zone: source.same_zone,
                 levels: used.map(|used| used.levels),
             };
-            meter.record_peer_usage(now, reading);
+            limiter.record_peer_usage(now, peer_usage);
         }
     }
 
--- a/crates/savorywood-gateway/src/gossip.rs
+++ b/crates/savorywood-gateway/src/gossip.rs
@@ -108,7 +108,7 @@
 
 #[derive(Debug, Clone)]
 struct ContactState {
-    number: u64,
+    address_hash: u64,
     zone: Option<ZoneLabel>,
     seen_at: MonotonicTime,
 }
@@ -117,12 +117,12 @@
 #[derive(Debug, Clone)]
 pub struct ContactTable {
     own_address: SocketAddr,
-    own_number: u64,
+    own_address_hash: u64,
     own_zone: ZoneLabel,
     contacts: BTreeMap<SocketAddr, ContactState>,
 }
 
-fn peer_number(peer: &PeerState) -> u64 {
+fn peer_address_hash(peer: &PeerState) -> u64 {
     address_hash(peer.summary.peer_address)
 }
 
@@ -132,7 +132,7 @@
     pub fn new(own_address: SocketAddr, own_zone: ZoneLabel) -> Self {
         Self {
             own_address,
-            own_number: address_hash(own_address),
+            own_address_hash: address_hash(own_address),
             own_zone,
             contacts: BTreeMap::new(),
         }
@@ -145,7 +145,7 @@
         }
         let state = self.contacts.entry(contact.address);
         let state = state.or_insert(ContactState {
-            number: address_hash(contact.address),
+            address_hash: address_hash(contact.address),
             zone: None,
             seen_at: now,
         });
@@ -219,12 +219,12 @@
             plan.summary_targets = self.contacts.keys().copied().collect();
             return plan;
         }
-        let senders: Vec<u64> = peers.neighbours(now).map(peer_number).collect();
+        let senders: Vec<u64> = peers.neighbours(now).map(peer_address_hash).collect();
         let serving = peers.remote_serving_addresses(now);
         for (address, contact) in &self.contacts {
             if self.is_in_own_zone(contact) {
                 plan.summary_targets.push(*address);
-            } else if self.is_sender_for(contact.number, &senders) {
+            } else if self.is_sender_for(contact.address_hash, &senders) {
                 if serving.contains(address) {
                     plan.digest_targets.push(*address);
                 } else {
@@ -256,7 +256,7 @@
         for peer in peers.neighbours(now) {
             match peer.summary.role {
                 DaemonRole::Entry => {
-                    senders.push(peer_number(peer));
+                    senders.push(peer_address_hash(peer));
                     plan.daemon_slot_targets.push(peer.summary.peer_address);
                 }
                 DaemonRole::Draining => plan.daemon_slot_targets.push(peer.summary.peer_address),
@@ -275,7 +275,7 @@
     /// Returns whether this daemon is the one of its zone that sends to `receiver`. All daemons of
     /// the zone select the same sender by rendezvous hashing, which spreads the work evenly.
     fn is_sender_for(&self, receiver: u64, senders: &[u64]) -> bool {
-        let own = rendezvous_weight(self.own_number, receiver);
+        let own = rendezvous_weight(self.own_address_hash, receiver);
         let mut others = senders.iter();
         others.all(|sender| rendezvous_weight(*sender, receiver) < own)
     }
