--- a/crates/savorywood-gateway/src/gateway/state_updates.rs
+++ b/crates/savorywood-gateway/src/gateway/state_updates.rs
@@ -316,7 +316,7 @@
         }
     }
 
-    /// Updates the team_limiters after the entry set of a zone changed.
+    /// Updates the limiters after the entry set of a zone changed.
     pub(super) fn members_changed(&mut self) {
         let members = self.limit_members();
         for limiter in self.team_limiters.values_mut() {
