--- a/crates/savorywood-gateway/src/gateway/admission.rs
+++ b/crates/savorywood-gateway/src/gateway/admission.rs
@@ -198,7 +198,7 @@
         };
         let expected = Duration::from_secs_f64(nominal_first_event_ms(size.prompt_tokens) / 1e3);
         let give_up_at = now + timeout.saturating_sub(RESPONSE_MARGIN);
-        let begin_by = now + route.objective.saturating_sub(expected);
+        let start_by = now + route.objective.saturating_sub(expected);
         Ok(RequestRecord {
             request_id: arrival.request_id.clone(),
             fingerprint,
@@ -217,7 +217,7 @@
             caller_timeout_at: give_up_at,
             state: RequestState::Waiting(QueuePosition {
                 rank,
-                start_by: begin_by,
+                start_by,
                 request,
             }),
             attempted_upstreams: Vec::new(),
--- a/crates/savorywood-gateway/src/gateway/dispatch.rs
+++ b/crates/savorywood-gateway/src/gateway/dispatch.rs
@@ -18,12 +18,12 @@
 use std::time::Duration;
 
 /// Requests of a rank that may find no free slot before the rest of the rank is skipped.
-const MAX_FULL_PICKS: usize = 3;
-/// Random spread of an upstream's cost, as a fraction, by which the selections of daemons differ.
-const COST_SPREAD: f64 = 0.05;
+const MAX_FULL_SELECTIONS: usize = 3;
+/// Random jitter of an upstream's cost, as a fraction, by which the selections of daemons differ.
+const COST_JITTER: f64 = 0.05;
 /// The same where zones exchange digests: state is older there and used by more daemons, which
 /// would otherwise all select the same upstream at once.
-const ZONED_COST_SPREAD: f64 = 0.6;
+const ZONED_COST_JITTER: f64 = 0.6;
 /// Fraction of the objective for which a request waits while its service has no upstream.
 const NO_UPSTREAM_WAIT_FRACTION: f64 = 0.12;
 /// Fraction of the expected duration that must remain when an attempt is dispatched.
@@ -50,13 +50,13 @@
         effects: &mut GatewayEffects,
     ) {
         let positions = self.queue_in_order(now, service);
-        let mut full_picks = 0;
+        let mut full_selections = 0;
         let mut rank = None;
         for position in positions {
             if rank.replace(position.rank) != Some(position.rank) {
-                full_picks = 0;
+                full_selections = 0;
             }
-            if full_picks >= MAX_FULL_PICKS {
+            if full_selections >= MAX_FULL_SELECTIONS {
                 continue;
             }
             let Some(record) = self.requests.get(&position.request) else {
@@ -66,9 +66,9 @@
                 self.finish(now, position.request, RefusalReason::Quarantined, effects);
                 continue;
             }
-            match self.pick(now, record) {
-                Ok(picked) => self.dispatch(now, position.request, &picked, effects),
-                Err(SelectionFailure::AllFull) => full_picks += 1,
+            match self.select_upstream(now, record) {
+                Ok(selected) => self.dispatch(now, position.request, &selected, effects),
+                Err(SelectionFailure::AllFull) => full_selections += 1,
                 Err(SelectionFailure::NoCandidate) => {
                     self.handle_no_upstream(now, position.request, effects);
                 }
@@ -89,20 +89,20 @@
         positions
     }
 
-    fn pick(
+    fn select_upstream(
         &self,
         now: MonotonicTime,
         record: &RequestRecord,
     ) -> Result<SelectedUpstream, SelectionFailure> {
-        self.pick_excluding(now, record, &record.attempted_upstreams)
+        self.select_unattempted(now, record, &record.attempted_upstreams)
     }
 
-    /// Selects an upstream other than the excluded ones.
-    pub(super) fn pick_excluding(
+    /// Selects an upstream other than those in `attempted`.
+    pub(super) fn select_unattempted(
         &self,
         now: MonotonicTime,
         record: &RequestRecord,
-        excluded: &[UpstreamLabel],
+        attempted: &[UpstreamLabel],
     ) -> Result<SelectedUpstream, SelectionFailure> {
         let waited = now.since(record.arrived_at);
         let query = SelectionQuery {
@@ -114,7 +114,7 @@
             remaining_ms: record.give_up_at.since(now).as_secs_f64() * 1e3,
             stream: record.route.retry_safety.is_stream(),
             prompt_parts: &record.prompt_parts,
-            attempted: excluded,
+            attempted,
             home_regions: [
                 &record.route.home_regions,
                 record.team.as_ref().map_or(&[], |team| &team.home_regions),
@@ -129,16 +129,16 @@
             now,
             fleet: &self.fleet,
             peers: &self.peers,
-            prefix_cache: &self.part_index,
+            prefix_cache: &self.prefix_cache,
             zone: &self.options.zone,
             policy: self.options.routing,
             regions: &self.options.regions,
             leases: &self.leases,
             warmup: self.options.bounds.warmup_tolerance,
             jitter: if self.contacts.uses_zone_digests() {
-                ZONED_COST_SPREAD
+                ZONED_COST_JITTER
             } else {
-                COST_SPREAD
+                COST_JITTER
             },
         };
         let mut random = self.random.clone();
@@ -156,14 +156,14 @@
         &mut self,
         now: MonotonicTime,
         request: LocalRequest,
-        picked: &SelectedUpstream,
+        selected: &SelectedUpstream,
         effects: &mut GatewayEffects,
     ) {
         self.random.next();
         let Some(record) = self.requests.get_mut(&request) else {
             return;
         };
-        let Some(state) = self.fleet.get_mut(&picked.name) else {
+        let Some(state) = self.fleet.get_mut(&selected.name) else {
             return;
         };
         state.running += 1;
@@ -185,17 +185,17 @@
         demand.record_dispatch(now, record.rank);
         record.attempts += 1;
         record.state = RequestState::Running(RunningAttempt {
-            upstream: picked.name.clone(),
+            upstream: selected.name.clone(),
             dispatched_at: now,
             first_event_at: None,
-            expected_first_event_ms: picked.expected_ms,
+            expected_first_event_ms: selected.expected_ms,
             last_event_at: None,
             max_event_gap: Duration::ZERO,
             events: 0,
             abandoned: false,
         });
-        self.part_index
-            .record_prompt(now, &record.prompt_parts, &picked.name);
+        self.prefix_cache
+            .record_prompt(now, &record.prompt_parts, &selected.name);
         self.rollouts
             .record_dispatch(&record.service, &state.entry.version);
         let order = DispatchOrder {
@@ -203,7 +203,7 @@
             attempt: record.attempts,
             service: record.service.clone(),
             priority: record.rank.route,
-            upstream: picked.name.clone(),
+            upstream: selected.name.clone(),
             address: state.entry.address,
             team: record.team.as_ref().map(|team| team.name.clone()),
             give_up_at: record.give_up_at,
@@ -212,12 +212,12 @@
         };
         let line = LogLine::new(LogLevel::Info, "request-dispatched")
             .with("request", &record.request_id)
-            .with("upstream", &picked.name)
+            .with("upstream", &selected.name)
             .with("send", record.attempts)
             .with("waited_ms", now.since(record.arrived_at).as_millis())
-            .with("expected_ms", format_args!("{:.0}", picked.expected_ms))
-            .with("score", format_args!("{:.0}", picked.score))
-            .with("occupied", picked.slots_in_use)
+            .with("expected_ms", format_args!("{:.0}", selected.expected_ms))
+            .with("score", format_args!("{:.0}", selected.score))
+            .with("occupied", selected.slots_in_use)
             .with("slots", state.entry.slots)
             .with("unread", state.unread_tokens)
             .with("cold_ms", state.cold_until.since(now).as_millis());
--- a/crates/savorywood-gateway/src/gateway/quarantine.rs
+++ b/crates/savorywood-gateway/src/gateway/quarantine.rs
@@ -29,20 +29,17 @@
         fingerprint: RequestFingerprint,
         team: Option<&TeamLabel>,
     ) -> Result<bool, Refusal> {
-        let (crashes, trial_at) = match self.quarantine.verdict(fingerprint) {
+        let (crashes, probe_at) = match self.quarantine.verdict(fingerprint) {
             QuarantineVerdict::Clear => return Ok(false),
-            QuarantineVerdict::Quarantined {
-                crashes,
-                probe_at: trial_at,
-            } => (crashes, trial_at),
+            QuarantineVerdict::Quarantined { crashes, probe_at } => (crashes, probe_at),
         };
         // If all daemons sent the probe at the same time, each could crash an upstream.
-        if now >= trial_at && self.leases.holds_key(now, fingerprint.as_u64()) {
+        if now >= probe_at && self.leases.holds_key(now, fingerprint.as_u64()) {
             self.quarantine.begin_probe(now, fingerprint);
             return Ok(true);
         }
         Err(Refusal {
-            retry_after: Some(trial_at.since(now).max(MIN_RETRY_AFTER)),
+            retry_after: Some(probe_at.since(now).max(MIN_RETRY_AFTER)),
             team: team.cloned(),
             crashes: Some(crashes),
             ..Refusal::new(RefusalReason::Quarantined)
@@ -61,9 +58,9 @@
     ) -> Duration {
         match self.quarantine.verdict(fingerprint) {
             QuarantineVerdict::Clear => MIN_RETRY_AFTER,
-            QuarantineVerdict::Quarantined {
-                probe_at: trial_at, ..
-            } => trial_at.since(now).max(MIN_RETRY_AFTER),
+            QuarantineVerdict::Quarantined { probe_at, .. } => {
+                probe_at.since(now).max(MIN_RETRY_AFTER)
+            }
         }
     }
 
--- a/crates/savorywood-gateway/src/gateway/stall_detection.rs
+++ b/crates/savorywood-gateway/src/gateway/stall_detection.rs
@@ -171,9 +171,11 @@
         let RequestState::Running(attempt) = record.state.clone() else {
             return;
         };
-        let mut excluded = record.attempted_upstreams.clone();
-        excluded.push(attempt.upstream.clone());
-        if self.pick_excluding(now, record, &excluded).is_err() || !self.spend_retry(now, request) {
+        let mut attempted = record.attempted_upstreams.clone();
+        attempted.push(attempt.upstream.clone());
+        if self.select_unattempted(now, record, &attempted).is_err()
+            || !self.spend_retry(now, request)
+        {
             return;
         }
         let Some(record) = self.requests.get_mut(&request) else {
