--- a/crates/savorywood-gateway/src/gateway/rate_limits.rs
+++ b/crates/savorywood-gateway/src/gateway/rate_limits.rs
@@ -32,12 +32,9 @@
             return;
         };
         // A response without a limit may have started before one that reports it.
-        let effective_at = if limit.is_some() { now } else { sent_at };
+        let observed_at = if limit.is_some() { now } else { sent_at };
         let previous = state.limit.limit();
-        let observation = LimitObservation {
-            limit,
-            observed_at: effective_at,
-        };
+        let observation = LimitObservation { limit, observed_at };
         if state
             .limit
             .observe(now, observation, ObservationSource::Own)
