--- a/crates/savorywood-gateway/src/peer.rs
+++ b/crates/savorywood-gateway/src/peer.rs
@@ -57,7 +57,7 @@
     pub received_at: MonotonicTime,
     /// Digest of the peer's host name.
     pub digest: u64,
-    /// Time at which messages resumed after the last gap that exceeded [`LIVENESS_TIMEOUT`].
+    /// Time at which messages resumed after the last gap that exceeded `LIVENESS_TIMEOUT`.
     resumed_at: Option<MonotonicTime>,
 }
 
@@ -103,7 +103,7 @@
         self.received_at = now;
     }
 
-    /// Returns whether a message was received within [`LIVENESS_TIMEOUT`].
+    /// Returns whether a message was received within `LIVENESS_TIMEOUT`.
     #[must_use]
     pub fn is_live(&self, now: MonotonicTime) -> bool {
         now.since(self.received_at) < LIVENESS_TIMEOUT
@@ -303,7 +303,7 @@
         peers.unwrap_or_default() >= MIN_EJECTING_PEERS
     }
 
-    /// Returns whether the peer with this host name was heard from within [`LIVENESS_TIMEOUT`].
+    /// Returns whether the peer with this host name was heard from within `LIVENESS_TIMEOUT`.
     #[must_use]
     pub fn is_live(&self, now: MonotonicTime, host: &str) -> bool {
         self.peers.get(host).is_some_and(|peer| peer.is_live(now))
@@ -407,7 +407,7 @@
         self.live_peers(now).any(|peer| peer.summary.zone == zone)
     }
 
-    /// Returns the peers that were heard from within [`LIVENESS_TIMEOUT`].
+    /// Returns the peers that were heard from within `LIVENESS_TIMEOUT`.
     pub fn live_peers(&self, now: MonotonicTime) -> impl Iterator<Item = &PeerState> {
         self.peers.values().filter(move |peer| peer.is_live(now))
     }
