--- a/crates/savorywood-gateway/src/gateway/state_updates.rs
+++ b/crates/savorywood-gateway/src/gateway/state_updates.rs
@@ -181,7 +181,7 @@
             return;
         }
         let was_live = self.peers.is_live(now, &summary.host);
-        if !self.peers.receive(now, summary.clone()) {
+        if !self.peers.record_summary(now, summary.clone()) {
             return;
         }
         self.contacts.record(
@@ -260,7 +260,7 @@
         effects: &mut GatewayEffects,
     ) {
         let zone = ZoneLabel::from(digest.zone.as_str());
-        match self.peers.receive_digest(now, digest.clone()) {
+        match self.peers.record_digest(now, digest.clone()) {
             DigestOutcome::Ignored => return,
             DigestOutcome::SameSender => {}
             DigestOutcome::NewSender { before } => {
--- a/crates/savorywood-gateway/src/peer.rs
+++ b/crates/savorywood-gateway/src/peer.rs
@@ -147,7 +147,7 @@
     }
 
     /// Records the summary of a peer. Returns false when a newer message was received already.
-    pub fn receive(&mut self, now: MonotonicTime, summary: PeerSummary) -> bool {
+    pub fn record_summary(&mut self, now: MonotonicTime, summary: PeerSummary) -> bool {
         let host = HostLabel::from(summary.host.as_str());
         let known = self.peers.get(&host).map(|peer| &peer.summary);
         let is_old = known.is_some_and(|known| {
@@ -176,7 +176,7 @@
     }
 
     /// Records the digest that a daemon of another zone sent about that zone.
-    pub fn receive_digest(&mut self, now: MonotonicTime, digest: ZoneDigest) -> DigestOutcome {
+    pub fn record_digest(&mut self, now: MonotonicTime, digest: ZoneDigest) -> DigestOutcome {
         let zone = ZoneLabel::from(digest.zone.as_str());
         if zone == self.own_zone {
             return DigestOutcome::Ignored;
