--- a/crates/savorywood-gateway/src/gateway.rs
+++ b/crates/savorywood-gateway/src/gateway.rs
@@ -1,20 +1,20 @@
-//! The whole gateway: one reducer over all events.
+//! The reducer of a gateway daemon: dispatches each event to the module that handles it.
 
 mod admission;
+mod completion;
 mod dispatch;
-mod ending;
 mod entry;
 mod evacuation;
+mod feedback;
 mod gossip;
-mod learning;
 mod quarantine;
 mod rate_limits;
-mod reading;
 mod record;
-mod restoring;
-mod returning;
-mod updates;
-mod watching;
+mod retry_after;
+mod stall_detection;
+mod state_updates;
+mod store_reads;
+mod store_restore;
 
 pub use gossip::GatewayStatus;
 
@@ -27,7 +27,7 @@
     entry_set::{EntrySet, HostResources, PeakLoad},
     evacuation::EvacuationOrder,
     event::GatewayEvent,
-    gossip::{ContactTable, SentSlots},
+    gossip::{ContactTable, LastSlotUpdate},
     label::{HostLabel, ServiceLabel, TeamLabel, ZoneLabel},
     lease::MemberLeases,
     message::SlotUse,
@@ -48,63 +48,65 @@
 use savorywood_protocol::MonotonicTime;
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
-/// Options of a gateway at its start.
+/// Options of a gateway, fixed at its start except for the bounds.
 #[derive(Debug, Clone)]
 pub struct GatewayOptions {
-    /// Own host.
+    /// Host of this daemon.
     pub host: HostLabel,
-    /// Own availability zone.
+    /// Availability zone of this daemon.
     pub zone: ZoneLabel,
-    /// This life; later ones are larger.
+    /// Incarnation of this daemon; that of a later start is larger.
     pub incarnation: u64,
-    /// Where other daemons reach this daemon.
+    /// Address at which other daemons reach this daemon.
     pub peer_address: SocketAddr,
-    /// Where callers reach this daemon.
+    /// Address at which callers reach this daemon.
     pub caller_address: SocketAddr,
-    /// The whole system starts for the first time.
+    /// The deployment starts for the first time, so no earlier usage or list of daemons exists.
     pub first_start: bool,
-    /// Bounds that must hold; they may change later.
+    /// Bounds from the settings; [`GatewayEvent::BoundsRead`] changes them.
     pub bounds: GatewayBounds,
-    /// Seed of all draws.
+    /// Seed of the random sequences.
     pub seed: u64,
-    /// What the choice of upstreams goes by.
+    /// Policy by which upstreams are selected.
     pub routing: RoutingPolicy,
-    /// What the host has for this process.
+    /// Resources of the host that this process may use.
     pub capacity: HostResources,
-    /// Regions of the zones.
+    /// Regions of the availability zones.
     pub regions: RegionMap,
 }
 
-/// Bounds that must hold.
+/// Bounds that the settings set.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct GatewayBounds {
-    /// A key must not work for longer than this after it was taken away; `None`: no such bound.
+    /// Maximum time for which a revoked key may keep working; `None` sets no bound.
     pub revocation_delay: Option<Duration>,
-    /// Bounds of second tries.
+    /// Bounds of retries.
     pub retry_budget: RetryBudgetOptions,
-    /// By how much teams may exceed their limits.
+    /// Amount by which teams may exceed their limits.
     pub limit_tolerance: LimitTolerance,
-    /// Share of traffic that an unproved version may get.
+    /// Fraction of a service's traffic, 0 to 1, that an unproven version may receive.
     pub max_canary_fraction: f64,
-    /// By how much cold upstreams' rates may be exceeded; `None`: no such bound is declared.
+    /// Amount by which the rates of cold upstreams may be exceeded; `None` sets no bound.
     pub warmup_tolerance: Option<WarmupTolerance>,
 }
 
-/// Bound of proofs where keys have none.
-const USUAL_PROOF_BOUND: Duration = Duration::from_secs(5);
+/// Maximum confirmation age when no bound for revoked keys is set.
+const DEFAULT_MAX_CONFIRMATION_AGE: Duration = Duration::from_secs(5);
 impl GatewayBounds {
-    /// Age at which a proof of the configuration is worth nothing.
+    /// Returns the time since the last confirmation after which the configuration held here is
+    /// unusable. The thresholds of readiness, refusals and reads are fractions of it.
     #[must_use]
     pub fn max_confirmation_age(&self) -> Duration {
-        self.revocation_delay.unwrap_or(USUAL_PROOF_BOUND)
+        self.revocation_delay
+            .unwrap_or(DEFAULT_MAX_CONFIRMATION_AGE)
     }
 }
 
-/// Evenly drawn numbers (SplitMix64).
+/// Uniformly distributed random numbers from 0 up to 1 (SplitMix64).
 #[derive(Debug, Clone)]
-struct DrawSequence(u64);
+struct RandomSequence(u64);
 
-impl DrawSequence {
+impl RandomSequence {
     fn next(&mut self) -> f64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.0;
@@ -115,73 +117,73 @@
     }
 }
 
-/// Decisions of one daemon.
+/// State of one daemon: requests, upstreams, peers and the configuration in force.
 #[derive(Debug)]
 pub struct Gateway {
     options: GatewayOptions,
-    draws: DrawSequence,
-    /// Draws for requests near a team's limit.
-    limit_draws: DrawSequence,
+    random: RandomSequence,
+    /// Separate sequence for requests near a team's limit; it differs between daemons.
+    limit_random: RandomSequence,
     config: Option<Arc<DeclaredConfig>>,
     fleet: UpstreamFleet,
     upstreams_read: bool,
-    proof_at: Option<MonotonicTime>,
+    confirmed_at: Option<MonotonicTime>,
     requests: BTreeMap<LocalRequest, RequestRecord>,
     queues: BTreeMap<ServiceLabel, WaitQueue>,
-    demands: BTreeMap<ServiceLabel, DemandTracker>,
-    parts: PrefixCacheIndex,
+    demand_trackers: BTreeMap<ServiceLabel, DemandTracker>,
+    prefix_cache: PrefixCacheIndex,
     peers: PeerTable,
     contacts: ContactTable,
     contacts_read: bool,
-    /// What this process uses of its host.
+    /// Resources that this process uses.
     load: HostResources,
-    /// Load of the own zone, remembered at its peak.
+    /// Recent peak load of the own zone.
     peak: PeakLoad,
     entry: EntrySet,
-    /// Daemons of all zones that the directory names.
+    /// Members of the entry sets of all zones.
     entry_daemons: usize,
-    entry_at: MonotonicTime,
-    /// What this daemon does for all.
+    entry_refreshed_at: MonotonicTime,
+    /// Leases that this daemon holds among all members of entry sets.
     leases: MemberLeases,
-    leases_at: MonotonicTime,
+    leases_refreshed_at: MonotonicTime,
     /// Requests under which upstreams crashed.
     quarantine: QuarantineTable,
     store_era: Option<u64>,
-    /// When the store was seen to have been restored.
-    restored_at: Option<MonotonicTime>,
-    /// Withdrawals of evacuations that a restored store may only seem to report.
-    withdrawals: Vec<EvacuationOrder>,
-    /// When this process went on after it was frozen.
+    /// Time at which a restore of the store was observed.
+    store_restored_at: Option<MonotonicTime>,
+    /// Withdrawals of evacuations that may only reflect rows lost in a restore of the store.
+    pending_withdrawals: Vec<EvacuationOrder>,
+    /// Time at which this process resumed after it was frozen.
     resumed_at: Option<MonotonicTime>,
-    reads: StoreReadTracker,
-    meters: BTreeMap<TeamLabel, TeamLimiter>,
-    budgets: BTreeMap<ServiceLabel, RetryBudget>,
+    store_reads: StoreReadTracker,
+    team_limiters: BTreeMap<TeamLabel, TeamLimiter>,
+    retry_budgets: BTreeMap<ServiceLabel, RetryBudget>,
     rollouts: RolloutTable,
     stopping: bool,
     ready_logged: bool,
     sequence: u64,
-    /// Slots as they were reported last.
-    sent_slots: Vec<SlotUse>,
-    /// Slots of the own zone as they were sent to other zones last.
-    sent_zone_slots: SentSlots,
+    /// Own slots in use as last sent.
+    last_sent_slots: Vec<SlotUse>,
+    /// Last update of the own zone's slots sent to other zones.
+    last_sent_zone_slots: LastSlotUpdate,
     dispatches: u64,
     started_at: Option<MonotonicTime>,
-    /// When running attempts were looked at last.
-    watched_at: Option<MonotonicTime>,
-    /// When this process was last seen to wake up.
-    awake_at: MonotonicTime,
+    /// Time of the last check for stalled attempts.
+    stalls_checked_at: Option<MonotonicTime>,
+    /// Time at which this process last woke from a suspension.
+    last_wake_at: MonotonicTime,
 }
 
-/// Effects of one step, in order.
+/// Effects of one step, in the order in which they are to be performed.
 pub type GatewayEffects = Vec<GatewayEffect>;
 
 impl Gateway {
-    /// A gateway that knows nothing yet.
+    /// Creates a gateway without configuration, upstreams or peers.
     #[must_use]
     pub fn new(options: GatewayOptions) -> Self {
         Self {
-            draws: DrawSequence(options.seed),
-            limit_draws: DrawSequence(options.seed ^ name_digest(options.host.as_str())),
+            random: RandomSequence(options.seed),
+            limit_random: RandomSequence(options.seed ^ name_digest(options.host.as_str())),
             peers: PeerTable::new(options.zone.clone()),
             contacts: ContactTable::new(options.peer_address, options.zone.clone()),
             contacts_read: false,
@@ -189,51 +191,53 @@
             peak: PeakLoad::default(),
             entry: EntrySet::default(),
             entry_daemons: 1,
-            entry_at: MonotonicTime::default(),
+            entry_refreshed_at: MonotonicTime::default(),
             leases: MemberLeases::default(),
-            leases_at: MonotonicTime::default(),
+            leases_refreshed_at: MonotonicTime::default(),
             quarantine: QuarantineTable::default(),
             store_era: None,
-            restored_at: None,
-            withdrawals: Vec::new(),
+            store_restored_at: None,
+            pending_withdrawals: Vec::new(),
             resumed_at: None,
-            reads: StoreReadTracker::default(),
+            store_reads: StoreReadTracker::default(),
             options,
             config: None,
             fleet: UpstreamFleet::default(),
             upstreams_read: false,
-            proof_at: None,
+            confirmed_at: None,
             requests: BTreeMap::new(),
             queues: BTreeMap::new(),
-            demands: BTreeMap::new(),
-            parts: PrefixCacheIndex::default(),
-            meters: BTreeMap::new(),
-            budgets: BTreeMap::new(),
+            demand_trackers: BTreeMap::new(),
+            prefix_cache: PrefixCacheIndex::default(),
+            team_limiters: BTreeMap::new(),
+            retry_budgets: BTreeMap::new(),
             rollouts: RolloutTable::default(),
             stopping: false,
             ready_logged: false,
             sequence: 0,
-            sent_slots: Vec::new(),
-            sent_zone_slots: SentSlots::default(),
+            last_sent_slots: Vec::new(),
+            last_sent_zone_slots: LastSlotUpdate::default(),
             dispatches: 0,
             started_at: None,
-            watched_at: None,
-            awake_at: MonotonicTime::default(),
+            stalls_checked_at: None,
+            last_wake_at: MonotonicTime::default(),
         }
     }
 
-    /// Handles one event; what is to be done is appended to `effects`.
+    /// Handles one event at the time `now` and appends the resulting effects to `effects`.
     pub fn step(&mut self, now: MonotonicTime, event: GatewayEvent, effects: &mut GatewayEffects) {
         match event {
             GatewayEvent::Arrived { request, arrival } => {
-                self.arrive(now, request, &arrival, effects);
+                self.handle_arrival(now, request, &arrival, effects);
+            }
+            GatewayEvent::CallerDisconnected(request) => {
+                self.caller_disconnected(now, request, effects);
             }
-            GatewayEvent::CallerDisconnected(request) => self.caller_left(now, request, effects),
             GatewayEvent::ResponseStarted { request, metadata } => {
-                self.answer_began(now, request, metadata, effects);
+                self.response_started(now, request, metadata, effects);
             }
             GatewayEvent::ResponseProgressed { request, events } => {
-                self.answer_moved(now, request, events);
+                self.response_progressed(now, request, events);
             }
             GatewayEvent::AttemptEnded { request, outcome } => {
                 self.attempt_ended(now, request, &outcome, effects);
@@ -243,8 +247,8 @@
             GatewayEvent::UpstreamWritten(entry) => self.upstream_written(now, entry, effects),
             GatewayEvent::UpstreamRemoved(name) => self.upstream_removed(now, &name, effects),
             GatewayEvent::ConfigConfirmed { at } => {
-                self.proof_at = Some(self.proof_at.map_or(at, |proof| proof.max(at)));
-                self.note_readiness(now, effects);
+                self.confirmed_at = Some(self.confirmed_at.map_or(at, |previous| previous.max(at)));
+                self.log_readiness_change(now, effects);
             }
             GatewayEvent::EvacuationOrdered(order) => self.evacuation_ordered(order, effects),
             GatewayEvent::EvacuationWithdrawn(order) => {
@@ -253,16 +257,16 @@
             GatewayEvent::EvacuationsRead { orders, revision } => {
                 self.evacuations_read(now, orders, revision, effects);
             }
-            GatewayEvent::StoreEraObserved(era) => self.store_era_seen(now, era, effects),
+            GatewayEvent::StoreEraObserved(era) => self.store_era_observed(now, era, effects),
             GatewayEvent::BoundsRead(bounds) => self.bounds_read(now, bounds, effects),
             GatewayEvent::TableRead {
                 table,
                 position,
                 confirmed_at,
-            } => self.reads.record_read(table, position, confirmed_at),
+            } => self.store_reads.record_read(table, position, confirmed_at),
             GatewayEvent::StoreFailed => {
                 self.fleet.record_store_failure(now);
-                self.reads.record_store_failure(now);
+                self.store_reads.record_store_failure(now);
             }
             GatewayEvent::RolloutOrdered(order) => self.rollout_ordered(now, order, effects),
             GatewayEvent::RolloutStatusRead(status) => self.rollouts.apply_status(&status),
@@ -278,11 +282,11 @@
             GatewayEvent::DigestReceived(digest) => self.digest_received(now, *digest, effects),
             GatewayEvent::SlotsReceived(update) => {
                 if self.peers.apply_slot_update(now, update) {
-                    self.pump_all(now, effects);
+                    self.dispatch_all_waiting(now, effects);
                 }
             }
-            GatewayEvent::HeartbeatReceived(beat) => {
-                self.peers.apply_heartbeat(now, beat);
+            GatewayEvent::HeartbeatReceived(heartbeat) => {
+                self.peers.apply_heartbeat(now, heartbeat);
             }
             GatewayEvent::CrashesReported(gossip) => self.crashes_reported(now, &gossip, effects),
             GatewayEvent::LimitsReported(gossip) => self.limits_reported(now, &gossip, effects),
@@ -296,7 +300,7 @@
                 self.quarantine.record_write(&write, accepted);
             }
             GatewayEvent::LoadMeasured(load) => self.load = load,
-            GatewayEvent::SeedsRead(contacts) => self.learn_contacts(now, contacts),
+            GatewayEvent::SeedsRead(contacts) => self.record_contacts(now, contacts),
             GatewayEvent::ContactsRead(contacts) => self.contacts_read(now, contacts, effects),
             GatewayEvent::PeerEnded(host) => self.peers.remove(&host),
             GatewayEvent::Tick => self.tick(now, effects),
@@ -310,69 +314,69 @@
         }
     }
 
-    /// Configuration in force.
+    /// Returns the configuration in force; `None` before the first read.
     #[must_use]
     pub fn config(&self) -> Option<&Arc<DeclaredConfig>> {
         self.config.as_ref()
     }
 
-    /// Upstreams as known.
+    /// Returns the registered upstreams and their observed state.
     #[must_use]
     pub fn fleet(&self) -> &UpstreamFleet {
         &self.fleet
     }
 
-    /// Peers as known.
+    /// Returns the state received from peers.
     #[must_use]
     pub fn peers(&self) -> &PeerTable {
         &self.peers
     }
 
-    /// There are so many daemons that zones exchange digests.
+    /// Returns whether there are so many daemons that zones exchange digests.
     #[must_use]
     pub fn uses_zone_digests(&self) -> bool {
         self.contacts.uses_zone_digests()
     }
 
-    /// Requests that wait or run.
+    /// Returns the number of requests that wait or run.
     #[must_use]
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Requests that wait for a place.
+    /// Returns the number of requests that wait for a free slot.
     #[must_use]
     pub fn waiting_requests(&self) -> usize {
         self.queues.values().map(WaitQueue::len).sum()
     }
 
-    /// A roll-out is under way, or its end is not in the store yet.
+    /// Returns whether a roll-out is in progress, or its final status is not in the store yet.
     #[must_use]
     pub fn has_active_rollouts(&self) -> bool {
         self.rollouts.is_active()
     }
 
-    fn trial(&self) -> CanaryOptions {
+    fn canary_options(&self) -> CanaryOptions {
         CanaryOptions {
             share: self.options.bounds.max_canary_fraction,
         }
     }
 
     fn tick(&mut self, now: MonotonicTime, effects: &mut GatewayEffects) {
-        self.note_readiness(now, effects);
+        self.log_readiness_change(now, effects);
         self.peers.refresh(now);
         self.refresh_entry(now, effects);
         self.refill_limits(now);
-        self.reads.expire(now);
+        self.store_reads.expire(now);
         self.expire_waiting(now, effects);
-        self.watch_silence(now, effects);
-        self.pump_all(now, effects);
+        self.detect_stalls(now, effects);
+        self.dispatch_all_waiting(now, effects);
         self.fleet.remove_ended(now);
         self.quarantine.evict_expired(now);
         self.write_quarantine(now, effects);
         self.apply_withdrawals(now, effects);
-        let leads = self.leads(now);
-        for write in self.rollouts.advance(now, leads) {
+        let is_leader = self.is_leader(now);
+        for write in self.rollouts.advance(now, is_leader) {
             let line = LogLine::new(LogLevel::Info, "rollout-step")
                 .with("service", &write.service)
                 .with("to", &write.target_version)
--- a/crates/savorywood-gateway/src/gateway/admission.rs
+++ b/crates/savorywood-gateway/src/gateway/admission.rs
@@ -1,8 +1,8 @@
-//! Arrivals: what is checked before a request is scheduled.
+//! Admission of arriving requests: routing, authentication, quarantine and limits of teams.
 
 use super::{
     Gateway, GatewayEffects,
-    record::{RequestPlace, RequestRecord},
+    record::{RequestRecord, RequestState},
 };
 use crate::{
     arrival::{LocalRequest, RequestArrival},
@@ -19,60 +19,63 @@
 use savorywood_protocol::MonotonicTime;
 use std::{sync::Arc, time::Duration};
 
-/// Part of the bound after which keys are confirmed no more. The rest covers a feed that was deaf
-/// for a second before its history was dropped: until then its empty answers prove too much.
-const KEY_PART: f64 = 0.76;
-/// Part of the bound after which a daemon sends no "no such route" and no "unknown key".
-const DENIAL_PART: f64 = 0.5;
-/// When to come back to a daemon that can't confirm its configuration; another address is better.
-const STALE_RETRY: Duration = Duration::from_millis(200);
-/// Time kept for the final answer's way to the caller.
-const ANSWER_MARGIN: Duration = Duration::from_millis(25);
-/// Longest time for a request that names no deadline on a route without a time limit.
-const LONGEST_TIME: Duration = Duration::from_secs(600);
+/// Fraction of the maximum confirmation age after which keys are no longer accepted. The rest
+/// covers a feed that had received no changes for a second before its history was dropped: until
+/// then its empty responses confirm too much.
+const KEY_CONFIRMATION_FRACTION: f64 = 0.76;
+/// Fraction of the maximum confirmation age after which a daemon no longer responds that there is
+/// no such route or that the key is unknown.
+const REFUSAL_CONFIRMATION_FRACTION: f64 = 0.5;
+/// Retry-after delay of a daemon that cannot confirm its configuration; the caller should retry at
+/// another address.
+const UNCONFIRMED_RETRY_AFTER: Duration = Duration::from_millis(200);
+/// Time reserved for sending the final response to the caller.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(25);
+/// Timeout of a request without a deadline on a route without a timeout.
+const MAX_REQUEST_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// A refusal and when to come back.
-pub struct Denial {
-    /// Why.
+/// Refusal of an arriving request.
+pub struct Refusal {
+    /// Reason of the refusal.
     pub reason: RefusalReason,
-    /// When to come back.
+    /// Retry-after delay sent to the caller; absent when none can be recommended.
     pub retry_after: Option<Duration>,
-    /// Team of the key, where it was known.
+    /// Team of the API key, if it was determined before the refusal.
     pub team: Option<TeamLabel>,
-    /// What decided, where the team is over its limit.
-    pub meter: Option<MeterFigures>,
-    /// Upstreams that crashed under requests that asked the same.
+    /// State of the team's limiter, if the team has exceeded its limit.
+    pub limiter: Option<LimiterSnapshot>,
+    /// Number of crashes recorded for the fingerprint, if the request is quarantined.
     pub crashes: Option<u32>,
 }
 
-/// A team's meter at a refusal.
+/// State of a team's limiter at the time of a refusal.
 #[derive(Debug, Clone, Copy)]
-pub struct MeterFigures {
+pub struct LimiterSnapshot {
     limit: TeamLimit,
     levels: BucketLevels,
 }
 
-impl Denial {
-    pub(super) fn of(reason: RefusalReason) -> Self {
+impl Refusal {
+    pub(super) fn new(reason: RefusalReason) -> Self {
         Self {
             reason,
             retry_after: None,
             team: None,
-            meter: None,
+            limiter: None,
             crashes: None,
         }
     }
 
-    fn stale() -> Self {
+    fn unconfirmed() -> Self {
         Self {
-            retry_after: Some(STALE_RETRY),
-            ..Self::of(RefusalReason::NotReady)
+            retry_after: Some(UNCONFIRMED_RETRY_AFTER),
+            ..Self::new(RefusalReason::NotReady)
         }
     }
 }
 
 impl Gateway {
-    pub(super) fn arrive(
+    pub(super) fn handle_arrival(
         &mut self,
         now: MonotonicTime,
         request: LocalRequest,
@@ -81,9 +84,9 @@
     ) {
         match self.admit(now, request, arrival) {
             Ok(mut record) => {
-                record.leave_at = record.leave_time(now);
+                record.caller_timeout_at = record.caller_timeout_after(now);
                 let line = LogLine::new(LogLevel::Info, "request-admitted")
-                    .with("request", &record.identity)
+                    .with("request", &record.request_id)
                     .with("fingerprint", record.fingerprint)
                     .with("route", &record.route.name)
                     .with("service", &record.service)
@@ -93,20 +96,20 @@
                     )
                     .with("rank", record.rank.route)
                     .with("prompt", record.size.prompt_tokens)
-                    .with("units", record.units)
+                    .with("units", record.charged_units)
                     .with("give_up_ms", record.give_up_at.since(now).as_millis())
                     .with("config", self.config_version())
-                    .with("proof_age_ms", self.proof_age(now).as_millis());
+                    .with("proof_age_ms", self.time_since_confirmed(now).as_millis());
                 effects.push(GatewayEffect::Log(line));
                 let service = record.service.clone();
-                self.budgets
+                self.retry_budgets
                     .entry(service.clone())
                     .or_default()
                     .record_request(now);
-                let demand = self.demands.entry(service.clone()).or_default();
+                let demand = self.demand_trackers.entry(service.clone()).or_default();
                 demand.record_arrival(now, record.rank);
                 self.enqueue(request, record);
-                self.pump(now, &service, effects);
+                self.dispatch_waiting(now, &service, effects);
             }
             Err(denial) => {
                 let mut line = LogLine::new(LogLevel::Info, "request-refused")
@@ -123,13 +126,13 @@
                         denial.retry_after.unwrap_or_default().as_millis(),
                     )
                     .with("config", self.config_version())
-                    .with("proof_age_ms", self.proof_age(now).as_millis());
-                if let Some(meter) = denial.meter {
+                    .with("proof_age_ms", self.time_since_confirmed(now).as_millis());
+                if let Some(limiter) = denial.limiter {
                     line = line
-                        .with("level", meter.levels.strict)
-                        .with("tolerated", meter.levels.tolerated)
-                        .with("per_second", meter.limit.per_second)
-                        .with("burst", meter.limit.burst);
+                        .with("level", limiter.levels.strict)
+                        .with("tolerated", limiter.levels.tolerated)
+                        .with("per_second", limiter.limit.per_second)
+                        .with("burst", limiter.limit.burst);
                 }
                 if let Some(crashes) = denial.crashes {
                     line = line.with("crashes", crashes);
@@ -148,17 +151,21 @@
         self.config.as_ref().map_or(0, |config| config.version)
     }
 
-    /// Age of the newest proof that the configuration is the store's.
-    pub(super) fn proof_age(&self, now: MonotonicTime) -> Duration {
-        let proof = self.proof_at.map(|at| now.since(at));
-        proof.unwrap_or(Duration::from_secs(3_600))
+    /// Returns the time since the store last confirmed the configuration held here.
+    pub(super) fn time_since_confirmed(&self, now: MonotonicTime) -> Duration {
+        let age = self.confirmed_at.map(|at| now.since(at));
+        age.unwrap_or(Duration::from_secs(3_600))
     }
 
-    /// A key that was taken away must not work here after the bound, also when this daemon can't
-    /// learn of it: cut off from the store it would let a shut-out caller in for ever.
-    pub(super) fn keys_are_confirmed(&self, now: MonotonicTime) -> bool {
+    /// Returns whether the keys held here were confirmed recently enough to be accepted.
+    ///
+    /// A revoked key must not be accepted after the bound, even when this daemon cannot read the
+    /// revocation: without the bound, a daemon cut off from the store would accept it indefinitely.
+    pub(super) fn are_keys_confirmed(&self, now: MonotonicTime) -> bool {
         let bound = self.options.bounds.revocation_delay;
-        bound.is_none_or(|bound| self.proof_age(now) < bound.mul_f64(KEY_PART))
+        bound.is_none_or(|bound| {
+            self.time_since_confirmed(now) < bound.mul_f64(KEY_CONFIRMATION_FRACTION)
+        })
     }
 
     fn admit(
@@ -166,98 +173,98 @@
         now: MonotonicTime,
         request: LocalRequest,
         arrival: &RequestArrival,
-    ) -> Result<RequestRecord, Denial> {
-        let known = self.upstreams_read && self.knows_members();
-        let config = self.config.clone().filter(|_| known);
-        let config = config.ok_or_else(Denial::stale)?;
-        let route = self.find_route(now, &config, arrival)?;
-        let team = self.find_team(now, &config, &route, arrival)?;
+    ) -> Result<RequestRecord, Refusal> {
+        let is_initialized = self.upstreams_read && self.has_peer_list();
+        let config = self.config.clone().filter(|_| is_initialized);
+        let config = config.ok_or_else(Refusal::unconfirmed)?;
+        let route = self.match_route(now, &config, arrival)?;
+        let team = self.authenticate(now, &config, &route, arrival)?;
         let team_name = team.as_ref().map(|team| &team.name);
         let fingerprint = RequestFingerprint::new(arrival.content_digest, team_name);
-        let is_trial = self.pass_quarantine(now, fingerprint, team_name)?;
-        let draw = self.draws.next();
-        let service = route.choose_service(draw).cloned();
-        let service = service.ok_or_else(|| Denial::of(RefusalReason::NoUpstream))?;
-        let mut units = 0.0;
+        let is_probe = self.check_quarantine(now, fingerprint, team_name)?;
+        let sample = self.random.next();
+        let service = route.choose_service(sample).cloned();
+        let service = service.ok_or_else(|| Refusal::new(RefusalReason::NoUpstream))?;
+        let mut charged_units = 0.0;
         if let Some(team) = &team {
-            units = self.take_units(now, team, &route, arrival, &service)?;
+            charged_units = self.charge_team(now, team, &route, arrival, &service)?;
         }
-        let deadline = arrival.deadline.unwrap_or(LONGEST_TIME);
-        let longest = deadline.min(route.timeout.unwrap_or(LONGEST_TIME));
+        let deadline = arrival.deadline.unwrap_or(MAX_REQUEST_TIMEOUT);
+        let timeout = deadline.min(route.timeout.unwrap_or(MAX_REQUEST_TIMEOUT));
         let size = arrival.size.unwrap_or_default();
         let rank = RequestRank {
             team: team.as_ref().and_then(|team| team.priority).unwrap_or(0),
             route: route.priority,
         };
         let expected = Duration::from_secs_f64(nominal_first_event_ms(size.prompt_tokens) / 1e3);
-        let give_up_at = now + longest.saturating_sub(ANSWER_MARGIN);
-        let begin_by = now + route.objective.saturating_sub(expected);
+        let give_up_at = now + timeout.saturating_sub(RESPONSE_MARGIN);
+        let start_by = now + route.objective.saturating_sub(expected);
         Ok(RequestRecord {
-            identity: arrival.request_id.clone(),
+            request_id: arrival.request_id.clone(),
             fingerprint,
-            is_trial,
+            is_probe,
             service,
             team,
-            units,
+            charged_units,
             rank,
             size,
-            output: arrival
+            expected_output_tokens: arrival
                 .expected_output_tokens
                 .unwrap_or(size.max_output_tokens),
-            parts: arrival.prompt_parts.clone(),
+            prompt_parts: arrival.prompt_parts.clone(),
             arrived_at: now,
             give_up_at,
-            leave_at: give_up_at,
-            place: RequestPlace::Waiting(QueuePosition {
+            caller_timeout_at: give_up_at,
+            state: RequestState::Waiting(QueuePosition {
                 rank,
-                start_by: begin_by,
+                start_by,
                 request,
             }),
-            tried: Vec::new(),
-            sends: 0,
-            runs: 0,
-            has_failure: false,
-            has_try: false,
-            has_begun: false,
+            attempted_upstreams: Vec::new(),
+            attempts: 0,
+            executions: 0,
+            has_upstream_failure: false,
+            has_reserved_retry: false,
+            response_started: false,
             route,
         })
     }
 
-    fn find_route(
+    fn match_route(
         &self,
         now: MonotonicTime,
         config: &DeclaredConfig,
         arrival: &RequestArrival,
-    ) -> Result<Arc<RouteSpec>, Denial> {
+    ) -> Result<Arc<RouteSpec>, Refusal> {
         let route = config.route(&arrival.host, &arrival.path);
         route
             .cloned()
-            .ok_or_else(|| self.deny(now, RefusalReason::NoRoute))
+            .ok_or_else(|| self.final_refusal(now, RefusalReason::NoRoute))
     }
 
-    /// "There is no such thing" is final for a caller: a daemon that may have missed the newest
-    /// configuration says "not ready" in its place.
-    fn deny(&self, now: MonotonicTime, reason: RefusalReason) -> Denial {
-        if self.proof_age(now)
+    /// Builds a refusal that is final for the caller. A daemon that may have missed the newest
+    /// configuration responds "not ready" instead.
+    fn final_refusal(&self, now: MonotonicTime, reason: RefusalReason) -> Refusal {
+        if self.time_since_confirmed(now)
             < self
                 .options
                 .bounds
                 .max_confirmation_age()
-                .mul_f64(DENIAL_PART)
+                .mul_f64(REFUSAL_CONFIRMATION_FRACTION)
         {
-            Denial::of(reason)
+            Refusal::new(reason)
         } else {
-            Denial::stale()
+            Refusal::unconfirmed()
         }
     }
 
-    fn find_team(
+    fn authenticate(
         &self,
         now: MonotonicTime,
         config: &DeclaredConfig,
         route: &RouteSpec,
         arrival: &RequestArrival,
-    ) -> Result<Option<Arc<TeamSpec>>, Denial> {
+    ) -> Result<Option<Arc<TeamSpec>>, Refusal> {
         let team = arrival
             .api_key
             .as_deref()
@@ -265,26 +272,26 @@
         if route.public || !config.requires_keys() {
             return Ok(team.cloned());
         }
-        if !self.keys_are_confirmed(now) {
-            return Err(Denial::stale());
+        if !self.are_keys_confirmed(now) {
+            return Err(Refusal::unconfirmed());
         }
-        let team = team.ok_or_else(|| self.deny(now, RefusalReason::UnknownKey))?;
+        let team = team.ok_or_else(|| self.final_refusal(now, RefusalReason::UnknownKey))?;
         Ok(Some(Arc::clone(team)))
     }
 
-    fn take_units(
+    fn charge_team(
         &mut self,
         now: MonotonicTime,
         team: &TeamSpec,
         route: &RouteSpec,
         arrival: &RequestArrival,
         service: &ServiceLabel,
-    ) -> Result<f64, Denial> {
+    ) -> Result<f64, Refusal> {
         let Some(limit) = team.limit else {
             return Ok(0.0);
         };
-        // Beyond its limit a team gets only what nobody else waits for.
-        let idle = self
+        // Above its limit a team is admitted only while no other request of the service waits.
+        let queue_is_empty = self
             .queues
             .get(service)
             .is_none_or(|queue| queue.len() == 0);
@@ -296,43 +303,43 @@
         } else {
             1.0
         };
-        let fresh = self.options.first_start;
+        let is_first_start = self.options.first_start;
         let tolerance = self.options.bounds.limit_tolerance;
-        let meter = self
-            .meters
+        let limiter = self
+            .team_limiters
             .entry(team.name.clone())
-            .or_insert_with(|| TeamLimiter::new(now, limit, tolerance, fresh));
+            .or_insert_with(|| TeamLimiter::new(now, limit, tolerance, is_first_start));
         let query = LimitQuery {
             units,
             rank: route.priority,
-            sample: self.limit_draws.next(),
+            sample: self.limit_random.next(),
         };
-        let verdict = meter.check(now, &query);
-        let refused = match verdict {
+        let verdict = limiter.check(now, &query);
+        let is_refused = match verdict {
             LimitVerdict::Within => false,
-            LimitVerdict::Tolerated => !idle,
+            LimitVerdict::Tolerated => !queue_is_empty,
             LimitVerdict::Exceeded { .. } => true,
         };
-        if refused {
-            return Err(Denial {
+        if is_refused {
+            return Err(Refusal {
                 reason: RefusalReason::OverLimit,
-                retry_after: Some(meter.retry_after()),
+                retry_after: Some(limiter.retry_after()),
                 team: Some(team.name.clone()),
-                meter: Some(MeterFigures {
+                limiter: Some(LimiterSnapshot {
                     limit,
-                    levels: meter.levels(),
+                    levels: limiter.levels(),
                 }),
                 crashes: None,
             });
         }
-        meter.charge(units, verdict);
+        limiter.charge(units, verdict);
         Ok(units)
     }
 
     fn enqueue(&mut self, request: LocalRequest, record: RequestRecord) {
-        if let RequestPlace::Waiting(place) = &record.place {
+        if let RequestState::Waiting(position) = &record.state {
             let queue = self.queues.entry(record.service.clone()).or_default();
-            queue.insert(*place);
+            queue.insert(*position);
         }
         self.requests.insert(request, record);
     }
--- a/crates/savorywood-gateway/src/gateway/ending.rs
+++ b/crates/savorywood-gateway/src/gateway/completion.rs
@@ -1,9 +1,9 @@
-//! Attempts end, and what becomes of the request.
+//! Completion of attempts: retries, final responses and the end of requests.
 
 use super::{
     Gateway, GatewayEffects,
-    dispatch::MAX_SENDS,
-    record::{RequestPlace, RunningAttempt},
+    dispatch::MAX_ATTEMPTS,
+    record::{RequestState, RunningAttempt},
 };
 use crate::{
     arrival::LocalRequest, effect::GatewayEffect, event::AttemptOutcome, label::ServiceLabel,
@@ -13,7 +13,7 @@
 use savorywood_protocol::MonotonicTime;
 
 impl Gateway {
-    pub(super) fn caller_left(
+    pub(super) fn caller_disconnected(
         &mut self,
         now: MonotonicTime,
         request: LocalRequest,
@@ -22,12 +22,12 @@
         let Some(record) = self.requests.get(&request) else {
             return;
         };
-        match &record.place {
-            RequestPlace::Waiting(_) => {
-                self.give_units_back(request);
+        match &record.state {
+            RequestState::Waiting(_) => {
+                self.refund_units(request);
                 self.close(now, request, "caller-left", effects);
             }
-            RequestPlace::Running(_) => {
+            RequestState::Running(_) => {
                 self.attempt_ended(now, request, &AttemptOutcome::CallerDisconnected, effects);
             }
         }
@@ -43,19 +43,19 @@
         let Some(record) = self.requests.get(&request) else {
             return;
         };
-        let RequestPlace::Running(attempt) = record.place.clone() else {
+        let RequestState::Running(attempt) = record.state.clone() else {
             return;
         };
         let service = record.service.clone();
-        self.log_broken(request, &attempt, outcome, effects);
-        self.release(now, request, &attempt, outcome, effects);
-        self.note_crash(now, request, &attempt, outcome, effects);
-        self.decide(now, request, &attempt, outcome, effects);
-        self.pump(now, &service, effects);
+        self.log_interruption(request, &attempt, outcome, effects);
+        self.release_slot(now, request, &attempt, outcome, effects);
+        self.record_crash(now, request, &attempt, outcome, effects);
+        self.retry_or_finish(now, request, &attempt, outcome, effects);
+        self.dispatch_waiting(now, &service, effects);
     }
 
-    /// Logs what an upstream ended under: which request, beside how many other requests.
-    fn log_broken(
+    /// Logs an interrupted attempt with the number of concurrent requests at the upstream.
+    fn log_interruption(
         &self,
         request: LocalRequest,
         attempt: &RunningAttempt,
@@ -70,21 +70,22 @@
             return;
         };
         let state = self.fleet.get(&attempt.upstream);
-        let own = state.map_or(0, |state| state.running.saturating_sub(1));
-        let peers = state.map_or(0, |state| self.peers.slots_by_digest(state.digest).running);
+        let own_concurrent = state.map_or(0, |state| state.running.saturating_sub(1));
+        let peer_concurrent =
+            state.map_or(0, |state| self.peers.slots_by_digest(state.digest).running);
         let line = LogLine::new(LogLevel::Info, "attempt-broken")
-            .with("request", &record.identity)
+            .with("request", &record.request_id)
             .with("fingerprint", record.fingerprint)
             .with("upstream", &attempt.upstream)
             .with("cause", outcome.name())
             .with("events", attempt.events)
-            .with("beside_own", own)
-            .with("beside_peers", peers);
+            .with("beside_own", own_concurrent)
+            .with("beside_peers", peer_concurrent);
         effects.push(GatewayEffect::Log(line));
     }
 
-    /// Sends the request once more, or gives it its final answer.
-    fn decide(
+    /// Retries the request or gives it its final response.
+    fn retry_or_finish(
         &mut self,
         now: MonotonicTime,
         request: LocalRequest,
@@ -95,55 +96,61 @@
         let Some(record) = self.requests.get_mut(&request) else {
             return;
         };
-        record.tried.push(attempt.upstream.clone());
+        record.attempted_upstreams.push(attempt.upstream.clone());
         match outcome {
             AttemptOutcome::Delivered { .. } => return self.close(now, request, "served", effects),
             AttemptOutcome::CallerDisconnected => {
                 return self.close(now, request, "caller-left", effects);
             }
             AttemptOutcome::NotSent => {
-                if record.sends < MAX_SENDS {
+                if record.attempts < MAX_ATTEMPTS {
                     return self.requeue(now, request, outcome, effects);
                 }
                 return self.finish(now, request, RefusalReason::NoUpstream, effects);
             }
             AttemptOutcome::NotRun { .. } => {
-                if record.sends < MAX_SENDS && self.spend_try(now, request) {
+                if record.attempts < MAX_ATTEMPTS && self.spend_retry(now, request) {
                     return self.requeue(now, request, outcome, effects);
                 }
                 return self.finish(now, request, RefusalReason::NotRun, effects);
             }
             AttemptOutcome::Expired => {
-                record.runs += 1;
+                record.executions += 1;
                 return self.finish(now, request, RefusalReason::ExpiredUnknown, effects);
             }
             AttemptOutcome::Failed { .. } => {
-                record.runs += 1;
-                record.has_failure = true;
+                record.executions += 1;
+                record.has_upstream_failure = true;
+            }
+            AttemptOutcome::Broken { .. } | AttemptOutcome::StreamBroken(_) => {
+                record.executions += 1;
             }
-            AttemptOutcome::Broken { .. } | AttemptOutcome::StreamBroken(_) => record.runs += 1,
         }
-        let again = record.may_run_again() && record.sends < MAX_SENDS;
+        let may_retry = record.allows_another_execution() && record.attempts < MAX_ATTEMPTS;
         let fingerprint = record.fingerprint;
-        if again && !self.is_quarantined(fingerprint) && self.spend_try(now, request) {
+        if may_retry && !self.is_quarantined(fingerprint) && self.spend_retry(now, request) {
             return self.requeue(now, request, outcome, effects);
         }
         self.finish(now, request, RefusalReason::IncompleteResponse, effects);
     }
 
-    pub(super) fn spend_try(&mut self, now: MonotonicTime, request: LocalRequest) -> bool {
+    pub(super) fn spend_retry(&mut self, now: MonotonicTime, request: LocalRequest) -> bool {
         let Some(record) = self.requests.get_mut(&request) else {
             return false;
         };
-        if std::mem::take(&mut record.has_try) {
+        if std::mem::take(&mut record.has_reserved_retry) {
             return true;
         }
         let daemons = self.peers.peer_count(now) + 1;
-        let budget = self.budgets.entry(record.service.clone()).or_default();
+        let budget = self
+            .retry_budgets
+            .entry(record.service.clone())
+            .or_default();
         budget.try_acquire(now, &self.options.bounds.retry_budget, daemons)
     }
 
-    /// Puts a request back into its queue; it has waited and goes first in its rank.
+    /// Returns a request to its queue, ahead of the requests of its rank that have not been
+    /// attempted.
     fn requeue(
         &mut self,
         now: MonotonicTime,
@@ -154,30 +161,30 @@
         let Some(record) = self.requests.get_mut(&request) else {
             return;
         };
-        if let RequestPlace::Running(attempt) = &record.place
-            && let Some(moved_at) = attempt.moved_at
+        if let RequestState::Running(attempt) = &record.state
+            && let Some(last_event_at) = attempt.last_event_at
         {
-            // Its caller's timeout begins anew with each event.
-            record.leave_at = record.leave_time(moved_at);
+            // The caller's timeout restarts with each event.
+            record.caller_timeout_at = record.caller_timeout_after(last_event_at);
         }
-        let place = QueuePosition {
+        let position = QueuePosition {
             rank: record.rank,
             start_by: now,
             request,
         };
-        record.place = RequestPlace::Waiting(place);
+        record.state = RequestState::Waiting(position);
         let line = LogLine::new(LogLevel::Info, "request-again")
-            .with("request", &record.identity)
+            .with("request", &record.request_id)
             .with("after", outcome.name())
-            .with("sends", record.sends)
-            .with("runs", record.runs);
+            .with("sends", record.attempts)
+            .with("runs", record.executions);
         effects.push(GatewayEffect::Log(line));
         let queue = self.queues.entry(record.service.clone()).or_default();
-        queue.insert(place);
+        queue.insert(position);
     }
 
-    /// Gives a request its final answer. This is the one place that decides which statuses are
-    /// true: what may have run is never refused as not run.
+    /// Gives a request its final response. No other function decides what the response states about
+    /// execution: a request that may have been executed is never refused as not executed.
     pub(super) fn finish(
         &mut self,
         now: MonotonicTime,
@@ -188,24 +195,24 @@
         let Some(record) = self.requests.get(&request) else {
             return;
         };
-        if record.has_begun {
+        if record.response_started {
             effects.push(GatewayEffect::AbortResponse { request });
             return self.close(now, request, "broken-off", effects);
         }
-        if record.has_failure {
+        if record.has_upstream_failure {
             effects.push(GatewayEffect::ForwardFailure { request });
             return self.close(now, request, "failure-passed", effects);
         }
-        let reason = match (record.runs > 0, reason.guarantees_not_executed()) {
+        let reason = match (record.executions > 0, reason.guarantees_not_executed()) {
             (true, true) if reason == RefusalReason::ExpiredUnsent => RefusalReason::ExpiredUnknown,
             (true, true) => RefusalReason::IncompleteResponse,
             _ => reason,
         };
         let retry_after = reason
             .guarantees_not_executed()
-            .then(|| self.return_time(now, request, reason));
+            .then(|| self.retry_after_delay(now, request, reason));
         if reason.guarantees_not_executed() {
-            self.give_units_back(request);
+            self.refund_units(request);
         }
         effects.push(GatewayEffect::Refuse {
             request,
@@ -215,15 +222,15 @@
         self.close(now, request, reason.into(), effects);
     }
 
-    fn give_units_back(&mut self, request: LocalRequest) {
+    fn refund_units(&mut self, request: LocalRequest) {
         let Some(record) = self.requests.get(&request) else {
             return;
         };
         if let Some(team) = &record.team
-            && record.runs == 0
-            && let Some(meter) = self.meters.get_mut(&team.name)
+            && record.executions == 0
+            && let Some(limiter) = self.team_limiters.get_mut(&team.name)
         {
-            meter.refund(record.units);
+            limiter.refund(record.charged_units);
         }
     }
 
@@ -231,37 +238,40 @@
         &mut self,
         now: MonotonicTime,
         request: LocalRequest,
-        end: &'static str,
+        outcome: &'static str,
         effects: &mut GatewayEffects,
     ) {
         let Some(record) = self.requests.remove(&request) else {
             return;
         };
-        if let RequestPlace::Waiting(place) = &record.place {
-            self.unqueue(&record.service, place);
+        if let RequestState::Waiting(position) = &record.state {
+            self.remove_from_queue(&record.service, position);
         }
         let mut line = LogLine::new(LogLevel::Info, "request-ended")
-            .with("request", &record.identity)
-            .with("end", end)
+            .with("request", &record.request_id)
+            .with("end", outcome)
             .with("took_ms", now.since(record.arrived_at).as_millis())
-            .with("sends", record.sends)
-            .with("runs", record.runs);
-        if let RequestPlace::Running(attempt) = &record.place {
+            .with("sends", record.attempts)
+            .with("runs", record.executions);
+        if let RequestState::Running(attempt) = &record.state {
             line = line.with("upstream", &attempt.upstream);
-            if let Some(began_at) = attempt.began_at {
+            if let Some(first_event_at) = attempt.first_event_at {
                 line = line
-                    .with("first_ms", began_at.since(record.arrived_at).as_millis())
-                    .with("pause_ms", attempt.longest_pause.as_millis())
+                    .with(
+                        "first_ms",
+                        first_event_at.since(record.arrived_at).as_millis(),
+                    )
+                    .with("pause_ms", attempt.max_event_gap.as_millis())
                     .with("events", attempt.events)
-                    .with("guess", record.output);
+                    .with("guess", record.expected_output_tokens);
             }
         }
         effects.push(GatewayEffect::Log(line));
     }
 
-    fn unqueue(&mut self, service: &ServiceLabel, place: &QueuePosition) {
+    fn remove_from_queue(&mut self, service: &ServiceLabel, position: &QueuePosition) {
         if let Some(queue) = self.queues.get_mut(service) {
-            queue.remove(place);
+            queue.remove(position);
         }
     }
 }
--- a/crates/savorywood-gateway/src/gateway/dispatch.rs
+++ b/crates/savorywood-gateway/src/gateway/dispatch.rs
@@ -1,8 +1,8 @@
-//! Waiting requests get places at upstreams.
+//! Dispatch of waiting requests to upstreams with free slots.
 
 use super::{
     Gateway, GatewayEffects,
-    record::{RequestPlace, RequestRecord, RunningAttempt},
+    record::{RequestRecord, RequestState, RunningAttempt},
 };
 use crate::{
     arrival::LocalRequest,
@@ -17,130 +17,131 @@
 use savorywood_protocol::MonotonicTime;
 use std::time::Duration;
 
-/// Requests without a place that are looked at before a service counts as full.
-const MAX_FULL: usize = 3;
-/// Part of an upstream's cost by which daemons see it differently.
-const SPREAD: f64 = 0.05;
-/// The same where zones exchange digests: state is older there and read by more, and daemons that
-/// all hold the same upstream for the best would meet at it.
-const ZONED_SPREAD: f64 = 0.6;
-/// Part of the objective for which a request waits for a service that has no upstream.
-const EMPTY_PART: f64 = 0.12;
-/// Part of the expected time that must be left when an attempt begins.
-const NEEDED_PART: f64 = 0.6;
+/// Requests of a rank that may find no free slot before the rest of the rank is skipped.
+const MAX_FULL_SELECTIONS: usize = 3;
+/// Random jitter of an upstream's cost, as a fraction, by which the selections of daemons differ.
+const COST_JITTER: f64 = 0.05;
+/// The same where zones exchange digests: state is older there and used by more daemons, which
+/// would otherwise all select the same upstream at once.
+const ZONED_COST_JITTER: f64 = 0.6;
+/// Fraction of the objective for which a request waits while its service has no upstream.
+const NO_UPSTREAM_WAIT_FRACTION: f64 = 0.12;
+/// Fraction of the expected duration that must remain when an attempt is dispatched.
+const MIN_REMAINING_FRACTION: f64 = 0.6;
 
 impl Gateway {
-    pub(super) fn pump_all(&mut self, now: MonotonicTime, effects: &mut GatewayEffects) {
+    pub(super) fn dispatch_all_waiting(&mut self, now: MonotonicTime, effects: &mut GatewayEffects,) {
         let waiting = self.queues.iter().filter(|(_, queue)| queue.len() > 0);
         let services: Vec<ServiceLabel> = waiting.map(|(service, _)| service.clone()).collect();
         for service in services {
-            self.pump(now, &service, effects);
+            self.dispatch_waiting(now, &service, effects);
         }
     }
 
-    /// Gives places at upstreams of a service to the most urgent requests.
-    pub(super) fn pump(
+    /// Dispatches the most urgent requests of a service to upstreams with free slots.
+    pub(super) fn dispatch_waiting(
         &mut self,
         now: MonotonicTime,
         service: &ServiceLabel,
         effects: &mut GatewayEffects,
     ) {
-        let places = self.places_in_order(now, service);
-        let mut full = 0;
+        let positions = self.queue_in_order(now, service);
+        let mut full_selections = 0;
         let mut rank = None;
-        for place in places {
-            if rank.replace(place.rank) != Some(place.rank) {
-                full = 0;
+        for position in positions {
+            if rank.replace(position.rank) != Some(position.rank) {
+                full_selections = 0;
             }
-            if full >= MAX_FULL {
+            if full_selections >= MAX_FULL_SELECTIONS {
                 continue;
             }
-            let Some(record) = self.requests.get(&place.request) else {
+            let Some(record) = self.requests.get(&position.request) else {
                 continue;
             };
-            if !record.is_trial && self.is_quarantined(record.fingerprint) {
-                self.finish(now, place.request, RefusalReason::Quarantined, effects);
+            if !record.is_probe && self.is_quarantined(record.fingerprint) {
+                self.finish(now, position.request, RefusalReason::Quarantined, effects);
                 continue;
             }
-            match self.pick(now, record) {
-                Ok(picked) => self.dispatch(now, place.request, &picked, effects),
-                Err(SelectionFailure::AllFull) => full += 1,
+            match self.select_upstream(now, record) {
+                Ok(selected) => self.dispatch(now, position.request, &selected, effects),
+                Err(SelectionFailure::AllFull) => full_selections += 1,
                 Err(SelectionFailure::NoCandidate) => {
-                    self.without_upstream(now, place.request, effects);
+                    self.handle_no_upstream(now, position.request, effects);
                 }
             }
         }
     }
 
-    /// Most urgent rank first; within a rank those that can still be in time before those that
-    /// can't: a late answer is worth little, and it would make the next one late as well.
-    fn places_in_order(&self, now: MonotonicTime, service: &ServiceLabel) -> Vec<QueuePosition> {
+    /// Returns the queue in order of dispatch: the most urgent rank first, and within a rank
+    /// requests that can still meet their objective before those that cannot. A late response is
+    /// worth little, and serving it first would make the next one late as well.
+    fn queue_in_order(&self, now: MonotonicTime, service: &ServiceLabel) -> Vec<QueuePosition> {
         let Some(queue) = self.queues.get(service) else {
             return Vec::new();
         };
-        let mut places: Vec<QueuePosition> = queue.iter().copied().collect();
-        places.sort_by_key(|place| (place.rank, place.start_by < now, place.start_by));
-        places
+        let mut positions: Vec<QueuePosition> = queue.iter().copied().collect();
+        positions.sort_by_key(|position| (position.rank, position.start_by < now, position.start_by));
+        positions
     }
 
-    fn pick(
+    fn select_upstream(
         &self,
         now: MonotonicTime,
         record: &RequestRecord,
     ) -> Result<SelectedUpstream, SelectionFailure> {
-        self.pick_beside(now, record, &record.tried)
+        self.select_unattempted(now, record, &record.attempted_upstreams)
     }
 
-    /// Chooses an upstream that is none of those that have had the request.
-    pub(super) fn pick_beside(
+    /// Selects an upstream other than those in `attempted`.
+    pub(super) fn select_unattempted(
         &self,
         now: MonotonicTime,
         record: &RequestRecord,
-        tried: &[UpstreamLabel],
+        attempted: &[UpstreamLabel],
     ) -> Result<SelectedUpstream, SelectionFailure> {
         let waited = now.since(record.arrived_at);
         let query = SelectionQuery {
             service: &record.service,
             prompt_tokens: record.size.prompt_tokens,
-            expected_tokens: record.output,
+            expected_tokens: record.expected_output_tokens,
             first_event_budget_ms: record.route.objective.as_secs_f64() * 1e3
                 - waited.as_secs_f64() * 1e3,
             remaining_ms: record.give_up_at.since(now).as_secs_f64() * 1e3,
             stream: record.route.retry_safety.is_stream(),
-            prompt_parts: &record.parts,
-            attempted: tried,
+            prompt_parts: &record.prompt_parts,
+            attempted,
             home_regions: [
                 &record.route.home_regions,
                 record.team.as_ref().map_or(&[], |team| &team.home_regions),
             ],
             versions: self
                 .rollouts
-                .version_filter(now, &record.service, self.trial()),
+                .version_filter(now, &record.service, self.canary_options()),
             urgent_arrivals: self.urgent_arrivals(now, record),
-            allow_probe: record.may_run_once_more(),
+            allow_probe: record.allows_concurrent_execution(),
         };
-        let scene = SelectionContext {
+        let context = SelectionContext {
             now,
             fleet: &self.fleet,
             peers: &self.peers,
-            prefix_cache: &self.parts,
+            prefix_cache: &self.prefix_cache,
             zone: &self.options.zone,
             policy: self.options.routing,
             regions: &self.options.regions,
             leases: &self.leases,
             warmup: self.options.bounds.warmup_tolerance,
             jitter: if self.contacts.uses_zone_digests() {
-                ZONED_SPREAD
+                ZONED_COST_JITTER
             } else {
-                SPREAD
+                COST_JITTER
             },
         };
-        let mut draws = self.draws.clone();
-        scene.select(&query, || draws.next())
+        let mut random = self.random.clone();
+        context.select(&query, || random.next())
     }
 
     fn urgent_arrivals(&self, now: MonotonicTime, record: &RequestRecord) -> UrgentArrivals {
-        let demand = self.demands.get(&record.service);
+        let demand = self.demand_trackers.get(&record.service);
         demand
             .map(|demand| demand.urgent_arrivals(now, record.rank, self.entry_daemons))
             .unwrap_or_default()
@@ -150,14 +151,14 @@
         &mut self,
         now: MonotonicTime,
         request: LocalRequest,
-        picked: &SelectedUpstream,
+        selected: &SelectedUpstream,
         effects: &mut GatewayEffects,
     ) {
-        self.draws.next();
+        self.random.next();
         let Some(record) = self.requests.get_mut(&request) else {
             return;
         };
-        let Some(state) = self.fleet.get_mut(&picked.name) else {
+        let Some(state) = self.fleet.get_mut(&selected.name) else {
             return;
         };
         state.running += 1;
@@ -167,33 +168,33 @@
         state.outlier.record_dispatch();
         state.last_dispatch_at = now;
         state.limit.record_dispatch();
-        if let RequestPlace::Waiting(place) = &record.place
+        if let RequestState::Waiting(position) = &record.state
             && let Some(queue) = self.queues.get_mut(&record.service)
         {
-            queue.remove(place);
+            queue.remove(position);
         }
-        let demand = self.demands.entry(record.service.clone()).or_default();
+        let demand = self.demand_trackers.entry(record.service.clone()).or_default();
         demand.record_dispatch(now, record.rank);
-        record.sends += 1;
-        record.place = RequestPlace::Running(RunningAttempt {
-            upstream: picked.name.clone(),
-            sent_at: now,
-            began_at: None,
-            expected_ms: picked.expected_ms,
-            moved_at: None,
-            longest_pause: Duration::ZERO,
+        record.attempts += 1;
+        record.state = RequestState::Running(RunningAttempt {
+            upstream: selected.name.clone(),
+            dispatched_at: now,
+            first_event_at: None,
+            expected_first_event_ms: selected.expected_ms,
+            last_event_at: None,
+            max_event_gap: Duration::ZERO,
             events: 0,
             abandoned: false,
         });
-        self.parts.record_prompt(now, &record.parts, &picked.name);
+        self.prefix_cache.record_prompt(now, &record.prompt_parts, &selected.name);
         self.rollouts
             .record_dispatch(&record.service, &state.entry.version);
         let order = DispatchOrder {
             request,
-            attempt: record.sends,
+            attempt: record.attempts,
             service: record.service.clone(),
             priority: record.rank.route,
-            upstream: picked.name.clone(),
+            upstream: selected.name.clone(),
             address: state.entry.address,
             team: record.team.as_ref().map(|team| team.name.clone()),
             give_up_at: record.give_up_at,
@@ -201,13 +202,13 @@
             idempotent: record.route.retry_safety.is_idempotent(),
         };
         let line = LogLine::new(LogLevel::Info, "request-dispatched")
-            .with("request", &record.identity)
-            .with("upstream", &picked.name)
-            .with("send", record.sends)
+            .with("request", &record.request_id)
+            .with("upstream", &selected.name)
+            .with("send", record.attempts)
             .with("waited_ms", now.since(record.arrived_at).as_millis())
-            .with("expected_ms", format_args!("{:.0}", picked.expected_ms))
-            .with("score", format_args!("{:.0}", picked.score))
-            .with("occupied", picked.slots_in_use)
+            .with("expected_ms", format_args!("{:.0}", selected.expected_ms))
+            .with("score", format_args!("{:.0}", selected.score))
+            .with("occupied", selected.slots_in_use)
             .with("slots", state.entry.slots)
             .with("unread", state.unread_tokens)
             .with("cold_ms", state.cold_until.since(now).as_millis());
@@ -219,8 +220,8 @@
         effects.push(GatewayEffect::Dispatch(order));
     }
 
-    /// All upstreams of the service are gone, or have had the request.
-    fn without_upstream(
+    /// Handles a request when its service has no upstreams or all of them have been attempted.
+    fn handle_no_upstream(
         &mut self,
         now: MonotonicTime,
         request: LocalRequest,
@@ -229,46 +230,45 @@
         let Some(record) = self.requests.get_mut(&request) else {
             return;
         };
-        if !record.tried.is_empty() && record.runs == 0 && record.sends < MAX_SENDS {
-            // All said that they were full or could not be reached: they may have room by now.
-            record.tried.clear();
+        if !record.attempted_upstreams.is_empty() && record.executions == 0 && record.attempts < MAX_ATTEMPTS {
+            // All attempted upstreams were full or unreachable; they may have free slots by now.
+            record.attempted_upstreams.clear();
         }
         let waited = now.since(record.arrived_at);
-        if waited >= record.route.objective.mul_f64(EMPTY_PART) {
+        if waited >= record.route.objective.mul_f64(NO_UPSTREAM_WAIT_FRACTION) {
             self.finish(now, request, RefusalReason::NoUpstream, effects);
         }
     }
 
-    /// Gives up requests that could not be answered in time any more.
+    /// Refuses waiting requests that can no longer be answered in time.
     pub(super) fn expire_waiting(&mut self, now: MonotonicTime, effects: &mut GatewayEffects) {
         let mut expired = Vec::new();
-        let mut hopeless = Vec::new();
+        let mut too_late = Vec::new();
         for (service, queue) in &self.queues {
-            let usual = self.fleet.service_latency(service);
-            for place in queue.iter() {
-                let Some(record) = self.requests.get(&place.request) else {
+            let service_latency = self.fleet.service_latency(service);
+            for position in queue.iter() {
+                let Some(record) = self.requests.get(&position.request) else {
                     continue;
                 };
-                let first =
-                    usual.first_event_ms(&usual, record.size.prompt_tokens) * NEEDED_PART / 1e3;
+                let min_first_event_s = service_latency.first_event_ms(&service_latency, record.size.prompt_tokens) * MIN_REMAINING_FRACTION / 1e3;
                 let stream = record.route.retry_safety.is_stream();
-                if stream && now + Duration::from_secs_f64(first) >= record.leave_at {
-                    hopeless.push(place.request);
+                if stream && now + Duration::from_secs_f64(min_first_event_s) >= record.caller_timeout_at {
+                    too_late.push(position.request);
                     continue;
                 }
                 let needed = if record.route.retry_safety.is_stream() {
-                    usual.first_event_ms(&usual, record.size.prompt_tokens)
-                        + usual.streaming_ms(&usual, record.output)
+                    service_latency.first_event_ms(&service_latency, record.size.prompt_tokens)
+                        + service_latency.streaming_ms(&service_latency, record.expected_output_tokens)
                 } else {
-                    usual.whole_ms(&usual)
+                    service_latency.whole_ms(&service_latency)
                 };
-                let needed = Duration::from_secs_f64(needed * NEEDED_PART / 1e3);
+                let needed = Duration::from_secs_f64(needed * MIN_REMAINING_FRACTION / 1e3);
                 if now + needed >= record.give_up_at {
-                    expired.push(place.request);
+                    expired.push(position.request);
                 }
             }
         }
-        for request in hopeless {
+        for request in too_late {
             self.finish(now, request, RefusalReason::Overloaded, effects);
         }
         for request in expired {
@@ -277,5 +277,5 @@
     }
 }
 
-/// Times that a request is sent at most, those included that upstreams did not run.
-pub(super) const MAX_SENDS: u32 = 4;
+/// Maximum number of attempts of a request, including those that upstreams did not execute.
+pub(super) const MAX_ATTEMPTS: u32 = 4;
--- a/crates/savorywood-gateway/src/gateway/entry.rs
+++ b/crates/savorywood-gateway/src/gateway/entry.rs
@@ -1,4 +1,4 @@
-//! Members of the entry set as this daemon computes them.
+//! Computation of the entry set, its leases, and the addresses for callers.
 
 use super::{Gateway, GatewayEffects};
 use crate::{
@@ -14,38 +14,45 @@
 use savorywood_protocol::MonotonicTime;
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
-/// Time between two computations of the set.
-const REFRESH_TIME: Duration = Duration::from_millis(50);
-/// A process that did nothing for this long was frozen; its peers took it for lost.
-const FROZEN_TIME: Duration = Duration::from_millis(1_300);
-/// A daemon whose summary is late by this factor may be gone.
+/// Interval between two computations of the entry set.
+const ENTRY_REFRESH_INTERVAL: Duration = Duration::from_millis(50);
+/// A process that handled no event for this long was frozen, and its peers have recorded it as not
+/// live.
+const FREEZE_THRESHOLD: Duration = Duration::from_millis(1_300);
+/// A daemon whose summary is late by this factor may be unreachable.
 const OVERDUE_FACTOR: f64 = 1.4;
-/// A daemon that has been running for less does not know what its last life sent to cold upstreams
-/// within the second that their bound counts.
-const LEASE_PAUSE: Duration = Duration::from_millis(1_100);
-/// Time between two computations of leases that nothing needs: the members must be known for a
-/// while once it does.
-const LEASE_REST_TIME: Duration = Duration::from_millis(500);
-/// A daemon that has been running for less, and has not seen most of its zone, does not know
-/// the set.
-pub(super) const DISCOVERY_TIME: Duration = Duration::from_millis(700);
+/// Minimum uptime for holding leases. A younger daemon has no record of what its previous
+/// incarnation dispatched to cold upstreams within the second over which their rate is counted.
+const MIN_LEASE_UPTIME: Duration = Duration::from_millis(1_100);
+/// Interval between two computations of leases while nothing needs them. It is not longer because
+/// the members must have been known for a while once something does.
+const IDLE_LEASE_INTERVAL: Duration = Duration::from_millis(500);
+/// Uptime below which a daemon that has received no messages from most of its zone has not
+/// discovered the entry set.
+pub(super) const DISCOVERY_PERIOD: Duration = Duration::from_millis(700);
 
 impl Gateway {
-    /// Computes the members of the own zone anew, and counts those of all zones.
+    /// Recomputes the entry set of the own zone, its leases, and the number of members of all
+    /// zones.
     pub(super) fn refresh_entry(&mut self, now: MonotonicTime, effects: &mut GatewayEffects) {
-        if now.since(self.entry_at) < REFRESH_TIME {
+        if now.since(self.entry_refreshed_at) < ENTRY_REFRESH_INTERVAL {
             return;
         }
-        if self.entry_at != MonotonicTime::default() && now.since(self.entry_at) >= FROZEN_TIME {
+        if self.entry_refreshed_at != MonotonicTime::default()
+            && now.since(self.entry_refreshed_at) >= FREEZE_THRESHOLD
+        {
             self.resumed_at = Some(now);
         }
-        self.entry_at = now;
+        self.entry_refreshed_at = now;
         self.started_at.get_or_insert(now);
         let zone = self.options.zone.as_str();
-        let peers = self.peers.live_peers(now);
-        let near: Vec<&PeerState> = peers.filter(|peer| peer.summary.zone == zone).collect();
-        // What hosts that stand by use goes into gossip and tables, not into callers.
-        let placing = near
+        let live_peers = self.peers.live_peers(now);
+        let neighbours: Vec<&PeerState> = live_peers
+            .filter(|peer| peer.summary.zone == zone)
+            .collect();
+        // The resources that standby hosts use go into gossip and tables rather than into serving
+        // callers.
+        let serving = neighbours
             .iter()
             .filter(|peer| peer.summary.role != DaemonRole::Standby);
         let own = if self.role() == DaemonRole::Standby {
@@ -53,21 +60,21 @@
         } else {
             self.load
         };
-        let load = placing.fold(own, |sum, peer| sum.plus(&peer.summary.load));
-        let daemons = near.len() + 1;
-        let peaks = near.iter().map(|peer| peer.summary.peak);
+        let load = serving.fold(own, |sum, peer| sum.plus(&peer.summary.load));
+        let daemons = neighbours.len() + 1;
+        let peaks = neighbours.iter().map(|peer| peer.summary.peak);
         self.peak.update(now, load, peaks);
         let members = self.select_members(now, zone);
         let was_member = self.is_entry_member();
         let count = members.len();
         self.refresh_leases(now, &members);
         let entry_daemons = self.count_entry_daemons(now, count);
-        let was_counted = std::mem::replace(&mut self.entry_daemons, entry_daemons);
-        let is_other_set = self.entry.replace(members);
-        if is_other_set || was_counted != entry_daemons {
+        let previous_entry_daemons = std::mem::replace(&mut self.entry_daemons, entry_daemons);
+        let is_changed = self.entry.replace(members);
+        if is_changed || previous_entry_daemons != entry_daemons {
             self.members_changed();
         }
-        if !is_other_set {
+        if !is_changed {
             return;
         }
         let line = LogLine::new(LogLevel::Info, "entry-set-changed")
@@ -82,68 +89,70 @@
         effects.push(GatewayEffect::Log(line));
     }
 
-    /// Leases among the members of all zones.
+    /// Recomputes the leases among the members of all zones.
     ///
-    /// Daemons that see few others each take themselves for the only holder of every lease, so
-    /// those that do not see most daemons hold none.
+    /// A daemon that receives messages from few others would regard itself as the only holder of
+    /// every lease, so a daemon that does not receive messages from a majority holds none.
     fn refresh_leases(&mut self, now: MonotonicTime, own_members: &[u64]) {
         let is_entry_member = own_members.contains(&name_digest(self.options.host.as_str()));
-        if !is_entry_member || self.age(now) < LEASE_PAUSE || !self.peers.sees_majority(now) {
+        if !is_entry_member || self.uptime(now) < MIN_LEASE_UPTIME || !self.peers.sees_majority(now)
+        {
             return self.leases.release();
         }
         let is_needed = self.fleet.has_warmups()
             || self.fleet.has_limits()
             || self.quarantine.quarantined_count() > 0;
-        if !is_needed && now.since(self.leases_at) < LEASE_REST_TIME {
+        if !is_needed && now.since(self.leases_refreshed_at) < IDLE_LEASE_INTERVAL {
             return;
         }
-        self.leases_at = now;
+        self.leases_refreshed_at = now;
         let own_zone = self.options.zone.clone();
         let mut members: BTreeMap<ZoneLabel, Vec<u64>> = BTreeMap::new();
-        let near = self.member_numbers(now, own_zone.as_str(), own_members);
-        members.insert(own_zone.clone(), near);
+        let own_hashes = self.member_address_hashes(now, own_zone.as_str(), own_members);
+        members.insert(own_zone.clone(), own_hashes);
         let direct = self.peers.direct_zones(now).into_iter();
         for zone in direct.filter(|zone| *zone != own_zone.as_str()) {
             let selected = self.select_members(now, zone);
-            let numbers = self.member_numbers(now, zone, &selected);
-            members.insert(ZoneLabel::from(zone), numbers);
+            let hashes = self.member_address_hashes(now, zone, &selected);
+            members.insert(ZoneLabel::from(zone), hashes);
         }
         for digest in self.peers.zone_digests(now) {
             let entry = digest.members.iter().filter(|member| {
                 member.phase == PeerPhase::Ready && member.role == DaemonRole::Entry
             });
-            let numbers = entry.map(|member| address_hash(member.peer_address));
-            members.insert(ZoneLabel::from(digest.zone.as_str()), numbers.collect());
+            let hashes = entry.map(|member| address_hash(member.peer_address));
+            members.insert(ZoneLabel::from(digest.zone.as_str()), hashes.collect());
         }
         let own = address_hash(self.options.peer_address);
         self.leases.update(now, own, members);
     }
 
-    /// Numbers, by address, of members of a zone whose daemons send summaries here.
-    fn member_numbers(&self, now: MonotonicTime, zone: &str, members: &[u64]) -> Vec<u64> {
-        let mut numbers = Vec::new();
+    /// Returns the address hashes of the selected members of a zone whose daemons send summaries
+    /// here.
+    fn member_address_hashes(&self, now: MonotonicTime, zone: &str, members: &[u64]) -> Vec<u64> {
+        let mut hashes = Vec::new();
         if members.contains(&name_digest(self.options.host.as_str())) {
-            numbers.push(address_hash(self.options.peer_address));
+            hashes.push(address_hash(self.options.peer_address));
         }
         let peers = self.peers.member_candidates(now, zone, false);
-        let named = peers.filter(|peer| members.contains(&peer.digest));
-        numbers.extend(named.map(|peer| address_hash(peer.summary.peer_address)));
-        numbers
+        let selected = peers.filter(|peer| members.contains(&peer.digest));
+        hashes.extend(selected.map(|peer| address_hash(peer.summary.peer_address)));
+        hashes
     }
 
-    /// This daemon is a member of the entry set of its zone.
+    /// Returns whether this daemon is a member of the entry set of its zone.
     #[must_use]
     pub fn is_entry_member(&self) -> bool {
         self.entry.contains(name_digest(self.options.host.as_str()))
     }
 
-    /// Daemons of the own zone that the directory names.
+    /// Returns the size of the entry set of the own zone.
     #[must_use]
     pub fn entry_member_count(&self) -> usize {
         self.entry.count()
     }
 
-    /// Part of this daemon in placing requests.
+    /// Returns the role of this daemon in dispatching requests.
     #[must_use]
     pub fn role(&self) -> DaemonRole {
         if self.is_entry_member() {
@@ -155,21 +164,21 @@
         }
     }
 
-    /// Members of a zone whose daemons send summaries here.
+    /// Selects the members of a zone whose daemons send summaries here.
     fn select_members(&self, now: MonotonicTime, zone: &str) -> Vec<u64> {
         let is_own = zone == self.options.zone.as_str();
         let heartbeats = is_own && self.contacts.uses_zone_digests();
-        // A host that just lost power must not be called in for one that was lost with it.
-        let overdue = self.contacts.pause().mul_f64(OVERDUE_FACTOR);
+        // A host that has just lost power must not replace another one that was lost with it.
+        let overdue = self.contacts.gossip_interval().mul_f64(OVERDUE_FACTOR);
         let mut candidates = Vec::new();
         let mut load = HostResources::default();
         for peer in self.peers.member_candidates(now, zone, heartbeats) {
             load = load.max(&peer.summary.peak);
-            let is_overdue = heartbeats && now.since(peer.received_at) > overdue;
+            let is_past_expected = heartbeats && now.since(peer.received_at) > overdue;
             candidates.push(EntryCandidate {
                 host: peer.digest,
                 capacity: peer.summary.capacity,
-                stable_for: if is_overdue {
+                stable_for: if is_past_expected {
                     Duration::ZERO
                 } else {
                     peer.stable_for(now, self.resumed_at)
@@ -186,62 +195,65 @@
     }
 
     fn own_candidate(&self, now: MonotonicTime) -> EntryCandidate {
-        let steady_since = self.started_at.max(self.resumed_at);
+        let stable_since = self.started_at.max(self.resumed_at);
         EntryCandidate {
             host: name_digest(self.options.host.as_str()),
             capacity: self.options.capacity,
-            stable_for: steady_since.map_or(Duration::ZERO, |at| now.since(at)),
+            stable_for: stable_since.map_or(Duration::ZERO, |at| now.since(at)),
         }
     }
 
-    /// Daemons that place requests in all zones, of which `own` are in the own one.
-    fn count_entry_daemons(&self, now: MonotonicTime, own: usize) -> usize {
+    /// Returns the number of members of all zones, of which `own_members` are in the own zone; at
+    /// least 1.
+    fn count_entry_daemons(&self, now: MonotonicTime, own_members: usize) -> usize {
         let own_zone = self.options.zone.as_str();
         let direct = self.peers.direct_zones(now).into_iter();
         let direct = direct.filter(|zone| *zone != own_zone);
         let direct: usize = direct
             .map(|zone| self.select_members(now, zone).len())
             .sum();
-        let far = self
+        let reported = self
             .peers
             .zone_digests(now)
             .flat_map(|digest| &digest.members);
-        let far = far
+        let reported = reported
             .filter(|member| member.role == DaemonRole::Entry)
             .count();
-        (own + direct + far).max(1)
+        (own_members + direct + reported).max(1)
     }
 
-    /// Time since this daemon's first message.
-    pub(super) fn age(&self, now: MonotonicTime) -> Duration {
+    /// Returns the time since this incarnation first sent a message or computed the entry set.
+    pub(super) fn uptime(&self, now: MonotonicTime) -> Duration {
         self.started_at.map_or(Duration::ZERO, |at| now.since(at))
     }
 
-    /// This daemon has seen most of its zone, or should have by now.
-    pub(super) fn knows_own_zone(&self, now: MonotonicTime) -> bool {
-        if self.age(now) >= DISCOVERY_TIME || !self.contacts.uses_zone_digests() {
+    /// Returns whether this daemon has received messages from at least half of its zone, or has had
+    /// the time to.
+    pub(super) fn has_discovered_zone(&self, now: MonotonicTime) -> bool {
+        if self.uptime(now) >= DISCOVERY_PERIOD || !self.contacts.uses_zone_digests() {
             return true;
         }
         let received = self.peers.neighbours(now).count();
-        received * 2 >= self.contacts.near().len()
+        received * 2 >= self.contacts.zone_contacts().len()
     }
 
-    /// Addresses for a caller of a zone, those of its own zone alone if there are any: bytes
-    /// between zones are dear.
+    /// Returns at most `max_addresses` addresses for a caller: those of its own zone only, if there
+    /// are any, as traffic between zones is expensive.
     ///
-    /// None while this daemon does not know its zone yet: named too soon, it would take the
-    /// callers of the whole zone without knowing where slots are free.
+    /// Returns none while this daemon has not discovered its zone: listed too early, it would
+    /// receive the callers of its complete zone without information on free slots.
     ///
-    /// A caller whose zone has no members gets those of its region, then those of the home regions
-    /// of the host that it calls: its requests must not pass through any other.
+    /// A caller whose zone has no members receives the addresses of its region, or else those of
+    /// the home regions of the host that it calls: its requests must not pass through any other
+    /// region.
     #[must_use]
     pub fn caller_addresses(
         &self,
         now: MonotonicTime,
         caller: CallerLocation<'_>,
-        most: usize,
+        max_addresses: usize,
     ) -> Vec<SocketAddr> {
-        if !self.knows_own_zone(now) {
+        if !self.has_discovered_zone(now) {
             return Vec::new();
         }
         let mut by_zone: BTreeMap<&str, Vec<SocketAddr>> = BTreeMap::new();
@@ -260,17 +272,17 @@
             let addresses = members.map(|member| member.caller_address);
             by_zone.insert(&digest.zone, addresses.collect());
         }
-        let near = caller.zone.and_then(|zone| by_zone.remove(zone));
-        let mut addresses = near.unwrap_or_default();
+        let zone_addresses = caller.zone.and_then(|zone| by_zone.remove(zone));
+        let mut addresses = zone_addresses.unwrap_or_default();
         if addresses.is_empty() {
-            addresses = self.far_addresses(caller, &by_zone);
+            addresses = self.fallback_addresses(caller, &by_zone);
         }
-        addresses.truncate(most);
+        addresses.truncate(max_addresses);
         addresses
     }
 
-    /// Addresses for a caller whose own zone has none.
-    fn far_addresses(
+    /// Returns the addresses for a caller whose own zone has none.
+    fn fallback_addresses(
         &self,
         caller: CallerLocation<'_>,
         by_zone: &BTreeMap<&str, Vec<SocketAddr>>,
@@ -298,7 +310,7 @@
         }
     }
 
-    /// Addresses of the members of a zone whose daemons send summaries here.
+    /// Returns the caller addresses of the members of a zone whose daemons send summaries here.
     fn member_addresses(&self, now: MonotonicTime, zone: &str) -> Vec<SocketAddr> {
         let members = self.select_members(now, zone);
         let mut addresses = Vec::new();
@@ -306,8 +318,8 @@
             addresses.push(self.options.caller_address);
         }
         let peers = self.peers.member_candidates(now, zone, false);
-        let named = peers.filter(|peer| members.contains(&peer.digest));
-        addresses.extend(named.map(|peer| peer.summary.caller_address));
+        let selected = peers.filter(|peer| members.contains(&peer.digest));
+        addresses.extend(selected.map(|peer| peer.summary.caller_address));
         addresses
     }
 }
--- a/crates/savorywood-gateway/src/gateway/evacuation.rs
+++ b/crates/savorywood-gateway/src/gateway/evacuation.rs
@@ -1,4 +1,4 @@
-//! Orders of operators to evacuate availability zones.
+//! Evacuation of availability zones by operators.
 
 use super::{Gateway, GatewayEffects};
 use crate::{
@@ -8,7 +8,7 @@
 use savorywood_protocol::MonotonicTime;
 
 impl Gateway {
-    /// From now on nothing new goes to the zone's upstreams; what runs there goes on.
+    /// Stops dispatching to the zone's upstreams; requests in progress there continue.
     pub(super) fn evacuation_ordered(
         &mut self,
         order: EvacuationOrder,
@@ -17,32 +17,32 @@
         let line = self.evacuation_line("zone-evacuated", &order);
         let is_older =
             |other: &EvacuationOrder| other.zone == order.zone && other.position <= order.position;
-        self.withdrawals.retain(|other| !is_older(other));
+        self.pending_withdrawals.retain(|other| !is_older(other));
         if self.fleet.evacuate(order) {
             effects.push(GatewayEffect::Log(line));
         }
     }
 
-    /// The zone's upstreams get work again, at the pace of cold ones. An order that a restored store
-    /// lacks may be written again at once, so it stays in force for a while.
+    /// Resumes dispatching to the zone's upstreams, at the rate of cold ones. An order that is
+    /// missing from a restored store may be written again soon, so it stays in force for a while.
     pub(super) fn evacuation_withdrawn(
         &mut self,
         now: MonotonicTime,
         order: EvacuationOrder,
         effects: &mut GatewayEffects,
     ) {
-        if !self.is_rewritten(now) {
-            self.withdrawals.push(order);
+        if !self.is_rewrite_complete(now) {
+            self.pending_withdrawals.push(order);
             return;
         }
         let line = self.evacuation_line("zone-taken-back", &order);
         if self.fleet.end_evacuation(now, order) {
             effects.push(GatewayEffect::Log(line));
-            self.pump_all(now, effects);
+            self.dispatch_all_waiting(now, effects);
         }
     }
 
-    /// Orders that a full read lacks were withdrawn while nobody followed the changes.
+    /// Orders that are missing from a complete read were withdrawn while changes were not followed.
     pub(super) fn evacuations_read(
         &mut self,
         now: MonotonicTime,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Zones under evacuation.
+    /// Returns the zones under evacuation.
     pub fn evacuated_zones(&self) -> impl Iterator<Item = &ZoneLabel> {
         self.fleet.evacuations().zones()
     }
--- a/crates/savorywood-gateway/src/gateway/gossip.rs
+++ b/crates/savorywood-gateway/src/gateway/gossip.rs
@@ -1,8 +1,8 @@
-//! What a gateway sends to callers, peers and whoever watches it.
+//! Readiness of the daemon, and the state that it sends to its peers.
 
-use super::{Gateway, entry::DISCOVERY_TIME, record::RequestPlace};
+use super::{Gateway, entry::DISCOVERY_PERIOD, record::RequestState};
 use crate::{
-    gossip::{GossipPlan, SentSlots, SlotPlan},
+    gossip::{GossipPlan, LastSlotUpdate, SlotPlan},
     label::{ServiceLabel, ZoneLabel},
     message::{
         DaemonRole, PeerHeartbeat, PeerPhase, PeerSummary, SlotScope, SlotUpdate, SlotUse, TeamUse,
@@ -14,62 +14,63 @@
 use savorywood_protocol::MonotonicTime;
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
-/// Part of the bound after which a daemon without a newer proof is not ready: callers are better
-/// off elsewhere.
-const READY_PART: f64 = 0.54;
-/// Time between two rounds of gossip of a daemon that has just started. After a kill of all daemons
-/// each must know the others before it knows what it may spend of teams' limits.
+/// Fraction of the maximum confirmation age after which a daemon without a newer confirmation is
+/// not ready: callers are better served elsewhere.
+const READY_CONFIRMATION_FRACTION: f64 = 0.54;
+/// Interval between two rounds of gossip of a daemon that has just started. When all daemons
+/// restart together, each must discover the others to determine its share of the teams' limits.
 const DISCOVERY_INTERVAL: Duration = Duration::from_millis(100);
-/// Part of a service's slots that is taken when they are scarce.
-const SCARCE_PART: f64 = 0.7;
+/// Fraction of a service's slots in use above which free slots count as scarce.
+const SCARCE_SLOT_FRACTION: f64 = 0.7;
 
-/// Slots of a service.
+/// Slots of a service, used by this daemon and its peers.
 #[derive(Default)]
 struct SlotCount {
-    taken: u32,
-    all: u32,
+    in_use: u32,
+    total: u32,
 }
 
-/// State of a gateway at a moment.
+/// Status of a gateway at one moment, for metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GatewayStatus {
-    /// It takes callers.
+    /// The daemon is ready for callers.
     pub ready: bool,
-    /// Configuration version in force.
+    /// Version of the configuration in force; 0 when there is none.
     pub config_version: u64,
-    /// Age of the newest proof that it is the store's.
+    /// Time since the store last confirmed the configuration; an hour when it never did.
     pub time_since_confirmed: Duration,
 }
 
 impl Gateway {
-    /// It takes callers.
+    /// Returns whether the daemon is ready for callers: it is not stopping, and its configuration,
+    /// upstreams and peers are known and the configuration was confirmed recently.
     #[must_use]
     pub fn is_ready(&self, now: MonotonicTime) -> bool {
         let known = self.config.is_some() && self.upstreams_read;
         known
-            && self.knows_members()
+            && self.has_peer_list()
             && !self.stopping
-            && self.proof_age(now)
+            && self.time_since_confirmed(now)
                 < self
                     .options
                     .bounds
                     .max_confirmation_age()
-                    .mul_f64(READY_PART)
+                    .mul_f64(READY_CONFIRMATION_FRACTION)
     }
 
-    /// The number of daemons is known: a daemon that starts again without it would spend much
-    /// more of a team's limit than its part.
-    pub(super) fn knows_members(&self) -> bool {
+    /// Returns whether the number of daemons is known. A restarted daemon without this number would
+    /// admit much more of a team's limit than its share.
+    pub(super) fn has_peer_list(&self) -> bool {
         self.contacts_read || self.options.first_start
     }
 
-    /// State now.
+    /// Returns the status at the time `now`.
     #[must_use]
     pub fn status(&self, now: MonotonicTime) -> GatewayStatus {
         GatewayStatus {
             ready: self.is_ready(now),
             config_version: self.config_version(),
-            time_since_confirmed: self.proof_age(now),
+            time_since_confirmed: self.time_since_confirmed(now),
         }
     }
 
@@ -83,23 +84,23 @@
         }
     }
 
-    fn age_ms(&mut self, now: MonotonicTime) -> u64 {
+    fn uptime_ms(&mut self, now: MonotonicTime) -> u64 {
         let started_at = *self.started_at.get_or_insert(now);
         u64::try_from(now.since(started_at).as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// Summary of this daemon.
+    /// Returns the next summary of this daemon and advances the sequence number.
     pub fn summary(&mut self, now: MonotonicTime) -> PeerSummary {
         self.sequence += 1;
-        let uptime_ms = self.age_ms(now);
+        let uptime_ms = self.uptime_ms(now);
         let attestation = self.attestation(now);
-        for meter in self.meters.values_mut() {
-            meter.mark_reported();
+        for limiter in self.team_limiters.values_mut() {
+            limiter.mark_reported();
         }
-        let usage = self.meters.iter().map(|(team, meter)| TeamUse {
+        let usage = self.team_limiters.iter().map(|(team, limiter)| TeamUse {
             team: name_digest(team.as_str()),
-            total: meter.own_total(),
-            levels: meter.levels(),
+            total: limiter.own_total(),
+            levels: limiter.levels(),
         });
         PeerSummary {
             host: self.options.host.as_str().to_owned(),
@@ -112,7 +113,7 @@
             phase: self.phase(now),
             config_version: self.config_version(),
             slots: self.own_slots(),
-            ejected_upstreams: self.own_suspects(now),
+            ejected_upstreams: self.own_ejected(now),
             usage: usage.filter(|used| used.total > 0).collect(),
             tallies: self.rollouts.tallies(),
             role: self.role(),
@@ -121,7 +122,7 @@
             peak: self.peak.load(),
             sent_at: now,
             echoes: if attestation.is_some() {
-                self.reads.echoes(now)
+                self.store_reads.echoes(now)
             } else {
                 Vec::new()
             },
@@ -129,13 +130,17 @@
         }
     }
 
-    /// A daemon that stops leaves the reading to others.
+    /// Returns the attestation of this daemon. A stopping daemon gives none, so that another one
+    /// takes over reading the store.
     fn attestation(&self, now: MonotonicTime) -> Option<StoreAttestation> {
         let attestations = self.contacts.uses_zone_digests() && !self.stopping;
-        attestations.then(|| self.reads.attestation(now)).flatten()
+        attestations
+            .then(|| self.store_reads.attestation(now))
+            .flatten()
     }
 
-    /// Neighbours to whom changed rows are handed on at once.
+    /// Returns the neighbours to which changed rows are forwarded at once; none unless this daemon
+    /// attests.
     #[must_use]
     pub fn row_update_targets(&self, now: MonotonicTime) -> Vec<SocketAddr> {
         if self.attestation(now).is_none() {
@@ -145,7 +150,7 @@
         neighbours.map(|peer| peer.summary.peer_address).collect()
     }
 
-    fn own_suspects(&self, now: MonotonicTime) -> Vec<u64> {
+    fn own_ejected(&self, now: MonotonicTime) -> Vec<u64> {
         let states = self.fleet.iter();
         let failed = states.filter(|state| state.outlier.ejected_recently(now));
         failed.map(|state| state.digest).collect()
@@ -161,18 +166,18 @@
         slots.collect()
     }
 
-    /// Requests of all daemons of this zone at upstreams.
+    /// Returns the slots that all daemons of this zone use, by upstream.
     fn zone_slots(&self, now: MonotonicTime) -> Vec<SlotUse> {
-        let mut sums: BTreeMap<u64, SlotUse> = BTreeMap::new();
-        let mut add = |of: &[SlotUse]| {
-            for slot in of {
-                let sum = sums.entry(slot.upstream).or_insert(SlotUse {
+        let mut totals: BTreeMap<u64, SlotUse> = BTreeMap::new();
+        let mut add = |slots: &[SlotUse]| {
+            for slot in slots {
+                let total = totals.entry(slot.upstream).or_insert(SlotUse {
                     upstream: slot.upstream,
                     running: 0,
                     unread_prompt_tokens: 0,
                 });
-                sum.running = sum.running.saturating_add(slot.running);
-                sum.unread_prompt_tokens = sum
+                total.running = total.running.saturating_add(slot.running);
+                total.unread_prompt_tokens = total
                     .unread_prompt_tokens
                     .saturating_add(slot.unread_prompt_tokens);
             }
@@ -181,66 +186,68 @@
         for peer in self.peers.neighbours(now) {
             add(&peer.summary.slots);
         }
-        sums.into_values().collect()
+        totals.into_values().collect()
     }
 
-    /// Slots of this daemon alone, sent between two full summaries: nothing while slots are
-    /// plenty, or where none has changed.
+    /// Returns an update of this daemon's slots to be sent between two summaries; absent while
+    /// slots are not scarce or no slot has changed.
     pub fn slot_update(&mut self, now: MonotonicTime) -> Option<SlotUpdate> {
-        let is_idle = self.requests.is_empty() && self.sent_slots.is_empty();
+        let is_idle = self.requests.is_empty() && self.last_sent_slots.is_empty();
         if is_idle || !self.are_slots_scarce(now) {
             return None;
         }
         let slots = self.own_slots();
-        if slots == self.sent_slots {
+        if slots == self.last_sent_slots {
             return None;
         }
-        self.sent_slots.clone_from(&slots);
+        self.last_sent_slots.clone_from(&slots);
         self.sequence += 1;
-        Some(self.update_of(SlotScope::Daemon, slots))
+        Some(self.build_slot_update(SlotScope::Daemon, slots))
     }
 
-    /// The same of its whole zone.
+    /// Returns an update of the slots that all daemons of the zone use.
     pub fn zone_slot_update(&mut self, now: MonotonicTime) -> SlotUpdate {
         self.sequence += 1;
         let zone = name_digest(self.options.zone.as_str());
         let slots = self.zone_slots(now);
-        self.sent_zone_slots = SentSlots {
+        self.last_sent_zone_slots = LastSlotUpdate {
             sent_at: now,
             count: slots.len(),
         };
-        self.update_of(SlotScope::Zone(zone), slots)
+        self.build_slot_update(SlotScope::Zone(zone), slots)
     }
 
-    /// Who gets newer slots now.
+    /// Returns the targets of the slot updates that are due.
     #[must_use]
     pub fn plan_slots(&self, now: MonotonicTime) -> SlotPlan {
-        let sent = self.is_entry_member().then_some(self.sent_zone_slots);
+        let sent = self.is_entry_member().then_some(self.last_sent_zone_slots);
         self.contacts.plan_slots(now, &self.peers, sent)
     }
 
-    /// Heartbeat of a member of the entry set, and who gets it: daemons of its zone, so that they
-    /// replace it soon after it fails. Few daemons send each other summaries as often.
+    /// Returns the heartbeat of a member of the entry set and the daemons of its zone that receive
+    /// it, so that they replace the member soon after it fails.
+    ///
+    /// Absent when zones do not exchange digests: the summaries of few daemons are as frequent.
     pub fn heartbeat(&mut self) -> Option<(PeerHeartbeat, Vec<SocketAddr>)> {
         if !self.contacts.uses_zone_digests() || !self.is_entry_member() {
             return None;
         }
         self.sequence += 1;
-        let beat = PeerHeartbeat {
+        let heartbeat = PeerHeartbeat {
             sender: name_digest(self.options.host.as_str()),
             incarnation: self.options.incarnation,
             sequence: self.sequence,
         };
-        Some((beat, self.contacts.near()))
+        Some((heartbeat, self.contacts.zone_contacts()))
     }
 
-    /// Time until the next heartbeat.
+    /// Returns the interval between two heartbeats.
     #[must_use]
     pub fn heartbeat_interval(&self) -> Duration {
         self.contacts.heartbeat_interval()
     }
 
-    fn update_of(&self, scope: SlotScope, slots: Vec<SlotUse>) -> SlotUpdate {
+    fn build_slot_update(&self, scope: SlotScope, slots: Vec<SlotUse>) -> SlotUpdate {
         SlotUpdate {
             sender: name_digest(self.options.host.as_str()),
             incarnation: self.options.incarnation,
@@ -250,7 +257,7 @@
         }
     }
 
-    /// Requests wait, or most slots of a service are taken.
+    /// Returns whether requests wait, or most slots of some service are in use.
     fn are_slots_scarce(&self, now: MonotonicTime) -> bool {
         if self.waiting_requests() > 0 {
             return true;
@@ -259,50 +266,51 @@
         for state in self.fleet.iter().filter(|state| state.is_open(now)) {
             let count = services.entry(&state.entry.service).or_default();
             let others = self.peers.slots_by_digest(state.digest).running;
-            count.taken += state.running + others;
-            count.all += state.entry.slots;
+            count.in_use += state.running + others;
+            count.total += state.entry.slots;
         }
         let mut counts = services.values();
-        counts.any(|count| f64::from(count.taken) > f64::from(count.all) * SCARCE_PART)
+        counts.any(|count| f64::from(count.in_use) > f64::from(count.total) * SCARCE_SLOT_FRACTION)
     }
 
-    /// Time until the next message on slots alone.
+    /// Returns the interval between two slot updates.
     #[must_use]
     pub fn slot_update_interval(&self) -> Duration {
         self.contacts.slot_update_interval()
     }
 
-    /// Digest of this daemon's zone. `slots`: the receivers place requests.
-    pub fn zone_digest(&mut self, now: MonotonicTime, slots: bool) -> ZoneDigest {
+    /// Returns the digest of this daemon's zone. `include_slots`: list the slots in use, for
+    /// receivers that dispatch requests.
+    pub fn zone_digest(&mut self, now: MonotonicTime, include_slots: bool) -> ZoneDigest {
         self.sequence += 1;
-        let uptime_ms = self.age_ms(now);
-        let usage = self.meters.iter().map(|(team, meter)| TeamUse {
+        let uptime_ms = self.uptime_ms(now);
+        let usage = self.team_limiters.iter().map(|(team, limiter)| TeamUse {
             team: name_digest(team.as_str()),
-            total: meter.zone_total(),
-            levels: meter.levels(),
+            total: limiter.zone_total(),
+            levels: limiter.levels(),
         });
         let neighbours = self.peers.neighbours(now);
-        let near: Vec<u64> = neighbours.map(|peer| peer.digest).collect();
+        let neighbour_digests: Vec<u64> = neighbours.map(|peer| peer.digest).collect();
         ZoneDigest {
             zone: self.options.zone.as_str().to_owned(),
             sender: name_digest(self.options.host.as_str()),
             incarnation: self.options.incarnation,
             uptime_ms,
             sequence: self.sequence,
-            members: self.placing_members(now),
+            members: self.serving_members(now),
             daemons: u32::try_from(self.peers.zone_daemon_count()).unwrap_or(u32::MAX),
-            slots: if slots {
+            slots: if include_slots {
                 self.zone_slots(now)
             } else {
                 Vec::new()
             },
             usage: usage.filter(|used| used.total > 0).collect(),
-            tallies: self.rollouts.tallies_with(&near),
+            tallies: self.rollouts.tallies_with(&neighbour_digests),
         }
     }
 
-    /// Daemons of the own zone that place requests.
-    fn placing_members(&self, now: MonotonicTime) -> Vec<ZoneMember> {
+    /// Returns the daemons of the own zone that dispatch requests.
+    fn serving_members(&self, now: MonotonicTime) -> Vec<ZoneMember> {
         let own = ZoneMember {
             peer_address: self.options.peer_address,
             caller_address: self.options.caller_address,
@@ -328,57 +336,58 @@
             .collect()
     }
 
-    /// Who gets state of this daemon and its zone now.
+    /// Returns the targets of the summaries and digests that are due.
     pub fn plan_gossip(&mut self, now: MonotonicTime) -> GossipPlan {
         let mut plan = self.contacts.plan(now, &self.peers);
-        if self.stopping || !self.knows_own_zone(now) {
-            // Another daemon of the zone takes over before this one is gone; and daemons that do
-            // not know each other yet would all send digests to all others.
+        if self.stopping || !self.has_discovered_zone(now) {
+            // Another daemon of the zone takes over before this one has stopped; and daemons that
+            // have not discovered each other yet would all send digests to all other daemons.
             plan.digest_targets.clear();
             plan.slotless_digest_targets.clear();
         }
         plan
     }
 
-    /// Time until the next round of gossip.
+    /// Returns the interval between two rounds of gossip.
     #[must_use]
     pub fn gossip_interval(&self, now: MonotonicTime) -> Duration {
-        let pause = self.contacts.pause();
-        if self.contacts.uses_zone_digests() && self.age(now) < DISCOVERY_TIME {
-            pause.min(DISCOVERY_INTERVAL)
+        let interval = self.contacts.gossip_interval();
+        if self.contacts.uses_zone_digests() && self.uptime(now) < DISCOVERY_PERIOD {
+            interval.min(DISCOVERY_INTERVAL)
         } else {
-            pause
+            interval
         }
     }
 
-    /// The ready daemon with the first name leads: it writes what one is enough for. Two that
-    /// both think so are harmless, as each write has a condition.
-    pub(super) fn leads(&self, now: MonotonicTime) -> bool {
+    /// Returns whether this daemon is the leader, which performs writes that one daemon suffices
+    /// for: the ready daemon with the first host name in the first zone. Two daemons that both
+    /// regard themselves as the leader do no harm, as each write is conditional.
+    pub(super) fn is_leader(&self, now: MonotonicTime) -> bool {
         let own = self.options.host.as_str();
         let zone = self.options.zone.as_str();
-        let first_here = self
+        let leads_zone = self
             .peers
             .ready_peers(now)
             .all(|peer| peer.summary.host.as_str() > own);
         let mut zones = self.peers.zone_digests(now);
         let is_ready = |member: &ZoneMember| member.phase == PeerPhase::Ready;
-        let first_zone =
+        let is_first_zone =
             zones.all(|digest| digest.zone.as_str() > zone || !digest.members.iter().any(is_ready));
-        self.is_ready(now) && first_here && first_zone
+        self.is_ready(now) && leads_zone && is_first_zone
     }
 
-    /// Zone of this daemon.
+    /// Returns the availability zone of this daemon.
     #[must_use]
     pub fn zone(&self) -> &ZoneLabel {
         &self.options.zone
     }
 
-    /// Requests that run at upstreams.
+    /// Returns the number of requests in progress at upstreams.
     #[must_use]
     pub fn running_requests(&self) -> usize {
         let records = self.requests.values();
         records
-            .filter(|record| matches!(record.place, RequestPlace::Running(_)))
+            .filter(|record| matches!(record.state, RequestState::Running(_)))
             .count()
     }
 }
--- a/crates/savorywood-gateway/src/gateway/quarantine.rs
+++ b/crates/savorywood-gateway/src/gateway/quarantine.rs
@@ -1,6 +1,6 @@
-//! Requests under which upstreams crash: what is noted, what is refused, what peers and the store get.
+//! Quarantine of requests under which upstreams crash: recording, refusal, gossip and store rows.
 
-use super::{Gateway, GatewayEffects, admission::Denial, record::RunningAttempt};
+use super::{Gateway, GatewayEffects, admission::Refusal, record::RunningAttempt};
 use crate::{
     arrival::LocalRequest,
     effect::GatewayEffect,
@@ -17,35 +17,32 @@
 use savorywood_protocol::MonotonicTime;
 use std::time::Duration;
 
-/// Least time after which a caller whose request is in quarantine is asked to come back.
-const LEAST_RETURN: Duration = Duration::from_secs(1);
+/// Minimum retry-after delay for a quarantined request.
+const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Gateway {
-    /// Refuses a request in quarantine, unless this daemon may try it now; whether it is such a
-    /// trial.
-    pub(super) fn pass_quarantine(
+    /// Refuses a quarantined request, unless this daemon may send it now as a probe. Returns
+    /// whether the request is a probe.
+    pub(super) fn check_quarantine(
         &mut self,
         now: MonotonicTime,
         fingerprint: RequestFingerprint,
         team: Option<&TeamLabel>,
-    ) -> Result<bool, Denial> {
-        let (crashes, trial_at) = match self.quarantine.verdict(fingerprint) {
+    ) -> Result<bool, Refusal> {
+        let (crashes, probe_at) = match self.quarantine.verdict(fingerprint) {
             QuarantineVerdict::Clear => return Ok(false),
-            QuarantineVerdict::Quarantined {
-                crashes,
-                probe_at: trial_at,
-            } => (crashes, trial_at),
+            QuarantineVerdict::Quarantined { crashes, probe_at } => (crashes, probe_at),
         };
-        // Daemons that all tried it at the same moment would crash an upstream each.
-        if now >= trial_at && self.leases.holds_key(now, fingerprint.as_u64()) {
+        // If all daemons sent the probe at the same time, each could crash an upstream.
+        if now >= probe_at && self.leases.holds_key(now, fingerprint.as_u64()) {
             self.quarantine.begin_probe(now, fingerprint);
             return Ok(true);
         }
-        Err(Denial {
-            retry_after: Some(trial_at.since(now).max(LEAST_RETURN)),
+        Err(Refusal {
+            retry_after: Some(probe_at.since(now).max(MIN_RETRY_AFTER)),
             team: team.cloned(),
             crashes: Some(crashes),
-            ..Denial::of(RefusalReason::Quarantined)
+            ..Refusal::new(RefusalReason::Quarantined)
         })
     }
 
@@ -53,22 +50,23 @@
         self.quarantine.verdict(fingerprint) != QuarantineVerdict::Clear
     }
 
-    /// Time until a request in quarantine may be tried.
-    pub(super) fn trial_time(
+    /// Returns the time until a probe of the quarantined request is allowed.
+    pub(super) fn probe_delay(
         &self,
         now: MonotonicTime,
         fingerprint: RequestFingerprint,
     ) -> Duration {
         match self.quarantine.verdict(fingerprint) {
-            QuarantineVerdict::Clear => LEAST_RETURN,
-            QuarantineVerdict::Quarantined {
-                probe_at: trial_at, ..
-            } => trial_at.since(now).max(LEAST_RETURN),
+            QuarantineVerdict::Clear => MIN_RETRY_AFTER,
+            QuarantineVerdict::Quarantined { probe_at, .. } => {
+                probe_at.since(now).max(MIN_RETRY_AFTER)
+            }
         }
     }
 
-    /// Notes what an attempt's end says of its request: an upstream ended under it, or served it.
-    pub(super) fn note_crash(
+    /// Records what the end of an attempt indicates about its request: the upstream crashed under
+    /// it, or served it.
+    pub(super) fn record_crash(
         &mut self,
         now: MonotonicTime,
         request: LocalRequest,
@@ -86,7 +84,7 @@
                 let broken = FailedAttempt {
                     fingerprint,
                     upstream: name_digest(attempt.upstream.as_str()),
-                    sent_at: attempt.sent_at,
+                    sent_at: attempt.dispatched_at,
                 };
                 self.quarantine.record_failed_attempt(now, broken)
             }
@@ -98,8 +96,9 @@
         log_change(fingerprint, change, "own", effects);
     }
 
-    /// An upstream answered what was sent there at a moment.
-    pub(super) fn note_alive(
+    /// Records that an upstream responded to a request dispatched at `sent_at`, which shows that it
+    /// was running then.
+    pub(super) fn record_response(
         &mut self,
         now: MonotonicTime,
         upstream: &UpstreamLabel,
@@ -116,19 +115,19 @@
         gossip: &CrashGossip,
         effects: &mut GatewayEffects,
     ) {
-        let is_near = gossip.zone == name_digest(self.options.zone.as_str());
+        let is_same_zone = gossip.zone == name_digest(self.options.zone.as_str());
         for report in &gossip.reports {
-            let change = self.quarantine.merge(now, report, is_near);
+            let change = self.quarantine.merge(now, report, is_same_zone);
             log_change(report.fingerprint, change, "peer", effects);
         }
     }
 
-    /// What peers get of crashes in a round of gossip.
+    /// Returns the crash reports for one round of gossip; absent when there are none.
     pub fn crash_gossip(&mut self, now: MonotonicTime, scope: ReportScope) -> Option<CrashGossip> {
         if self.quarantine.is_empty() {
             return None;
         }
-        let round = self.contacts.pause();
+        let round = self.contacts.gossip_interval();
         let reports = self.quarantine.reports(now, scope, round);
         let zone = name_digest(self.options.zone.as_str());
         (!reports.is_empty()).then_some(CrashGossip { zone, reports })
@@ -147,7 +146,8 @@
         effects.push(GatewayEffect::Log(line));
     }
 
-    /// Has one daemon write what must last beyond all of them.
+    /// Emits the writes for which this daemon holds the lease, so that quarantine outlasts all
+    /// daemons.
     pub(super) fn write_quarantine(&mut self, now: MonotonicTime, effects: &mut GatewayEffects) {
         let leases = &self.leases;
         let holds = |fingerprint: RequestFingerprint| leases.holds_key(now, fingerprint.as_u64());
@@ -155,7 +155,7 @@
         effects.extend(writes.into_iter().map(GatewayEffect::WriteQuarantine));
     }
 
-    /// Requests in quarantine.
+    /// Returns the number of requests in quarantine.
     #[must_use]
     pub fn quarantined_requests(&self) -> usize {
         self.quarantine.quarantined_count()
--- a/crates/savorywood-gateway/src/gateway/rate_limits.rs
+++ b/crates/savorywood-gateway/src/gateway/rate_limits.rs
@@ -1,4 +1,4 @@
-//! Limits that upstreams name: what answers and peers say of them, and this daemon's part.
+//! Rate limits that upstreams report, and this daemon's share of them.
 
 use super::{Gateway, GatewayEffects};
 use crate::{
@@ -12,14 +12,15 @@
 use savorywood_protocol::MonotonicTime;
 use std::time::Duration;
 
-/// Rounds of gossip for which a reading is reported: messages get lost.
+/// Rounds of gossip in which a reading is reported, as messages may be lost.
 const REPORT_ROUNDS: u32 = 4;
-/// Reports in one message at most, so that it passes links in one piece.
-const MOST_REPORTS: usize = 64;
+/// Maximum number of reports in a message, so that its datagram is not fragmented.
+const MAX_REPORTS: usize = 64;
 
 impl Gateway {
-    /// An upstream answered what was sent to it at a moment, and named a limit or none.
-    pub(super) fn note_limit(
+    /// Records the limit in a response to a request dispatched at `sent_at`; `None` when the
+    /// response reports no limit.
+    pub(super) fn record_limit(
         &mut self,
         now: MonotonicTime,
         upstream: &UpstreamLabel,
@@ -30,16 +31,16 @@
         let Some(state) = self.fleet.get_mut(upstream) else {
             return;
         };
-        // An answer without a limit may have begun before one that names it.
-        let at = if limit.is_some() { now } else { sent_at };
-        let before = state.limit.limit();
-        let reading = LimitObservation {
-            limit,
-            observed_at: at,
-        };
-        if state.limit.observe(now, reading, ObservationSource::Own) {
+        // A response without a limit may have started before one that reports it.
+        let observed_at = if limit.is_some() { now } else { sent_at };
+        let previous = state.limit.limit();
+        let observation = LimitObservation { limit, observed_at };
+        if state
+            .limit
+            .observe(now, observation, ObservationSource::Own)
+        {
             effects.push(GatewayEffect::Log(limit_line(
-                upstream, before, limit, "own",
+                upstream, previous, limit, "own",
             )));
         }
     }
@@ -50,8 +51,8 @@
         gossip: &LimitGossip,
         effects: &mut GatewayEffects,
     ) {
-        let is_near = gossip.zone == name_digest(self.options.zone.as_str());
-        let source = if is_near {
+        let is_same_zone = gossip.zone == name_digest(self.options.zone.as_str());
+        let source = if is_same_zone {
             ObservationSource::Zone
         } else {
             ObservationSource::OtherZone
@@ -62,43 +63,46 @@
             let Some(state) = states.find(|state| state.digest == report.upstream) else {
                 continue;
             };
-            let reading = LimitObservation {
+            let observation = LimitObservation {
                 limit: report.limit,
                 observed_at: now - Duration::from_millis(u64::from(report.age_ms)),
             };
-            let before = state.limit.limit();
-            if state.limit.observe(now, reading, source) {
+            let previous = state.limit.limit();
+            if state.limit.observe(now, observation, source) {
                 let name = &state.entry.name;
-                let line = limit_line(name, before, report.limit, "peer");
+                let line = limit_line(name, previous, report.limit, "peer");
                 effects.push(GatewayEffect::Log(line));
                 is_lifted |= report.limit.is_none();
             }
         }
         if is_lifted {
-            self.pump_all(now, effects);
+            self.dispatch_all_waiting(now, effects);
         }
     }
 
-    /// What peers get of limits in a round of gossip.
+    /// Returns the limits to be reported in one round of gossip; absent when there are none.
     #[must_use]
     pub fn limit_gossip(&self, now: MonotonicTime, scope: ReportScope) -> Option<LimitGossip> {
-        let within = self.contacts.pause().saturating_mul(REPORT_ROUNDS);
-        let of_zone = scope == ReportScope::Zone;
+        let window = self
+            .contacts
+            .gossip_interval()
+            .saturating_mul(REPORT_ROUNDS);
+        let for_zone = scope == ReportScope::Zone;
         let reports = self.fleet.iter().filter_map(|state| {
-            let reading = state.limit.recent_observation(now, within, of_zone)?;
-            let age = now.since(reading.observed_at).as_millis();
+            let observation = state.limit.recent_observation(now, window, for_zone)?;
+            let age = now.since(observation.observed_at).as_millis();
             Some(LimitReport {
                 upstream: state.digest,
-                limit: reading.limit,
+                limit: observation.limit,
                 age_ms: u32::try_from(age).unwrap_or(u32::MAX),
             })
         });
-        let reports: Vec<LimitReport> = reports.take(MOST_REPORTS).collect();
+        let reports: Vec<LimitReport> = reports.take(MAX_REPORTS).collect();
         let zone = name_digest(self.options.zone.as_str());
         (!reports.is_empty()).then_some(LimitGossip { zone, reports })
     }
 
-    /// This daemon's part of what limited upstreams take grows with time.
+    /// Refills this daemon's share of the rates that limited upstreams accept.
     pub(super) fn refill_limits(&mut self, now: MonotonicTime) {
         let leases = &self.leases;
         for state in self.fleet.iter_mut() {
@@ -112,7 +116,7 @@
 
 fn limit_line(
     upstream: &UpstreamLabel,
-    before: Option<RateLimit>,
+    previous: Option<RateLimit>,
     limit: Option<RateLimit>,
     source: &'static str,
 ) -> LogLine {
@@ -125,6 +129,6 @@
     LogLine::new(LogLevel::Info, event)
         .with("upstream", upstream)
         .with("per_second", per_second(limit))
-        .with("before", per_second(before))
+        .with("before", per_second(previous))
         .with("source", source)
 }
--- /dev/null
+++ b/crates/savorywood-gateway/src/gateway/retry_after.rs
@@ -0,0 +1,52 @@
+//! Retry-after delays of refused requests.
+
+use super::Gateway;
+use crate::{arrival::LocalRequest, queue::WaitQueue, refusal::RefusalReason};
+use savorywood_protocol::MonotonicTime;
+use std::time::Duration;
+
+/// Delay when no better estimate exists.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(400);
+/// Minimum delay after load shedding.
+const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Maximum delay, as the measured dispatch rate predicts nothing beyond it.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(4);
+/// Maximum delay as a fraction of the caller's remaining time: the rest is left for queueing and
+/// for the response.
+const MAX_DEADLINE_FRACTION: f64 = 1.0 / 3.0;
+/// Width of the random spread of delays, as a fraction of the estimate: callers that were refused
+/// together would otherwise be refused together again.
+const RETRY_AFTER_SPREAD: f64 = 0.5;
+
+impl Gateway {
+    /// Returns the retry-after delay of a request that was not executed.
+    ///
+    /// After load shedding it is the time in which the waiting requests of the same or a more
+    /// urgent rank get their slots at the recent dispatch rate.
+    pub(super) fn retry_after_delay(
+        &mut self,
+        now: MonotonicTime,
+        request: LocalRequest,
+        reason: RefusalReason,
+    ) -> Duration {
+        let Some(record) = self.requests.get(&request) else {
+            return DEFAULT_RETRY_AFTER;
+        };
+        match reason {
+            RefusalReason::Overloaded => {}
+            RefusalReason::Quarantined => return self.probe_delay(now, record.fingerprint),
+            _ => return DEFAULT_RETRY_AFTER,
+        }
+        let queue = self.queues.get(&record.service);
+        let ahead = queue.map_or(0, |queue: &WaitQueue| {
+            queue.count_at_least_as_urgent(record.rank)
+        });
+        let demand = self.demand_trackers.get(&record.service);
+        let rate = demand.map_or(0.0, |demand| demand.dispatch_rate(now, record.rank));
+        let delay_s = ahead as f64 / rate.max(f64::MIN_POSITIVE);
+        let delay_s = delay_s.clamp(MIN_RETRY_AFTER.as_secs_f64(), MAX_RETRY_AFTER.as_secs_f64());
+        let max_delay = record.give_up_at.since(now).mul_f64(MAX_DEADLINE_FRACTION);
+        let spread = 1.0 - RETRY_AFTER_SPREAD / 2.0 + RETRY_AFTER_SPREAD * self.random.next();
+        Duration::from_secs_f64(delay_s * spread).min(max_delay)
+    }
+}
--- a/crates/savorywood-gateway/src/gateway/updates.rs
+++ b/crates/savorywood-gateway/src/gateway/state_updates.rs
@@ -1,4 +1,4 @@
-//! Configuration, upstreams, roll-outs and peers as they change.
+//! Changes of the configuration, upstreams, roll-outs and peers.
 
 use super::{Gateway, GatewayBounds, GatewayEffects};
 use crate::{
@@ -18,19 +18,19 @@
 use savorywood_protocol::MonotonicTime;
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
-/// Whose use of teams is accounted.
+/// Daemon or zone whose reported usage of teams is accounted.
 #[derive(Debug, Clone, Copy)]
-struct PeerAccount {
+struct UsageSource {
     peer: u64,
     incarnation: u64,
     age: Duration,
     daemons: u32,
-    near: bool,
+    same_zone: bool,
 }
 
 impl Gateway {
-    /// A version is never followed by an older one: a slow answer that comes late would bring
-    /// back routes and keys that operators took away.
+    /// Puts a version of the configuration in force. An older version is ignored: a delayed
+    /// response would bring back routes and keys that operators have removed.
     pub(super) fn config_read(
         &mut self,
         now: MonotonicTime,
@@ -56,35 +56,39 @@
         let warmups = services.filter_map(|(name, service)| Some((name.clone(), service.warmup?)));
         self.fleet.set_warmups(warmups.collect());
         self.config = Some(config);
-        self.note_readiness(now, effects);
+        self.log_readiness_change(now, effects);
     }
 
     fn set_limits(&mut self, now: MonotonicTime, config: &DeclaredConfig) {
-        self.meters.retain(|team, _| config.team(team).is_some());
-        let first = self.config.is_none();
+        self.team_limiters
+            .retain(|team, _| config.team(team).is_some());
+        let is_first_config = self.config.is_none();
         let members = self.limit_members();
         for team in config.teams() {
             let Some(limit) = team.limit else {
-                self.meters.remove(&team.name);
+                self.team_limiters.remove(&team.name);
                 continue;
             };
-            match self.meters.get_mut(&team.name) {
-                Some(meter) if meter.limit() != limit => meter.set_limit(now, limit),
+            match self.team_limiters.get_mut(&team.name) {
+                Some(limiter) if limiter.limit() != limit => limiter.set_limit(now, limit),
                 Some(_) => {}
                 None => {
-                    let fresh = !first || self.options.first_start;
+                    let has_no_earlier_usage = !is_first_config || self.options.first_start;
                     let tolerance = self.options.bounds.limit_tolerance;
-                    let mut meter = TeamLimiter::new(now, limit, tolerance, fresh);
-                    meter.set_expected_daemons(now, self.contacts.daemons(), self.contacts.pause());
-                    meter.set_members(members);
-                    self.meters.insert(team.name.clone(), meter);
+                    let mut limiter = TeamLimiter::new(now, limit, tolerance, has_no_earlier_usage);
+                    limiter.set_expected_daemons(
+                        now,
+                        self.contacts.daemons(),
+                        self.contacts.gossip_interval(),
+                    );
+                    limiter.set_members(members);
+                    self.team_limiters.insert(team.name.clone(), limiter);
                 }
             }
         }
     }
 
-    /// Settings changed while the process runs: bounds follow at once, buckets begin anew where
-    /// their tolerance is another one.
+    /// Applies changed bounds at once; buckets start over if their tolerance changed.
     pub(super) fn bounds_read(
         &mut self,
         now: MonotonicTime,
@@ -103,12 +107,12 @@
             .with("limit_slack", bounds.limit_tolerance.slack);
         effects.push(GatewayEffect::Log(line));
         if self.options.bounds.limit_tolerance != bounds.limit_tolerance {
-            for meter in self.meters.values_mut() {
-                *meter = TeamLimiter::new(now, meter.limit(), bounds.limit_tolerance, false);
+            for limiter in self.team_limiters.values_mut() {
+                *limiter = TeamLimiter::new(now, limiter.limit(), bounds.limit_tolerance, false);
             }
         }
         self.options.bounds = bounds;
-        self.note_readiness(now, effects);
+        self.log_readiness_change(now, effects);
     }
 
     pub(super) fn upstreams_read(
@@ -123,8 +127,8 @@
             log_change(&name, change, effects);
         }
         self.upstreams_read = true;
-        self.note_readiness(now, effects);
-        self.pump_all(now, effects);
+        self.log_readiness_change(now, effects);
+        self.dispatch_all_waiting(now, effects);
     }
 
     pub(super) fn upstream_written(
@@ -136,7 +140,7 @@
         let name = entry.name.clone();
         if let Some(change) = self.fleet.upsert(now, entry) {
             log_change(&name, change, effects);
-            self.pump_all(now, effects);
+            self.dispatch_all_waiting(now, effects);
         }
     }
 
@@ -176,68 +180,74 @@
         if peer == name_digest(self.options.host.as_str()) {
             return;
         }
-        let was_alive = self.peers.is_live(now, &summary.host);
-        if !self.peers.receive(now, summary.clone()) {
+        let was_live = self.peers.is_live(now, &summary.host);
+        if !self.peers.record_summary(now, summary.clone()) {
             return;
         }
-        self.contacts.learn(
+        self.contacts.record(
             now,
             PeerContact {
                 address: summary.peer_address,
                 zone: Some(ZoneLabel::from(summary.zone.as_str())),
             },
         );
-        if !was_alive {
+        if !was_live {
             let line = LogLine::new(LogLevel::Info, "peer-seen")
                 .with("peer", &summary.host)
                 .with("phase", format_args!("{:?}", summary.phase));
             effects.push(GatewayEffect::Log(line));
         }
         if summary.zone == self.options.zone.as_str() {
-            self.neighbour_received(now, &summary, effects);
+            self.neighbour_summary_received(now, &summary, effects);
         }
-        // Of a zone that another daemon reports, its message alone counts, or all would count twice.
+        // For a zone that a digest reports, only the digest counts; otherwise usage would count
+        // twice.
         if self.peers.uses_direct_summary(now, &summary.zone) {
-            let account = PeerAccount {
+            let source = UsageSource {
                 peer,
                 incarnation: summary.incarnation,
                 age: Duration::from_millis(summary.uptime_ms),
                 daemons: 1,
-                near: summary.zone == self.options.zone.as_str(),
+                same_zone: summary.zone == self.options.zone.as_str(),
             };
-            self.usage_received(now, account, &summary.usage);
+            self.usage_received(now, source, &summary.usage);
             self.rollouts.record_peer_tallies(peer, &summary.tallies);
         }
         if summary.phase == PeerPhase::Leaving {
-            for meter in self.meters.values_mut() {
-                meter.record_peer_ended(now, peer);
+            for limiter in self.team_limiters.values_mut() {
+                limiter.record_peer_ended(now, peer);
             }
         }
-        self.pump_all(now, effects);
+        self.dispatch_all_waiting(now, effects);
     }
 
-    /// A neighbour may attest to what this daemon holds.
-    fn neighbour_received(
+    /// Applies the attestation in a neighbour's message to the copies of tables held here.
+    fn neighbour_summary_received(
         &mut self,
         now: MonotonicTime,
         summary: &PeerSummary,
         effects: &mut GatewayEffects,
     ) {
-        self.reads.record_summary(now, summary);
+        self.store_reads.record_summary(now, summary);
         if let Some(attestation) = summary.attestation {
             let era = attestation.declared.last_change.era;
-            self.store_era_seen(now, era, effects);
+            self.store_era_observed(now, era, effects);
         }
         let own = name_digest(self.options.host.as_str());
-        let proof = self.reads.confirmed_at(own, summary, SharedTable::Declared);
-        if let Some(at) = proof {
-            self.proof_at = Some(self.proof_at.map_or(at, |known| known.max(at)));
-            self.note_readiness(now, effects);
+        let confirmed_at = self
+            .store_reads
+            .confirmed_at(own, summary, SharedTable::Declared);
+        if let Some(confirmed_at) = confirmed_at {
+            self.confirmed_at = Some(
+                self.confirmed_at
+                    .map_or(confirmed_at, |previous| previous.max(confirmed_at)),
+            );
+            self.log_readiness_change(now, effects);
         }
-        let failed = summary
+        let failure_age = summary
             .attestation
             .and_then(|attestation| attestation.store_failure_age_ms);
-        if let Some(age) = failed {
+        if let Some(age) = failure_age {
             let age = Duration::from_millis(u64::from(age));
             self.fleet.record_store_failure(now - age);
         }
@@ -250,7 +260,7 @@
         effects: &mut GatewayEffects,
     ) {
         let zone = ZoneLabel::from(digest.zone.as_str());
-        match self.peers.receive_digest(now, digest.clone()) {
+        match self.peers.record_digest(now, digest.clone()) {
             DigestOutcome::Ignored => return,
             DigestOutcome::SameSender => {}
             DigestOutcome::NewSender { before } => {
@@ -259,7 +269,7 @@
                     .with("daemons", digest.members.len())
                     .with("sender", format_args!("{:x}", digest.sender));
                 effects.push(GatewayEffect::Log(line));
-                self.drop_accounts(now, &zone, before);
+                self.end_usage_sources(now, &zone, before);
             }
         }
         for member in &digest.members {
@@ -267,19 +277,19 @@
                 address: member.peer_address,
                 zone: Some(zone.clone()),
             };
-            self.contacts.learn(now, contact);
+            self.contacts.record(now, contact);
         }
-        let account = PeerAccount {
+        let source = UsageSource {
             peer: digest.sender.rotate_left(1),
             incarnation: digest.incarnation,
             age: Duration::from_millis(digest.uptime_ms),
             daemons: digest.daemons,
-            near: false,
+            same_zone: false,
         };
-        self.usage_received(now, account, &digest.usage);
+        self.usage_received(now, source, &digest.usage);
         self.rollouts
             .record_peer_tallies(name_digest(zone.as_str()), &digest.tallies);
-        self.pump_all(now, effects);
+        self.dispatch_all_waiting(now, effects);
     }
 
     pub(super) fn contacts_read(
@@ -288,70 +298,78 @@
         contacts: Vec<PeerContact>,
         effects: &mut GatewayEffects,
     ) {
-        self.learn_contacts(now, contacts);
+        self.record_contacts(now, contacts);
         self.contacts_read = true;
-        self.note_readiness(now, effects);
+        self.log_readiness_change(now, effects);
     }
 
-    pub(super) fn learn_contacts(&mut self, now: MonotonicTime, contacts: Vec<PeerContact>) {
+    pub(super) fn record_contacts(&mut self, now: MonotonicTime, contacts: Vec<PeerContact>) {
         for contact in contacts {
-            self.contacts.learn(now, contact);
+            self.contacts.record(now, contact);
         }
-        for meter in self.meters.values_mut() {
-            meter.set_expected_daemons(now, self.contacts.daemons(), self.contacts.pause());
+        for limiter in self.team_limiters.values_mut() {
+            limiter.set_expected_daemons(
+                now,
+                self.contacts.daemons(),
+                self.contacts.gossip_interval(),
+            );
         }
     }
 
-    /// The entry set of a zone changed.
+    /// Updates the limiters after the entry set of a zone changed.
     pub(super) fn members_changed(&mut self) {
         let members = self.limit_members();
-        for meter in self.meters.values_mut() {
-            meter.set_members(members);
+        for limiter in self.team_limiters.values_mut() {
+            limiter.set_members(members);
         }
     }
 
-    /// Daemons among which teams' limits are shared, if this one is among them.
+    /// Returns the number of daemons that share the teams' limits, if this one is among them.
     fn limit_members(&self) -> Option<u32> {
         let members = u32::try_from(self.entry_daemons).unwrap_or(u32::MAX);
         self.is_entry_member().then_some(members)
     }
 
-    /// Another daemon reports a zone now: what it says includes what was received before of that
-    /// zone's daemons, from themselves or from the one that reported.
-    fn drop_accounts(&mut self, now: MonotonicTime, zone: &ZoneLabel, before: Option<u64>) {
-        let alive = self.peers.live_peers(now);
-        let members = alive.filter(|peer| peer.summary.zone == zone.as_str());
+    /// Ends the accounts of a zone's daemons and of its previous sender: the digest of the new
+    /// sender includes what they reported.
+    fn end_usage_sources(&mut self, now: MonotonicTime, zone: &ZoneLabel, before: Option<u64>) {
+        let live = self.peers.live_peers(now);
+        let members = live.filter(|peer| peer.summary.zone == zone.as_str());
         let mut ended: Vec<u64> = members
             .map(|peer| name_digest(&peer.summary.host))
             .collect();
         ended.extend(before.map(|sender| sender.rotate_left(1)));
-        for meter in self.meters.values_mut() {
+        for limiter in self.team_limiters.values_mut() {
             for peer in &ended {
-                meter.record_peer_ended(now, *peer);
+                limiter.record_peer_ended(now, *peer);
             }
         }
     }
 
-    /// A team that is not reported has used nothing there.
-    fn usage_received(&mut self, now: MonotonicTime, account: PeerAccount, usage: &[TeamUse]) {
+    /// Records the usage of all teams; a team that is not reported has used nothing there.
+    fn usage_received(&mut self, now: MonotonicTime, source: UsageSource, usage: &[TeamUse]) {
         let usage: HashMap<u64, &TeamUse> = usage.iter().map(|used| (used.team, used)).collect();
-        for (team, meter) in &mut self.meters {
+        for (team, limiter) in &mut self.team_limiters {
             let used = usage.get(&name_digest(team.as_str()));
-            let reading = PeerUsage {
-                peer: account.peer,
-                incarnation: account.incarnation,
-                age: account.age,
+            let peer_usage = PeerUsage {
+                peer: source.peer,
+                incarnation: source.incarnation,
+                age: source.age,
                 total: used.map_or(0, |used| used.total),
-                daemons: account.daemons,
-                same_zone: account.near,
+                daemons: source.daemons,
+                same_zone: source.same_zone,
                 levels: used.map(|used| used.levels),
             };
-            meter.record_peer_usage(now, reading);
+            limiter.record_peer_usage(now, peer_usage);
         }
     }
 
-    /// Logs a change of readiness with what decided it.
-    pub(super) fn note_readiness(&mut self, now: MonotonicTime, effects: &mut GatewayEffects) {
+    /// Logs a change of readiness with the values that determine it.
+    pub(super) fn log_readiness_change(
+        &mut self,
+        now: MonotonicTime,
+        effects: &mut GatewayEffects,
+    ) {
         let ready = self.is_ready(now);
         if ready == self.ready_logged {
             return;
@@ -361,7 +379,7 @@
             .with("ready", ready)
             .with("config", self.config_version())
             .with("upstreams_read", self.upstreams_read)
-            .with("proof_age_ms", self.proof_age(now).as_millis())
+            .with("proof_age_ms", self.time_since_confirmed(now).as_millis())
             .with("stopping", self.stopping);
         effects.push(GatewayEffect::Log(line));
     }
