--- a/crates/savorywood-gateway/src/affinity.rs
+++ b/crates/savorywood-gateway/src/affinity.rs
@@ -8,12 +8,12 @@
 };
 
 /// Parts remembered at most.
-const MAX_PARTS: usize = 4_096;
+const MAX_PROMPT_PARTS: usize = 4_096;
 /// A part that nobody asked for in this time is taken to be gone.
-const KEPT_TIME: Duration = Duration::from_secs(20);
+const CACHE_TTL: Duration = Duration::from_secs(20);
 
 #[derive(Debug, Clone)]
-struct PartHolder {
+struct CacheHolder {
     upstream: UpstreamLabel,
     at: MonotonicTime,
 }
@@ -21,12 +21,12 @@
 /// Holders of prompt parts, newest last.
 #[derive(Debug, Clone, Default)]
 pub struct PrefixCacheIndex {
-    holders: HashMap<u64, Vec<PartHolder>>,
+    holders: HashMap<u64, Vec<CacheHolder>>,
     order: VecDeque<u64>,
 }
 
 /// Upstreams remembered for one part.
-const HOLDERS: usize = 4;
+const MAX_HOLDERS_PER_PART: usize = 4;
 
 impl PrefixCacheIndex {
     /// Tokens of the prompt's beginning that an upstream is expected to hold.
@@ -43,7 +43,7 @@
             let held = holders
                 .into_iter()
                 .flatten()
-                .any(|holder| holder.upstream == *upstream && now.since(holder.at) < KEPT_TIME);
+                .any(|holder| holder.upstream == *upstream && now.since(holder.at) < CACHE_TTL);
             if !held {
                 break;
             }
@@ -65,15 +65,15 @@
                 Vec::new()
             });
             holders.retain(|holder| holder.upstream != *upstream);
-            if holders.len() >= HOLDERS {
+            if holders.len() >= MAX_HOLDERS_PER_PART {
                 holders.remove(0);
             }
-            holders.push(PartHolder {
+            holders.push(CacheHolder {
                 upstream: upstream.clone(),
                 at: now,
             });
         }
-        while self.order.len() > MAX_PARTS {
+        while self.order.len() > MAX_PROMPT_PARTS {
             if let Some(oldest) = self.order.pop_front() {
                 self.holders.remove(&oldest);
             }
