--- a/crates/savorywood-gateway/src/retry_budget.rs
+++ b/crates/savorywood-gateway/src/retry_budget.rs
@@ -25,9 +25,9 @@
 }
 
 /// Part of the slack that is used; the rest covers what daemons that left have spent.
-const USED_SLACK: f64 = 0.6;
+const USABLE_SLACK_FRACTION: f64 = 0.6;
 /// Part of the ratio that is used; callers that come back count as requests only once they come.
-const USED_RATIO: f64 = 0.9;
+const USABLE_RATIO_FRACTION: f64 = 0.9;
 
 /// Requests and second tries of one service at this daemon within the window.
 ///
@@ -36,7 +36,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct RetryBudget {
     requests: VecDeque<MonotonicTime>,
-    tries: VecDeque<MonotonicTime>,
+    retries: VecDeque<MonotonicTime>,
 }
 
 impl RetryBudget {
@@ -52,23 +52,23 @@
         options: &RetryBudgetOptions,
         daemons: usize,
     ) -> bool {
-        self.forget(now, options.window);
-        let earned = self.requests.len() as f64 * options.ratio * USED_RATIO;
-        let share = options.slack * USED_SLACK / daemons.max(1) as f64;
-        if self.tries.len() as f64 + 1.0 > earned + share {
+        self.evict_expired(now, options.window);
+        let earned = self.requests.len() as f64 * options.ratio * USABLE_RATIO_FRACTION;
+        let share = options.slack * USABLE_SLACK_FRACTION / daemons.max(1) as f64;
+        if self.retries.len() as f64 + 1.0 > earned + share {
             return false;
         }
-        self.tries.push_back(now);
+        self.retries.push_back(now);
         true
     }
 
-    fn forget(&mut self, now: MonotonicTime, window: Duration) {
+    fn evict_expired(&mut self, now: MonotonicTime, window: Duration) {
         let from = now - window;
         while self.requests.front().is_some_and(|at| *at < from) {
             self.requests.pop_front();
         }
-        while self.tries.front().is_some_and(|at| *at < from) {
-            self.tries.pop_front();
+        while self.retries.front().is_some_and(|at| *at < from) {
+            self.retries.pop_front();
         }
     }
 }
