--- a/crates/savorywood-gateway/src/demand.rs
+++ b/crates/savorywood-gateway/src/demand.rs
@@ -5,42 +5,42 @@
 use std::{collections::BTreeMap, time::Duration};
 
 /// Time in which old arrivals lose most of their weight: bursts last for some seconds.
-const RECENT_TIME: Duration = Duration::from_millis(1_500);
+const DECAY_WINDOW: Duration = Duration::from_millis(1_500);
 /// Time for which daemons do not know of each other's newest dispatches.
-const OVERDUE_TIME: Duration = Duration::from_millis(250);
+const GOSSIP_DELAY: Duration = Duration::from_millis(250);
 /// Arrivals of the most urgent work while a kept slot is used by other work.
-const MOST_LENT: f64 = 0.8;
+const MAX_URGENT_ARRIVALS_WHILE_BORROWED: f64 = 0.8;
 /// At most one in so many slots of an upstream is kept.
-const MOST_KEPT: u32 = 3;
+const MIN_SLOTS_PER_RESERVED: u32 = 3;
 
 /// A count in which old events lose their weight.
 #[derive(Debug, Clone, Copy, Default)]
-struct FadingCount {
+struct DecayingCounter {
     count: f64,
-    faded_at: MonotonicTime,
+    updated_at: MonotonicTime,
 }
 
-impl FadingCount {
+impl DecayingCounter {
     fn add(&mut self, now: MonotonicTime) {
         self.count = self.at(now) + 1.0;
-        self.faded_at = now;
+        self.updated_at = now;
     }
 
     fn at(&self, now: MonotonicTime) -> f64 {
-        let elapsed = now.since(self.faded_at).as_secs_f64();
-        self.count * (-elapsed / RECENT_TIME.as_secs_f64()).exp()
+        let elapsed = now.since(self.updated_at).as_secs_f64();
+        self.count * (-elapsed / DECAY_WINDOW.as_secs_f64()).exp()
     }
 
     fn per_second(&self, now: MonotonicTime) -> f64 {
-        self.at(now) / RECENT_TIME.as_secs_f64()
+        self.at(now) / DECAY_WINDOW.as_secs_f64()
     }
 }
 
 /// Arrivals and dispatches at one service by rank, as this daemon sees them.
 #[derive(Debug, Clone, Default)]
 pub struct DemandTracker {
-    arrivals: BTreeMap<RequestRank, FadingCount>,
-    dispatches: BTreeMap<RequestRank, FadingCount>,
+    arrivals: BTreeMap<RequestRank, DecayingCounter>,
+    dispatches: BTreeMap<RequestRank, DecayingCounter>,
 }
 
 impl DemandTracker {
@@ -101,11 +101,12 @@
     /// slots that stand empty most of the time.
     #[must_use]
     pub fn reserved_slots(&self, share: f64, slot: Duration, slots: u32) -> u32 {
-        let horizon = slot.min(OVERDUE_TIME);
-        let kept = (self.total_per_s * share * horizon.as_secs_f64()).round() as u32;
-        if self.most_urgent_per_s * share * slot.as_secs_f64() < MOST_LENT {
+        let horizon = slot.min(GOSSIP_DELAY);
+        let reserved = (self.total_per_s * share * horizon.as_secs_f64()).round() as u32;
+        if self.most_urgent_per_s * share * slot.as_secs_f64() < MAX_URGENT_ARRIVALS_WHILE_BORROWED
+        {
             return 0;
         }
-        kept.min(slots / MOST_KEPT)
+        reserved.min(slots / MIN_SLOTS_PER_RESERVED)
     }
 }
