--- a/crates/savorywood-gateway/src/entry_set.rs
+++ b/crates/savorywood-gateway/src/entry_set.rs
@@ -12,15 +12,15 @@
 /// the set has grown and callers have asked the directory again.
 const TARGET_UTILISATION: f64 = 0.35;
 /// Most that counts as the carried part of a load.
-const MOST_CARRIED: f64 = 1e6;
+const MAX_CARRIED_FRACTION: f64 = 1e6;
 /// Members that a zone has at least, if it has as many daemons.
-const LEAST_MEMBERS: usize = 3;
+const MIN_MEMBERS: usize = 3;
 /// Time in which the remembered load falls to 1/e after the load itself has fallen.
-const DECAY_TIME: Duration = Duration::from_secs(20);
+const PEAK_DECAY_WINDOW: Duration = Duration::from_secs(20);
 /// A daemon that has been running, and seen without a gap, for this long is warmed up.
-const WARM_UP_TIME: Duration = Duration::from_secs(3);
+const WARM_UP_PERIOD: Duration = Duration::from_secs(3);
 /// Daemons that started within this time of each other count as equally old.
-const START_SPREAD: Duration = Duration::from_secs(1);
+const START_TOLERANCE: Duration = Duration::from_secs(1);
 
 /// Amounts of what a daemon needs from its host.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -79,13 +79,13 @@
 
     /// Part of `load` that this host carries at the target utilisation, by the resource that
     /// binds first. A resource without a declared capacity does not bind.
-    fn carried_part(&self, load: &Self) -> f64 {
+    fn carried_fraction(&self, load: &Self) -> f64 {
         let pairs = self.amounts().into_iter().zip(load.amounts());
         let parts = pairs.filter(|(capacity, _)| *capacity > 0).map(|pair| {
             let (capacity, load) = pair;
             f64::from(capacity) * TARGET_UTILISATION / f64::from(load.max(1))
         });
-        parts.fold(MOST_CARRIED, f64::min)
+        parts.fold(MAX_CARRIED_FRACTION, f64::min)
     }
 }
 
@@ -110,7 +110,7 @@
     let steady = candidates.iter().map(|candidate| candidate.stable_for);
     let oldest = steady.max().unwrap_or_default();
     let is_cold = |candidate: &EntryCandidate| {
-        candidate.stable_for < WARM_UP_TIME && candidate.stable_for + START_SPREAD < oldest
+        candidate.stable_for < WARM_UP_PERIOD && candidate.stable_for + START_TOLERANCE < oldest
     };
     candidates.sort_by(|one, other| {
         is_cold(one)
@@ -122,10 +122,10 @@
     let mut carried = 0.0;
     let mut largest: f64 = 0.0;
     for candidate in &candidates {
-        if members.len() >= LEAST_MEMBERS && carried - largest >= 1.0 {
+        if members.len() >= MIN_MEMBERS && carried - largest >= 1.0 {
             break;
         }
-        let part = candidate.capacity.carried_part(load);
+        let part = candidate.capacity.carried_fraction(load);
         carried += part;
         largest = largest.max(part);
         members.push(candidate.host);
@@ -157,7 +157,7 @@
         peaks: impl Iterator<Item = HostResources>,
     ) {
         let elapsed = now.since(self.updated_at).as_secs_f64();
-        let decay = (-elapsed / DECAY_TIME.as_secs_f64()).exp();
+        let decay = (-elapsed / PEAK_DECAY_WINDOW.as_secs_f64()).exp();
         let newest = peaks.fold(load, |peak, other| peak.max(&other));
         for (amount, newest) in self.amounts.iter_mut().zip(newest.amounts()) {
             *amount = (*amount * decay).max(f64::from(newest));
