--- a/crates/savorywood-gateway/src/evacuation.rs
+++ b/crates/savorywood-gateway/src/evacuation.rs
@@ -13,7 +13,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct KnownOrder {
+struct RecordedOrder {
     position: StorePosition,
     in_force: bool,
 }
@@ -21,7 +21,7 @@
 /// Orders by zone, those that were withdrawn included, so that an older row changes nothing.
 #[derive(Debug, Clone, Default)]
 pub struct EvacuationTable {
-    orders: BTreeMap<ZoneLabel, KnownOrder>,
+    orders: BTreeMap<ZoneLabel, RecordedOrder>,
 }
 
 impl EvacuationTable {
@@ -65,7 +65,7 @@
     }
 
     fn update(&mut self, order: EvacuationOrder, in_force: bool) -> bool {
-        let newest = KnownOrder {
+        let newest = RecordedOrder {
             position: order.position,
             in_force,
         };
