--- a/crates/savorywood-gateway/src/lease.rs
+++ b/crates/savorywood-gateway/src/lease.rs
@@ -13,18 +13,18 @@
 ///
 /// A daemon that is cut off sees the heartbeats of members end before it notices that it does not
 /// see most daemons; without a pause it would take over the leases of all of them in between.
-const SETTLE_TIME: Duration = Duration::from_millis(900);
+const SETTLE_PERIOD: Duration = Duration::from_millis(900);
 
 /// Members of a zone, and since when they are these.
 #[derive(Debug, Clone)]
-struct ZoneHolders {
+struct ZoneMemberSet {
     members: Vec<u64>,
     since: MonotonicTime,
 }
 
-impl ZoneHolders {
+impl ZoneMemberSet {
     fn is_settled(&self, now: MonotonicTime) -> bool {
-        now.since(self.since) >= SETTLE_TIME
+        now.since(self.since) >= SETTLE_PERIOD
     }
 }
 
@@ -41,7 +41,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct MemberLeases {
     own: Option<u64>,
-    zones: BTreeMap<ZoneLabel, ZoneHolders>,
+    zones: BTreeMap<ZoneLabel, ZoneMemberSet>,
 }
 
 impl MemberLeases {
@@ -53,7 +53,7 @@
             members.sort_unstable();
             let known = self.zones.get(&zone).map(|holders| &holders.members);
             if known != Some(&members) {
-                let holders = ZoneHolders {
+                let holders = ZoneMemberSet {
                     members,
                     since: now,
                 };
@@ -78,7 +78,7 @@
 
     /// Part of this daemon in a lease that at most so many members of all zones hold.
     #[must_use]
-    pub fn share(&self, now: MonotonicTime, key: u64, most: usize) -> Option<LeaseShare> {
+    pub fn share(&self, now: MonotonicTime, key: u64, max_holders: usize) -> Option<LeaseShare> {
         let own = self.own?;
         let zones = self.zones.values();
         if !zones.clone().all(|zone| zone.is_settled(now)) {
@@ -91,7 +91,7 @@
             .filter(|member| rendezvous_weight(**member, key) > weight);
         let share = LeaseShare {
             rank: before.count(),
-            holders: members.count().min(most),
+            holders: members.count().min(max_holders),
         };
         (share.rank < share.holders).then_some(share)
     }
@@ -122,7 +122,7 @@
     now: MonotonicTime,
     own: u64,
     key: u64,
-    zones: impl Iterator<Item = &'a ZoneHolders> + Clone,
+    zones: impl Iterator<Item = &'a ZoneMemberSet> + Clone,
 ) -> bool {
     let mut all = zones.clone();
     let members = zones.flat_map(|zone| &zone.members);
