--- a/crates/savorywood-gateway/src/team_limit.rs
+++ b/crates/savorywood-gateway/src/team_limit.rs
@@ -10,7 +10,7 @@
 use bucket::{KNOWING_PART, TokenBucket, ZONED_KNOWING_PART, strict_bucket, tolerated_bucket};
 use savorywood_protocol::MonotonicTime;
 use serde::{Deserialize, Serialize};
-use staleness::{SilenceIndex, SilenceTimes, SilentPeer};
+use staleness::{StalenessIndex, StalenessThresholds, TrackedPeer};
 use std::{collections::BTreeMap, time::Duration};
 
 /// Time between two messages of a peer where nothing else is known.
@@ -64,7 +64,7 @@
 struct PeerUse {
     incarnation: u64,
     total: u64,
-    silence: SilentPeer,
+    silence: TrackedPeer,
 }
 
 /// Weight of the newest request in the usual size.
@@ -131,7 +131,7 @@
     /// Daemons that the directory names to callers, if this one is among them.
     members: Option<u32>,
     peers: BTreeMap<u64, PeerUse>,
-    silences: SilenceIndex,
+    silences: StalenessIndex,
 }
 
 impl TeamLimiter {
@@ -171,7 +171,7 @@
             expected: 1,
             members: None,
             peers: BTreeMap::new(),
-            silences: SilenceIndex::new(SilenceTimes::of(USUAL_PAUSE)),
+            silences: StalenessIndex::new(StalenessThresholds::for_interval(USUAL_PAUSE)),
         }
     }
 
@@ -280,11 +280,11 @@
         let least = -self.strict.capacity.max(self.limit.per_second);
         self.strict.level = self.strict.level.max(least);
         self.remove_peer(reading.peer);
-        let silence = SilentPeer {
+        let silence = TrackedPeer {
             peer: reading.peer,
             received_at: now,
             daemons: reading.daemons,
-            near: reading.same_zone,
+            same_zone: reading.same_zone,
         };
         self.silences.insert(silence);
         let received = PeerUse {
@@ -338,10 +338,10 @@
 
     /// There are so many daemons, seen or not, and each sends a message after each pause.
     pub fn set_expected_daemons(&mut self, now: MonotonicTime, daemons: u32, pause: Duration) {
-        let times = SilenceTimes::of(pause);
+        let times = StalenessThresholds::for_interval(pause);
         if self.silences.times() != times {
             self.fill(now);
-            self.silences = SilenceIndex::new(times);
+            self.silences = StalenessIndex::new(times);
             for peer in self.peers.values() {
                 self.silences.insert(peer.silence);
             }
@@ -368,17 +368,17 @@
     }
 
     /// What a silent peer is taken to have used: its even share, in seconds of the whole rate.
-    fn assumed_s(&self, peer: SilentPeer, now: MonotonicTime) -> f64 {
+    fn assumed_s(&self, peer: TrackedPeer, now: MonotonicTime) -> f64 {
         let share = f64::from(peer.daemons) / f64::from(self.daemons());
-        self.silences.silence_of(peer, now).as_secs_f64() * share
+        self.silences.staleness_of(peer, now).as_secs_f64() * share
     }
 
     fn fill(&mut self, now: MonotonicTime) {
-        let before = self.silences.silent_time(self.filled_at);
+        let before = self.silences.stale_time(self.filled_at);
         let peers = &self.peers;
         let find = |peer| peers.get(&peer).map(|known| known.silence);
         self.silences.advance(now, find);
-        let after = self.silences.silent_time(now);
+        let after = self.silences.stale_time(now);
         let part = self.reachable_part(now);
         let mut elapsed_s = now.since(self.filled_at).as_secs_f64();
         if now < self.slow_until {
@@ -388,7 +388,7 @@
         self.own_recent *= fading;
         self.others_recent *= fading;
         let share = 1.0 / f64::from(self.daemons());
-        self.zone_total += (after.near_s - before.near_s) * share * self.strict.rate;
+        self.zone_total += (after.same_zone_s - before.same_zone_s) * share * self.strict.rate;
         let left_s = elapsed_s - (after.all_s - before.all_s) * share;
         for bucket in [&mut self.strict, &mut self.tolerated] {
             bucket.fill(left_s * bucket.rate);
@@ -396,7 +396,7 @@
         }
         self.filled_at = now;
         let gone = if part > 0.5 { GONE_TIME } else { CUT_OFF_TIME };
-        while let Some(peer) = self.silences.silent_for(now, gone) {
+        while let Some(peer) = self.silences.stale_for(now, gone) {
             self.remove_peer(peer);
         }
     }
@@ -407,7 +407,7 @@
     /// one that is cut off would, they let through many bursts; so each group of daemons that see
     /// each other keeps to its part. One that has just started knows only how many there are.
     fn reachable_part(&self, now: MonotonicTime) -> f64 {
-        let seen = self.silences.daemons_in_reach() + 1;
+        let seen = self.silences.reachable_daemons() + 1;
         let all = self.daemons();
         if now < self.slow_until && self.expected > all {
             let part = f64::from(seen) / f64::from(self.expected);
--- a/crates/savorywood-gateway/src/team_limit/fair_share.rs
+++ b/crates/savorywood-gateway/src/team_limit/fair_share.rs
@@ -59,7 +59,7 @@
         if self.members.is_none() {
             return 0.0;
         }
-        let pause = self.silences.times().pause;
+        let pause = self.silences.times().interval;
         bucket.rate * pause.as_secs_f64() * COMING_PART
     }
 
--- a/crates/savorywood-gateway/src/team_limit/staleness.rs
+++ b/crates/savorywood-gateway/src/team_limit/staleness.rs
@@ -10,47 +10,47 @@
 use std::{collections::BTreeSet, time::Duration};
 
 /// Time beyond a usual pause after which a message counts as missing.
-const LATE_TIME: Duration = Duration::from_millis(50);
+const LATE_MARGIN: Duration = Duration::from_millis(50);
 /// Usual pauses without a message after which a peer counts as out of reach.
-const OVERDUE_PAUSES: f64 = 1.8;
+const UNREACHABLE_INTERVALS: f64 = 1.8;
 
 /// How long a peer may be silent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct SilenceTimes {
+pub struct StalenessThresholds {
     /// Usual time between two messages.
-    pub pause: Duration,
+    pub interval: Duration,
     /// From then on it is taken to use its even share; what it reports next settles that, so that a
     /// lost message costs nothing.
-    pub assumed: Duration,
+    pub late_after: Duration,
     /// From then on it counts as out of reach.
-    pub overdue: Duration,
+    pub unreachable_after: Duration,
 }
 
-impl SilenceTimes {
+impl StalenessThresholds {
     /// Times for peers that send a message after each pause.
     #[must_use]
-    pub fn of(pause: Duration) -> Self {
+    pub fn for_interval(pause: Duration) -> Self {
         Self {
-            pause,
-            assumed: pause + LATE_TIME,
-            overdue: pause.mul_f64(OVERDUE_PAUSES),
+            interval: pause,
+            late_after: pause + LATE_MARGIN,
+            unreachable_after: pause.mul_f64(UNREACHABLE_INTERVALS),
         }
     }
 }
 
 /// A peer in the index: when it was received last, and its number.
-type SilenceKey = (MonotonicTime, u64);
+type StalenessKey = (MonotonicTime, u64);
 
 /// Silences of a set of peers, summed over their daemons.
 #[derive(Debug, Clone, Copy, Default)]
-struct SilenceSum {
+struct StalenessSum {
     /// Daemons of these peers.
     daemons: u64,
     /// Sum of daemons times the microsecond from which they are taken to use their share.
     weighted_since: u128,
 }
 
-impl SilenceSum {
+impl StalenessSum {
     fn add(&mut self, since: MonotonicTime, daemons: u32) {
         self.daemons += u64::from(daemons);
         self.weighted_since += Self::weight(since, daemons);
@@ -66,7 +66,7 @@
     }
 
     /// Seconds of silence beyond the assumed time, summed over daemons.
-    fn silent_s(&self, now: MonotonicTime) -> f64 {
+    fn stale_s(&self, now: MonotonicTime) -> f64 {
         let until = u128::from(now.0) * u128::from(self.daemons);
         until.saturating_sub(self.weighted_since) as f64 / 1e6
     }
@@ -74,7 +74,7 @@
 
 /// What the index must know of a peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct SilentPeer {
+pub struct TrackedPeer {
     /// Number of the peer.
     pub peer: u64,
     /// When its last message came.
@@ -82,53 +82,53 @@
     /// Daemons that it speaks for.
     pub daemons: u32,
     /// It is of this daemon's own zone.
-    pub near: bool,
+    pub same_zone: bool,
 }
 
 /// Time for which peers have been silent, in seconds of one daemon, beyond the assumed time.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct SilentTime {
+pub struct StaleTime {
     /// Of all peers.
     pub all_s: f64,
     /// Of those of the own zone.
-    pub near_s: f64,
+    pub same_zone_s: f64,
 }
 
 /// Peers by the time of their last message, in three stages.
 #[derive(Debug, Clone)]
-pub struct SilenceIndex {
-    times: SilenceTimes,
+pub struct StalenessIndex {
+    times: StalenessThresholds,
     /// Received lately.
-    fresh: BTreeSet<SilenceKey>,
+    fresh: BTreeSet<StalenessKey>,
     /// Silent for the assumed time, and not yet out of reach.
-    assumed: BTreeSet<SilenceKey>,
+    late: BTreeSet<StalenessKey>,
     /// Out of reach.
-    overdue: BTreeSet<SilenceKey>,
+    unreachable: BTreeSet<StalenessKey>,
     daemons: u32,
-    overdue_daemons: u32,
-    silent: SilenceSum,
-    silent_near: SilenceSum,
+    unreachable_daemons: u32,
+    stale: StalenessSum,
+    stale_same_zone: StalenessSum,
 }
 
-impl SilenceIndex {
+impl StalenessIndex {
     /// An index without peers.
     #[must_use]
-    pub fn new(times: SilenceTimes) -> Self {
+    pub fn new(times: StalenessThresholds) -> Self {
         Self {
             times,
             fresh: BTreeSet::new(),
-            assumed: BTreeSet::new(),
-            overdue: BTreeSet::new(),
+            late: BTreeSet::new(),
+            unreachable: BTreeSet::new(),
             daemons: 0,
-            overdue_daemons: 0,
-            silent: SilenceSum::default(),
-            silent_near: SilenceSum::default(),
+            unreachable_daemons: 0,
+            stale: StalenessSum::default(),
+            stale_same_zone: StalenessSum::default(),
         }
     }
 
     /// How long peers may be silent.
     #[must_use]
-    pub fn times(&self) -> SilenceTimes {
+    pub fn times(&self) -> StalenessThresholds {
         self.times
     }
 
@@ -140,82 +140,82 @@
 
     /// Daemons of the peers that are in reach.
     #[must_use]
-    pub fn daemons_in_reach(&self) -> u32 {
-        self.daemons - self.overdue_daemons
+    pub fn reachable_daemons(&self) -> u32 {
+        self.daemons - self.unreachable_daemons
     }
 
     /// Silences as of a moment that is not before the last advance.
     #[must_use]
-    pub fn silent_time(&self, now: MonotonicTime) -> SilentTime {
-        SilentTime {
-            all_s: self.silent.silent_s(now),
-            near_s: self.silent_near.silent_s(now),
+    pub fn stale_time(&self, now: MonotonicTime) -> StaleTime {
+        StaleTime {
+            all_s: self.stale.stale_s(now),
+            same_zone_s: self.stale_same_zone.stale_s(now),
         }
     }
 
     /// Time for which one peer has been silent beyond the assumed time.
     #[must_use]
-    pub fn silence_of(&self, peer: SilentPeer, now: MonotonicTime) -> Duration {
+    pub fn staleness_of(&self, peer: TrackedPeer, now: MonotonicTime) -> Duration {
         now.since(peer.received_at)
-            .saturating_sub(self.times.assumed)
+            .saturating_sub(self.times.late_after)
     }
 
     /// Adds a peer whose message came just now.
-    pub fn insert(&mut self, peer: SilentPeer) {
+    pub fn insert(&mut self, peer: TrackedPeer) {
         self.fresh.insert((peer.received_at, peer.peer));
         self.daemons += peer.daemons;
     }
 
     /// Takes a peer out.
-    pub fn remove(&mut self, peer: SilentPeer) {
+    pub fn remove(&mut self, peer: TrackedPeer) {
         let key = (peer.received_at, peer.peer);
         self.daemons -= peer.daemons;
         if self.fresh.remove(&key) {
             return;
         }
-        let since = peer.received_at + self.times.assumed;
-        self.silent.remove(since, peer.daemons);
-        if peer.near {
-            self.silent_near.remove(since, peer.daemons);
+        let since = peer.received_at + self.times.late_after;
+        self.stale.remove(since, peer.daemons);
+        if peer.same_zone {
+            self.stale_same_zone.remove(since, peer.daemons);
         }
-        if !self.assumed.remove(&key) {
-            self.overdue.remove(&key);
-            self.overdue_daemons -= peer.daemons;
+        if !self.late.remove(&key) {
+            self.unreachable.remove(&key);
+            self.unreachable_daemons -= peer.daemons;
         }
     }
 
     /// Moves peers to the stages that they have reached by now. `find` looks a peer up.
-    pub fn advance(&mut self, now: MonotonicTime, find: impl Fn(u64) -> Option<SilentPeer>) {
-        while let Some(key) = pop_silent(&mut self.fresh, now, self.times.assumed) {
-            self.assumed.insert(key);
+    pub fn advance(&mut self, now: MonotonicTime, find: impl Fn(u64) -> Option<TrackedPeer>) {
+        while let Some(key) = pop_stale(&mut self.fresh, now, self.times.late_after) {
+            self.late.insert(key);
             if let Some(peer) = find(key.1) {
-                let since = key.0 + self.times.assumed;
-                self.silent.add(since, peer.daemons);
-                if peer.near {
-                    self.silent_near.add(since, peer.daemons);
+                let since = key.0 + self.times.late_after;
+                self.stale.add(since, peer.daemons);
+                if peer.same_zone {
+                    self.stale_same_zone.add(since, peer.daemons);
                 }
             }
         }
-        while let Some(key) = pop_silent(&mut self.assumed, now, self.times.overdue) {
-            self.overdue.insert(key);
-            self.overdue_daemons += find(key.1).map_or(0, |peer| peer.daemons);
+        while let Some(key) = pop_stale(&mut self.late, now, self.times.unreachable_after) {
+            self.unreachable.insert(key);
+            self.unreachable_daemons += find(key.1).map_or(0, |peer| peer.daemons);
         }
     }
 
     /// A peer that has been silent for some time, the longest silent one first.
     #[must_use]
-    pub fn silent_for(&self, now: MonotonicTime, time: Duration) -> Option<u64> {
-        let first = self.overdue.first()?;
+    pub fn stale_for(&self, now: MonotonicTime, time: Duration) -> Option<u64> {
+        let first = self.unreachable.first()?;
         (now.since(first.0) >= time).then_some(first.1)
     }
 }
 
 /// Takes out the peer that has been silent longest, if it has been so for some time.
-fn pop_silent(
-    peers: &mut BTreeSet<SilenceKey>,
+fn pop_stale(
+    peers: &mut BTreeSet<StalenessKey>,
     now: MonotonicTime,
     time: Duration,
-) -> Option<SilenceKey> {
+) -> Option<StalenessKey> {
     let first = *peers.first()?;
     if now.since(first.0) < time {
         return None;
--- a/crates/savorywood-gateway/src/team_limit/staleness/tests.rs
+++ b/crates/savorywood-gateway/src/team_limit/staleness/tests.rs
@@ -1,6 +1,6 @@
 //! The sums of the index against a walk over all peers.
 
-use super::{SilenceIndex, SilenceTimes, SilentPeer};
+use super::{StalenessIndex, StalenessThresholds, TrackedPeer};
 use quickcheck::quickcheck;
 use savorywood_protocol::MonotonicTime;
 use std::{collections::BTreeMap, time::Duration};
@@ -9,27 +9,29 @@
 const PAUSE: Duration = Duration::from_millis(250);
 
 /// Silence of all peers, in seconds of one daemon, by a walk over them.
-fn walked_s(peers: &BTreeMap<u64, SilentPeer>, now: MonotonicTime, near: bool) -> f64 {
-    let peers = peers.values().filter(|peer| peer.near || !near);
+fn walked_s(peers: &BTreeMap<u64, TrackedPeer>, now: MonotonicTime, near: bool) -> f64 {
+    let peers = peers.values().filter(|peer| peer.same_zone || !near);
     let silent = peers.map(|peer| {
-        let assumed = SilenceTimes::of(PAUSE).assumed;
+        let assumed = StalenessThresholds::for_interval(PAUSE).late_after;
         let silence = now.since(peer.received_at).saturating_sub(assumed);
         silence.as_secs_f64() * f64::from(peer.daemons)
     });
     silent.sum()
 }
 
-fn walked_in_reach(peers: &BTreeMap<u64, SilentPeer>, now: MonotonicTime) -> u32 {
+fn walked_in_reach(peers: &BTreeMap<u64, TrackedPeer>, now: MonotonicTime) -> u32 {
     let peers = peers.values();
-    let seen = peers.filter(|peer| now.since(peer.received_at) < SilenceTimes::of(PAUSE).overdue);
+    let seen = peers.filter(|peer| {
+        now.since(peer.received_at) < StalenessThresholds::for_interval(PAUSE).unreachable_after
+    });
     seen.map(|peer| peer.daemons).sum()
 }
 
 quickcheck! {
     /// Guards against a team that is refused or let through for a sum that drifted from its peers.
     fn sums_match_a_walk_over_all_peers(steps: Vec<(u8, u16, bool)>) -> bool {
-        let mut index = SilenceIndex::new(SilenceTimes::of(PAUSE));
-        let mut peers: BTreeMap<u64, SilentPeer> = BTreeMap::new();
+        let mut index = StalenessIndex::new(StalenessThresholds::for_interval(PAUSE));
+        let mut peers: BTreeMap<u64, TrackedPeer> = BTreeMap::new();
         let mut now = MonotonicTime(1_000_000);
         for (number, pause_ms, ends) in steps {
             now = now + Duration::from_millis(u64::from(pause_ms % 700));
@@ -39,11 +41,11 @@
                 index.remove(known);
             }
             if !ends {
-                let known = SilentPeer {
+                let known = TrackedPeer {
                     peer,
                     received_at: now,
                     daemons: u32::from(number / PEERS) + 1,
-                    near: peer.is_multiple_of(2),
+                    same_zone: peer.is_multiple_of(2),
                 };
                 index.insert(known);
                 peers.insert(peer, known);
@@ -51,10 +53,10 @@
             let later = now + Duration::from_millis(u64::from(pause_ms % 311));
             let mut ahead = index.clone();
             ahead.advance(later, |peer| peers.get(&peer).copied());
-            let silent = ahead.silent_time(later);
+            let silent = ahead.stale_time(later);
             let same = (silent.all_s - walked_s(&peers, later, false)).abs() < 1e-6
-                && (silent.near_s - walked_s(&peers, later, true)).abs() < 1e-6
-                && ahead.daemons_in_reach() == walked_in_reach(&peers, later)
+                && (silent.same_zone_s - walked_s(&peers, later, true)).abs() < 1e-6
+                && ahead.reachable_daemons() == walked_in_reach(&peers, later)
                 && ahead.daemons() == peers.values().map(|peer| peer.daemons).sum::<u32>();
             if !same {
                 return false;
