--- a/crates/savorywood-gateway/src/team_limit.rs
+++ b/crates/savorywood-gateway/src/team_limit.rs
@@ -7,30 +7,32 @@
 pub use bucket::LimitTolerance;
 
 use crate::{config::TeamLimit, gossip::MOST_DIRECT};
-use bucket::{KNOWING_PART, TokenBucket, ZONED_KNOWING_PART, strict_bucket, tolerated_bucket};
+use bucket::{
+    TOLERANCE_FRACTION, TokenBucket, ZONED_TOLERANCE_FRACTION, strict_bucket, tolerated_bucket,
+};
 use savorywood_protocol::MonotonicTime;
 use serde::{Deserialize, Serialize};
 use staleness::{StalenessIndex, StalenessThresholds, TrackedPeer};
 use std::{collections::BTreeMap, time::Duration};
 
 /// Time between two messages of a peer where nothing else is known.
-const USUAL_PAUSE: Duration = Duration::from_millis(250);
+const DEFAULT_MESSAGE_INTERVAL: Duration = Duration::from_millis(250);
 /// A peer that sent nothing for this long is taken to be gone, if most others are seen.
-const GONE_TIME: Duration = Duration::from_secs(20);
+const PEER_TTL: Duration = Duration::from_secs(20);
 /// A daemon that is out of reach of nearly all is cut off, and the others live: they are not taken to be
 /// gone before this time.
-const CUT_OFF_TIME: Duration = Duration::from_secs(60);
+const PARTITIONED_PEER_TTL: Duration = Duration::from_secs(60);
 /// For so long after a start the levels of those that have run longer are taken over.
-const ADOPT_TIME: Duration = Duration::from_secs(3);
+const ADOPTION_WINDOW: Duration = Duration::from_secs(3);
 
 /// Part of the burst with which a daemon begins that starts again.
-const START_PART: f64 = 0.3;
+const RESTART_FILL_FRACTION: f64 = 0.3;
 /// After a start the other daemons may be unknown for so long.
-const UNKNOWN_TIME: Duration = Duration::from_millis(900);
+const DISCOVERY_WINDOW: Duration = Duration::from_millis(900);
 /// Meanwhile a daemon takes so many times its even part of burst and rate.
-const UNKNOWN_FACTOR: f64 = 2.0;
+const DISCOVERY_FACTOR: f64 = 2.0;
 /// What a peer has used in a life of less than this is counted when it is met.
-const YOUNG_TIME: Duration = Duration::from_secs(5);
+const MAX_YOUNG_UPTIME: Duration = Duration::from_secs(5);
 
 /// A peer as a meter sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -61,16 +63,16 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct PeerUse {
+struct PeerRecord {
     incarnation: u64,
     total: u64,
-    silence: TrackedPeer,
+    tracked: TrackedPeer,
 }
 
 /// Weight of the newest request in the usual size.
-const NEWEST_WEIGHT: f64 = 0.05;
+const REQUEST_SIZE_WEIGHT: f64 = 0.05;
 /// Time in which old use loses most of its weight in the shares.
-const RECENT_TIME: Duration = Duration::from_secs(1);
+const USAGE_DECAY_WINDOW: Duration = Duration::from_secs(1);
 
 /// A request that a team's meter is asked about.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -111,7 +113,7 @@
     strict: TokenBucket,
     tolerated: TokenBucket,
     filled_at: MonotonicTime,
-    slow_until: MonotonicTime,
+    discovery_until: MonotonicTime,
     own_total: u64,
     /// Until then levels of peers are taken over.
     adopt_until: MonotonicTime,
@@ -121,17 +123,17 @@
     /// Own use that no message reported yet.
     unreported: f64,
     /// Units of a request, on the average of the newest.
-    usual_units: f64,
+    typical_units: f64,
     /// Own use lately, fading.
     own_recent: f64,
     /// Use of all others lately, fading.
     others_recent: f64,
     /// Daemons that there are, as far as they are known by other means than their messages.
-    expected: u32,
+    expected_daemons: u32,
     /// Daemons that the directory names to callers, if this one is among them.
     members: Option<u32>,
-    peers: BTreeMap<u64, PeerUse>,
-    silences: StalenessIndex,
+    peers: BTreeMap<u64, PeerRecord>,
+    staleness: StalenessIndex,
 }
 
 impl TeamLimiter {
@@ -149,10 +151,10 @@
         fresh: bool,
     ) -> Self {
         let mut strict = strict_bucket(limit);
-        let mut tolerated = tolerated_bucket(limit, tolerance, KNOWING_PART);
+        let mut tolerated = tolerated_bucket(limit, tolerance, TOLERANCE_FRACTION);
         if !fresh {
-            strict.level *= START_PART;
-            tolerated.level *= START_PART;
+            strict.level *= RESTART_FILL_FRACTION;
+            tolerated.level *= RESTART_FILL_FRACTION;
         }
         Self {
             limit,
@@ -160,30 +162,32 @@
             strict,
             tolerated,
             filled_at: now,
-            slow_until: if fresh { now } else { now + UNKNOWN_TIME },
+            discovery_until: if fresh { now } else { now + DISCOVERY_WINDOW },
             own_total: 0,
-            adopt_until: if fresh { now } else { now + ADOPT_TIME },
+            adopt_until: if fresh { now } else { now + ADOPTION_WINDOW },
             zone_total: 0.0,
             unreported: 0.0,
-            usual_units: 0.0,
+            typical_units: 0.0,
             own_recent: 0.0,
             others_recent: 0.0,
-            expected: 1,
+            expected_daemons: 1,
             members: None,
             peers: BTreeMap::new(),
-            silences: StalenessIndex::new(StalenessThresholds::for_interval(USUAL_PAUSE)),
+            staleness: StalenessIndex::new(StalenessThresholds::for_interval(
+                DEFAULT_MESSAGE_INTERVAL,
+            )),
         }
     }
 
     /// Puts another limit in force; what was used stays used.
     pub fn set_limit(&mut self, now: MonotonicTime, limit: TeamLimit) {
-        self.fill(now);
+        self.refill(now);
         let strict_used = self.strict.capacity - self.strict.level;
         let tolerated_used = self.tolerated.capacity - self.tolerated.level;
         self.limit = limit;
         self.strict = strict_bucket(limit);
         self.strict.level -= strict_used.min(limit.burst);
-        self.tolerated = tolerated_bucket(limit, self.tolerance, self.knowing_part());
+        self.tolerated = tolerated_bucket(limit, self.tolerance, self.tolerance_fraction());
         self.tolerated.level -= tolerated_used.min(limit.burst);
     }
 
@@ -207,16 +211,16 @@
 
     /// Says whether a request may pass now; nothing is taken yet.
     pub fn check(&mut self, now: MonotonicTime, query: &LimitQuery) -> LimitVerdict {
-        self.fill(now);
-        self.usual_units += (query.units - self.usual_units) * NEWEST_WEIGHT;
+        self.refill(now);
+        self.typical_units += (query.units - self.typical_units) * REQUEST_SIZE_WEIGHT;
         // The debt of the strict bucket is cut off, that of the tolerance never is: the strict one
         // may be full again while the tolerance is all but spent.
-        if !self.is_open(&self.tolerated, query) {
+        if !self.has_room(&self.tolerated, query) {
             return LimitVerdict::Exceeded {
                 retry_after: self.retry_after(),
             };
         }
-        if self.is_open(&self.strict, query) {
+        if self.has_room(&self.strict, query) {
             LimitVerdict::Within
         } else {
             LimitVerdict::Tolerated
@@ -249,34 +253,35 @@
 
     /// Gives back what a request did not use, because it never ran.
     pub fn refund(&mut self, units: f64) {
-        self.strict.fill(units);
-        self.tolerated.fill(units);
+        self.strict.add(units);
+        self.tolerated.add(units);
         self.own_total = self.own_total.saturating_sub(units as u64);
         self.zone_total -= units;
     }
 
     /// A peer reports what it has used in its life.
     pub fn record_peer_usage(&mut self, now: MonotonicTime, reading: PeerUsage) {
-        self.fill(now);
+        self.refill(now);
         let known = self.peers.get(&reading.peer).copied();
         let total = reading.total as f64;
         let used = match known {
             Some(known) if known.incarnation == reading.incarnation => total - known.total as f64,
             Some(_) => total,
-            None if reading.age < YOUNG_TIME => total,
+            None if reading.age < MAX_YOUNG_UPTIME => total,
             // What an old peer used long ago is over.
             None => 0.0,
         };
         // What was assumed while it was silent is settled against what it reports.
-        let same_life = known.filter(|known| known.incarnation == reading.incarnation);
-        let assumed_s = same_life.map_or(0.0, |known| self.assumed_s(known.silence, now));
+        let same_incarnation = known.filter(|known| known.incarnation == reading.incarnation);
+        let assumed_s =
+            same_incarnation.map_or(0.0, |known| self.assumed_use_s(known.tracked, now));
         if reading.same_zone {
             self.zone_total += used - assumed_s * self.strict.rate;
         }
         self.others_recent += used.max(0.0);
-        self.strict.fill(assumed_s * self.strict.rate - used);
-        self.tolerated.fill(assumed_s * self.tolerated.rate - used);
-        self.adopt(now, reading);
+        self.strict.add(assumed_s * self.strict.rate - used);
+        self.tolerated.add(assumed_s * self.tolerated.rate - used);
+        self.adopt_levels(now, reading);
         let least = -self.strict.capacity.max(self.limit.per_second);
         self.strict.level = self.strict.level.max(least);
         self.remove_peer(reading.peer);
@@ -286,18 +291,18 @@
             daemons: reading.daemons,
             same_zone: reading.same_zone,
         };
-        self.silences.insert(silence);
-        let received = PeerUse {
+        self.staleness.insert(silence);
+        let received = PeerRecord {
             incarnation: reading.incarnation,
             total: reading.total,
-            silence,
+            tracked: silence,
         };
         self.peers.insert(reading.peer, received);
     }
 
     fn remove_peer(&mut self, peer: u64) {
         if let Some(known) = self.peers.remove(&peer) {
-            self.silences.remove(known.silence);
+            self.staleness.remove(known.tracked);
         }
     }
 
@@ -306,8 +311,8 @@
     /// Each copy of the buckets is meant to be the same. Begun with a level of its own, every
     /// daemon that joins or comes back while a team is at its limit would let through a part of
     /// the burst once more; ten of them would let through several limits.
-    fn adopt(&mut self, now: MonotonicTime, reading: PeerUsage) {
-        if now >= self.adopt_until || reading.age < ADOPT_TIME {
+    fn adopt_levels(&mut self, now: MonotonicTime, reading: PeerUsage) {
+        if now >= self.adopt_until || reading.age < ADOPTION_WINDOW {
             return;
         }
         if let Some(levels) = reading.levels {
@@ -332,71 +337,76 @@
 
     /// A peer is known to have ended.
     pub fn record_peer_ended(&mut self, now: MonotonicTime, peer: u64) {
-        self.fill(now);
+        self.refill(now);
         self.remove_peer(peer);
     }
 
     /// There are so many daemons, seen or not, and each sends a message after each pause.
     pub fn set_expected_daemons(&mut self, now: MonotonicTime, daemons: u32, pause: Duration) {
         let times = StalenessThresholds::for_interval(pause);
-        if self.silences.times() != times {
-            self.fill(now);
-            self.silences = StalenessIndex::new(times);
+        if self.staleness.times() != times {
+            self.refill(now);
+            self.staleness = StalenessIndex::new(times);
             for peer in self.peers.values() {
-                self.silences.insert(peer.silence);
+                self.staleness.insert(peer.tracked);
             }
             let peers = &self.peers;
-            let find = |peer| peers.get(&peer).map(|known| known.silence);
-            self.silences.advance(now, find);
+            let find = |peer| peers.get(&peer).map(|known| known.tracked);
+            self.staleness.advance(now, find);
         }
-        self.expected = daemons;
-        let bucket = tolerated_bucket(self.limit, self.tolerance, self.knowing_part());
+        self.expected_daemons = daemons;
+        let bucket = tolerated_bucket(self.limit, self.tolerance, self.tolerance_fraction());
         self.tolerated.rate = bucket.rate;
     }
 
-    fn knowing_part(&self) -> f64 {
-        if self.expected > MOST_DIRECT {
-            ZONED_KNOWING_PART
+    fn tolerance_fraction(&self) -> f64 {
+        if self.expected_daemons > MOST_DIRECT {
+            ZONED_TOLERANCE_FRACTION
         } else {
-            KNOWING_PART
+            TOLERANCE_FRACTION
         }
     }
 
     /// Daemons that the meter counts, this one included.
     fn daemons(&self) -> u32 {
-        self.silences.daemons() + 1
+        self.staleness.daemons() + 1
     }
 
     /// What a silent peer is taken to have used: its even share, in seconds of the whole rate.
-    fn assumed_s(&self, peer: TrackedPeer, now: MonotonicTime) -> f64 {
+    fn assumed_use_s(&self, peer: TrackedPeer, now: MonotonicTime) -> f64 {
         let share = f64::from(peer.daemons) / f64::from(self.daemons());
-        self.silences.staleness_of(peer, now).as_secs_f64() * share
+        self.staleness.staleness_of(peer, now).as_secs_f64() * share
     }
 
-    fn fill(&mut self, now: MonotonicTime) {
-        let before = self.silences.stale_time(self.filled_at);
+    fn refill(&mut self, now: MonotonicTime) {
+        let before = self.staleness.stale_time(self.filled_at);
         let peers = &self.peers;
-        let find = |peer| peers.get(&peer).map(|known| known.silence);
-        self.silences.advance(now, find);
-        let after = self.silences.stale_time(now);
-        let part = self.reachable_part(now);
+        let find = |peer| peers.get(&peer).map(|known| known.tracked);
+        self.staleness.advance(now, find);
+        let after = self.staleness.stale_time(now);
+        let part = self.reachable_fraction(now);
         let mut elapsed_s = now.since(self.filled_at).as_secs_f64();
-        if now < self.slow_until {
+        if now < self.discovery_until {
             elapsed_s *= part;
         }
-        let fading = (-now.since(self.filled_at).as_secs_f64() / RECENT_TIME.as_secs_f64()).exp();
+        let fading =
+            (-now.since(self.filled_at).as_secs_f64() / USAGE_DECAY_WINDOW.as_secs_f64()).exp();
         self.own_recent *= fading;
         self.others_recent *= fading;
         let share = 1.0 / f64::from(self.daemons());
         self.zone_total += (after.same_zone_s - before.same_zone_s) * share * self.strict.rate;
         let left_s = elapsed_s - (after.all_s - before.all_s) * share;
         for bucket in [&mut self.strict, &mut self.tolerated] {
-            bucket.fill(left_s * bucket.rate);
-            bucket.keep_part(part);
+            bucket.add(left_s * bucket.rate);
+            bucket.cap_to_fraction(part);
         }
         self.filled_at = now;
-        let gone = if part > 0.5 { GONE_TIME } else { CUT_OFF_TIME };
-        while let Some(peer) = self.silences.stale_for(now, gone) {
+        let ttl = if part > 0.5 {
+            PEER_TTL
+        } else {
+            PARTITIONED_PEER_TTL
+        };
+        while let Some(peer) = self.staleness.stale_for(now, ttl) {
             self.remove_peer(peer);
         }
     }
@@ -406,12 +416,12 @@
     /// A daemon that is cut off holds a copy of the whole burst. Spending it alone, as every other
     /// one that is cut off would, they let through many bursts; so each group of daemons that see
     /// each other keeps to its part. One that has just started knows only how many there are.
-    fn reachable_part(&self, now: MonotonicTime) -> f64 {
-        let seen = self.silences.reachable_daemons() + 1;
+    fn reachable_fraction(&self, now: MonotonicTime) -> f64 {
+        let seen = self.staleness.reachable_daemons() + 1;
         let all = self.daemons();
-        if now < self.slow_until && self.expected > all {
-            let part = f64::from(seen) / f64::from(self.expected);
-            return (part * UNKNOWN_FACTOR).min(1.0);
+        if now < self.discovery_until && self.expected_daemons > all {
+            let part = f64::from(seen) / f64::from(self.expected_daemons);
+            return (part * DISCOVERY_FACTOR).min(1.0);
         }
         f64::from(seen) / f64::from(all)
     }
--- a/crates/savorywood-gateway/src/team_limit/bucket.rs
+++ b/crates/savorywood-gateway/src/team_limit/bucket.rs
@@ -26,9 +26,9 @@
 
 /// Part of the tolerated use that is admitted knowingly; the rest covers what daemons admit
 /// before they learn of each other, and what those that ended had admitted.
-pub const KNOWING_PART: f64 = 0.65;
+pub const TOLERANCE_FRACTION: f64 = 0.65;
 /// The same where zones exchange digests: use is then learned of by way of another daemon, later.
-pub const ZONED_KNOWING_PART: f64 = 0.6;
+pub const ZONED_TOLERANCE_FRACTION: f64 = 0.6;
 
 /// One token bucket.
 #[derive(Debug, Clone, Copy)]
@@ -43,12 +43,12 @@
 
 impl TokenBucket {
     /// Adds units, or takes them.
-    pub fn fill(&mut self, units: f64) {
+    pub fn add(&mut self, units: f64) {
         self.level = (self.level + units).min(self.capacity);
     }
 
     /// Holds no more than a part of what the bucket can hold.
-    pub fn keep_part(&mut self, part: f64) {
+    pub fn cap_to_fraction(&mut self, part: f64) {
         self.level = self.level.min(self.capacity * part);
     }
 }
@@ -63,11 +63,15 @@
 }
 
 /// A bucket that lets through the knowing part of the tolerated use within any window.
-pub fn tolerated_bucket(limit: TeamLimit, tolerance: LimitTolerance, knowing: f64) -> TokenBucket {
+pub fn tolerated_bucket(
+    limit: TeamLimit,
+    tolerance: LimitTolerance,
+    tolerance_fraction: f64,
+) -> TokenBucket {
     let window = tolerance.window.as_secs_f64().max(0.1);
     let declared = limit.per_second * window + limit.burst;
     let tolerated = declared * (1.0 + tolerance.overage) + tolerance.slack;
-    let most = declared + (tolerated - declared) * knowing;
+    let most = declared + (tolerated - declared) * tolerance_fraction;
     TokenBucket {
         rate: (most - limit.burst) / window,
         capacity: limit.burst,
--- a/crates/savorywood-gateway/src/team_limit/fair_share.rs
+++ b/crates/savorywood-gateway/src/team_limit/fair_share.rs
@@ -7,17 +7,17 @@
 
 /// Part of what comes into a bucket until the next message that is spent before it: others' use of
 /// that time is learned later still.
-const COMING_PART: f64 = 0.5;
+const INFLOW_FRACTION: f64 = 0.5;
 /// Part of a bucket that requests of a rank leave to those of the rank before it.
-const RESERVED_PART: f64 = 0.12;
+const RANK_RESERVE_FRACTION: f64 = 0.12;
 /// A request of a smaller part of the bucket leaves less of it.
-const SMALL_PART: f64 = 0.01;
+const SMALL_REQUEST_FRACTION: f64 = 0.01;
 /// Ranks for which this is done.
-const MOST_RESERVED_RANKS: u32 = 3;
+const MAX_RESERVED_RANKS: u32 = 3;
 /// Part of a bucket that daemons spend without regard to their shares.
-const FREE_PART: f64 = 0.25;
+const UNSHARED_FRACTION: f64 = 0.25;
 /// With more daemons than this it is smaller.
-const FREE_DAEMONS: f64 = 16.0;
+const UNSHARED_FULL_DAEMONS: f64 = 16.0;
 /// How many times its share a daemon may spend: use moves between daemons.
 const SHARE_FACTOR: f64 = 1.2;
 
@@ -29,15 +29,15 @@
     /// each other. A share that is less than a request lets one pass as often as it is worth, large
     /// ones as often as usual ones. Less urgent requests leave a part of the bucket to more urgent
     /// ones of their team, small ones less of it.
-    pub(super) fn is_open(&self, bucket: &TokenBucket, query: &LimitQuery) -> bool {
-        let steps = f64::from(query.rank.min(MOST_RESERVED_RANKS));
-        let size = query.units / (bucket.capacity * SMALL_PART).max(f64::MIN_POSITIVE);
-        let level = bucket.level - bucket.capacity * RESERVED_PART * steps * size.min(1.0);
+    pub(super) fn has_room(&self, bucket: &TokenBucket, query: &LimitQuery) -> bool {
+        let steps = f64::from(query.rank.min(MAX_RESERVED_RANKS));
+        let size = query.units / (bucket.capacity * SMALL_REQUEST_FRACTION).max(f64::MIN_POSITIVE);
+        let level = bucket.level - bucket.capacity * RANK_RESERVE_FRACTION * steps * size.min(1.0);
         if level < 0.0 {
             return false;
         }
-        let even = self.own_share();
-        let free = FREE_PART * (FREE_DAEMONS * even).min(1.0);
+        let even = self.even_share();
+        let free = UNSHARED_FRACTION * (UNSHARED_FULL_DAEMONS * even).min(1.0);
         if bucket.level >= bucket.capacity * (1.0 - free) {
             return true;
         }
@@ -46,27 +46,27 @@
         let reported = (self.own_recent - self.unreported).max(0.0);
         let used = reported + self.others_recent;
         let share = if used > 0.0 { reported / used } else { even };
-        let coming = self.coming_units(bucket);
+        let inflow = self.inflow_units(bucket);
         let share = share.max(even);
-        let left = (level + self.unreported) * (share * SHARE_FACTOR).min(1.0) + coming * share;
+        let left = (level + self.unreported) * (share * SHARE_FACTOR).min(1.0) + inflow * share;
         let room = left - self.unreported;
-        query.sample * self.usual_units.min(query.units) < room
+        query.sample * self.typical_units.min(query.units) < room
     }
 
     /// Units that come into a bucket until the next message and may be spent before it. Daemons that
     /// the directory does not name wait for them: callers may come to many of these at once.
-    fn coming_units(&self, bucket: &TokenBucket) -> f64 {
+    fn inflow_units(&self, bucket: &TokenBucket) -> f64 {
         if self.members.is_none() {
             return 0.0;
         }
-        let pause = self.silences.times().interval;
-        bucket.rate * pause.as_secs_f64() * COMING_PART
+        let pause = self.staleness.times().interval;
+        bucket.rate * pause.as_secs_f64() * INFLOW_FRACTION
     }
 
     /// Share that this daemon may take without having seen callers before. One that the directory
     /// does not name may be one of many to which callers come all at once.
-    fn own_share(&self) -> f64 {
-        let daemons = self.daemons().max(self.expected);
+    fn even_share(&self) -> f64 {
+        let daemons = self.daemons().max(self.expected_daemons);
         1.0 / f64::from(self.members.unwrap_or(daemons).clamp(1, daemons))
     }
 }
