--- a/crates/savorywood-gateway/src/latency.rs
+++ b/crates/savorywood-gateway/src/latency.rs
@@ -6,30 +6,30 @@
 const NEWEST_WEIGHT: f64 = 0.2;
 /// Weight of a pause that is longer than the usual longest ones: these come beside long prompts,
 /// rarely and at any moment.
-const LONGER_PAUSE_WEIGHT: f64 = 0.5;
+const LONGER_GAP_WEIGHT: f64 = 0.5;
 /// Weight of a shorter one.
-const SHORTER_PAUSE_WEIGHT: f64 = 0.05;
+const SHORTER_GAP_WEIGHT: f64 = 0.05;
 /// Longest pause, before anything was seen.
-const PAUSE_MS: f64 = 400.0;
+const DEFAULT_LONGEST_GAP_MS: f64 = 400.0;
 /// Time of a request without prompt, before anything was seen.
-const BASE_MS: f64 = 20.0;
+const DEFAULT_BASE_MS: f64 = 20.0;
 /// Time of one prompt token, before anything was seen.
-const TOKEN_MS: f64 = 0.025;
+const DEFAULT_TOKEN_MS: f64 = 0.025;
 /// Time of a pair of prompt tokens: each token attends to all before it.
-const PAIR_MS: f64 = 0.000_000_29;
+const DEFAULT_TOKEN_PAIR_MS: f64 = 0.000_000_29;
 /// By how much the usual time to the first event moves with each observation, as a part of it.
-const FIRST_STEP: f64 = 0.12;
+const FIRST_EVENT_STEP: f64 = 0.12;
 /// Weight of a caller's guess of its answer's length against the usual length: guesses are right
 /// at the median and often far off.
-const GUESS_WEIGHT: f64 = 0.7;
+const HINT_WEIGHT: f64 = 0.7;
 /// Time between two events, before anything was seen.
-const GAP_MS: f64 = 20.0;
+const DEFAULT_GAP_MS: f64 = 20.0;
 
 /// Time to the first event that an upstream of ordinary speed needs for a prompt.
 #[must_use]
 pub fn nominal_first_event_ms(prompt: u32) -> f64 {
     let tokens = f64::from(prompt);
-    BASE_MS + tokens * TOKEN_MS + tokens * tokens * PAIR_MS
+    DEFAULT_BASE_MS + tokens * DEFAULT_TOKEN_MS + tokens * tokens * DEFAULT_TOKEN_PAIR_MS
 }
 
 /// Moving means of one upstream, or of all upstreams of a service.
@@ -40,9 +40,9 @@
     /// Milliseconds between events.
     gap_ms: Option<f64>,
     /// Milliseconds of the longest pauses between events.
-    pause_ms: Option<f64>,
+    longest_gap_ms: Option<f64>,
     /// Milliseconds of a whole answer.
-    whole_ms: Option<f64>,
+    response_ms: Option<f64>,
     /// Events of an answer.
     events: Option<f64>,
     /// Events against the tokens that the caller expected.
@@ -64,9 +64,9 @@
         // of its speed, and a mean would take such an upstream for a slow one.
         let known = self.first.get_or_insert(ratio);
         *known *= if ratio > *known {
-            1.0 + FIRST_STEP
+            1.0 + FIRST_EVENT_STEP
         } else {
-            1.0 / (1.0 + FIRST_STEP)
+            1.0 / (1.0 + FIRST_EVENT_STEP)
         };
     }
 
@@ -76,7 +76,7 @@
         events: u32,
         expected_tokens: u32,
         after_first: Duration,
-        whole: Duration,
+        total: Duration,
     ) {
         if events > 1 {
             let gap = after_first.as_secs_f64() * 1e3 / f64::from(events - 1);
@@ -87,62 +87,64 @@
             let ratio = f64::from(events) / f64::from(expected_tokens);
             blend(&mut self.events_per_token, ratio.min(2.0));
         }
-        blend(&mut self.whole_ms, whole.as_secs_f64() * 1e3);
+        blend(&mut self.response_ms, total.as_secs_f64() * 1e3);
     }
 
     /// The longest pause of a stream that ended well.
     pub fn record_longest_gap(&mut self, longest: Duration) {
         let millis = longest.as_secs_f64() * 1e3;
-        let known = self.pause_ms.get_or_insert(millis);
+        let known = self.longest_gap_ms.get_or_insert(millis);
         let weight = if millis > *known {
-            LONGER_PAUSE_WEIGHT
+            LONGER_GAP_WEIGHT
         } else {
-            SHORTER_PAUSE_WEIGHT
+            SHORTER_GAP_WEIGHT
         };
         *known += (millis - *known) * weight;
     }
 
     /// Milliseconds of the longest pauses that are usual there.
     #[must_use]
-    pub fn pause_ms(&self, usual: &Self) -> f64 {
-        self.pause_ms.or(usual.pause_ms).unwrap_or(PAUSE_MS)
+    pub fn longest_gap_ms(&self, service: &Self) -> f64 {
+        self.longest_gap_ms
+            .or(service.longest_gap_ms)
+            .unwrap_or(DEFAULT_LONGEST_GAP_MS)
     }
 
     /// A plain answer ended well.
-    pub fn record_response(&mut self, whole: Duration) {
-        blend(&mut self.whole_ms, whole.as_secs_f64() * 1e3);
+    pub fn record_response(&mut self, total: Duration) {
+        blend(&mut self.response_ms, total.as_secs_f64() * 1e3);
     }
 
     /// Expected milliseconds to the first event; `usual` stands in for what was not seen.
     #[must_use]
-    pub fn first_event_ms(&self, usual: &Self, prompt: u32) -> f64 {
-        nominal_first_event_ms(prompt) * self.first.or(usual.first).unwrap_or(1.0)
+    pub fn first_event_ms(&self, service: &Self, prompt: u32) -> f64 {
+        nominal_first_event_ms(prompt) * self.first.or(service.first).unwrap_or(1.0)
     }
 
     /// Expected milliseconds from the first event to the last, for an answer of about so many
     /// tokens; zero where nobody guessed.
     #[must_use]
-    pub fn streaming_ms(&self, usual: &Self, expected_tokens: u32) -> f64 {
-        let gap = self.gap_ms.or(usual.gap_ms).unwrap_or(GAP_MS);
-        let mean = usual.events.unwrap_or(10.0);
-        let guessed = match usual.events_per_token {
+    pub fn streaming_ms(&self, service: &Self, expected_tokens: u32) -> f64 {
+        let gap = self.gap_ms.or(service.gap_ms).unwrap_or(DEFAULT_GAP_MS);
+        let mean = service.events.unwrap_or(10.0);
+        let hinted = match service.events_per_token {
             Some(ratio) if expected_tokens > 0 => ratio * f64::from(expected_tokens),
             _ => mean,
         };
-        gap * (guessed * GUESS_WEIGHT + mean * (1.0 - GUESS_WEIGHT))
+        gap * (hinted * HINT_WEIGHT + mean * (1.0 - HINT_WEIGHT))
     }
 
     /// Expected milliseconds of a whole answer.
     #[must_use]
-    pub fn whole_ms(&self, usual: &Self) -> f64 {
-        self.whole_ms.or(usual.whole_ms).unwrap_or(100.0)
+    pub fn response_ms(&self, service: &Self) -> f64 {
+        self.response_ms.or(service.response_ms).unwrap_or(100.0)
     }
 
     /// Answers a second of one slot, up to a factor that is the same for a whole service.
     #[must_use]
-    pub fn throughput(&self, usual: &Self) -> f64 {
-        let gap = self.gap_ms.or(usual.gap_ms);
-        1.0 / gap.unwrap_or_else(|| self.whole_ms(usual)).max(0.1)
+    pub fn throughput(&self, service: &Self) -> f64 {
+        let gap = self.gap_ms.or(service.gap_ms);
+        1.0 / gap.unwrap_or_else(|| self.response_ms(service)).max(0.1)
     }
 
     /// Mean gap between events in milliseconds, where some were seen.
