--- a/crates/savorywood-gateway/src/selection.rs
+++ b/crates/savorywood-gateway/src/selection.rs
@@ -240,7 +240,7 @@
         others_unread: u32,
     ) -> ResponseEstimate {
         if !query.stream {
-            return ResponseEstimate::non_streaming(state.latency.whole_ms(usual));
+            return ResponseEstimate::non_streaming(state.latency.response_ms(usual));
         }
         let held = self
             .prefix_cache
