--- a/crates/savorywood-gateway/src/gateway/dispatch.rs
+++ b/crates/savorywood-gateway/src/gateway/dispatch.rs
@@ -259,7 +259,7 @@
                     usual.first_event_ms(&usual, record.size.prompt)
                         + usual.streaming_ms(&usual, record.output)
                 } else {
-                    usual.whole_ms(&usual)
+                    usual.response_ms(&usual)
                 };
                 let needed = Duration::from_secs_f64(needed * NEEDED_PART / 1e3);
                 if now + needed >= record.give_up_at {
