--- a/crates/savorywood-gateway/src/estimate.rs
+++ b/crates/savorywood-gateway/src/estimate.rs
@@ -21,10 +21,10 @@
 impl ResponseEstimate {
     /// A plain answer.
     #[must_use]
-    pub fn non_streaming(whole_ms: f64) -> Self {
+    pub fn non_streaming(response_ms: f64) -> Self {
         Self {
-            idle_first_event_ms: whole_ms,
-            first_event_ms: whole_ms,
+            idle_first_event_ms: response_ms,
+            first_event_ms: response_ms,
             streaming_ms: 0.0,
             stream: false,
         }
