--- a/crates/savorywood-gateway/src/gateway/watching.rs
+++ b/crates/savorywood-gateway/src/gateway/watching.rs
@@ -101,7 +101,7 @@
             return (own > most).then_some(SilenceKind::First);
         }
         let usual = self.fleet.service_latency(&record.service);
-        let pause = Duration::from_secs_f64(state.latency.pause_ms(&usual) / 1e3);
+        let pause = Duration::from_secs_f64(state.latency.longest_gap_ms(&usual) / 1e3);
         let reading = self.reading_time(record, state);
         let whole = now.since(state.last_received_at.max(received_at).max(self.awake_at));
         if whole > pause.mul_f64(PAUSE_FACTOR).max(LEAST_SILENCE) + reading
