--- a/crates/savorywood-gateway/src/selection.rs
+++ b/crates/savorywood-gateway/src/selection.rs
@@ -21,22 +21,22 @@
 /// What an upstream in another zone must be faster by, in milliseconds, to be worth the bytes.
 const ZONE_PENALTY_MS: f64 = 35.0;
 /// Slowdown of a plain answer by each request that runs beside it.
-const CROWD_SLOWDOWN: f64 = 0.3;
+const CONCURRENCY_SLOWDOWN: f64 = 0.3;
 /// What a certain failure costs, in milliseconds.
 const FAILURE_PENALTY_MS: f64 = 2_500.0;
 /// Share of failures that counts as none.
-const HARMLESS_FAILURES: f64 = 0.05;
+const IGNORED_FAILURE_RATIO: f64 = 0.05;
 /// Weight of the time after the first event: it holds a slot but is not waited for.
-const REST_WEIGHT: f64 = 0.6;
+const STREAMING_WEIGHT: f64 = 0.6;
 /// What an upstream costs, in milliseconds, that several peers leave out.
-const SUSPECT_PENALTY_MS: f64 = 1_000.0;
+const PEER_EJECTION_PENALTY_MS: f64 = 1_000.0;
 /// A good answer to this daemon counts for more than what peers say for this long.
-const OWN_MESSAGE_TIME: Duration = Duration::from_millis(400);
+const OWN_SUCCESS_WINDOW: Duration = Duration::from_millis(400);
 /// What an upstream on trial costs, in milliseconds, for what can't run elsewhere after it.
-const TRIAL_PENALTY_MS: f64 = 300.0;
+const PROBE_PENALTY_MS: f64 = 300.0;
 /// What a trial is worth, in milliseconds: while others have room an upstream that was left out
 /// would never get the one request that shows that it is sound again.
-const TRIAL_WORTH_MS: f64 = 60_000.0;
+const PROBE_BONUS_MS: f64 = 60_000.0;
 
 /// Which versions may get a request while a roll-out is under way.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -158,12 +158,12 @@
 }
 
 /// An upstream that may have the request.
-struct PickCandidate<'a> {
+struct Candidate<'a> {
     state: &'a UpstreamState,
     /// Requests there, of all daemons.
-    occupied: u32,
+    slots_in_use: u32,
     /// Answers a second of one slot, up to a common factor.
-    speed: f64,
+    throughput: f64,
     estimate: ResponseEstimate,
 }
 
@@ -181,52 +181,55 @@
     pub fn select(
         &self,
         query: &SelectionQuery<'_>,
-        mut draw: impl FnMut() -> f64,
+        mut sample: impl FnMut() -> f64,
     ) -> Result<SelectedUpstream, SelectionFailure> {
         let candidates = self.candidates(query);
         if candidates.is_empty() {
             return Err(SelectionFailure::NoCandidate);
         }
-        let must_fit = candidates
+        let must_complete = candidates
             .iter()
             .any(|candidate| candidate.estimate.fits_within(query.remaining_ms));
-        let must_be_in_time = candidates
+        let must_start_in_time = candidates
             .iter()
             .any(|candidate| candidate.estimate.idle_first_event_ms <= query.first_event_budget_ms);
-        let speeds: f64 = candidates.iter().map(|candidate| candidate.speed).sum();
+        let total_throughput: f64 = candidates
+            .iter()
+            .map(|candidate| candidate.throughput)
+            .sum();
         let mut best: Option<SelectedUpstream> = None;
         for candidate in &candidates {
-            let noise = draw();
+            let noise = sample();
             let estimate = &candidate.estimate;
-            let share = candidate.speed / speeds;
-            let fits = !must_fit || estimate.fits_within(query.remaining_ms);
+            let share = candidate.throughput / total_throughput;
+            let fits = !must_complete || estimate.fits_within(query.remaining_ms);
             let in_time =
-                !must_be_in_time || estimate.first_event_ms <= query.first_event_budget_ms;
-            if !fits || !in_time || !self.has_slot(candidate, query, share) {
+                !must_start_in_time || estimate.first_event_ms <= query.first_event_budget_ms;
+            if !fits || !in_time || !self.has_free_slot(candidate, query, share) {
                 continue;
             }
-            let picked = self.appraise(candidate, query, noise);
-            if best.as_ref().is_none_or(|best| picked.score < best.score) {
-                best = Some(picked);
+            let selected = self.score_candidate(candidate, query, noise);
+            if best.as_ref().is_none_or(|best| selected.score < best.score) {
+                best = Some(selected);
             }
         }
         best.ok_or(SelectionFailure::AllFull)
     }
 
     /// Upstreams that may have the request, full or not.
-    fn candidates<'q>(&'q self, query: &'q SelectionQuery<'q>) -> Vec<PickCandidate<'q>> {
-        let usual = self.fleet.service_latency(query.service);
-        let all_suspect = self.all_suspect(query);
+    fn candidates<'q>(&'q self, query: &'q SelectionQuery<'q>) -> Vec<Candidate<'q>> {
+        let service_latency = self.fleet.service_latency(query.service);
+        let all_ejected = self.all_ejected(query);
         let members = self.fleet.members(query.service);
-        let usable = members.filter(|state| self.may_have(state, query, all_suspect));
+        let usable = members.filter(|state| self.is_eligible(state, query, all_ejected));
         usable
             .map(|state| {
                 let others = self.peers.slots_of(state.digest);
-                PickCandidate {
+                Candidate {
                     state,
-                    occupied: state.running + others.running,
-                    speed: state.latency.throughput(&usual),
-                    estimate: self.estimate(state, query, &usual, others.unread),
+                    slots_in_use: state.running + others.running,
+                    throughput: state.latency.throughput(&service_latency),
+                    estimate: self.estimate(state, query, &service_latency, others.unread),
                 }
             })
             .collect()
@@ -236,39 +239,43 @@
         &self,
         state: &UpstreamState,
         query: &SelectionQuery<'_>,
-        usual: &LatencyModel,
+        service_latency: &LatencyModel,
         others_unread: u32,
     ) -> ResponseEstimate {
         if !query.stream {
-            return ResponseEstimate::non_streaming(state.latency.response_ms(usual));
+            return ResponseEstimate::non_streaming(state.latency.response_ms(service_latency));
         }
-        let held = self
-            .prefix_cache
-            .cached_tokens(self.now, query.prompt_parts, &state.entry.name);
-        let own = query.prompt_tokens.saturating_sub(held);
+        let cached =
+            self.prefix_cache
+                .cached_tokens(self.now, query.prompt_parts, &state.entry.name);
+        let own = query.prompt_tokens.saturating_sub(cached);
         let unread = own + state.unread_tokens + others_unread;
         ResponseEstimate {
-            idle_first_event_ms: state.latency.first_event_ms(usual, query.prompt_tokens),
-            first_event_ms: state.latency.first_event_ms(usual, unread),
-            streaming_ms: state.latency.streaming_ms(usual, query.expected_tokens),
+            idle_first_event_ms: state
+                .latency
+                .first_event_ms(service_latency, query.prompt_tokens),
+            first_event_ms: state.latency.first_event_ms(service_latency, unread),
+            streaming_ms: state
+                .latency
+                .streaming_ms(service_latency, query.expected_tokens),
             stream: true,
         }
     }
 
-    fn has_slot(
+    fn has_free_slot(
         &self,
-        candidate: &PickCandidate<'_>,
+        candidate: &Candidate<'_>,
         query: &SelectionQuery<'_>,
         share: f64,
     ) -> bool {
         let slots = candidate.state.entry.slots;
         let slot = Duration::from_secs_f64(candidate.estimate.slot_hold_ms() / 1e3);
-        let kept = query.urgent_arrivals.reserved_slots(share, slot, slots);
-        candidate.occupied + kept < slots && self.is_paced(candidate.state)
+        let reserved = query.urgent_arrivals.reserved_slots(share, slot, slots);
+        candidate.slots_in_use + reserved < slots && self.rate_allows(candidate.state)
     }
 
     /// It names no limit and is warm, or its next request of this daemon is due.
-    fn is_paced(&self, state: &UpstreamState) -> bool {
+    fn rate_allows(&self, state: &UpstreamState) -> bool {
         if !state.limit.allows_dispatch() {
             return false;
         }
@@ -286,84 +293,84 @@
 
     /// When every upstream looks ill, the fault is more likely in the requests or on the way:
     /// leaving all of them out would turn a partial failure into a whole one.
-    fn all_suspect(&self, query: &SelectionQuery<'_>) -> bool {
+    fn all_ejected(&self, query: &SelectionQuery<'_>) -> bool {
         let mut members = self.fleet.members(query.service);
         let open = |state: &UpstreamState| state.is_open(self.now);
         members.all(|state| !open(state) || state.outlier.is_ejected())
     }
 
-    fn may_have(
+    fn is_eligible(
         &self,
         state: &UpstreamState,
         query: &SelectionQuery<'_>,
-        all_suspect: bool,
+        all_ejected: bool,
     ) -> bool {
-        let usable = all_suspect || state.outlier.is_usable(self.now, query.allow_probe);
+        let usable = all_ejected || state.outlier.is_usable(self.now, query.allow_probe);
         usable
             && state.is_open(self.now)
-            && self.is_home(state, query)
+            && self.is_in_home_regions(state, query)
             && query.versions.allows(&state.entry.version)
             && !query.attempted.contains(&state.entry.name)
     }
 
-    fn is_home(&self, state: &UpstreamState, query: &SelectionQuery<'_>) -> bool {
+    fn is_in_home_regions(&self, state: &UpstreamState, query: &SelectionQuery<'_>) -> bool {
         let zone = state.entry.zone.as_str();
         let mut homes = query.home_regions.iter();
         homes.all(|homes| self.regions.is_home(zone, homes))
     }
 
-    fn appraise(
+    fn score_candidate(
         &self,
-        candidate: &PickCandidate<'_>,
+        candidate: &Candidate<'_>,
         query: &SelectionQuery<'_>,
         noise: f64,
     ) -> SelectedUpstream {
-        let PickCandidate {
+        let Candidate {
             state,
-            occupied,
+            slots_in_use,
             estimate,
             ..
         } = candidate;
         let entry = &state.entry;
-        let first = if query.stream {
+        let first_event_ms = if query.stream {
             estimate.first_event_ms
         } else {
-            estimate.first_event_ms * (1.0 + f64::from(*occupied) * CROWD_SLOWDOWN)
+            estimate.first_event_ms * (1.0 + f64::from(*slots_in_use) * CONCURRENCY_SLOWDOWN)
         };
-        let mut score = first + estimate.streaming_ms * REST_WEIGHT;
+        let mut score = first_event_ms + estimate.streaming_ms * STREAMING_WEIGHT;
         // Begun where it would not end in time, it holds a slot for nothing.
-        score += (first + estimate.streaming_ms - query.remaining_ms).max(0.0);
-        let failures = state.outlier.failure_ratio(self.now) - HARMLESS_FAILURES;
+        score += (first_event_ms + estimate.streaming_ms - query.remaining_ms).max(0.0);
+        let failures = state.outlier.failure_ratio(self.now) - IGNORED_FAILURE_RATIO;
         score += failures.max(0.0) * FAILURE_PENALTY_MS;
         if entry.zone != *self.zone && self.policy != RoutingPolicy::LowestCostIgnoringZones {
             score += ZONE_PENALTY_MS;
         }
         // What peers found out need not be found out once more, at the cost of a request each.
         if self.peers.suspect(&entry.name)
-            && !state.outlier.succeeded_within(self.now, OWN_MESSAGE_TIME)
+            && !state.outlier.succeeded_within(self.now, OWN_SUCCESS_WINDOW)
         {
-            score += SUSPECT_PENALTY_MS;
+            score += PEER_EJECTION_PENALTY_MS;
         }
         if state.outlier.is_ejected() {
-            let trial = query.allow_probe && state.outlier.is_usable(self.now, true);
-            score += if trial {
-                -TRIAL_WORTH_MS
+            let probe = query.allow_probe && state.outlier.is_usable(self.now, true);
+            score += if probe {
+                -PROBE_BONUS_MS
             } else {
-                TRIAL_PENALTY_MS
+                PROBE_PENALTY_MS
             };
         }
         let score = match self.policy {
             RoutingPolicy::LowestCost | RoutingPolicy::LowestCostIgnoringZones => {
                 score + score.abs() * noise * self.jitter
             }
-            RoutingPolicy::LeastOutstanding => f64::from(*occupied) + noise,
+            RoutingPolicy::LeastOutstanding => f64::from(*slots_in_use) + noise,
             RoutingPolicy::RoundRobin => state.last_dispatch_number as f64 + noise,
             RoutingPolicy::Random => noise,
         };
         SelectedUpstream {
             name: entry.name.clone(),
-            expected_ms: first,
-            slots_in_use: *occupied,
+            expected_ms: first_event_ms,
+            slots_in_use: *slots_in_use,
             score,
         }
     }
