--- a/crates/savorywood-gateway/src/quarantine.rs
+++ b/crates/savorywood-gateway/src/quarantine.rs
@@ -26,7 +26,7 @@
     peer::{name_digest, slot_key},
     rendezvous::rendezvous_weight,
 };
-use entry::{QuarantineEntry, RowState, RowTimer, SUSPECT_TIME};
+use entry::{QuarantineEntry, RowState, RowTimer, SUSPECT_TTL};
 use savorywood_protocol::MonotonicTime;
 use serde::{Deserialize, Serialize};
 use served::ServedRequests;
@@ -35,19 +35,19 @@
 /// Upstreams that must crash under a request before it is refused.
 pub const QUARANTINE_CRASHES: u32 = 3;
 /// Requests of which crashes are remembered at most.
-const MOST_ENTRIES: usize = 2_048;
+const MAX_ENTRIES: usize = 2_048;
 /// An upstream that answers what was sent to it within this time after an attempt broke there did
 /// not crash.
-const REFUTE_TIME: Duration = Duration::from_millis(1_500);
+const REFUTATION_WINDOW: Duration = Duration::from_millis(1_500);
 /// An upstream that crashed needs longer to start again: what is sent to it within this time after an
 /// attempt broke there, and before it answers anything, breaks as it is down.
-const OUTAGE_TIME: Duration = Duration::from_secs(2);
+const RESTART_WINDOW: Duration = Duration::from_secs(2);
 /// What was sent earlier after the break may have been answered before it.
-const REFUTE_MARGIN: Duration = Duration::from_millis(100);
+const REFUTATION_MARGIN: Duration = Duration::from_millis(100);
 /// First pause after a row that could not be written.
-const ROW_PAUSE: Duration = Duration::from_secs(1);
+const MIN_WRITE_BACKOFF: Duration = Duration::from_secs(1);
 /// Longest such pause.
-const LONGEST_ROW_PAUSE: Duration = Duration::from_secs(8);
+const MAX_WRITE_BACKOFF: Duration = Duration::from_secs(8);
 
 /// Recognises repeats of a request of a team.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -118,18 +118,18 @@
 
 /// An upstream at which an attempt broke a moment ago.
 #[derive(Debug, Clone, Copy)]
-struct BrokenUpstream {
+struct SuspectUpstream {
     /// When the first one broke.
     at: MonotonicTime,
     /// When it answered what was sent to it after that.
-    answered_at: Option<MonotonicTime>,
+    responded_at: Option<MonotonicTime>,
 }
 
-impl BrokenUpstream {
+impl SuspectUpstream {
     /// An attempt that broke was sent while the upstream was down.
-    fn is_down(self, sent_at: MonotonicTime, broke_at: MonotonicTime) -> bool {
-        let is_soon = broke_at.since(self.at) < OUTAGE_TIME;
-        sent_at > self.at && is_soon && self.answered_at.is_none()
+    fn is_down(self, sent_at: MonotonicTime, failed_at: MonotonicTime) -> bool {
+        let is_soon = failed_at.since(self.at) < RESTART_WINDOW;
+        sent_at > self.at && is_soon && self.responded_at.is_none()
     }
 }
 
@@ -137,10 +137,10 @@
 #[derive(Debug, Clone, Default)]
 pub struct QuarantineTable {
     entries: BTreeMap<RequestFingerprint, QuarantineEntry>,
-    upstreams: BTreeMap<u32, BrokenUpstream>,
+    upstreams: BTreeMap<u32, SuspectUpstream>,
     served: ServedRequests,
     /// Request in quarantine that was reported last without a change.
-    repeated: Option<RequestFingerprint>,
+    last_repeated: Option<RequestFingerprint>,
 }
 
 impl QuarantineTable {
@@ -157,14 +157,14 @@
         if is_down || self.served.covers(fingerprint, now) {
             return QuarantineChange::None;
         }
-        self.note_break(now, upstream);
+        self.record_upstream_failure(now, upstream);
         let entry = self.entries.entry(fingerprint).or_default();
         let was_quarantined = entry.is_quarantined();
-        if !entry.evidence.add(now, upstream) {
+        if !entry.history.add(now, upstream) {
             return QuarantineChange::None;
         }
         entry.own_changed_at = Some(now);
-        let crashes = entry.evidence.count();
+        let crashes = entry.history.count();
         let is_new = entry.is_quarantined() && !was_quarantined;
         self.evict();
         if is_new {
@@ -175,15 +175,15 @@
     }
 
     /// Attempts begin to break at an upstream, as this daemon or a peer sees it.
-    fn note_break(&mut self, at: MonotonicTime, upstream: u32) {
+    fn record_upstream_failure(&mut self, at: MonotonicTime, upstream: u32) {
         let is_known = self.upstreams.get(&upstream).is_some_and(|known| {
-            let lives = known.answered_at.is_some_and(|answered| answered < at);
-            at < known.at + OUTAGE_TIME && !lives
+            let lives = known.responded_at.is_some_and(|answered| answered < at);
+            at < known.at + RESTART_WINDOW && !lives
         });
         if !is_known {
-            let broken = BrokenUpstream {
+            let broken = SuspectUpstream {
                 at,
-                answered_at: None,
+                responded_at: None,
             };
             self.upstreams.insert(upstream, broken);
         }
@@ -195,12 +195,12 @@
         now: MonotonicTime,
         fingerprint: RequestFingerprint,
     ) -> QuarantineChange {
-        self.served.note(now, fingerprint);
+        self.served.record(now, fingerprint);
         let Some(entry) = self.entries.get_mut(&fingerprint) else {
             return QuarantineChange::None;
         };
         let was_quarantined = entry.is_quarantined();
-        entry.evidence.clear(now);
+        entry.history.clear(now);
         entry.own_changed_at = Some(now);
         lifted(was_quarantined)
     }
@@ -213,13 +213,13 @@
             return;
         };
         let at = broken.at;
-        let is_later = sent_at > at + REFUTE_MARGIN && sent_at < at + REFUTE_TIME;
-        if broken.answered_at.is_some() || !is_later {
+        let is_later = sent_at > at + REFUTATION_MARGIN && sent_at < at + REFUTATION_WINDOW;
+        if broken.responded_at.is_some() || !is_later {
             return;
         }
-        broken.answered_at = Some(now);
+        broken.responded_at = Some(now);
         for entry in self.entries.values_mut() {
-            entry.evidence.withdraw(upstream, at);
+            entry.history.withdraw(upstream, at);
         }
     }
 
@@ -229,8 +229,8 @@
         let entry = self.entries.get(&fingerprint);
         match entry.filter(|entry| entry.is_quarantined()) {
             Some(entry) => QuarantineVerdict::Quarantined {
-                crashes: entry.evidence.count(),
-                probe_at: entry.trial_at(),
+                crashes: entry.history.count(),
+                probe_at: entry.probe_at(),
             },
             None => QuarantineVerdict::Clear,
         }
@@ -239,16 +239,16 @@
     /// A request in quarantine is tried once.
     pub fn begin_probe(&mut self, now: MonotonicTime, fingerprint: RequestFingerprint) {
         if let Some(entry) = self.entries.get_mut(&fingerprint) {
-            entry.tried_at = now;
+            entry.probed_at = now;
         }
     }
 
-    /// What a peer reports. `is_near`: the peer is of this daemon's zone.
+    /// What a peer reports. `is_same_zone`: the peer is of this daemon's zone.
     pub fn merge(
         &mut self,
         now: MonotonicTime,
         report: &CrashReport,
-        is_near: bool,
+        is_same_zone: bool,
     ) -> QuarantineChange {
         let fingerprint = report.fingerprint;
         let marks: Vec<CrashRecord> = report
@@ -262,7 +262,7 @@
         {
             // The peer does not know yet that the request was served.
             let entry = self.entries.entry(fingerprint).or_default();
-            if entry.evidence.clear(served_at) {
+            if entry.history.clear(served_at) {
                 entry.own_changed_at = Some(now);
             }
         }
@@ -272,17 +272,17 @@
         }
         let entry = self.entries.entry(fingerprint).or_default();
         let was_quarantined = entry.is_quarantined();
-        let mut is_changed = served_at.is_some_and(|at| entry.evidence.clear(at));
+        let mut is_changed = served_at.is_some_and(|at| entry.history.clear(at));
         for mark in &marks {
-            is_changed |= entry.evidence.take(*mark);
+            is_changed |= entry.history.merge(*mark);
         }
-        if is_changed && is_near {
+        if is_changed && is_same_zone {
             entry.zone_changed_at = Some(now);
         }
-        let crashes = entry.evidence.count();
+        let crashes = entry.history.count();
         let is_quarantined = entry.is_quarantined();
         for mark in marks {
-            self.note_break(mark.at, mark.upstream);
+            self.record_upstream_failure(mark.at, mark.upstream);
         }
         self.evict();
         match (was_quarantined, is_quarantined) {
@@ -294,18 +294,18 @@
 
     fn is_refuted(&self, mark: CrashRecord) -> bool {
         let broken = self.upstreams.get(&mark.upstream);
-        let answered_at = broken.and_then(|broken| broken.answered_at);
-        answered_at.is_some_and(|answered_at| mark.at <= answered_at)
+        let responded_at = broken.and_then(|broken| broken.responded_at);
+        responded_at.is_some_and(|responded_at| mark.at <= responded_at)
     }
 
     /// Crashes as the store keeps them.
     pub fn restore_rows(&mut self, now: MonotonicTime, rows: &[QuarantineRow]) {
-        for row in rows.iter().take(MOST_ENTRIES) {
+        for row in rows.iter().take(MAX_ENTRIES) {
             let entry = self.entries.entry(row.fingerprint).or_default();
             entry.row = RowState::Read;
-            entry.row_crashes = u32::try_from(row.crashes.len()).unwrap_or(u32::MAX);
-            if entry.evidence.restore(now, &row.crashes) {
-                entry.tried_at = now;
+            entry.stored_crashes = u32::try_from(row.crashes.len()).unwrap_or(u32::MAX);
+            if entry.history.restore(now, &row.crashes) {
+                entry.probed_at = now;
             }
         }
     }
@@ -330,14 +330,15 @@
         let mut writes = Vec::new();
         for (fingerprint, entry) in &mut self.entries {
             let is_own = entry.row == RowState::Written || holds(*fingerprint);
-            if !entry.is_row_due(now) || now < entry.timer.due_at || !is_own {
+            if !entry.is_row_outdated(now) || now < entry.timer.due_at || !is_own {
                 continue;
             }
-            entry.timer.pause = (entry.timer.pause * 2).clamp(ROW_PAUSE, LONGEST_ROW_PAUSE);
-            entry.timer.due_at = now + entry.timer.pause;
+            entry.timer.backoff =
+                (entry.timer.backoff * 2).clamp(MIN_WRITE_BACKOFF, MAX_WRITE_BACKOFF);
+            entry.timer.due_at = now + entry.timer.backoff;
             writes.push(QuarantineWrite {
                 fingerprint: *fingerprint,
-                crashes: entry.wants_row(now).then(|| entry.evidence.stored()),
+                crashes: entry.needs_row(now).then(|| entry.history.to_stored()),
             });
         }
         writes
@@ -353,7 +354,7 @@
                 None => RowState::Removed,
             };
             let crashes = write.crashes.as_ref().map_or(0, Vec::len);
-            entry.row_crashes = u32::try_from(crashes).unwrap_or(u32::MAX);
+            entry.stored_crashes = u32::try_from(crashes).unwrap_or(u32::MAX);
             entry.timer = RowTimer::default();
         }
     }
@@ -381,24 +382,24 @@
     pub fn evict_expired(&mut self, now: MonotonicTime) {
         let is_kept = |entry: &QuarantineEntry| {
             // Its row is removed first, or the next start would bring it back.
-            !entry.is_forgotten(if entry.row.is_there() {
-                now - SUSPECT_TIME
+            !entry.is_expired(if entry.row.is_present() {
+                now - SUSPECT_TTL
             } else {
                 now
             })
         };
         self.entries.retain(|_, entry| is_kept(entry));
         self.upstreams
-            .retain(|_, broken| now.since(broken.at) < SUSPECT_TIME);
+            .retain(|_, broken| now.since(broken.at) < SUSPECT_TTL);
     }
 
     /// Keeps the number of entries bounded. Those with the fewest crashes go first: whoever wants
     /// to push a request out of the book must crash as many upstreams under others.
     fn evict(&mut self) {
-        while self.entries.len() > MOST_ENTRIES {
+        while self.entries.len() > MAX_ENTRIES {
             let entries = self.entries.iter();
             let least = entries
-                .min_by_key(|(_, entry)| (entry.evidence.count(), entry.evidence.newest()))
+                .min_by_key(|(_, entry)| (entry.history.count(), entry.history.last_changed_at()))
                 .map(|(fingerprint, _)| *fingerprint);
             if let Some(least) = least {
                 self.entries.remove(&least);
--- a/crates/savorywood-gateway/src/quarantine/crash_history.rs
+++ b/crates/savorywood-gateway/src/quarantine/crash_history.rs
@@ -1,13 +1,13 @@
 //! Upstreams that crashed under one request.
 
-use super::{row::StoredCrash, served::SERVED_TIME};
+use super::{row::StoredCrash, served::SERVED_WINDOW};
 use savorywood_protocol::MonotonicTime;
 use std::time::Duration;
 
 /// Crashes that are kept; more say nothing new.
-const MOST_MARKS: usize = 8;
+const MAX_CRASHES: usize = 8;
 /// An upstream needs longer to start again: what breaks there within this time broke in one crash.
-const SAME_CRASH_TIME: Duration = Duration::from_secs(1);
+const SAME_CRASH_WINDOW: Duration = Duration::from_secs(1);
 
 /// An upstream that crashed under a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -34,11 +34,11 @@
     pub fn add(&mut self, now: MonotonicTime, upstream: u32) -> bool {
         let there = self.marks.iter().filter(|mark| mark.upstream == upstream);
         let newest = there.max_by_key(|mark| mark.number);
-        if newest.is_some_and(|mark| now.since(mark.at) < SAME_CRASH_TIME) {
+        if newest.is_some_and(|mark| now.since(mark.at) < SAME_CRASH_WINDOW) {
             return false;
         }
         let number = newest.map_or(0, |mark| mark.number).saturating_add(1);
-        self.take(CrashRecord {
+        self.merge(CrashRecord {
             upstream,
             number,
             at: now,
@@ -46,7 +46,7 @@
     }
 
     /// Takes a crash that a peer reports; whether it was new and counts.
-    pub fn take(&mut self, mark: CrashRecord) -> bool {
+    pub fn merge(&mut self, mark: CrashRecord) -> bool {
         let is_same = |known: &&mut CrashRecord| {
             (known.upstream, known.number) == (mark.upstream, mark.number)
         };
@@ -54,7 +54,7 @@
             known.at = known.at.min(mark.at);
             return false;
         }
-        if self.is_covered(mark) || self.marks.len() >= MOST_MARKS {
+        if self.is_covered(mark) || self.marks.len() >= MAX_CRASHES {
             return false;
         }
         self.marks.push(mark);
@@ -63,14 +63,14 @@
 
     fn is_covered(&self, mark: CrashRecord) -> bool {
         self.served_at
-            .is_some_and(|served_at| mark.at < served_at + SERVED_TIME)
+            .is_some_and(|served_at| mark.at < served_at + SERVED_WINDOW)
     }
 
     /// Drops what was taken for a crash of an upstream around a moment.
     pub fn withdraw(&mut self, upstream: u32, at: MonotonicTime) {
         let is_it = |mark: &CrashRecord| {
             let apart = mark.at.since(at).max(at.since(mark.at));
-            mark.upstream == upstream && apart < SAME_CRASH_TIME
+            mark.upstream == upstream && apart < SAME_CRASH_WINDOW
         };
         self.marks.retain(|mark| !is_it(mark));
     }
@@ -96,7 +96,7 @@
         }
         let before = self.marks.len();
         for crash in crashes {
-            self.take(CrashRecord {
+            self.merge(CrashRecord {
                 upstream: crash.upstream,
                 number: crash.number,
                 at: now,
@@ -107,7 +107,7 @@
 
     /// What the store keeps of it.
     #[must_use]
-    pub fn stored(&self) -> Vec<StoredCrash> {
+    pub fn to_stored(&self) -> Vec<StoredCrash> {
         let marks = self.marks.iter().map(|mark| StoredCrash {
             upstream: mark.upstream,
             number: mark.number,
@@ -135,7 +135,7 @@
 
     /// When something was learned last.
     #[must_use]
-    pub fn newest(&self) -> MonotonicTime {
+    pub fn last_changed_at(&self) -> MonotonicTime {
         let marks = self.marks.iter().map(|mark| mark.at);
         marks.max().max(self.served_at).unwrap_or_default()
     }
--- a/crates/savorywood-gateway/src/quarantine/entry.rs
+++ b/crates/savorywood-gateway/src/quarantine/entry.rs
@@ -6,17 +6,17 @@
 
 /// Time after the last crash after which a request in quarantine may be tried once; it doubles with
 /// each further crash.
-const TRIAL_PAUSE: Duration = Duration::from_secs(60);
+const PROBE_DELAY: Duration = Duration::from_secs(60);
 /// Doublings of that time at most.
-const MOST_DOUBLINGS: u32 = 5;
+const MAX_DOUBLINGS: u32 = 5;
 /// Crashes under a request that is not in quarantine are forgotten after this time.
-pub const SUSPECT_TIME: Duration = Duration::from_secs(600);
+pub const SUSPECT_TTL: Duration = Duration::from_secs(600);
 /// The same for one in quarantine.
-const QUARANTINE_TIME: Duration = Duration::from_secs(3_600);
+const QUARANTINE_TTL: Duration = Duration::from_secs(3_600);
 
 /// Crashes from which a request's row is kept: with fewer, a row would be written for each request
 /// that ran beside one crash.
-const STORED_CRASHES: u32 = 2;
+const MIN_STORED_CRASHES: u32 = 2;
 
 /// Row of an entry in the store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -34,7 +34,7 @@
 
 impl RowState {
     /// It is in the store.
-    pub fn is_there(self) -> bool {
+    pub fn is_present(self) -> bool {
         match self {
             Self::Read | Self::Written => true,
             Self::Absent | Self::Removed => false,
@@ -48,24 +48,24 @@
     /// Earliest moment of the next write.
     pub due_at: MonotonicTime,
     /// Pause after it.
-    pub pause: Duration,
+    pub backoff: Duration,
 }
 
 /// What is known of one request.
 #[derive(Debug, Clone, Default)]
 pub struct QuarantineEntry {
     /// What speaks against it.
-    pub evidence: CrashHistory,
+    pub history: CrashHistory,
     /// Changed by this daemon's own observation.
     pub own_changed_at: Option<MonotonicTime>,
     /// Changed by an observation of this daemon's zone.
     pub zone_changed_at: Option<MonotonicTime>,
     /// A trial was sent, or the entry was read from the store.
-    pub tried_at: MonotonicTime,
+    pub probed_at: MonotonicTime,
     /// Its row in the store.
     pub row: RowState,
     /// Crashes that the row names.
-    pub row_crashes: u32,
+    pub stored_crashes: u32,
     /// When that may be written next.
     pub timer: RowTimer,
 }
@@ -73,14 +73,14 @@
 impl QuarantineEntry {
     /// It is refused.
     pub fn is_quarantined(&self) -> bool {
-        self.evidence.count() >= QUARANTINE_CRASHES
+        self.history.count() >= QUARANTINE_CRASHES
     }
 
     /// Earliest moment of the next trial.
-    pub fn trial_at(&self) -> MonotonicTime {
-        let further = self.evidence.count().saturating_sub(QUARANTINE_CRASHES);
-        let pause = TRIAL_PAUSE * 2u32.pow(further.min(MOST_DOUBLINGS));
-        self.evidence.newest().max(self.tried_at) + pause
+    pub fn probe_at(&self) -> MonotonicTime {
+        let further = self.history.count().saturating_sub(QUARANTINE_CRASHES);
+        let pause = PROBE_DELAY * 2u32.pow(further.min(MAX_DOUBLINGS));
+        self.history.last_changed_at().max(self.probed_at) + pause
     }
 
     /// When something of it changed that is reported.
@@ -92,25 +92,25 @@
     }
 
     /// It is too old to matter.
-    pub fn is_forgotten(&self, now: MonotonicTime) -> bool {
+    pub fn is_expired(&self, now: MonotonicTime) -> bool {
         let time = if self.is_quarantined() {
-            QUARANTINE_TIME
+            QUARANTINE_TTL
         } else {
-            SUSPECT_TIME
+            SUSPECT_TTL
         };
-        now.since(self.evidence.newest().max(self.tried_at)) >= time
+        now.since(self.history.last_changed_at().max(self.probed_at)) >= time
     }
 
     /// It must outlast a start of all daemons.
-    pub fn wants_row(&self, now: MonotonicTime) -> bool {
-        self.evidence.count() >= STORED_CRASHES && !self.is_forgotten(now)
+    pub fn needs_row(&self, now: MonotonicTime) -> bool {
+        self.history.count() >= MIN_STORED_CRASHES && !self.is_expired(now)
     }
 
     /// Its row is missing, is to be removed, or names too few crashes.
-    pub fn is_row_due(&self, now: MonotonicTime) -> bool {
-        let needed = self.evidence.count().min(QUARANTINE_CRASHES);
-        match (self.wants_row(now), self.row.is_there()) {
-            (true, true) => self.row_crashes < needed,
+    pub fn is_row_outdated(&self, now: MonotonicTime) -> bool {
+        let needed = self.history.count().min(QUARANTINE_CRASHES);
+        match (self.needs_row(now), self.row.is_present()) {
+            (true, true) => self.stored_crashes < needed,
             (wanted, there) => wanted != there,
         }
     }
--- a/crates/savorywood-gateway/src/quarantine/report.rs
+++ b/crates/savorywood-gateway/src/quarantine/report.rs
@@ -6,7 +6,7 @@
 use std::{cmp::Reverse, ops::Bound, time::Duration};
 
 /// Reports in one message at most, so that it passes links in one piece.
-const MOST_REPORTS: usize = 24;
+const MAX_REPORTS: usize = 24;
 /// Rounds of gossip in which a change is reported: messages get lost.
 const REPORT_ROUNDS: u32 = 4;
 /// Reports on requests in quarantine in each message, changed or not: a daemon that was cut off or
@@ -71,8 +71,8 @@
 
 impl CrashReport {
     fn new(now: MonotonicTime, fingerprint: RequestFingerprint, entry: &QuarantineEntry) -> Self {
-        let evidence = &entry.evidence;
-        let crashes = evidence.marks().iter().map(|mark| ReportedCrash {
+        let history = &entry.history;
+        let crashes = history.marks().iter().map(|mark| ReportedCrash {
             upstream: mark.upstream,
             number: mark.number,
             age_ms: millis(now.since(mark.at)),
@@ -80,7 +80,7 @@
         Self {
             fingerprint,
             crashes: crashes.collect(),
-            served_ms: evidence.served_at().map(|at| millis(now.since(at))),
+            served_ms: history.served_at().map(|at| millis(now.since(at))),
         }
     }
 
@@ -108,11 +108,12 @@
         };
         let entries = self.entries.iter();
         let mut changed: Vec<_> = entries.filter(|(_, entry)| is_changed(entry)).collect();
-        changed
-            .sort_by_key(|(_, entry)| Reverse((entry.evidence.count(), entry.evidence.newest())));
+        changed.sort_by_key(|(_, entry)| {
+            Reverse((entry.history.count(), entry.history.last_changed_at()))
+        });
         let mut reports: Vec<CrashReport> = changed
             .into_iter()
-            .take(MOST_REPORTS)
+            .take(MAX_REPORTS)
             .map(|(fingerprint, entry)| CrashReport::new(now, *fingerprint, entry))
             .collect();
         for _ in 0..REPEATED_REPORTS {
@@ -138,9 +139,9 @@
             let found = later.find(|(_, entry)| entry.is_quarantined());
             found.map(|(fingerprint, _)| *fingerprint)
         };
-        let after = self.repeated.map_or(Bound::Unbounded, Bound::Excluded);
+        let after = self.last_repeated.map_or(Bound::Unbounded, Bound::Excluded);
         let next = held(after).or_else(|| held(Bound::Unbounded));
-        self.repeated = next;
+        self.last_repeated = next;
         next
     }
 }
--- a/crates/savorywood-gateway/src/quarantine/served.rs
+++ b/crates/savorywood-gateway/src/quarantine/served.rs
@@ -9,9 +9,9 @@
 
 /// A request that was served does not count as the cause of crashes for this long after it. Plain
 /// reads of many callers have one fingerprint, and some of them run at each upstream that ends.
-pub const SERVED_TIME: Duration = Duration::from_secs(30);
+pub const SERVED_WINDOW: Duration = Duration::from_secs(30);
 /// Requests that are remembered at most.
-const MOST_SERVED: usize = 4_096;
+const MAX_SERVED: usize = 4_096;
 
 /// When requests were served last.
 #[derive(Debug, Clone, Default)]
@@ -23,12 +23,12 @@
 
 impl ServedRequests {
     /// A request was answered in whole.
-    pub fn note(&mut self, now: MonotonicTime, fingerprint: RequestFingerprint) {
+    pub fn record(&mut self, now: MonotonicTime, fingerprint: RequestFingerprint) {
         if self.served_at.insert(fingerprint, now).is_some() {
             return;
         }
         self.order.push_back(fingerprint);
-        if self.order.len() > MOST_SERVED
+        if self.order.len() > MAX_SERVED
             && let Some(oldest) = self.order.pop_front()
         {
             self.served_at.remove(&oldest);
@@ -43,7 +43,7 @@
         crash_at: MonotonicTime,
     ) -> Option<MonotonicTime> {
         let served_at = self.served_at.get(&fingerprint).copied();
-        served_at.filter(|served_at| crash_at < *served_at + SERVED_TIME)
+        served_at.filter(|served_at| crash_at < *served_at + SERVED_WINDOW)
     }
 
     /// A crash at a moment is not this request's doing.
