--- a/crates/savorywood-gateway/src/quarantine/crash_history.rs
+++ b/crates/savorywood-gateway/src/quarantine/crash_history.rs
@@ -24,7 +24,7 @@
 /// What speaks against a request.
 #[derive(Debug, Clone, Default)]
 pub struct CrashHistory {
-    marks: Vec<CrashRecord>,
+    crashes: Vec<CrashRecord>,
     /// When the request was answered in whole last.
     served_at: Option<MonotonicTime>,
 }
@@ -32,12 +32,15 @@
 impl CrashHistory {
     /// An upstream crashed a moment ago; whether that was new and counts.
     pub fn add(&mut self, now: MonotonicTime, upstream: u32) -> bool {
-        let there = self.marks.iter().filter(|mark| mark.upstream == upstream);
-        let newest = there.max_by_key(|mark| mark.number);
-        if newest.is_some_and(|mark| now.since(mark.at) < SAME_CRASH_WINDOW) {
+        let there = self
+            .crashes
+            .iter()
+            .filter(|crash| crash.upstream == upstream);
+        let newest = there.max_by_key(|crash| crash.number);
+        if newest.is_some_and(|crash| now.since(crash.at) < SAME_CRASH_WINDOW) {
             return false;
         }
-        let number = newest.map_or(0, |mark| mark.number).saturating_add(1);
+        let number = newest.map_or(0, |crash| crash.number).saturating_add(1);
         self.merge(CrashRecord {
             upstream,
             number,
@@ -46,33 +49,33 @@
     }
 
     /// Takes a crash that a peer reports; whether it was new and counts.
-    pub fn merge(&mut self, mark: CrashRecord) -> bool {
+    pub fn merge(&mut self, crash: CrashRecord) -> bool {
         let is_same = |known: &&mut CrashRecord| {
-            (known.upstream, known.number) == (mark.upstream, mark.number)
+            (known.upstream, known.number) == (crash.upstream, crash.number)
         };
-        if let Some(known) = self.marks.iter_mut().find(is_same) {
-            known.at = known.at.min(mark.at);
+        if let Some(known) = self.crashes.iter_mut().find(is_same) {
+            known.at = known.at.min(crash.at);
             return false;
         }
-        if self.is_covered(mark) || self.marks.len() >= MAX_CRASHES {
+        if self.is_covered(crash) || self.crashes.len() >= MAX_CRASHES {
             return false;
         }
-        self.marks.push(mark);
+        self.crashes.push(crash);
         true
     }
 
-    fn is_covered(&self, mark: CrashRecord) -> bool {
+    fn is_covered(&self, crash: CrashRecord) -> bool {
         self.served_at
-            .is_some_and(|served_at| mark.at < served_at + SERVED_WINDOW)
+            .is_some_and(|served_at| crash.at < served_at + SERVED_WINDOW)
     }
 
     /// Drops what was taken for a crash of an upstream around a moment.
     pub fn withdraw(&mut self, upstream: u32, at: MonotonicTime) {
-        let is_it = |mark: &CrashRecord| {
-            let apart = mark.at.since(at).max(at.since(mark.at));
-            mark.upstream == upstream && apart < SAME_CRASH_WINDOW
+        let is_it = |crash: &CrashRecord| {
+            let apart = crash.at.since(at).max(at.since(crash.at));
+            crash.upstream == upstream && apart < SAME_CRASH_WINDOW
         };
-        self.marks.retain(|mark| !is_it(mark));
+        self.crashes.retain(|crash| !is_it(crash));
     }
 
     /// The request was answered in whole; whether that was not known.
@@ -81,10 +84,10 @@
             return false;
         }
         self.served_at = Some(served_at);
-        let marks = std::mem::take(&mut self.marks);
-        self.marks = marks
+        let crashes = std::mem::take(&mut self.crashes);
+        self.crashes = crashes
             .into_iter()
-            .filter(|mark| !self.is_covered(*mark))
+            .filter(|crash| !self.is_covered(*crash))
             .collect();
         true
     }
@@ -94,7 +97,7 @@
         if self.served_at.is_some() {
             return false;
         }
-        let before = self.marks.len();
+        let before = self.crashes.len();
         for crash in crashes {
             self.merge(CrashRecord {
                 upstream: crash.upstream,
@@ -102,29 +105,29 @@
                 at: now,
             });
         }
-        self.marks.len() > before
+        self.crashes.len() > before
     }
 
     /// What the store keeps of it.
     #[must_use]
     pub fn to_stored(&self) -> Vec<StoredCrash> {
-        let marks = self.marks.iter().map(|mark| StoredCrash {
-            upstream: mark.upstream,
-            number: mark.number,
+        let crashes = self.crashes.iter().map(|crash| StoredCrash {
+            upstream: crash.upstream,
+            number: crash.number,
         });
-        marks.collect()
+        crashes.collect()
     }
 
     /// Upstreams that crashed under the request.
     #[must_use]
     pub fn count(&self) -> u32 {
-        u32::try_from(self.marks.len()).unwrap_or(u32::MAX)
+        u32::try_from(self.crashes.len()).unwrap_or(u32::MAX)
     }
 
     /// Crashes that daemons saw.
     #[must_use]
-    pub fn marks(&self) -> &[CrashRecord] {
-        &self.marks
+    pub fn crashes(&self) -> &[CrashRecord] {
+        &self.crashes
     }
 
     /// When the request was served last.
@@ -136,7 +139,7 @@
     /// When something was learned last.
     #[must_use]
     pub fn last_changed_at(&self) -> MonotonicTime {
-        let marks = self.marks.iter().map(|mark| mark.at);
-        marks.max().max(self.served_at).unwrap_or_default()
+        let crashes = self.crashes.iter().map(|crash| crash.at);
+        crashes.max().max(self.served_at).unwrap_or_default()
     }
 }
--- a/crates/savorywood-gateway/src/quarantine/report.rs
+++ b/crates/savorywood-gateway/src/quarantine/report.rs
@@ -72,10 +72,10 @@
 impl CrashReport {
     fn new(now: MonotonicTime, fingerprint: RequestFingerprint, entry: &QuarantineEntry) -> Self {
         let history = &entry.history;
-        let crashes = history.marks().iter().map(|mark| ReportedCrash {
-            upstream: mark.upstream,
-            number: mark.number,
-            age_ms: millis(now.since(mark.at)),
+        let crashes = history.crashes().iter().map(|crash| ReportedCrash {
+            upstream: crash.upstream,
+            number: crash.number,
+            age_ms: millis(now.since(crash.at)),
         });
         Self {
             fingerprint,
