--- a/crates/savorywood-gateway/src/quarantine.rs
+++ b/crates/savorywood-gateway/src/quarantine.rs
@@ -251,13 +251,15 @@
         is_same_zone: bool,
     ) -> QuarantineChange {
         let fingerprint = report.fingerprint;
-        let marks: Vec<CrashRecord> = report
+        let records: Vec<CrashRecord> = report
             .crashes
             .iter()
             .map(|crash| crash.to_record(now))
-            .filter(|mark| !self.is_refuted(*mark) && !self.served.covers(fingerprint, mark.at))
+            .filter(|record| {
+                !self.is_refuted(*record) && !self.served.covers(fingerprint, record.at)
+            })
             .collect();
-        if marks.len() < report.crashes.len()
+        if records.len() < report.crashes.len()
             && let Some(served_at) = self.served.covering(fingerprint, now)
         {
             // The peer does not know yet that the request was served.
@@ -267,22 +269,22 @@
             }
         }
         let served_at = report.served_at(now);
-        if marks.is_empty() && served_at.is_none() {
+        if records.is_empty() && served_at.is_none() {
             return QuarantineChange::None;
         }
         let entry = self.entries.entry(fingerprint).or_default();
         let was_quarantined = entry.is_quarantined();
         let mut is_changed = served_at.is_some_and(|at| entry.history.clear(at));
-        for mark in &marks {
-            is_changed |= entry.history.merge(*mark);
+        for record in &records {
+            is_changed |= entry.history.merge(*record);
         }
         if is_changed && is_same_zone {
             entry.zone_changed_at = Some(now);
         }
         let crashes = entry.history.count();
         let is_quarantined = entry.is_quarantined();
-        for mark in marks {
-            self.record_upstream_failure(mark.at, mark.upstream);
+        for record in records {
+            self.record_upstream_failure(record.at, record.upstream);
         }
         self.evict();
         match (was_quarantined, is_quarantined) {
@@ -292,10 +294,10 @@
         }
     }
 
-    fn is_refuted(&self, mark: CrashRecord) -> bool {
-        let broken = self.upstreams.get(&mark.upstream);
+    fn is_refuted(&self, record: CrashRecord) -> bool {
+        let broken = self.upstreams.get(&record.upstream);
         let responded_at = broken.and_then(|broken| broken.responded_at);
-        responded_at.is_some_and(|responded_at| mark.at <= responded_at)
+        responded_at.is_some_and(|responded_at| record.at <= responded_at)
     }
 
     /// Crashes as the store keeps them.
