--- a/crates/savorywood-gateway/src/queue.rs
+++ b/crates/savorywood-gateway/src/queue.rs
@@ -27,35 +27,35 @@
 /// Waiting requests of one service, most urgent first.
 #[derive(Debug, Clone, Default)]
 pub struct WaitQueue {
-    places: BTreeSet<QueuePosition>,
+    positions: BTreeSet<QueuePosition>,
 }
 
 impl WaitQueue {
     /// Adds a request.
     pub fn insert(&mut self, place: QueuePosition) {
-        self.places.insert(place);
+        self.positions.insert(place);
     }
 
     /// Takes a request out.
     pub fn remove(&mut self, place: &QueuePosition) {
-        self.places.remove(place);
+        self.positions.remove(place);
     }
 
     /// All places in order.
     pub fn iter(&self) -> impl Iterator<Item = &QueuePosition> {
-        self.places.iter()
+        self.positions.iter()
     }
 
     /// Requests that wait and are at least as urgent as a rank.
     #[must_use]
     pub fn count_at_least_as_urgent(&self, rank: RequestRank) -> usize {
-        let urgent = self.places.iter();
+        let urgent = self.positions.iter();
         urgent.take_while(|place| place.rank <= rank).count()
     }
 
     /// Requests that wait.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.positions.len()
     }
 }
