--- a/crates/savorywood-gateway/src/upstream_limit.rs
+++ b/crates/savorywood-gateway/src/upstream_limit.rs
@@ -13,14 +13,14 @@
 /// may have saved up a request, so their number bounds what comes at once after a rest; with a
 /// single one, requests at all other daemons could not reach a service whose upstreams are all in
 /// need.
-const HOLDERS_A_REQUEST: f64 = 1.5;
+const HOLDERS_PER_RATE: f64 = 1.5;
 const EXTRA_HOLDERS: f64 = 3.0;
 /// Daemons that begin to hold parts within this time after a limit was named begin together.
-const BEGIN_TIME: Duration = Duration::from_secs(2);
+const INITIAL_FILL_WINDOW: Duration = Duration::from_secs(2);
 /// Time whose part of the rate a daemon may save up, where that is more than one request.
-const BURST_TIME: Duration = Duration::from_millis(200);
+const BURST_WINDOW: Duration = Duration::from_millis(200);
 /// Least rate, in requests a second: an upstream that gets nothing can't say that it has recovered.
-const LEAST_RATE: f64 = 0.1;
+const MIN_RATE_PER_S: f64 = 0.1;
 
 /// Requests in a thousand seconds that an upstream takes from all daemons together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -44,12 +44,12 @@
     /// Daemons that hold a part of it at most.
     #[must_use]
     pub fn max_holders(self) -> usize {
-        (self.per_second() * HOLDERS_A_REQUEST + EXTRA_HOLDERS) as usize
+        (self.per_second() * HOLDERS_PER_RATE + EXTRA_HOLDERS) as usize
     }
 
     /// Requests a second of one of so many holders.
-    fn part(self, holders: usize) -> f64 {
-        self.per_second().max(LEAST_RATE) / holders.max(1) as f64
+    fn rate_per_holder(self, holders: usize) -> f64 {
+        self.per_second().max(MIN_RATE_PER_S) / holders.max(1) as f64
     }
 }
 
@@ -96,12 +96,12 @@
 /// Limit of one upstream, and what this daemon may send of it.
 #[derive(Debug, Clone, Default)]
 pub struct UpstreamLimit {
-    reading: Option<LimitObservation>,
+    observation: Option<LimitObservation>,
     /// When this daemon, and a daemon of its zone, had a reading last.
-    own_at: Option<MonotonicTime>,
-    zone_at: Option<MonotonicTime>,
+    own_observed_at: Option<MonotonicTime>,
+    zone_observed_at: Option<MonotonicTime>,
     /// When the limit was named after there had been none.
-    named_at: MonotonicTime,
+    limited_since: MonotonicTime,
     share: Option<LeaseShare>,
     /// Requests that may be sent now.
     level: f64,
@@ -113,7 +113,7 @@
     #[must_use]
     pub fn for_new_incarnation(now: MonotonicTime) -> Self {
         Self {
-            reading: Some(LimitObservation {
+            observation: Some(LimitObservation {
                 limit: None,
                 observed_at: now,
             }),
@@ -124,35 +124,35 @@
     /// Limit in force.
     #[must_use]
     pub fn limit(&self) -> Option<RateLimit> {
-        self.reading.and_then(|reading| reading.limit)
+        self.observation.and_then(|observation| observation.limit)
     }
 
     /// Takes a reading, unless a newer one is known; whether the limit is another one now.
     pub fn observe(
         &mut self,
         now: MonotonicTime,
-        reading: LimitObservation,
+        observation: LimitObservation,
         source: ObservationSource,
     ) -> bool {
-        let known = self.reading;
-        if known.is_some_and(|known| known.observed_at >= reading.observed_at) {
+        let known = self.observation;
+        if known.is_some_and(|known| known.observed_at >= observation.observed_at) {
             return false;
         }
         let before = self.limit();
-        if before.is_none() && reading.limit.is_none() {
+        if before.is_none() && observation.limit.is_none() {
             return false;
         }
-        self.reading = Some(reading);
+        self.observation = Some(observation);
         if before.is_none() {
-            self.named_at = now;
+            self.limited_since = now;
             self.share = None;
         }
         match source {
-            ObservationSource::Own => self.own_at = Some(now),
-            ObservationSource::Zone => self.zone_at = Some(now),
+            ObservationSource::Own => self.own_observed_at = Some(now),
+            ObservationSource::Zone => self.zone_observed_at = Some(now),
             ObservationSource::OtherZone => {}
         }
-        before != reading.limit
+        before != observation.limit
     }
 
     /// The reading, if it was had within a time by this daemon or, for other zones, by its zone.
@@ -163,13 +163,13 @@
         within: Duration,
         of_zone: bool,
     ) -> Option<LimitObservation> {
-        let had_at = if of_zone {
-            self.own_at.max(self.zone_at)
+        let observed_at = if of_zone {
+            self.own_observed_at.max(self.zone_observed_at)
         } else {
-            self.own_at
+            self.own_observed_at
         };
-        let is_new = had_at.is_some_and(|at| now.since(at) < within);
-        self.reading.filter(|_| is_new)
+        let is_new = observed_at.is_some_and(|at| now.since(at) < within);
+        self.observation.filter(|_| is_new)
     }
 
     /// Time passes; `share` is this daemon's part in sending to the upstream.
@@ -181,9 +181,9 @@
             self.level = 0.0;
             return;
         };
-        let part = limit.part(share.holders);
+        let part = limit.rate_per_holder(share.holders);
         if self.share.replace(share).is_none() {
-            self.level = if now.since(self.named_at) < BEGIN_TIME {
+            self.level = if now.since(self.limited_since) < INITIAL_FILL_WINDOW {
                 // Holders that begin together take turns.
                 share.rank as f64 / share.holders.max(1) as f64
             } else {
@@ -191,7 +191,7 @@
             };
             return;
         }
-        let most = (part * BURST_TIME.as_secs_f64()).max(1.0);
+        let most = (part * BURST_WINDOW.as_secs_f64()).max(1.0);
         self.level = (self.level + part * elapsed.as_secs_f64()).min(most);
     }
 
