--- a/crates/savorywood-gateway/src/rollout.rs
+++ b/crates/savorywood-gateway/src/rollout.rs
@@ -63,17 +63,17 @@
 }
 
 /// Answers of the new version that are needed before it is held for good.
-const NEEDED_ANSWERS: u32 = 30;
+const MIN_RESPONSES: u32 = 30;
 /// Bad answers that are needed before it is held for bad.
-const NEEDED_BAD: u32 = 3;
+const MIN_BAD_RESPONSES: u32 = 3;
 /// Part of the allowed share of traffic that a version on trial gets.
-const TRIAL_PART: f64 = 0.6;
+const CANARY_SHARE_FRACTION: f64 = 0.6;
 /// Part of the time after which a version that was not proved bad gets all traffic.
-const TRIAL_TIME: f64 = 0.45;
+const CANARY_END_FRACTION: f64 = 0.45;
 /// Part of the time after which the old versions get nothing any more.
-const MOVED_TIME: f64 = 0.7;
+const SWITCH_FRACTION: f64 = 0.7;
 /// Part of the time at which the move is called complete.
-const COMPLETE_TIME: f64 = 0.85;
+const COMPLETION_FRACTION: f64 = 0.85;
 
 /// Bounds of trials.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -85,15 +85,15 @@
 #[derive(Debug, Clone)]
 struct RolloutState {
     order: RolloutOrder,
-    seen_at: MonotonicTime,
+    started_at: MonotonicTime,
     own: VersionTally,
     peers: BTreeMap<u64, VersionTally>,
     phase: RolloutPhase,
     /// Of the status row.
     position: StorePosition,
     written: bool,
-    writing: bool,
-    write_after: MonotonicTime,
+    write_pending: bool,
+    next_write_at: MonotonicTime,
 }
 
 impl RolloutState {
@@ -125,14 +125,14 @@
     }
 
     fn progress(&self, now: MonotonicTime) -> f64 {
-        let elapsed = now.since(self.seen_at).as_secs_f64();
+        let elapsed = now.since(self.started_at).as_secs_f64();
         elapsed / self.order.time_limit.as_secs_f64().max(0.001)
     }
 }
 
 /// Bad shares differ so much that chance is no explanation.
-fn is_bad(total: &VersionTally) -> bool {
-    if total.new_bad < NEEDED_BAD || total.new_answers == 0 {
+fn is_significantly_worse(total: &VersionTally) -> bool {
+    if total.new_bad < MIN_BAD_RESPONSES || total.new_answers == 0 {
         return false;
     }
     let new = f64::from(total.new_bad) / f64::from(total.new_answers);
@@ -176,14 +176,14 @@
         };
         let position = known.map_or(StorePosition::default(), |state| state.position);
         let state = RolloutState {
-            seen_at: now,
+            started_at: now,
             own,
             peers: BTreeMap::new(),
             phase: RolloutPhase::Running,
             position,
             written: false,
-            writing: false,
-            write_after: now,
+            write_pending: false,
+            next_write_at: now,
             order,
         };
         self.states.insert(state.order.service.clone(), state);
@@ -220,16 +220,16 @@
         for state in self.states.values_mut() {
             state.position = StorePosition::new(era, 0);
             state.written = false;
-            state.writing = false;
+            state.write_pending = false;
         }
     }
 
     /// A write was answered, or not.
     pub fn record_write(&mut self, now: MonotonicTime, service: &ServiceLabel, accepted: bool) {
         if let Some(state) = self.states.get_mut(service) {
-            state.writing = false;
+            state.write_pending = false;
             state.written |= accepted;
-            state.write_after = now + Duration::from_millis(400);
+            state.next_write_at = now + Duration::from_millis(400);
         }
     }
 
@@ -250,18 +250,18 @@
             RolloutPhase::Running => {}
         }
         let total = state.total();
-        if total.condemned || is_bad(&total) {
+        if total.condemned || is_significantly_worse(&total) {
             return VersionFilter::Except(to);
         }
         let progress = state.progress(now);
-        if progress >= MOVED_TIME {
+        if progress >= SWITCH_FRACTION {
             return VersionFilter::Only(to);
         }
-        let proved = total.new_answers >= NEEDED_ANSWERS;
-        if progress >= TRIAL_TIME && proved {
+        let is_verified = total.new_answers >= MIN_RESPONSES;
+        if progress >= CANARY_END_FRACTION && is_verified {
             return VersionFilter::Any;
         }
-        let allowed = f64::from(total.sent) * options.share * TRIAL_PART + 2.0;
+        let allowed = f64::from(total.sent) * options.share * CANARY_SHARE_FRACTION + 2.0;
         if f64::from(total.sent_new) < allowed {
             VersionFilter::Only(to)
         } else {
@@ -325,22 +325,22 @@
     }
 
     /// Moves roll-outs on; returns the writes to make now.
-    pub fn advance(&mut self, now: MonotonicTime, leads: bool) -> Vec<RolloutWrite> {
+    pub fn advance(&mut self, now: MonotonicTime, is_leader: bool) -> Vec<RolloutWrite> {
         let mut writes = Vec::new();
         for state in self.states.values_mut() {
             let total = state.total();
             if state.phase == RolloutPhase::Running {
-                if total.condemned || is_bad(&total) {
+                if total.condemned || is_significantly_worse(&total) {
                     state.own.condemned = true;
                     state.phase = RolloutPhase::RolledBack;
                     state.written = false;
-                } else if state.progress(now) >= COMPLETE_TIME {
+                } else if state.progress(now) >= COMPLETION_FRACTION {
                     state.phase = RolloutPhase::Completed;
                     state.written = false;
                 }
             }
-            if leads && !state.written && !state.writing && now >= state.write_after {
-                state.writing = true;
+            if is_leader && !state.written && !state.write_pending && now >= state.next_write_at {
+                state.write_pending = true;
                 writes.push(RolloutWrite {
                     service: state.order.service.clone(),
                     target_version: state.order.target_version.clone(),
