--- a/crates/savorywood-gateway/src/upstream.rs
+++ b/crates/savorywood-gateway/src/upstream.rs
@@ -17,13 +17,13 @@
 };
 
 /// A registration that vanished while the store was failing may come back within this time.
-const RETURN_TIME: Duration = Duration::from_millis(1_700);
+const REREGISTRATION_GRACE: Duration = Duration::from_millis(1_700);
 /// The store counts as failing for this long after a failed call.
-const UNSETTLED_TIME: Duration = Duration::from_secs(4);
+const STORE_FAILURE_WINDOW: Duration = Duration::from_secs(4);
 
 /// A start that left as announced is remembered for this long: a store that is restored from an
 /// older backup would bring it back.
-const DEPARTURE_TIME: Duration = Duration::from_secs(60);
+const DEPARTURE_RETENTION: Duration = Duration::from_secs(60);
 
 /// One upstream's registration.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -121,7 +121,7 @@
     /// Puts a newer registration in force. A row that is read once more says nothing new of how
     /// long the upstream stays cold, and one of a restored store may be older than the known one: a
     /// start that has begun to leave goes on leaving.
-    fn renew(&mut self, now: MonotonicTime, mut entry: UpstreamEntry) {
+    fn apply_registration(&mut self, now: MonotonicTime, mut entry: UpstreamEntry) {
         entry.draining |= self.entry.draining;
         if entry != self.entry {
             self.extend_cold(now + entry.cold_for);
@@ -151,7 +151,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct UpstreamFleet {
     states: BTreeMap<UpstreamLabel, UpstreamState>,
-    usual: BTreeMap<ServiceLabel, LatencyModel>,
+    service_latencies: BTreeMap<ServiceLabel, LatencyModel>,
     warmups: BTreeMap<ServiceLabel, WarmupSpec>,
     evacuations: EvacuationTable,
     store_failed_at: Option<MonotonicTime>,
@@ -214,12 +214,15 @@
     /// What is usual at a service.
     #[must_use]
     pub fn service_latency(&self, service: &ServiceLabel) -> LatencyModel {
-        self.usual.get(service).cloned().unwrap_or_default()
+        self.service_latencies
+            .get(service)
+            .cloned()
+            .unwrap_or_default()
     }
 
     /// The same, to change it.
     pub fn service_latency_mut(&mut self, service: &ServiceLabel) -> &mut LatencyModel {
-        self.usual.entry(service.clone()).or_default()
+        self.service_latencies.entry(service.clone()).or_default()
     }
 
     /// Median share of failures at a service.
@@ -238,18 +241,18 @@
         self.store_failed_at = self.store_failed_at.max(Some(now));
     }
 
-    fn is_settled(&self, now: MonotonicTime) -> bool {
+    fn is_store_settled(&self, now: MonotonicTime) -> bool {
         self.store_failed_at
-            .is_none_or(|at| now.since(at) > UNSETTLED_TIME)
+            .is_none_or(|at| now.since(at) > STORE_FAILURE_WINDOW)
     }
 
     /// A registration was written.
     pub fn upsert(&mut self, now: MonotonicTime, entry: UpstreamEntry) -> Option<FleetChange> {
-        let has_left = self
+        let has_departed = self
             .departed
             .get(&entry.name)
             .is_some_and(|left| left.born == entry.incarnation);
-        if has_left && entry.incarnation != 0 {
+        if has_departed && entry.incarnation != 0 {
             return None;
         }
         let Some(state) = self.states.get_mut(&entry.name) else {
@@ -258,7 +261,7 @@
             } else {
                 FleetChange::Joined
             };
-            let state = self.begin(now, entry);
+            let state = self.new_state(now, entry);
             self.states.insert(state.entry.name.clone(), state);
             return Some(change);
         };
@@ -266,19 +269,19 @@
         if state.entry.incarnation != entry.incarnation && entry.incarnation != 0 {
             let (running, unread, sent_at) =
                 (state.running, state.unread_tokens, state.last_dispatch_at);
-            let reborn = UpstreamState {
+            let restarted = UpstreamState {
                 running,
                 unread_tokens: unread,
                 last_dispatch_at: sent_at,
                 limit: UpstreamLimit::for_new_incarnation(now),
-                ..self.begin(now, entry)
+                ..self.new_state(now, entry)
             };
-            self.states.insert(reborn.entry.name.clone(), reborn);
+            self.states.insert(restarted.entry.name.clone(), restarted);
             return Some(FleetChange::Restarted);
         }
         let drains = entry.draining && !state.entry.draining;
         let cools = !state.is_cold(now);
-        state.renew(now, entry);
+        state.apply_registration(now, entry);
         if drains {
             return Some(FleetChange::Draining);
         }
@@ -286,7 +289,7 @@
     }
 
     /// State of an upstream of which nothing is known but its registration.
-    fn begin(&self, now: MonotonicTime, entry: UpstreamEntry) -> UpstreamState {
+    fn new_state(&self, now: MonotonicTime, entry: UpstreamEntry) -> UpstreamState {
         let mut state = UpstreamState::new(entry);
         state.evacuated = self.evacuations.contains(&state.entry.zone);
         state.extend_cold(now + state.entry.cold_for);
@@ -370,7 +373,7 @@
     /// two seconds of its return. Taken for gone at once, a whole service would be empty after
     /// each outage, and every request refused.
     pub fn remove(&mut self, now: MonotonicTime, name: &UpstreamLabel) -> Option<FleetChange> {
-        let settled = self.is_settled(now);
+        let settled = self.is_store_settled(now);
         let state = self.states.get_mut(name)?;
         if state.removed_at.is_some() {
             return None;
@@ -378,7 +381,7 @@
         let grace = if settled || state.entry.draining {
             Duration::ZERO
         } else {
-            RETURN_TIME
+            REREGISTRATION_GRACE
         };
         state.removed_at = Some(now + grace);
         Some(FleetChange::Left)
@@ -421,6 +424,6 @@
         }
         self.states.retain(|_, state| !is_over(state));
         self.departed
-            .retain(|_, left| now.since(left.at) < DEPARTURE_TIME);
+            .retain(|_, left| now.since(left.at) < DEPARTURE_RETENTION);
     }
 }
