--- a/crates/savorywood-gateway/src/warmup.rs
+++ b/crates/savorywood-gateway/src/warmup.rs
@@ -11,9 +11,9 @@
 
 /// Holders of one lease at a moment at most: the one before a change of the entry set and the one
 /// after it.
-const MOST_HOLDERS: f64 = 2.0;
+const MAX_HOLDERS: f64 = 2.0;
 /// Least requests a second, as a part of the bound, where half of it is less than a request.
-const LEAST_PART: f64 = 0.2;
+const MIN_RATE_FRACTION: f64 = 0.2;
 
 /// How cold upstreams of a service start.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -38,11 +38,11 @@
     /// second holds with two holders. A window of a second holds one request more than the rate.
     #[must_use]
     pub fn interval(&self, tolerance: Option<WarmupTolerance>) -> Duration {
-        let most = tolerance.map_or(self.per_second, |tolerance| {
+        let max_rate = tolerance.map_or(self.per_second, |tolerance| {
             let bound = self.per_second * tolerance.overage + tolerance.slack;
-            (bound / MOST_HOLDERS - 1.0).max(bound * LEAST_PART)
+            (bound / MAX_HOLDERS - 1.0).max(bound * MIN_RATE_FRACTION)
         });
-        let rate = most.min(self.per_second).max(f64::MIN_POSITIVE);
+        let rate = max_rate.min(self.per_second).max(f64::MIN_POSITIVE);
         Duration::from_secs_f64((1.0 / rate).min(self.duration.as_secs_f64().max(1.0)))
     }
 }
