--- a/crates/savorywood-gateway/src/affinity.rs
+++ b/crates/savorywood-gateway/src/affinity.rs
@@ -1,4 +1,4 @@
-//! Which upstream read a part of a prompt last.
+//! Prompt cache affinity: records which upstreams processed each part of a prompt most recently.
 
 use crate::{arrival::PromptPart, label::UpstreamLabel};
 use savorywood_protocol::MonotonicTime;
@@ -7,9 +7,10 @@
     time::Duration,
 };
 
-/// Parts remembered at most.
+/// Maximum number of prompt parts in the index; the oldest are evicted first.
 const MAX_PROMPT_PARTS: usize = 4_096;
-/// A part that nobody asked for in this time is taken to be gone.
+/// A prompt part that an upstream has not processed within this time is assumed to have been
+/// evicted from its cache.
 const CACHE_TTL: Duration = Duration::from_secs(20);
 
 #[derive(Debug, Clone)]
@@ -18,18 +19,20 @@
     at: MonotonicTime,
 }
 
-/// Holders of prompt parts, newest last.
+/// Upstreams that hold each prompt part, keyed by the part's id; holders are ordered from the
+/// oldest to the most recent.
 #[derive(Debug, Clone, Default)]
 pub struct PrefixCacheIndex {
     holders: HashMap<u64, Vec<CacheHolder>>,
     order: VecDeque<u64>,
 }
 
-/// Upstreams remembered for one part.
+/// Maximum number of upstreams recorded for one prompt part.
 const MAX_HOLDERS_PER_PART: usize = 4;
 
 impl PrefixCacheIndex {
-    /// Tokens of the prompt's beginning that an upstream is expected to hold.
+    /// Returns how many tokens at the start of the prompt the upstream is expected to have cached.
+    /// Counting stops at the first part that is not cached.
     #[must_use]
     pub fn cached_tokens(
         &self,
@@ -52,7 +55,7 @@
         tokens
     }
 
-    /// An upstream reads a prompt.
+    /// Records that an upstream processes all parts of a prompt.
     pub fn record_prompt(
         &mut self,
         now: MonotonicTime,
--- a/crates/savorywood-gateway/src/config.rs
+++ b/crates/savorywood-gateway/src/config.rs
@@ -1,4 +1,4 @@
-//! What operators declared: routes, services, teams and limits of one configuration version.
+//! Configuration declared by operators: routes, services, teams and limits of one version.
 
 use crate::{
     label::{RegionLabel, ServiceLabel, TeamLabel},
@@ -10,22 +10,22 @@
     time::Duration,
 };
 
-/// How often a request of a route may run.
+/// Whether requests of a route may be executed more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetrySafety {
-    /// It may run more than once.
+    /// Requests may be executed more than once.
     Idempotent,
-    /// It runs once at most.
+    /// Requests are executed once at most.
     AtMostOnce,
-    /// Its answer is a stream of events.
+    /// Responses are event streams.
     Stream {
-        /// A broken stream may be read on at another upstream.
+        /// A broken stream may be continued at another upstream.
         resumable: bool,
     },
 }
 
 impl RetrySafety {
-    /// Says whether the request may run again after it may have run.
+    /// Returns true if a request may be retried after an attempt that may have been executed.
     #[must_use]
     pub fn is_idempotent(self) -> bool {
         match self {
@@ -34,58 +34,62 @@
         }
     }
 
-    /// Says whether the answer is a stream of events.
+    /// Returns true if responses are event streams.
     #[must_use]
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream { .. })
     }
 }
 
-/// Share of a route's traffic that goes to a service.
+/// One service of a route's traffic split.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TrafficShare {
-    /// Who gets it.
+    /// Service that receives this share of the traffic.
     pub service: ServiceLabel,
-    /// Weight against the other shares.
+    /// Weight relative to the other services of the split; zero sends no traffic.
     pub weight: u32,
 }
 
-/// A route: which requests go to which services, and under what bounds.
+/// Route of an operator: selects requests by host and path prefix, and sets the services and the
+/// bounds that apply to them.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RouteSpec {
-    /// Its name.
+    /// Name from the configuration, unique to the route.
     pub name: String,
-    /// Host that callers name, in lower case.
+    /// Host that callers address, in lower case.
     pub host: String,
-    /// Beginning of the path; begins and ends with a slash.
+    /// Path prefix; begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether requests may be executed more than once.
     pub retry_safety: RetrySafety,
-    /// Longest time until the whole answer.
+    /// Maximum time until the response is complete; `None` sets no such bound.
     pub timeout: Option<Duration>,
-    /// Time within which an answer (a stream: its first event) is in time.
+    /// Latency objective: time within which the response, or the first event of a stream, counts as
+    /// in time.
     pub objective: Duration,
-    /// Longest pause between events of a stream that is in time.
+    /// Longest gap between two events of a stream that counts as in time; `None` if gaps are not
+    /// rated.
     pub gap_objective: Option<Duration>,
-    /// Silence after which callers leave, also before the first event; `None` where they wait
-    /// for as long as they said.
+    /// Time without data after which callers give up, also before the first event; `None` if they
+    /// wait until their own deadline.
     pub caller_idle_timeout: Option<Duration>,
-    /// Rank, 0 is the most urgent.
+    /// Priority rank; 0 is the most urgent.
     pub priority: u32,
-    /// Where its traffic goes.
+    /// Services that share the traffic, by weight.
     pub split: Vec<TrafficShare>,
-    /// Upstreams that may run one request.
+    /// Maximum number of upstreams that one request is sent to.
     pub max_attempts: u32,
-    /// No key is needed.
+    /// Requests need no API key.
     pub public: bool,
-    /// Requests with the same prompt parts are better kept together.
+    /// Prefers upstreams that have the beginning of the prompt cached.
     pub affinity: bool,
-    /// Regions whose upstreams may get its requests; any if empty.
+    /// Regions whose upstreams may receive requests of the route; empty allows all regions.
     pub home_regions: Vec<RegionLabel>,
 }
 
 impl RouteSpec {
-    /// Service for a number drawn evenly from 0 to 1.
+    /// Returns the service for `sample`, which is uniformly distributed between 0 and 1; `None` if
+    /// all weights are zero.
     #[must_use]
     pub fn choose_service(&self, draw: f64) -> Option<&ServiceLabel> {
         let total: u32 = self.split.iter().map(|share| share.weight).sum();
@@ -104,62 +108,63 @@
     }
 }
 
-/// What a model engine of a service offers.
+/// Capacity of the model engine behind each upstream of a service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineSpec {
-    /// Requests in its batch at once.
+    /// Maximum number of requests in the engine's batch.
     pub slots: u32,
-    /// Tokens that its memory holds.
+    /// Tokens that fit into the engine's KV cache.
     pub cache_tokens: u64,
 }
 
-/// A service: a set of like upstreams.
+/// A service: a set of interchangeable upstreams.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceSpec {
-    /// Connections that one upstream takes from all daemons together.
+    /// Maximum number of connections to one upstream, summed over all daemons.
     pub max_connections: u32,
-    /// Set for services of model engines.
+    /// Engine capacity; `None` for services without a model engine.
     pub engine: Option<EngineSpec>,
-    /// How its upstreams start; `None` where they bear full load at once.
+    /// Slow start of its upstreams; `None` if they take full load immediately after a start.
     pub warmup: Option<WarmupSpec>,
 }
 
-/// Tokens or requests that a team may use.
+/// Rate limit of a team, in requests or tokens.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TeamLimit {
-    /// Units a second, over all daemons.
+    /// Units per second, summed over all daemons.
     pub per_second: f64,
-    /// Units that may come at once.
+    /// Burst size: units that may be used at once.
     pub burst: f64,
-    /// Units are tokens, not requests.
+    /// The unit is tokens if true, requests otherwise.
     pub in_tokens: bool,
-    /// Tokens of a request that names none.
+    /// Tokens charged for a request that does not state its size.
     pub default_tokens: u32,
 }
 
-/// A team.
+/// A team: the tenant that API keys belong to.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TeamSpec {
-    /// Its name, as upstreams receive it.
+    /// Name, as forwarded to upstreams.
     pub name: TeamLabel,
-    /// Rank that goes before the route's.
+    /// Priority rank, compared before the route's; 0 is the most urgent.
     pub priority: Option<u32>,
-    /// What it may use; `None` is unlimited.
+    /// Rate limit; `None` is unlimited.
     pub limit: Option<TeamLimit>,
-    /// Regions whose upstreams may get its requests; any if empty. They bind beside its routes'.
+    /// Regions whose upstreams may receive requests of the team; empty allows all regions. They
+    /// apply in addition to those of the route.
     pub home_regions: Vec<RegionLabel>,
 }
 
-/// What callers may send and how long they may take.
+/// Size limits and time-outs for requests and connections of callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Bytes of a head.
+    /// Maximum size of a request head.
     pub header_bytes: usize,
-    /// Bytes of a body.
+    /// Maximum size of a request body.
     pub body_bytes: usize,
-    /// Time for a head once it began.
+    /// Maximum time to receive a request head, from its first byte.
     pub header_timeout: Duration,
-    /// Time that a connection may be idle.
+    /// Maximum time that a connection may be idle between requests.
     pub idle_timeout: Duration,
 }
 
@@ -174,14 +179,14 @@
     }
 }
 
-/// One version of the configuration, ready for lookups.
+/// One version of the configuration, indexed for lookups.
 #[derive(Debug, Clone, Default)]
 pub struct DeclaredConfig {
-    /// Its version; later ones are larger.
+    /// Version number; newer versions have larger numbers.
     pub version: u64,
-    /// Bounds for callers.
+    /// Limits for callers.
     pub limits: CallerLimits,
-    /// Services by name.
+    /// Services by name; routes refer to these names.
     pub services: BTreeMap<ServiceLabel, ServiceSpec>,
     hosts: HashMap<String, HashMap<String, Arc<RouteSpec>>>,
     keys: HashMap<String, Arc<TeamSpec>>,
@@ -190,7 +195,7 @@
 }
 
 impl DeclaredConfig {
-    /// An empty configuration of a version.
+    /// Creates an empty configuration with the given version.
     #[must_use]
     pub fn new(version: u64) -> Self {
         Self {
@@ -199,14 +204,14 @@
         }
     }
 
-    /// Adds a route.
+    /// Adds a route, replacing one with the same host and prefix.
     pub fn add_route(&mut self, route: RouteSpec) {
         let prefixes = self.hosts.entry(route.host.clone()).or_default();
         let old = prefixes.insert(route.prefix.clone(), Arc::new(route));
         self.route_count += usize::from(old.is_none());
     }
 
-    /// Adds a team with the keys that its callers show.
+    /// Adds a team together with the API keys that identify it.
     pub fn add_team(&mut self, team: TeamSpec, keys: Vec<String>) {
         let team = Arc::new(team);
         for key in keys {
@@ -215,7 +220,7 @@
         self.teams.insert(team.name.clone(), team);
     }
 
-    /// Route with the longest prefix that begins the path.
+    /// Returns the route of the host with the longest prefix that matches the path.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<RouteSpec>> {
         let prefixes = self.hosts.get(host)?;
@@ -229,7 +234,8 @@
         None
     }
 
-    /// Home regions of the routes of a host; none where one of them has none.
+    /// Returns the home regions of all routes of a host; empty if any of these routes allows all
+    /// regions.
     #[must_use]
     pub fn home_regions_of(&self, host: &str) -> BTreeSet<&RegionLabel> {
         let routes = self.hosts.get(host).into_iter().flat_map(HashMap::values);
@@ -243,30 +249,30 @@
         homes
     }
 
-    /// Team that holds a key.
+    /// Returns the team that an API key belongs to.
     #[must_use]
     pub fn team_for_key(&self, key: &str) -> Option<&Arc<TeamSpec>> {
         self.keys.get(key)
     }
 
-    /// All teams.
+    /// Iterates over all teams in the order of their names.
     pub fn teams(&self) -> impl Iterator<Item = &Arc<TeamSpec>> {
         self.teams.values()
     }
 
-    /// A team by name.
+    /// Returns the team of this name.
     #[must_use]
     pub fn team(&self, name: &TeamLabel) -> Option<&Arc<TeamSpec>> {
         self.teams.get(name)
     }
 
-    /// Callers must show keys.
+    /// Returns true if callers must present an API key, which is so once any team is configured.
     #[must_use]
     pub fn requires_keys(&self) -> bool {
         !self.teams.is_empty()
     }
 
-    /// Number of routes.
+    /// Returns the number of routes over all hosts.
     #[must_use]
     pub fn route_count(&self) -> usize {
         self.route_count
--- a/crates/savorywood-gateway/src/demand.rs
+++ b/crates/savorywood-gateway/src/demand.rs
@@ -1,19 +1,20 @@
-//! How much work of each rank comes to a service, and what is kept free for it.
+//! Demand at a service by rank, and the slots that are reserved for more urgent requests.
 
 use crate::queue::RequestRank;
 use savorywood_protocol::MonotonicTime;
 use std::{collections::BTreeMap, time::Duration};
 
-/// Time in which old arrivals lose most of their weight: bursts last for some seconds.
+/// Time constant of the exponential decay of arrivals; bursts last for some seconds.
 const DECAY_WINDOW: Duration = Duration::from_millis(1_500);
-/// Time for which daemons do not know of each other's newest dispatches.
+/// Time until a daemon learns of the dispatches of its peers.
 const GOSSIP_DELAY: Duration = Duration::from_millis(250);
-/// Arrivals of the most urgent work while a kept slot is used by other work.
+/// Less urgent work may use a reserved slot if fewer arrivals of the most urgent rank than this are
+/// expected before it releases the slot.
 const MAX_URGENT_ARRIVALS_WHILE_BORROWED: f64 = 0.8;
-/// At most one in so many slots of an upstream is kept.
+/// At most one of this many slots of an upstream is reserved.
 const MIN_SLOTS_PER_RESERVED: u32 = 3;
 
-/// A count in which old events lose their weight.
+/// Event counter with exponential decay.
 #[derive(Debug, Clone, Copy, Default)]
 struct DecayingCounter {
     count: f64,
@@ -36,7 +37,7 @@
     }
 }
 
-/// Arrivals and dispatches at one service by rank, as this daemon sees them.
+/// Arrivals and dispatches at one service by rank, as observed by this daemon.
 #[derive(Debug, Clone, Default)]
 pub struct DemandTracker {
     arrivals: BTreeMap<RequestRank, DecayingCounter>,
@@ -44,24 +45,25 @@
 }
 
 impl DemandTracker {
-    /// A request came.
+    /// Records the arrival of a request.
     pub fn record_arrival(&mut self, now: MonotonicTime, rank: RequestRank) {
         self.arrivals.entry(rank).or_default().add(now);
     }
 
-    /// A request got a slot.
+    /// Records that a request was assigned a slot.
     pub fn record_dispatch(&mut self, now: MonotonicTime, rank: RequestRank) {
         self.dispatches.entry(rank).or_default().add(now);
     }
 
-    /// Requests of a rank that got a slot in the last second.
+    /// Returns the current rate of dispatches of a rank, in requests per second.
     #[must_use]
     pub fn dispatch_rate(&self, now: MonotonicTime, rank: RequestRank) -> f64 {
         let count = self.dispatches.get(&rank);
         count.map_or(0.0, |count| count.per_second(now))
     }
 
-    /// Arrivals more urgent than a rank, at `daemons` daemons that see as many as this one.
+    /// Returns the arrival rates of all ranks more urgent than `rank`, on the assumption that each
+    /// of `daemons` daemons sees as many arrivals as this one.
     #[must_use]
     pub fn urgent_arrivals(
         &self,
@@ -79,26 +81,27 @@
     }
 }
 
-/// Arrivals a second at all daemons that are more urgent than one rank.
+/// Arrivals per second at all daemons that are more urgent than a given rank.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct UrgentArrivals {
-    /// Of all those ranks.
+    /// Sum over all more urgent ranks.
     pub total_per_s: f64,
-    /// Of the most urgent one.
+    /// Arrivals of the most urgent rank alone.
     pub most_urgent_per_s: f64,
 }
 
 impl UrgentArrivals {
-    /// Slots of an upstream that work of this rank leaves free. `share` is the part of the
-    /// service's work that the upstream does, `slot` the time for which the work would hold one.
+    /// Returns the number of slots of an upstream that work of this rank leaves free. `share` is
+    /// the fraction of the service's work that the upstream handles, `slot` the time for which the
+    /// work would hold a slot.
     ///
-    /// The load that this answers: nearly all slots are taken, and work of several ranks comes to
-    /// several daemons. Less urgent work that takes the last slot holds it for the whole of an
-    /// answer; an urgent request that comes to any daemon a moment later waits for as long. So as
-    /// many slots are kept as urgent requests are expected before daemons learn of each other, and
-    /// none while little urgent work comes. What gives its slot back before the most urgent work
-    /// is likely to ask for it may borrow a kept one: refused, short work would get nothing from
-    /// slots that stand empty most of the time.
+    /// Without reserved slots, less urgent work takes the last slot under high load and holds it
+    /// until its response is complete; an urgent request that arrives at any daemon a moment later
+    /// waits as long. So the number of reserved slots is the number of urgent requests expected
+    /// before daemons learn of each other's dispatches, and zero while there is little urgent work.
+    /// Work that releases its slot before the most urgent work is likely to need it may use a
+    /// reserved slot: otherwise short requests would be refused although the slots are idle most of
+    /// the time.
     #[must_use]
     pub fn reserved_slots(&self, share: f64, slot: Duration, slots: u32) -> u32 {
         let horizon = slot.min(GOSSIP_DELAY);
--- a/crates/savorywood-gateway/src/entry_set.rs
+++ b/crates/savorywood-gateway/src/entry_set.rs
@@ -1,42 +1,44 @@
-//! Entry set: the few daemons of an availability zone that the directory names to callers.
+//! Entry set: the few daemons of an availability zone that the directory returns to callers.
 //!
-//! Slots turn over faster than gossip travels, so the fewer daemons place requests, the fresher
-//! each one's view of the slots is. The set is as small as the load allows, by the resource that
-//! binds first, and every daemon computes it from the same gossiped figures.
+//! Slots change hands faster than gossip spreads, so the fewer daemons dispatch requests, the more
+//! accurate is each one's view of the slots. The set is as small as the load allows, by the
+//! scarcest resource, and every daemon computes it from the same gossiped figures.
 
 use savorywood_protocol::MonotonicTime;
 use serde::{Deserialize, Serialize};
 use std::{cmp::Ordering, time::Duration};
 
-/// Part of a member's resources that the load may use. The rest is for bursts that arrive before
-/// the set has grown and callers have asked the directory again.
+/// Fraction of a member's resources that the load may use. The rest absorbs bursts that arrive
+/// before the set has grown and callers have queried the directory again.
 const TARGET_UTILISATION: f64 = 0.35;
-/// Most that counts as the carried part of a load.
+/// Upper bound of the carried fraction of a load, which is unbounded for a host without load.
 const MAX_CARRIED_FRACTION: f64 = 1e6;
-/// Members that a zone has at least, if it has as many daemons.
+/// Minimum number of members of a zone, if it has as many daemons.
 const MIN_MEMBERS: usize = 3;
-/// Time in which the remembered load falls to 1/e after the load itself has fallen.
+/// Time constant of the decay: the recorded peak falls to 1/e of its value in this time after the
+/// load has fallen.
 const PEAK_DECAY_WINDOW: Duration = Duration::from_secs(20);
-/// A daemon that has been running, and seen without a gap, for this long is warmed up.
+/// A daemon counts as warmed up once it has been running, and heard from without a gap, for this
+/// long.
 const WARM_UP_PERIOD: Duration = Duration::from_secs(3);
-/// Daemons that started within this time of each other count as equally old.
+/// Daemons whose uptimes differ by less than this count as equally old.
 const START_TOLERANCE: Duration = Duration::from_secs(1);
 
-/// Amounts of what a daemon needs from its host.
+/// Resources that a host offers, or that a load needs.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostResources {
     /// Processor time, in thousandths of a core.
     pub processor_millis: u32,
-    /// Open descriptors.
+    /// Open file descriptors.
     pub descriptors: u32,
     /// Resident memory, in KiB.
     pub memory_kib: u32,
-    /// Bytes received, in kilobits a second.
+    /// Received traffic, in kilobits per second.
     pub link_kbps: u32,
 }
 
 impl HostResources {
-    /// Amounts in a fixed order.
+    /// Returns the amounts in a fixed order, the processor first.
     fn amounts(&self) -> [u32; 4] {
         [
             self.processor_millis,
@@ -65,20 +67,20 @@
         Self::from_amounts(amounts)
     }
 
-    /// The sum of both.
+    /// Returns the sum of each resource.
     #[must_use]
     pub fn plus(&self, other: &Self) -> Self {
         self.combine(other, u32::saturating_add)
     }
 
-    /// The larger of both, resource by resource.
+    /// Returns the maximum of each resource.
     #[must_use]
     pub fn max(&self, other: &Self) -> Self {
         self.combine(other, u32::max)
     }
 
-    /// Part of `load` that this host carries at the target utilisation, by the resource that
-    /// binds first. A resource without a declared capacity does not bind.
+    /// Returns the fraction of `load` that this host carries at the target utilisation, by the
+    /// scarcest resource. A resource without a declared capacity is ignored.
     fn carried_fraction(&self, load: &Self) -> f64 {
         let pairs = self.amounts().into_iter().zip(load.amounts());
         let parts = pairs.filter(|(capacity, _)| *capacity > 0).map(|pair| {
@@ -89,22 +91,22 @@
     }
 }
 
-/// A daemon that could be a member.
+/// A daemon that is eligible for the entry set.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EntryCandidate {
-    /// Digest of its host's name.
+    /// Digest of the host name.
     pub host: u64,
-    /// What its host has.
+    /// Resources of its host.
     pub capacity: HostResources,
-    /// Time for which it has been running and was seen without a gap.
+    /// Time for which it has been running and heard from without a gap.
     pub stable_for: Duration,
 }
 
-/// Members of a zone for a load, the largest hosts first.
+/// Selects the members of a zone for a load, the largest hosts first.
 ///
-/// The load that this answers: callers of a zone that a handful of its daemons can carry. Their
-/// number follows from what is left after the largest of them is lost. Daemons that have just
-/// started, or were just silent, come after all others: they know neither slots nor limits yet.
+/// There are as many members as needed to carry the load after the largest of them has failed, and
+/// at least three. Daemons that have just started, or were recently not heard from, are selected
+/// last: they have not received the current slots and limits yet.
 #[must_use]
 pub fn select_members(mut candidates: Vec<EntryCandidate>, load: &HostResources) -> Vec<u64> {
     let steady = candidates.iter().map(|candidate| candidate.stable_for);
@@ -133,15 +135,16 @@
     members
 }
 
-/// Order of hosts by size: the processor goes first, as its share differs most.
+/// Orders hosts by size; the processor is compared first, as hosts differ most in it.
 fn compare_size(one: &HostResources, other: &HostResources) -> Ordering {
     one.amounts().cmp(&other.amounts())
 }
 
-/// Load of a zone, remembered at its peak.
+/// Load of a zone with peak hold and exponential decay.
 ///
-/// Members must be enough for the next burst, and callers that move between daemons with each
-/// change of the set lose their connections; so the set grows with the load and shrinks slowly.
+/// The members must be sufficient for the next burst, and callers that move between daemons with
+/// each change of the set lose their connections; so the set grows immediately with the load and
+/// shrinks slowly.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct PeakLoad {
     amounts: [f64; 4],
@@ -149,7 +152,7 @@
 }
 
 impl PeakLoad {
-    /// Takes the load of now, and peaks that peers remember.
+    /// Records the current load and the peaks that peers report.
     pub fn update(
         &mut self,
         now: MonotonicTime,
@@ -165,21 +168,21 @@
         self.updated_at = now;
     }
 
-    /// The remembered load.
+    /// Returns the decayed peak load.
     #[must_use]
     pub fn load(&self) -> HostResources {
         HostResources::from_amounts(self.amounts.map(|amount| amount as u32))
     }
 }
 
-/// Members of the own zone as of the last computation.
+/// Current members of the entry set of this daemon's zone.
 #[derive(Debug, Clone, Default)]
 pub struct EntrySet {
     members: Vec<u64>,
 }
 
 impl EntrySet {
-    /// Puts other members in force; whether that changed the set.
+    /// Replaces the members and returns true if the set has changed.
     pub fn replace(&mut self, mut members: Vec<u64>) -> bool {
         members.sort_unstable();
         let changed = members != self.members;
@@ -187,13 +190,13 @@
         changed
     }
 
-    /// A host is a member.
+    /// Returns true if the host with this name digest is a member.
     #[must_use]
     pub fn contains(&self, host: u64) -> bool {
         self.members.contains(&host)
     }
 
-    /// Number of members.
+    /// Returns the number of members.
     #[must_use]
     pub fn count(&self) -> usize {
         self.members.len()
--- a/crates/savorywood-gateway/src/estimate.rs
+++ b/crates/savorywood-gateway/src/estimate.rs
@@ -1,25 +1,26 @@
-//! What an answer is expected to take at one upstream.
+//! Expected response time of a request at one upstream.
 
-/// How many times as long as guessed an answer may become and still end in time: callers' guesses
-/// are right at the median only, and an answer that is cut off at its end has held a slot all that
-/// time for nothing.
+/// Factor by which a response may exceed the length hint and still has to be complete in time.
+/// Hints of callers are accurate at the median only, and a response that is cut off near its end
+/// has held a slot for nothing.
 const LENGTH_MARGIN: f64 = 1.8;
 
-/// Expected milliseconds of one answer at one upstream.
+/// Expected duration of the phases of one response at one upstream, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ResponseEstimate {
-    /// To the first event, or to the whole plain answer, were nothing else to be read there.
+    /// Time to the first event, or to the complete non-streaming response, with no prompts queued
+    /// ahead.
     pub idle_first_event_ms: f64,
-    /// The same behind the prompts that are still to be read there.
+    /// The same, with the prompts that the upstream has yet to process ahead of it.
     pub first_event_ms: f64,
-    /// From the first event to the last.
+    /// Time from the first event to the last; zero for a non-streaming response.
     pub streaming_ms: f64,
-    /// The answer is a stream.
+    /// The response is an event stream.
     pub stream: bool,
 }
 
 impl ResponseEstimate {
-    /// A plain answer.
+    /// Creates the estimate of a non-streaming response, which has a single phase.
     #[must_use]
     pub fn non_streaming(response_ms: f64) -> Self {
         Self {
@@ -30,13 +31,14 @@
         }
     }
 
-    /// Time for which it holds a slot.
+    /// Returns the time for which the request holds a slot, in milliseconds.
     #[must_use]
     pub fn slot_hold_ms(&self) -> f64 {
         self.idle_first_event_ms + self.streaming_ms
     }
 
-    /// Begun now, it ends within so many milliseconds, also where it is longer than guessed.
+    /// Returns true if a stream that starts now completes within `left_ms`, with a margin for a
+    /// longer response than expected. Non-streaming responses always fit.
     #[must_use]
     pub fn fits_within(&self, left_ms: f64) -> bool {
         !self.stream || self.idle_first_event_ms + self.streaming_ms * LENGTH_MARGIN <= left_ms
--- a/crates/savorywood-gateway/src/evacuation.rs
+++ b/crates/savorywood-gateway/src/evacuation.rs
@@ -1,14 +1,14 @@
-//! Availability zones that operators evacuate: their upstreams get nothing new.
+//! Evacuation of availability zones: upstreams of an evacuated zone receive no new requests.
 
 use crate::{label::ZoneLabel, position::StorePosition};
 use std::collections::BTreeMap;
 
-/// An order of an operator to evacuate a zone.
+/// Order of an operator to evacuate an availability zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EvacuationOrder {
-    /// The zone.
+    /// Zone to evacuate.
     pub zone: ZoneLabel,
-    /// Position of the order in the store.
+    /// Position of the order's row in the store; a newer position supersedes an older one.
     pub position: StorePosition,
 }
 
@@ -18,36 +18,37 @@
     in_force: bool,
 }
 
-/// Orders by zone, those that were withdrawn included, so that an older row changes nothing.
+/// Orders by zone. Withdrawn orders are kept, so that an older row that arrives late has no effect.
 #[derive(Debug, Clone, Default)]
 pub struct EvacuationTable {
     orders: BTreeMap<ZoneLabel, RecordedOrder>,
 }
 
 impl EvacuationTable {
-    /// Nothing new may be sent to the zone's upstreams.
+    /// Returns true if the zone is under evacuation.
     #[must_use]
     pub fn contains(&self, zone: &ZoneLabel) -> bool {
         self.orders.get(zone).is_some_and(|known| known.in_force)
     }
 
-    /// Zones under evacuation.
+    /// Iterates over the zones under evacuation.
     pub fn zones(&self) -> impl Iterator<Item = &ZoneLabel> {
         let orders = self.orders.iter().filter(|(_, known)| known.in_force);
         orders.map(|(zone, _)| zone)
     }
 
-    /// Takes an order; whether the zone was not under evacuation before.
+    /// Applies an order and returns true if the zone was not under evacuation before.
     pub fn apply(&mut self, order: EvacuationOrder) -> bool {
         self.update(order, true)
     }
 
-    /// Takes the withdrawal of an order; whether the zone was under evacuation before.
+    /// Applies the withdrawal of an order and returns true if the zone was under evacuation before.
     pub fn withdraw(&mut self, order: EvacuationOrder) -> bool {
         self.update(order, false)
     }
 
-    /// Zones whose orders are missing from a read of all orders as of a version.
+    /// Returns withdrawals for the zones under evacuation that are missing from `orders`, a read of
+    /// all orders as of `revision`.
     #[must_use]
     pub fn missing_from(
         &self,
--- a/crates/savorywood-gateway/src/label.rs
+++ b/crates/savorywood-gateway/src/label.rs
@@ -1,4 +1,5 @@
-//! Names as other programs chose them: shared, cheap to clone, never checked beyond being text.
+//! Names chosen by operators and other programs: reference-counted strings that are cheap to clone
+//! and not validated.
 
 use std::{borrow::Borrow, fmt, sync::Arc};
 
@@ -9,7 +10,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The text itself.
+            /// Returns the name as text.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -37,31 +38,31 @@
 }
 
 shared_label!(
-    /// Names a service.
+    /// Name of a service, from its resource.
     ServiceLabel
 );
 shared_label!(
-    /// Names a team.
+    /// Name of a team, from its resource.
     TeamLabel
 );
 shared_label!(
-    /// Names one incarnation of an upstream.
+    /// Name of one incarnation of an upstream, from its registration.
     UpstreamLabel
 );
 shared_label!(
-    /// Names an availability zone.
+    /// Name of an availability zone.
     ZoneLabel
 );
 shared_label!(
-    /// Names a host and with it the daemon that runs there.
+    /// Name of a host, which also identifies the daemon that runs there.
     HostLabel
 );
 shared_label!(
-    /// Names a version of an upstream's software.
+    /// Software version of an upstream, from its registration.
     VersionLabel
 );
 
 shared_label!(
-    /// Names a region of several availability zones.
+    /// Name of a region, which comprises several availability zones.
     RegionLabel
 );
--- a/crates/savorywood-gateway/src/latency.rs
+++ b/crates/savorywood-gateway/src/latency.rs
@@ -1,51 +1,52 @@
-//! How fast upstreams are, learned from what this daemon sees.
+//! Latency model of upstreams, estimated from the responses that this daemon receives.
 
 use std::time::Duration;
 
-/// Weight of the newest observation.
+/// Weight of the newest observation in moving averages.
 const NEWEST_WEIGHT: f64 = 0.2;
-/// Weight of a pause that is longer than the usual longest ones: these come beside long prompts,
-/// rarely and at any moment.
+/// Weight of a gap that exceeds the current estimate of the longest gap. Such gaps are caused by
+/// long prompts in the same batch, rarely and at any time.
 const LONGER_GAP_WEIGHT: f64 = 0.5;
-/// Weight of a shorter one.
+/// Weight of a gap that is shorter than the estimate.
 const SHORTER_GAP_WEIGHT: f64 = 0.05;
-/// Longest pause, before anything was seen.
+/// Longest gap between events, without observations.
 const DEFAULT_LONGEST_GAP_MS: f64 = 400.0;
-/// Time of a request without prompt, before anything was seen.
+/// Time to the first event for an empty prompt, without observations.
 const DEFAULT_BASE_MS: f64 = 20.0;
-/// Time of one prompt token, before anything was seen.
+/// Time for each prompt token, without observations.
 const DEFAULT_TOKEN_MS: f64 = 0.025;
-/// Time of a pair of prompt tokens: each token attends to all before it.
+/// Time for each pair of prompt tokens: a token attends to all tokens before it.
 const DEFAULT_TOKEN_PAIR_MS: f64 = 0.000_000_29;
-/// By how much the usual time to the first event moves with each observation, as a part of it.
+/// Relative step by which the estimated time to the first event changes with each observation.
 const FIRST_EVENT_STEP: f64 = 0.12;
-/// Weight of a caller's guess of its answer's length against the usual length: guesses are right
-/// at the median and often far off.
+/// Weight of a caller's length hint relative to the mean length: hints are accurate at the median
+/// and often far off.
 const HINT_WEIGHT: f64 = 0.7;
-/// Time between two events, before anything was seen.
+/// Interval between events, without observations.
 const DEFAULT_GAP_MS: f64 = 20.0;
 
-/// Time to the first event that an upstream of ordinary speed needs for a prompt.
+/// Returns the time to the first event of an upstream of typical speed, in milliseconds.
 #[must_use]
 pub fn nominal_first_event_ms(prompt: u32) -> f64 {
     let tokens = f64::from(prompt);
     DEFAULT_BASE_MS + tokens * DEFAULT_TOKEN_MS + tokens * tokens * DEFAULT_TOKEN_PAIR_MS
 }
 
-/// Moving means of one upstream, or of all upstreams of a service.
+/// Moving averages for one upstream, or for all upstreams of a service. `None` means that nothing
+/// has been observed yet.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct LatencyModel {
-    /// Time to the first event against the nominal one.
+    /// Time to the first event, as a ratio to the nominal time.
     first: Option<f64>,
-    /// Milliseconds between events.
+    /// Interval between events, in milliseconds.
     gap_ms: Option<f64>,
-    /// Milliseconds of the longest pauses between events.
+    /// Longest gap between events of a stream, in milliseconds.
     longest_gap_ms: Option<f64>,
-    /// Milliseconds of a whole answer.
+    /// Duration of a complete response, in milliseconds.
     response_ms: Option<f64>,
-    /// Events of an answer.
+    /// Number of events of a stream.
     events: Option<f64>,
-    /// Events against the tokens that the caller expected.
+    /// Ratio of events to the tokens that the caller expected.
     events_per_token: Option<f64>,
 }
 
@@ -57,11 +58,11 @@
 }
 
 impl LatencyModel {
-    /// The first event came.
+    /// Records the time to the first event of a response.
     pub fn record_first_event(&mut self, prompt: u32, elapsed: Duration) {
         let ratio = elapsed.as_secs_f64() * 1e3 / nominal_first_event_ms(prompt);
-        // The median: a wait in the upstream's queue, or behind another's long prompt, says little
-        // of its speed, and a mean would take such an upstream for a slow one.
+        // Estimates the median: a wait in the upstream's queue, or behind another request's long
+        // prompt, does not reflect its speed, and would distort a mean.
         let known = self.first.get_or_insert(ratio);
         *known *= if ratio > *known {
             1.0 + FIRST_EVENT_STEP
@@ -70,7 +71,8 @@
         };
     }
 
-    /// A stream ended well.
+    /// Records a stream that ended successfully: its number of events, the tokens that the caller
+    /// expected, the time after the first event and the total time.
     pub fn record_stream(
         &mut self,
         events: u32,
@@ -90,7 +92,7 @@
         blend(&mut self.response_ms, total.as_secs_f64() * 1e3);
     }
 
-    /// The longest pause of a stream that ended well.
+    /// Records the longest gap between events of a stream that ended successfully.
     pub fn record_longest_gap(&mut self, longest: Duration) {
         let millis = longest.as_secs_f64() * 1e3;
         let known = self.longest_gap_ms.get_or_insert(millis);
@@ -102,7 +104,8 @@
         *known += (millis - *known) * weight;
     }
 
-    /// Milliseconds of the longest pauses that are usual there.
+    /// Returns the typical longest gap between events, in milliseconds; `service` is used without
+    /// observations.
     #[must_use]
     pub fn longest_gap_ms(&self, service: &Self) -> f64 {
         self.longest_gap_ms
@@ -110,19 +113,20 @@
             .unwrap_or(DEFAULT_LONGEST_GAP_MS)
     }
 
-    /// A plain answer ended well.
+    /// Records the total time of a successful non-streaming response.
     pub fn record_response(&mut self, total: Duration) {
         blend(&mut self.response_ms, total.as_secs_f64() * 1e3);
     }
 
-    /// Expected milliseconds to the first event; `usual` stands in for what was not seen.
+    /// Returns the expected time to the first event, in milliseconds; `service` is used without
+    /// observations.
     #[must_use]
     pub fn first_event_ms(&self, service: &Self, prompt: u32) -> f64 {
         nominal_first_event_ms(prompt) * self.first.or(service.first).unwrap_or(1.0)
     }
 
-    /// Expected milliseconds from the first event to the last, for an answer of about so many
-    /// tokens; zero where nobody guessed.
+    /// Returns the expected time from the first event to the last, in milliseconds.
+    /// `expected_tokens` is the caller's hint, zero if there is none.
     #[must_use]
     pub fn streaming_ms(&self, service: &Self, expected_tokens: u32) -> f64 {
         let gap = self.gap_ms.or(service.gap_ms).unwrap_or(DEFAULT_GAP_MS);
@@ -134,20 +138,21 @@
         gap * (hinted * HINT_WEIGHT + mean * (1.0 - HINT_WEIGHT))
     }
 
-    /// Expected milliseconds of a whole answer.
+    /// Returns the expected duration of a complete response, in milliseconds.
     #[must_use]
     pub fn response_ms(&self, service: &Self) -> f64 {
         self.response_ms.or(service.response_ms).unwrap_or(100.0)
     }
 
-    /// Answers a second of one slot, up to a factor that is the same for a whole service.
+    /// Returns the responses per second of one slot, up to a factor that is the same within a
+    /// service.
     #[must_use]
     pub fn throughput(&self, service: &Self) -> f64 {
         let gap = self.gap_ms.or(service.gap_ms);
         1.0 / gap.unwrap_or_else(|| self.response_ms(service)).max(0.1)
     }
 
-    /// Mean gap between events in milliseconds, where some were seen.
+    /// Returns the mean interval between events in milliseconds, if any were observed.
     #[must_use]
     pub fn gap_ms(&self) -> Option<f64> {
         self.gap_ms
--- a/crates/savorywood-gateway/src/lease.rs
+++ b/crates/savorywood-gateway/src/lease.rs
@@ -1,5 +1,5 @@
-//! Leases of what one daemon, or a few, do for all: every daemon computes the holders from the members
-//! of the entry set that it sees, without messages.
+//! Leases for work that one daemon, or a few, does on behalf of all. Every daemon computes the
+//! lease holders from the entry set members that it sees, without messages.
 
 use crate::{
     label::{UpstreamLabel, ZoneLabel},
@@ -9,13 +9,14 @@
 use savorywood_protocol::MonotonicTime;
 use std::{collections::BTreeMap, time::Duration};
 
-/// Time for which the members of a zone must be the same before a lease among them counts.
+/// Time for which the members of a zone must be unchanged before a lease among them is valid.
 ///
-/// A daemon that is cut off sees the heartbeats of members end before it notices that it does not
-/// see most daemons; without a pause it would take over the leases of all of them in between.
+/// A daemon that is partitioned sees the heartbeats of members expire before it detects that it
+/// does not see most daemons. Without this delay it would take over the leases of all of them in
+/// between.
 const SETTLE_PERIOD: Duration = Duration::from_millis(900);
 
-/// Members of a zone, and since when they are these.
+/// Entry set members of a zone, and the time of their last change.
 #[derive(Debug, Clone)]
 struct ZoneMemberSet {
     members: Vec<u64>,
@@ -28,16 +29,16 @@
     }
 }
 
-/// Part of a daemon in a lease that several hold.
+/// Position of this daemon among the holders of a shared lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseShare {
-    /// Holders that are chosen before this one.
+    /// Number of holders that are ranked before this daemon.
     pub rank: usize,
-    /// Holders in all.
+    /// Total number of holders.
     pub holders: usize,
 }
 
-/// Which daemons hold which leases, as this daemon sees it.
+/// Lease holders as seen by this daemon.
 #[derive(Debug, Clone, Default)]
 pub struct MemberLeases {
     own: Option<u64>,
@@ -45,7 +46,8 @@
 }
 
 impl MemberLeases {
-    /// Takes the members of all zones as of now, of which `own` is one.
+    /// Records the current entry set members of all zones. `own` is this daemon's number among
+    /// them.
     pub fn update(&mut self, now: MonotonicTime, own: u64, members: BTreeMap<ZoneLabel, Vec<u64>>) {
         self.own = Some(own);
         self.zones.retain(|zone, _| members.contains_key(zone));
@@ -62,21 +64,23 @@
         }
     }
 
-    /// This daemon may hold no lease: it does not see most daemons, or has just started and does
-    /// not know what it sent in its last life.
+    /// Gives up all leases: this daemon does not see most daemons, or has just started and does not
+    /// know what its previous incarnation sent.
     pub fn release(&mut self) {
         self.own = None;
         self.zones.clear();
     }
 
-    /// This daemon is chosen for a key among the members of all zones.
+    /// Returns true if this daemon holds the exclusive lease of a key among the members of all
+    /// zones.
     #[must_use]
     pub fn holds_key(&self, now: MonotonicTime, key: u64) -> bool {
         self.own
             .is_some_and(|own| is_holder(now, own, key, self.zones.values()))
     }
 
-    /// Part of this daemon in a lease that at most so many members of all zones hold.
+    /// Returns this daemon's share of a lease that up to `max_holders` members of all zones hold;
+    /// `None` if it is not a holder or the members have changed recently.
     #[must_use]
     pub fn share(&self, now: MonotonicTime, key: u64, max_holders: usize) -> Option<LeaseShare> {
         let own = self.own?;
@@ -96,8 +100,8 @@
         (share.rank < share.holders).then_some(share)
     }
 
-    /// This daemon holds the lease of an upstream's start. Members of the upstream's zone go
-    /// first: their requests reach it without crossing zones.
+    /// Returns true if this daemon holds the warm-up lease of an upstream. Members of the
+    /// upstream's zone take precedence, as their requests reach it without crossing zones.
     #[must_use]
     pub fn holds_warmup(
         &self,
@@ -117,7 +121,8 @@
     }
 }
 
-/// `own` is chosen for a key among the members of some zones, all of them settled.
+/// Returns true if `own` is the holder of a key among the members of the given zones, and all these
+/// zones have been unchanged for long enough.
 fn is_holder<'a>(
     now: MonotonicTime,
     own: u64,
--- a/crates/savorywood-gateway/src/outlier.rs
+++ b/crates/savorywood-gateway/src/outlier.rs
@@ -1,24 +1,26 @@
-//! Upstreams that fail or fall silent are left out for a while and tried again ever more rarely.
+//! Outlier ejection: upstreams that fail or stall are ejected for a period that grows with repeated
+//! failures.
 
 use savorywood_protocol::MonotonicTime;
 use std::time::Duration;
 
-/// First time out.
+/// Length of the first ejection.
 const BASE_EJECTION_PERIOD: Duration = Duration::from_millis(1_000);
-/// Longest time out.
+/// Maximum length of an ejection.
 const MAX_EJECTION_PERIOD: Duration = Duration::from_secs(6);
-/// Failures in a row that take an upstream out.
+/// Number of consecutive failures after which an upstream is ejected.
 const CONSECUTIVE_FAILURES_TO_EJECT: u32 = 3;
-/// Time after its time out from which work that may not run twice goes there as well.
+/// Delay after an ejection until requests that must not be executed twice are sent to the upstream
+/// again.
 const NON_REPEATABLE_DELAY: Duration = Duration::from_secs(4);
-/// Time in which old failures lose half of their weight.
+/// Half-life of the failure ratio.
 const FAILURE_HALF_LIFE: Duration = Duration::from_secs(3);
-/// Failures are reported to peers for this long.
+/// Time for which an ejection is reported to peers.
 const REPORT_WINDOW: Duration = Duration::from_millis(1_000);
-/// Weight of the newest answer in the share of failures.
+/// Weight of the newest response in the failure ratio.
 const NEWEST_WEIGHT: f64 = 0.15;
 
-/// What was seen of one upstream.
+/// Recent failures of one upstream, and its ejection.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct OutlierState {
     consecutive_failures: u32,
@@ -30,16 +32,17 @@
 }
 
 impl OutlierState {
-    /// Share of failures among the newest answers, 0 to 1. It fades: an upstream that gets no work
-    /// could never show that it is sound again.
+    /// Returns the failure ratio of recent responses, between 0 and 1. It decays with time, as an
+    /// upstream without traffic could otherwise never recover.
     #[must_use]
     pub fn failure_ratio(&self, now: MonotonicTime) -> f64 {
         let halvings = now.since(self.observed_at).as_secs_f64() / FAILURE_HALF_LIFE.as_secs_f64();
         self.failure_ratio * 0.5f64.powf(halvings)
     }
 
-    /// It may get work: it is in, or its time out is over and no other trial runs. What may not
-    /// run twice comes back later than the rest.
+    /// Returns true if requests may be sent: the upstream is not ejected, or its ejection has ended
+    /// and no probe request is running. Requests that must not be executed twice have to wait
+    /// longer.
     #[must_use]
     pub fn is_usable(&self, now: MonotonicTime, repeatable: bool) -> bool {
         if self.ejections == 0 {
@@ -53,8 +56,9 @@
         now >= self.ejected_until + pause && !self.probe_running
     }
 
-    /// It is left out for a failure that was seen a moment ago. Older ones are nothing to report:
-    /// an upstream that is back would be kept out by all for as long as by the most careful.
+    /// Returns true if the upstream is ejected for a recent failure. Older failures are not
+    /// reported: a recovered upstream would be ejected by all daemons for as long as by the most
+    /// cautious one.
     #[must_use]
     pub fn ejected_recently(&self, now: MonotonicTime) -> bool {
         self.ejections > 0
@@ -62,29 +66,29 @@
             && now.since(self.observed_at) < REPORT_WINDOW
     }
 
-    /// An answer of it that was good came within some time.
+    /// Returns true if the last response was successful and arrived within the given time.
     #[must_use]
     pub fn succeeded_within(&self, now: MonotonicTime, within: Duration) -> bool {
         self.consecutive_failures == 0 && now.since(self.observed_at) < within
     }
 
-    /// It is out, or on trial.
+    /// Returns true if the upstream is ejected or on probation.
     #[must_use]
     pub fn is_ejected(&self) -> bool {
         self.ejections > 0
     }
 
-    /// Work goes there.
+    /// Records that a request is sent; on probation it is the probe request.
     pub fn record_dispatch(&mut self) {
         self.probe_running = self.ejections > 0;
     }
 
-    /// Nothing is known of what was sent: the caller left, say.
+    /// Ends a probe request without a result, for instance because the caller has left.
     pub fn cancel_probe(&mut self) {
         self.probe_running = false;
     }
 
-    /// It answered well. Returns true when that brings it back in.
+    /// Records a successful response. Returns true if that ends an ejection.
     pub fn record_success(&mut self, now: MonotonicTime) -> bool {
         self.failure_ratio = self.failure_ratio(now) * (1.0 - NEWEST_WEIGHT);
         self.observed_at = now;
@@ -93,8 +97,8 @@
         std::mem::take(&mut self.ejections) > 0
     }
 
-    /// It answered with a failure of its own, which some requests deserve. `usual` is the share
-    /// of failures among its peers. Returns true when that takes it out.
+    /// Records a failure response, which the request itself may have caused. `typical_ratio` is the
+    /// median failure ratio of the service. Returns true if the upstream is ejected for it.
     pub fn record_failure(&mut self, now: MonotonicTime, typical_ratio: f64) -> bool {
         self.count_failure(now);
         let far_worse = self.failure_ratio > typical_ratio * 2.0 + 0.25;
@@ -106,7 +110,8 @@
         self.eject(now)
     }
 
-    /// It broke a connection or fell silent. Returns true when that takes it out.
+    /// Records a broken connection or a stall. `certain` ejects without waiting for a second
+    /// failure. Returns true if the upstream is ejected for it.
     pub fn record_connection_failure(&mut self, now: MonotonicTime, certain: bool) -> bool {
         self.count_failure(now);
         if self.ejections == 0 && !certain && self.consecutive_failures < 2 {
--- a/crates/savorywood-gateway/src/quarantine.rs
+++ b/crates/savorywood-gateway/src/quarantine.rs
@@ -1,14 +1,15 @@
-//! Requests under which upstreams crash are kept away from further upstreams.
+//! Quarantine of requests that crash upstreams: they are not sent to further upstreams.
 //!
-//! The load that this answers: a request crashes each upstream that begins to run it, and comes
-//! again under a new identity at any daemon. Everything that runs beside it breaks as well, and so
-//! do retries of both.
+//! A request crashes each upstream that starts to execute it, and is sent again with a new request
+//! id to any daemon. All concurrent requests at the upstream fail as well, and so do retries of
+//! both.
 //!
-//! Each daemon notes which upstreams broke under which request, named by its fingerprint, and
-//! daemons merge what they noted: a set of crashes that only grows, so order and loss of messages
-//! do not matter. A request under which [`QUARANTINE_CRASHES`] upstreams have crashed is refused.
-//! Requests that merely ran beside it are distinguished by what a crashing request never has: an
-//! answer. One whole answer clears a fingerprint, and covers crashes that follow soon after.
+//! Each daemon records which upstreams crashed while executing which request, identified by its
+//! fingerprint, and daemons merge their records: a set of crashes that only grows, so the order and
+//! loss of messages do not matter. A request with crashes of [`QUARANTINE_CRASHES`] upstreams is
+//! refused. Concurrent requests are distinguished by what a crashing request never has: a complete
+//! response. One complete response clears a fingerprint, and excuses crashes that follow soon
+//! after.
 
 mod crash_history;
 mod entry;
@@ -32,42 +33,42 @@
 use served::ServedRequests;
 use std::{collections::BTreeMap, fmt, time::Duration};
 
-/// Upstreams that must crash under a request before it is refused.
+/// Number of upstream crashes after which a request is quarantined.
 pub const QUARANTINE_CRASHES: u32 = 3;
-/// Requests of which crashes are remembered at most.
+/// Maximum number of requests with recorded crashes.
 const MAX_ENTRIES: usize = 2_048;
-/// An upstream that answers what was sent to it within this time after an attempt broke there did
-/// not crash.
+/// If an upstream responds to a request that was sent within this time after an attempt failed
+/// there, it did not crash.
 const REFUTATION_WINDOW: Duration = Duration::from_millis(1_500);
-/// An upstream that crashed needs longer to start again: what is sent to it within this time after an
-/// attempt broke there, and before it answers anything, breaks as it is down.
+/// Restart time of an upstream, at least. Requests that are sent to it within this time after a
+/// failed attempt, and before it responds to any, fail because it is down.
 const RESTART_WINDOW: Duration = Duration::from_secs(2);
-/// What was sent earlier after the break may have been answered before it.
+/// A request that was sent earlier than this after the failure may have been answered before it.
 const REFUTATION_MARGIN: Duration = Duration::from_millis(100);
-/// First pause after a row that could not be written.
+/// Delay after the first write of a row that was not accepted.
 const MIN_WRITE_BACKOFF: Duration = Duration::from_secs(1);
-/// Longest such pause.
+/// Maximum delay between such writes.
 const MAX_WRITE_BACKOFF: Duration = Duration::from_secs(8);
 
-/// Recognises repeats of a request of a team.
+/// Identifies repetitions of the same request of a team, by a hash of content and team.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestFingerprint(u64);
 
 impl RequestFingerprint {
-    /// Fingerprint of what a team asks; requests without a team have one as well.
+    /// Computes the fingerprint. Requests without a team have one as well.
     #[must_use]
     pub fn new(content: ContentDigest, team: Option<&TeamLabel>) -> Self {
         let team = team.map_or(0, |team| name_digest(team.as_str()));
         Self(rendezvous_weight(content.0, team))
     }
 
-    /// Reads a fingerprint as it is displayed.
+    /// Parses the hexadecimal format that `Display` writes.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         u64::from_str_radix(text, 16).ok().map(Self)
     }
 
-    /// Its number.
+    /// Returns the hash value, for the selection of a lease holder.
     #[must_use]
     pub fn as_u64(self) -> u64 {
         self.0
@@ -80,71 +81,72 @@
     }
 }
 
-/// What an observation changed.
+/// Effect of an observation on the quarantine of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuarantineChange {
-    /// Nothing that matters to requests.
+    /// No effect.
     None,
-    /// The request is refused from now on, after so many crashes.
+    /// The request is refused from now on, after this number of crashes.
     Quarantined(u32),
-    /// The request is served again.
+    /// The request is no longer refused.
     Lifted,
 }
 
 /// Whether a request may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuarantineVerdict {
-    /// It may.
+    /// It may be sent.
     Clear,
     /// It is refused.
     Quarantined {
-        /// Upstreams that crashed under it.
+        /// Number of upstream crashes while it was executed.
         crashes: u32,
-        /// Earliest moment of the next trial.
+        /// Earliest time of the next probe request.
         probe_at: MonotonicTime,
     },
 }
 
-/// An attempt that broke at an upstream.
+/// An attempt whose connection broke at an upstream.
 #[derive(Debug, Clone, Copy)]
 pub struct FailedAttempt {
-    /// What was asked.
+    /// Fingerprint of the request.
     pub fingerprint: RequestFingerprint,
     /// Digest of the upstream's name.
     pub upstream: u64,
-    /// When it was sent.
+    /// Time at which the attempt was sent.
     pub sent_at: MonotonicTime,
 }
 
-/// An upstream at which an attempt broke a moment ago.
+/// An upstream at which an attempt failed recently.
 #[derive(Debug, Clone, Copy)]
 struct SuspectUpstream {
-    /// When the first one broke.
+    /// Time of the first failure.
     at: MonotonicTime,
-    /// When it answered what was sent to it after that.
+    /// Time of a response to a request that was sent after the failure.
     responded_at: Option<MonotonicTime>,
 }
 
 impl SuspectUpstream {
-    /// An attempt that broke was sent while the upstream was down.
+    /// Returns true if an attempt that failed was sent while the upstream was down.
     fn is_down(self, sent_at: MonotonicTime, failed_at: MonotonicTime) -> bool {
         let is_soon = failed_at.since(self.at) < RESTART_WINDOW;
         sent_at > self.at && is_soon && self.responded_at.is_none()
     }
 }
 
-/// Crashes by request, as this daemon and its peers saw them.
+/// Crash records by request, from this daemon and its peers.
 #[derive(Debug, Clone, Default)]
 pub struct QuarantineTable {
     entries: BTreeMap<RequestFingerprint, QuarantineEntry>,
     upstreams: BTreeMap<u32, SuspectUpstream>,
     served: ServedRequests,
-    /// Request in quarantine that was reported last without a change.
+    /// Quarantined request that was reported last without a change.
     last_repeated: Option<RequestFingerprint>,
 }
 
 impl QuarantineTable {
-    /// An attempt broke.
+    /// Records a failed attempt, which counts as a crash of the upstream unless that was down
+    /// before or the request has recently had a complete response.
     pub fn record_failed_attempt(
         &mut self,
         now: MonotonicTime,
@@ -174,7 +176,7 @@
         }
     }
 
-    /// Attempts begin to break at an upstream, as this daemon or a peer sees it.
+    /// Records that attempts fail at an upstream, as observed by this daemon or a peer.
     fn record_upstream_failure(&mut self, at: MonotonicTime, upstream: u32) {
         let is_known = self.upstreams.get(&upstream).is_some_and(|known| {
             let lives = known.responded_at.is_some_and(|answered| answered < at);
@@ -189,7 +191,7 @@
         }
     }
 
-    /// A request was answered in whole.
+    /// Records that a request had a complete response.
     pub fn record_complete_response(
         &mut self,
         now: MonotonicTime,
@@ -205,8 +207,8 @@
         lifted(was_quarantined)
     }
 
-    /// An upstream answered what was sent to it at a moment. If an attempt broke there shortly
-    /// before, its connection was lost and the upstream lives.
+    /// Records a response of an upstream to a request sent at `sent_at`. If an attempt failed there
+    /// shortly before, only its connection was lost and the upstream did not crash.
     pub fn record_response(&mut self, now: MonotonicTime, upstream: u64, sent_at: MonotonicTime) {
         let upstream = slot_key(upstream);
         let Some(broken) = self.upstreams.get_mut(&upstream) else {
@@ -223,7 +225,7 @@
         }
     }
 
-    /// Whether a request may be sent.
+    /// Returns whether a request may be sent.
     #[must_use]
     pub fn verdict(&self, fingerprint: RequestFingerprint) -> QuarantineVerdict {
         let entry = self.entries.get(&fingerprint);
@@ -236,14 +238,14 @@
         }
     }
 
-    /// A request in quarantine is tried once.
+    /// Records that a quarantined request is sent as a probe.
     pub fn begin_probe(&mut self, now: MonotonicTime, fingerprint: RequestFingerprint) {
         if let Some(entry) = self.entries.get_mut(&fingerprint) {
             entry.probed_at = now;
         }
     }
 
-    /// What a peer reports. `is_same_zone`: the peer is of this daemon's zone.
+    /// Merges the report of a peer. `is_same_zone` states that the peer is in this daemon's zone.
     pub fn merge(
         &mut self,
         now: MonotonicTime,
@@ -262,7 +264,7 @@
         if records.len() < report.crashes.len()
             && let Some(served_at) = self.served.covering(fingerprint, now)
         {
-            // The peer does not know yet that the request was served.
+            // The peer has not received yet that the request had a complete response.
             let entry = self.entries.entry(fingerprint).or_default();
             if entry.history.clear(served_at) {
                 entry.own_changed_at = Some(now);
@@ -300,7 +302,7 @@
         responded_at.is_some_and(|responded_at| record.at <= responded_at)
     }
 
-    /// Crashes as the store keeps them.
+    /// Adds the crashes that the store holds.
     pub fn restore_rows(&mut self, now: MonotonicTime, rows: &[QuarantineRow]) {
         for row in rows.iter().take(MAX_ENTRIES) {
             let entry = self.entries.entry(row.fingerprint).or_default();
@@ -312,7 +314,8 @@
         }
     }
 
-    /// The store was restored: rows that were written may be lost, and removed ones back.
+    /// Handles a restore of the store: rows that were written may be missing, and removed ones may
+    /// exist again.
     pub fn on_store_restored(&mut self) {
         for entry in self.entries.values_mut() {
             entry.row = match entry.row {
@@ -323,7 +326,8 @@
         }
     }
 
-    /// Rows that are to be written now by this daemon, which writes those that it `holds`.
+    /// Returns the rows that this daemon has to write now. `holds` tells whether it holds the lease
+    /// for the row of a request.
     pub fn due_writes(
         &mut self,
         now: MonotonicTime,
@@ -346,7 +350,7 @@
         writes
     }
 
-    /// A write was answered, or not.
+    /// Records whether the store accepted a write; `accepted` is false without a response.
     pub fn record_write(&mut self, write: &QuarantineWrite, accepted: bool) {
         if let Some(entry) = self.entries.get_mut(&write.fingerprint)
             && accepted
@@ -361,29 +365,29 @@
         }
     }
 
-    /// Requests in quarantine.
+    /// Returns the number of quarantined requests.
     #[must_use]
     pub fn quarantined_count(&self) -> usize {
         let entries = self.entries.values();
         entries.filter(|entry| entry.is_quarantined()).count()
     }
 
-    /// Requests of which something is remembered.
+    /// Returns the number of requests with any record.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Nothing is remembered.
+    /// Returns true if there are no records.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Forgets what is old.
+    /// Evicts expired entries.
     pub fn evict_expired(&mut self, now: MonotonicTime) {
         let is_kept = |entry: &QuarantineEntry| {
-            // Its row is removed first, or the next start would bring it back.
+            // The row is removed before the entry, as it would restore the entry at the next start.
             !entry.is_expired(if entry.row.is_present() {
                 now - SUSPECT_TTL
             } else {
@@ -395,8 +399,8 @@
             .retain(|_, broken| now.since(broken.at) < SUSPECT_TTL);
     }
 
-    /// Keeps the number of entries bounded. Those with the fewest crashes go first: whoever wants
-    /// to push a request out of the book must crash as many upstreams under others.
+    /// Keeps the number of entries bounded. Those with the fewest crashes are evicted first, so
+    /// that displacing a request takes as many crashes under other requests.
     fn evict(&mut self) {
         while self.entries.len() > MAX_ENTRIES {
             let entries = self.entries.iter();
--- a/crates/savorywood-gateway/src/quarantine/crash_history.rs
+++ b/crates/savorywood-gateway/src/quarantine/crash_history.rs
@@ -1,36 +1,37 @@
-//! Upstreams that crashed under one request.
+//! Crashes of upstreams while they executed one request.
 
 use super::{row::StoredCrash, served::SERVED_WINDOW};
 use savorywood_protocol::MonotonicTime;
 use std::time::Duration;
 
-/// Crashes that are kept; more say nothing new.
+/// Maximum number of crashes that are kept; more do not change the outcome.
 const MAX_CRASHES: usize = 8;
-/// An upstream needs longer to start again: what breaks there within this time broke in one crash.
+/// An upstream needs longer than this to restart, so attempts that fail there within this time
+/// failed in the same crash.
 const SAME_CRASH_WINDOW: Duration = Duration::from_secs(1);
 
-/// An upstream that crashed under a request.
+/// Crash of an upstream while it executed a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CrashRecord {
-    /// Half of the digest of its name.
+    /// Half of the digest of the upstream's name.
     pub upstream: u32,
-    /// Which of its crashes under the request, from 1. Reports of one crash are known by it, as their
-    /// times depend on how long they lay unread.
+    /// Number of the crash among those of this upstream under the request, from 1. It identifies
+    /// reports of the same crash, as their times depend on how long the messages were queued.
     pub number: u8,
-    /// When.
+    /// Time of the crash, on this daemon's clock.
     pub at: MonotonicTime,
 }
 
-/// What speaks against a request.
+/// Crashes under a request that have not been excused by a complete response.
 #[derive(Debug, Clone, Default)]
 pub struct CrashHistory {
     crashes: Vec<CrashRecord>,
-    /// When the request was answered in whole last.
+    /// Time of the last complete response.
     served_at: Option<MonotonicTime>,
 }
 
 impl CrashHistory {
-    /// An upstream crashed a moment ago; whether that was new and counts.
+    /// Records a crash of an upstream at this daemon. Returns true if it is new and counts.
     pub fn add(&mut self, now: MonotonicTime, upstream: u32) -> bool {
         let there = self
             .crashes
@@ -48,7 +49,7 @@
         })
     }
 
-    /// Takes a crash that a peer reports; whether it was new and counts.
+    /// Merges a crash that a peer reports. Returns true if it is new and counts.
     pub fn merge(&mut self, crash: CrashRecord) -> bool {
         let is_same = |known: &&mut CrashRecord| {
             (known.upstream, known.number) == (crash.upstream, crash.number)
@@ -69,7 +70,7 @@
             .is_some_and(|served_at| crash.at < served_at + SERVED_WINDOW)
     }
 
-    /// Drops what was taken for a crash of an upstream around a moment.
+    /// Removes the crash of an upstream around the given time, which has turned out to be none.
     pub fn withdraw(&mut self, upstream: u32, at: MonotonicTime) {
         let is_it = |crash: &CrashRecord| {
             let apart = crash.at.since(at).max(at.since(crash.at));
@@ -78,7 +79,8 @@
         self.crashes.retain(|crash| !is_it(crash));
     }
 
-    /// The request was answered in whole; whether that was not known.
+    /// Records a complete response, which excuses earlier crashes. Returns true if it is more
+    /// recent than the recorded one.
     pub fn clear(&mut self, served_at: MonotonicTime) -> bool {
         if self.served_at.is_some_and(|known| known >= served_at) {
             return false;
@@ -92,7 +94,7 @@
         true
     }
 
-    /// Takes what the store reports; whether that is more than was known.
+    /// Merges crashes from the store. Returns true if any of them was new.
     pub fn restore(&mut self, now: MonotonicTime, crashes: &[StoredCrash]) -> bool {
         if self.served_at.is_some() {
             return false;
@@ -108,7 +110,7 @@
         self.crashes.len() > before
     }
 
-    /// What the store keeps of it.
+    /// Returns the crashes in the form that the store keeps.
     #[must_use]
     pub fn to_stored(&self) -> Vec<StoredCrash> {
         let crashes = self.crashes.iter().map(|crash| StoredCrash {
@@ -118,25 +120,25 @@
         crashes.collect()
     }
 
-    /// Upstreams that crashed under the request.
+    /// Returns the number of crashes.
     #[must_use]
     pub fn count(&self) -> u32 {
         u32::try_from(self.crashes.len()).unwrap_or(u32::MAX)
     }
 
-    /// Crashes that daemons saw.
+    /// Returns the crashes.
     #[must_use]
     pub fn crashes(&self) -> &[CrashRecord] {
         &self.crashes
     }
 
-    /// When the request was served last.
+    /// Returns the time of the last complete response.
     #[must_use]
     pub fn served_at(&self) -> Option<MonotonicTime> {
         self.served_at
     }
 
-    /// When something was learned last.
+    /// Returns the time of the last crash or complete response.
     #[must_use]
     pub fn last_changed_at(&self) -> MonotonicTime {
         let crashes = self.crashes.iter().map(|crash| crash.at);
--- a/crates/savorywood-gateway/src/quarantine/entry.rs
+++ b/crates/savorywood-gateway/src/quarantine/entry.rs
@@ -1,39 +1,39 @@
-//! One request under which upstreams crashed.
+//! Quarantine entry of one request.
 
 use super::{QUARANTINE_CRASHES, crash_history::CrashHistory, report::ReportScope};
 use savorywood_protocol::MonotonicTime;
 use std::time::Duration;
 
-/// Time after the last crash after which a request in quarantine may be tried once; it doubles with
-/// each further crash.
+/// Time after the last crash until a quarantined request may be sent as a probe; doubles with each
+/// further crash.
 const PROBE_DELAY: Duration = Duration::from_secs(60);
-/// Doublings of that time at most.
+/// Maximum number of times that this delay is doubled.
 const MAX_DOUBLINGS: u32 = 5;
-/// Crashes under a request that is not in quarantine are forgotten after this time.
+/// Lifetime of an entry that is not quarantined, from its last crash.
 pub const SUSPECT_TTL: Duration = Duration::from_secs(600);
-/// The same for one in quarantine.
+/// Lifetime of a quarantined entry, from its last crash or probe.
 const QUARANTINE_TTL: Duration = Duration::from_secs(3_600);
 
-/// Crashes from which a request's row is kept: with fewer, a row would be written for each request
-/// that ran beside one crash.
+/// Number of crashes from which the entry is stored. With fewer, each concurrent request of one
+/// crash would cause a write.
 const MIN_STORED_CRASHES: u32 = 2;
 
-/// Row of an entry in the store.
+/// State of an entry's row in the store, as far as this daemon has observed it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum RowState {
-    /// None that this daemon knows of.
+    /// No row is known.
     #[default]
     Absent,
-    /// It was there at this daemon's start.
+    /// The row was read from the store.
     Read,
-    /// This daemon wrote it.
+    /// This daemon wrote the row.
     Written,
-    /// This daemon removed it.
+    /// This daemon removed the row.
     Removed,
 }
 
 impl RowState {
-    /// It is in the store.
+    /// Returns true if the store holds the row.
     pub fn is_present(self) -> bool {
         match self {
             Self::Read | Self::Written => true,
@@ -42,48 +42,48 @@
     }
 }
 
-/// When the row of an entry may be written next.
+/// Schedule for writing the row of an entry.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RowTimer {
-    /// Earliest moment of the next write.
+    /// Earliest time of the next write.
     pub due_at: MonotonicTime,
-    /// Pause after it.
+    /// Delay after that write, which doubles with each write that is not accepted.
     pub backoff: Duration,
 }
 
-/// What is known of one request.
+/// State of one request with recorded crashes.
 #[derive(Debug, Clone, Default)]
 pub struct QuarantineEntry {
-    /// What speaks against it.
+    /// Crashes and the last complete response.
     pub history: CrashHistory,
-    /// Changed by this daemon's own observation.
+    /// Time of the last change by an observation of this daemon.
     pub own_changed_at: Option<MonotonicTime>,
-    /// Changed by an observation of this daemon's zone.
+    /// Time of the last change by an observation of another daemon in this zone.
     pub zone_changed_at: Option<MonotonicTime>,
-    /// A trial was sent, or the entry was read from the store.
+    /// Time at which the last probe was sent, or the entry was read from the store.
     pub probed_at: MonotonicTime,
-    /// Its row in the store.
+    /// State of the row in the store.
     pub row: RowState,
-    /// Crashes that the row names.
+    /// Number of crashes that the row holds.
     pub stored_crashes: u32,
-    /// When that may be written next.
+    /// Schedule of the next write of the row.
     pub timer: RowTimer,
 }
 
 impl QuarantineEntry {
-    /// It is refused.
+    /// Returns true if the request is refused.
     pub fn is_quarantined(&self) -> bool {
         self.history.count() >= QUARANTINE_CRASHES
     }
 
-    /// Earliest moment of the next trial.
+    /// Returns the earliest time of the next probe.
     pub fn probe_at(&self) -> MonotonicTime {
         let further = self.history.count().saturating_sub(QUARANTINE_CRASHES);
         let pause = PROBE_DELAY * 2u32.pow(further.min(MAX_DOUBLINGS));
         self.history.last_changed_at().max(self.probed_at) + pause
     }
 
-    /// When something of it changed that is reported.
+    /// Returns the time of the last change that is reported in the given scope.
     pub fn changed_at(&self, scope: ReportScope) -> Option<MonotonicTime> {
         match scope {
             ReportScope::Daemon => self.own_changed_at,
@@ -91,7 +91,7 @@
         }
     }
 
-    /// It is too old to matter.
+    /// Returns true if the entry's lifetime has ended.
     pub fn is_expired(&self, now: MonotonicTime) -> bool {
         let time = if self.is_quarantined() {
             QUARANTINE_TTL
@@ -101,12 +101,13 @@
         now.since(self.history.last_changed_at().max(self.probed_at)) >= time
     }
 
-    /// It must outlast a start of all daemons.
+    /// Returns true if the entry has to survive a restart of all daemons.
     pub fn needs_row(&self, now: MonotonicTime) -> bool {
         self.history.count() >= MIN_STORED_CRASHES && !self.is_expired(now)
     }
 
-    /// Its row is missing, is to be removed, or names too few crashes.
+    /// Returns true if the row has to be written or removed: it is missing, no longer needed, or
+    /// holds too few crashes.
     pub fn is_row_outdated(&self, now: MonotonicTime) -> bool {
         let needed = self.history.count().min(QUARANTINE_CRASHES);
         match (self.needs_row(now), self.row.is_present()) {
--- a/crates/savorywood-gateway/src/quarantine/report.rs
+++ b/crates/savorywood-gateway/src/quarantine/report.rs
@@ -1,55 +1,55 @@
-//! What daemons send each other of crashes.
+//! Gossip about crashes of upstreams under requests.
 
 use super::{CrashRecord, QuarantineTable, RequestFingerprint, entry::QuarantineEntry};
 use savorywood_protocol::MonotonicTime;
 use serde::{Deserialize, Serialize};
 use std::{cmp::Reverse, ops::Bound, time::Duration};
 
-/// Reports in one message at most, so that it passes links in one piece.
+/// Maximum number of changed entries in one message, so that it fits into one datagram.
 const MAX_REPORTS: usize = 24;
-/// Rounds of gossip in which a change is reported: messages get lost.
+/// Number of gossip rounds in which a change is reported, as messages may be lost.
 const REPORT_ROUNDS: u32 = 4;
-/// Reports on requests in quarantine in each message, changed or not: a daemon that was cut off or
-/// has started since learns of them all within some rounds.
+/// Number of quarantined requests that each message reports regardless of changes: a daemon that
+/// was partitioned or has restarted receives all of them within a few rounds.
 const REPEATED_REPORTS: usize = 2;
 
-/// Whose observations a message holds.
+/// Whose observations a message reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportScope {
-    /// Those of the sender.
+    /// Observations of the sender only.
     Daemon,
-    /// Those of the sender's zone.
+    /// Observations of all daemons in the sender's zone.
     Zone,
 }
 
-/// A crash as reported.
+/// A crash as reported to peers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportedCrash {
     /// Half of the digest of the upstream's name.
     pub upstream: u32,
-    /// Which of its crashes under the request, from 1.
+    /// Number of the crash among those of this upstream under the request, from 1.
     pub number: u8,
     /// Milliseconds since the crash.
     pub age_ms: u32,
 }
 
-/// What is known of one request.
+/// State of one request as reported to peers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
-    /// Which request.
+    /// Fingerprint of the request.
     pub fingerprint: RequestFingerprint,
-    /// Upstreams that crashed under it.
+    /// Crashes of upstreams under the request.
     pub crashes: Vec<ReportedCrash>,
-    /// Milliseconds since it was answered in whole.
+    /// Milliseconds since its last complete response; `None` if there was none.
     pub served_ms: Option<u32>,
 }
 
-/// Reports of a daemon.
+/// Crash reports in a message of one daemon.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashGossip {
     /// Digest of the sender's zone.
     pub zone: u64,
-    /// What it reports.
+    /// Reported requests.
     pub reports: Vec<CrashReport>,
 }
 
@@ -58,7 +58,7 @@
 }
 
 impl ReportedCrash {
-    /// The crash on this daemon's clock.
+    /// Converts the report to a record on this daemon's clock.
     #[must_use]
     pub fn to_record(self, now: MonotonicTime) -> CrashRecord {
         CrashRecord {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// When the request was answered in whole, on this daemon's clock.
+    /// Returns the time of the last complete response on this daemon's clock.
     #[must_use]
     pub fn served_at(&self, now: MonotonicTime) -> Option<MonotonicTime> {
         let age = self.served_ms?;
@@ -93,8 +93,8 @@
 }
 
 impl QuarantineTable {
-    /// What is to be reported in a round of gossip. Requests with more crashes go first where not
-    /// all changes fit.
+    /// Returns the reports for one round of gossip. If not all changes fit, requests with more
+    /// crashes take precedence.
     pub fn reports(
         &mut self,
         now: MonotonicTime,
@@ -132,7 +132,7 @@
         reports
     }
 
-    /// The request in quarantine after the one that was reported last, in turn.
+    /// Returns the next quarantined request to be reported without a change, in round-robin order.
     fn next_repeated(&mut self) -> Option<RequestFingerprint> {
         let held = |bound: Bound<RequestFingerprint>| {
             let mut later = self.entries.range((bound, Bound::Unbounded));
--- a/crates/savorywood-gateway/src/quarantine/row.rs
+++ b/crates/savorywood-gateway/src/quarantine/row.rs
@@ -1,36 +1,36 @@
-//! Rows of the store on crashes: what a start of all daemons must not forget.
+//! Store rows that keep the crashes under a request across a restart of all daemons.
 
 use super::RequestFingerprint;
 
-/// A crash as the store keeps it.
+/// A crash as the store keeps it, without its time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoredCrash {
     /// Half of the digest of the upstream's name.
     pub upstream: u32,
-    /// Which of its crashes under the request, from 1.
+    /// Number of the crash among those of this upstream under the request, from 1.
     pub number: u8,
 }
 
-/// Crashes under a request as the store keeps them.
+/// Row of one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct QuarantineRow {
-    /// Which request.
+    /// Fingerprint of the request; the key of the row.
     pub fingerprint: RequestFingerprint,
-    /// The crashes.
+    /// Crashes of upstreams under the request.
     pub crashes: Vec<StoredCrash>,
 }
 
-/// A row to be written, or removed where nothing must be kept any more.
+/// A write to the row of one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct QuarantineWrite {
-    /// Which request.
+    /// Fingerprint of the request; the key of the row.
     pub fingerprint: RequestFingerprint,
-    /// The crashes; `None` removes the row.
+    /// Crashes to store; `None` removes the row.
     pub crashes: Option<Vec<StoredCrash>>,
 }
 
 impl QuarantineRow {
-    /// Reads a row by its key and its value; `None` when it can't be read.
+    /// Parses a row from its key and its value; returns `None` if it is malformed.
     #[must_use]
     pub fn parse(key: &str, value: &str) -> Option<Self> {
         let crashes = value.split_whitespace().map(StoredCrash::parse);
@@ -42,7 +42,7 @@
 }
 
 impl QuarantineWrite {
-    /// Value of the row, if it is not removed.
+    /// Returns the value to be written; `None` removes the row.
     #[must_use]
     pub fn value(&self) -> Option<String> {
         let crashes = self.crashes.as_ref()?.iter();
--- a/crates/savorywood-gateway/src/quarantine/served.rs
+++ b/crates/savorywood-gateway/src/quarantine/served.rs
@@ -1,4 +1,4 @@
-//! Requests that were answered in whole lately.
+//! Requests with a recent complete response.
 
 use super::RequestFingerprint;
 use savorywood_protocol::MonotonicTime;
@@ -7,22 +7,23 @@
     time::Duration,
 };
 
-/// A request that was served does not count as the cause of crashes for this long after it. Plain
-/// reads of many callers have one fingerprint, and some of them run at each upstream that ends.
+/// A request does not count as the cause of crashes for this long after a complete response.
+/// Non-streaming reads of many callers share a fingerprint, and some of them are in progress at
+/// each upstream that ends.
 pub const SERVED_WINDOW: Duration = Duration::from_secs(30);
-/// Requests that are remembered at most.
+/// Maximum number of requests that are kept.
 const MAX_SERVED: usize = 4_096;
 
-/// When requests were served last.
+/// Time of the last complete response by request.
 #[derive(Debug, Clone, Default)]
 pub struct ServedRequests {
     served_at: HashMap<RequestFingerprint, MonotonicTime>,
-    /// In the order of their first answers.
+    /// Requests in the order of their first complete responses, for eviction.
     order: VecDeque<RequestFingerprint>,
 }
 
 impl ServedRequests {
-    /// A request was answered in whole.
+    /// Records that a request had a complete response.
     pub fn record(&mut self, now: MonotonicTime, fingerprint: RequestFingerprint) {
         if self.served_at.insert(fingerprint, now).is_some() {
             return;
@@ -35,7 +36,7 @@
         }
     }
 
-    /// When a request was answered in whole, if that covers a crash at a moment.
+    /// Returns the time of a complete response that excuses the request for a crash at `crash_at`.
     #[must_use]
     pub fn covering(
         &self,
@@ -46,7 +47,7 @@
         served_at.filter(|served_at| crash_at < *served_at + SERVED_WINDOW)
     }
 
-    /// A crash at a moment is not this request's doing.
+    /// Returns true if the request is excused for a crash at `crash_at`.
     #[must_use]
     pub fn covers(&self, fingerprint: RequestFingerprint, crash_at: MonotonicTime) -> bool {
         self.covering(fingerprint, crash_at).is_some()
--- a/crates/savorywood-gateway/src/queue.rs
+++ b/crates/savorywood-gateway/src/queue.rs
@@ -1,59 +1,59 @@
-//! Requests that wait for a place at an upstream.
+//! Queue of requests that wait for a free slot at an upstream.
 
 use crate::arrival::LocalRequest;
 use savorywood_protocol::MonotonicTime;
 use std::collections::BTreeSet;
 
-/// Order of work: a team's rank goes before its route's. Smaller is more urgent.
+/// Rank of a request. The team's rank is compared before the route's; smaller is more urgent.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestRank {
-    /// Rank of the team.
+    /// Rank of the team; 0 is the most urgent.
     pub team: u32,
-    /// Rank of the route.
+    /// Rank of the route; 0 is the most urgent.
     pub route: u32,
 }
 
-/// Place of a request in its queue.
+/// Position of a request in the queue. The order of the fields is the order of comparison.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct QueuePosition {
-    /// Most urgent first.
+    /// The most urgent rank is first.
     pub rank: RequestRank,
-    /// Then the one that must begin first.
+    /// Within a rank, the request that must start earliest is first.
     pub start_by: MonotonicTime,
-    /// Then the one that came first.
+    /// Otherwise, the request that arrived earliest is first.
     pub request: LocalRequest,
 }
 
-/// Waiting requests of one service, most urgent first.
+/// Waiting requests of one service, the most urgent first.
 #[derive(Debug, Clone, Default)]
 pub struct WaitQueue {
     positions: BTreeSet<QueuePosition>,
 }
 
 impl WaitQueue {
-    /// Adds a request.
+    /// Adds a request to the queue.
     pub fn insert(&mut self, place: QueuePosition) {
         self.positions.insert(place);
     }
 
-    /// Takes a request out.
+    /// Removes a request from the queue.
     pub fn remove(&mut self, place: &QueuePosition) {
         self.positions.remove(place);
     }
 
-    /// All places in order.
+    /// Iterates over the waiting requests, the most urgent first.
     pub fn iter(&self) -> impl Iterator<Item = &QueuePosition> {
         self.positions.iter()
     }
 
-    /// Requests that wait and are at least as urgent as a rank.
+    /// Returns the number of waiting requests that are at least as urgent as `rank`.
     #[must_use]
     pub fn count_at_least_as_urgent(&self, rank: RequestRank) -> usize {
         let urgent = self.positions.iter();
         urgent.take_while(|place| place.rank <= rank).count()
     }
 
-    /// Requests that wait.
+    /// Returns the number of waiting requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.positions.len()
--- a/crates/savorywood-gateway/src/region.rs
+++ b/crates/savorywood-gateway/src/region.rs
@@ -1,29 +1,29 @@
-//! Regions, and the home regions that routes and teams are bound to.
+//! Regions of availability zones, for the home regions of routes and teams.
 
 use crate::label::{RegionLabel, ZoneLabel};
 use std::collections::BTreeMap;
 
-/// Region of each availability zone.
+/// Maps each availability zone to its region.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RegionMap {
     regions: BTreeMap<ZoneLabel, RegionLabel>,
 }
 
 impl RegionMap {
-    /// A map of these zones.
+    /// Creates a map from the given zones.
     #[must_use]
     pub fn new(regions: BTreeMap<ZoneLabel, RegionLabel>) -> Self {
         Self { regions }
     }
 
-    /// Region of a zone, where it is known.
+    /// Returns the region of a zone; `None` for a zone that is not in the map.
     #[must_use]
     pub fn region(&self, zone: &str) -> Option<&RegionLabel> {
         self.regions.get(zone)
     }
 
-    /// A zone lies in one of the home regions. Without homes every zone does; with some, a zone of
-    /// an unknown region does not.
+    /// Returns true if a zone lies in one of the home regions. An empty list includes every zone;
+    /// otherwise a zone without a known region is excluded.
     #[must_use]
     pub fn is_home(&self, zone: &str, homes: &[RegionLabel]) -> bool {
         homes.is_empty()
@@ -33,19 +33,19 @@
     }
 }
 
-/// Who asks the directory for addresses.
+/// Location of a caller that queries the directory for addresses.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct CallerLocation<'a> {
-    /// Zone of the caller, where it says one.
+    /// Zone that the caller states; `None` if it states none.
     pub zone: Option<&'a str>,
-    /// Its region.
+    /// Region that the caller states; `None` if it states none.
     pub region: Option<&'a str>,
-    /// Host that it wants to call.
+    /// Host that the caller intends to call; `None` if it states none.
     pub host: Option<&'a str>,
 }
 
 impl<'a> CallerLocation<'a> {
-    /// A caller that says nothing but its zone.
+    /// Creates a location that consists of a zone only.
     #[must_use]
     pub fn in_zone(zone: &'a str) -> Self {
         Self {
--- a/crates/savorywood-gateway/src/rendezvous.rs
+++ b/crates/savorywood-gateway/src/rendezvous.rs
@@ -1,16 +1,16 @@
-//! Choices that all daemons make alike without messages, by rendezvous hashing.
+//! Rendezvous hashing, by which all daemons make the same choice without messages.
 
 use crate::peer::name_digest;
 use std::net::SocketAddr;
 
-/// A number for an address, the same at all daemons.
+/// Returns a hash of an address that is the same at all daemons.
 #[must_use]
 pub fn address_hash(address: SocketAddr) -> u64 {
     name_digest(&address.to_string())
 }
 
-/// Evenly spread weight of a pair, the same at all daemons (SplitMix64's mixing). Whoever weighs
-/// most for something is chosen for it.
+/// Returns the weight of a pair, which is uniformly distributed and the same at all daemons
+/// (SplitMix64 finaliser). The candidate with the highest weight for a key is its holder.
 #[must_use]
 pub fn rendezvous_weight(chooser: u64, chosen: u64) -> u64 {
     let mut mixed = chooser ^ chosen.rotate_left(32);
--- a/crates/savorywood-gateway/src/retry_budget.rs
+++ b/crates/savorywood-gateway/src/retry_budget.rs
@@ -1,16 +1,16 @@
-//! Second tries, under a budget that all daemons share without talking.
+//! Retry budget of a service that all daemons respect without exchanging messages.
 
 use savorywood_protocol::MonotonicTime;
 use std::{collections::VecDeque, time::Duration};
 
-/// Bounds of second tries of a service, over all daemons.
+/// Bounds on retries of one service, over all daemons.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudgetOptions {
-    /// Second tries for each request.
+    /// Retries allowed for each request, as a ratio.
     pub ratio: f64,
-    /// Second tries in a window beside these.
+    /// Retries allowed in a window in addition to the ratio.
     pub slack: f64,
-    /// The window.
+    /// Window over which requests and retries are counted.
     pub window: Duration,
 }
 
@@ -24,15 +24,16 @@
     }
 }
 
-/// Part of the slack that is used; the rest covers what daemons that left have spent.
+/// Fraction of the slack that daemons use; the rest covers what daemons that have left had spent.
 const USABLE_SLACK_FRACTION: f64 = 0.6;
-/// Part of the ratio that is used; callers that come back count as requests only once they come.
+/// Fraction of the ratio that daemons use. A caller that retries later is counted as a request only
+/// when it does.
 const USABLE_RATIO_FRACTION: f64 = 0.9;
 
-/// Requests and second tries of one service at this daemon within the window.
+/// Requests and retries of one service at this daemon within the window.
 ///
-/// Each daemon earns with its own requests and holds an even part of the slack, so that the sum
-/// over all stays within the bound also while they can't reach each other.
+/// Each daemon earns retries with its own requests and holds an equal share of the slack, so the
+/// sum over all daemons stays within the bound even while they are partitioned from each other.
 #[derive(Debug, Clone, Default)]
 pub struct RetryBudget {
     requests: VecDeque<MonotonicTime>,
@@ -40,12 +41,12 @@
 }
 
 impl RetryBudget {
-    /// Counts a request.
+    /// Records an incoming request, which adds to the budget.
     pub fn record_request(&mut self, now: MonotonicTime) {
         self.requests.push_back(now);
     }
 
-    /// Takes one second try, if one is left for this daemon among `daemons`.
+    /// Records a retry and returns true if the budget of this daemon, one of `daemons`, allows it.
     pub fn try_acquire(
         &mut self,
         now: MonotonicTime,
--- a/crates/savorywood-gateway/src/rollout.rs
+++ b/crates/savorywood-gateway/src/rollout.rs
@@ -1,4 +1,4 @@
-//! Roll-outs: traffic moves to a new version by a time, or is taken back.
+//! Roll-outs: traffic of a service moves to a new version within a time limit, or is rolled back.
 
 use crate::{
     label::{ServiceLabel, VersionLabel},
@@ -11,74 +11,76 @@
 use std::{collections::BTreeMap, time::Duration};
 use strum::{Display, EnumString, IntoStaticStr};
 
-/// What an operator ordered.
+/// Order of an operator to roll out a version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RolloutOrder {
-    /// Whose traffic moves.
+    /// Service whose traffic moves.
     pub service: ServiceLabel,
-    /// Where to.
+    /// Version that the traffic moves to.
     pub target_version: VersionLabel,
-    /// Within this time.
+    /// Time from the receipt of the order until the roll-out is complete.
     pub time_limit: Duration,
     /// Position of the order's row in the store.
     pub position: StorePosition,
 }
 
-/// State of a roll-out as operators see it.
+/// Phase of a roll-out, as shown to operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, EnumString, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum RolloutPhase {
-    /// Under way.
+    /// Traffic is moving to the new version.
     Running,
-    /// All traffic is at the new version.
+    /// All traffic goes to the new version.
     Completed,
-    /// All traffic is at the old versions.
+    /// All traffic goes to the old versions.
     RolledBack,
 }
 
-/// What the store says of a roll-out.
+/// Status row of a roll-out, as read from the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RolloutStatus {
-    /// Whose.
+    /// Service of the roll-out.
     pub service: ServiceLabel,
-    /// To which version; none when the row can't be read.
+    /// Target version; `None` if the row is malformed.
     pub target_version: Option<VersionLabel>,
-    /// Its state.
+    /// Recorded phase; `None` if the row is missing or malformed.
     pub phase: Option<RolloutPhase>,
-    /// Position of the row; of version zero if there is none.
+    /// Position of the row; its version is zero if there is no row.
     pub position: StorePosition,
 }
 
-/// A status to be written under the condition that its row is as last read.
+/// Conditional write of a status row, which requires that the row has not changed since it was
+/// read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RolloutWrite {
-    /// Whose.
+    /// Service of the roll-out.
     pub service: ServiceLabel,
-    /// To which version.
+    /// Target version.
     pub target_version: VersionLabel,
-    /// State.
+    /// Phase to record.
     pub phase: RolloutPhase,
-    /// Position that the row must have; of version zero: it must not exist.
+    /// Required position of the row; with version zero the row must not exist.
     pub expected_position: StorePosition,
 }
 
-/// Answers of the new version that are needed before it is held for good.
+/// Number of responses of the new version that are needed to accept it.
 const MIN_RESPONSES: u32 = 30;
-/// Bad answers that are needed before it is held for bad.
+/// Number of bad responses of the new version that are needed to reject it.
 const MIN_BAD_RESPONSES: u32 = 3;
-/// Part of the allowed share of traffic that a version on trial gets.
+/// Fraction of the allowed canary share that is used.
 const CANARY_SHARE_FRACTION: f64 = 0.6;
-/// Part of the time after which a version that was not proved bad gets all traffic.
+/// Fraction of the time limit after which a version that is verified and not rejected receives all
+/// kinds of traffic.
 const CANARY_END_FRACTION: f64 = 0.45;
-/// Part of the time after which the old versions get nothing any more.
+/// Fraction of the time limit after which the old versions receive no traffic.
 const SWITCH_FRACTION: f64 = 0.7;
-/// Part of the time at which the move is called complete.
+/// Fraction of the time limit after which the roll-out is completed.
 const COMPLETION_FRACTION: f64 = 0.85;
 
-/// Bounds of trials.
+/// Bounds for the canary phase of roll-outs; set by operators.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CanaryOptions {
-    /// Share of a service's traffic that a version on trial may get.
+    /// Fraction of a service's traffic that a new version may receive in the canary phase.
     pub share: f64,
 }
 
@@ -89,7 +91,7 @@
     own: VersionTally,
     peers: BTreeMap<u64, VersionTally>,
     phase: RolloutPhase,
-    /// Of the status row.
+    /// Position of the status row.
     position: StorePosition,
     written: bool,
     write_pending: bool,
@@ -116,7 +118,8 @@
         total
     }
 
-    /// The order stands under a new position, as a restored store has it from the operator again.
+    /// Returns true if the order is unchanged but has a new position, as after a restore of the
+    /// store.
     fn is_same_after_restore(&self, order: &RolloutOrder) -> bool {
         let known = &self.order;
         known.position.era < order.position.era
@@ -130,7 +133,8 @@
     }
 }
 
-/// Bad shares differ so much that chance is no explanation.
+/// Returns true if the ratio of bad responses is significantly higher at the new version: above
+/// that of the old versions by three standard deviations and 0.02.
 fn is_significantly_worse(total: &VersionTally) -> bool {
     if total.new_bad < MIN_BAD_RESPONSES || total.new_answers == 0 {
         return false;
@@ -141,7 +145,7 @@
     new > old + 3.0 * spread + 0.02
 }
 
-/// All roll-outs that were ordered.
+/// State of all roll-outs by service.
 #[derive(Debug, Clone, Default)]
 pub struct RolloutTable {
     states: BTreeMap<ServiceLabel, RolloutState>,
@@ -152,7 +156,7 @@
 }
 
 impl RolloutTable {
-    /// An order was read.
+    /// Applies an order. Returns true if it is new.
     pub fn apply_order(&mut self, now: MonotonicTime, order: RolloutOrder) -> bool {
         if let Some(known) = self.states.get_mut(&order.service) {
             if known.order.position >= order.position {
@@ -190,7 +194,8 @@
         true
     }
 
-    /// The store's state of a roll-out: it stands, whoever wrote it.
+    /// Applies a status row. A final phase in the store takes precedence, whichever daemon wrote
+    /// it.
     pub fn apply_status(&mut self, status: &RolloutStatus) {
         let Some(state) = self.states.get_mut(&status.service) else {
             return;
@@ -214,8 +219,8 @@
         }
     }
 
-    /// The store was restored: what was written may be lost, and is written again where the row says
-    /// something else.
+    /// Handles a restore of the store: written rows may be missing, and are written again if the
+    /// status differs.
     pub fn on_store_restored(&mut self, era: u64) {
         for state in self.states.values_mut() {
             state.position = StorePosition::new(era, 0);
@@ -224,7 +229,7 @@
         }
     }
 
-    /// A write was answered, or not.
+    /// Records whether the store accepted a write; `accepted` is false without a response.
     pub fn record_write(&mut self, now: MonotonicTime, service: &ServiceLabel, accepted: bool) {
         if let Some(state) = self.states.get_mut(service) {
             state.write_pending = false;
@@ -233,7 +238,7 @@
         }
     }
 
-    /// Which versions may get the next request of a service.
+    /// Returns which versions may receive the next request of a service.
     pub fn version_filter(
         &self,
         now: MonotonicTime,
@@ -269,7 +274,7 @@
         }
     }
 
-    /// A request went to an upstream.
+    /// Records that a request is sent to an upstream of the given version.
     pub fn record_dispatch(&mut self, service: &ServiceLabel, version: &VersionLabel) {
         if let Some(state) = self.states.get_mut(service) {
             state.own.sent += 1;
@@ -277,7 +282,7 @@
         }
     }
 
-    /// An upstream answered, well or not.
+    /// Records a response of an upstream of the given version.
     pub fn record_response(&mut self, service: &ServiceLabel, version: &VersionLabel, bad: bool) {
         if let Some(state) = self.states.get_mut(service) {
             if state.order.target_version == *version {
@@ -290,7 +295,7 @@
         }
     }
 
-    /// A peer reports what it saw.
+    /// Records the tallies that a peer reports.
     pub fn record_peer_tallies(&mut self, peer: u64, tallies: &[VersionTally]) {
         for state in self.states.values_mut() {
             let own = state.own.rollout;
@@ -300,7 +305,7 @@
         }
     }
 
-    /// What this daemon saw of the roll-outs under way.
+    /// Returns this daemon's tallies of the roll-outs in progress.
     #[must_use]
     pub fn tallies(&self) -> Vec<VersionTally> {
         let running = |state: &&RolloutState| state.phase == RolloutPhase::Running;
@@ -308,7 +313,8 @@
         states.map(|state| state.own).collect()
     }
 
-    /// What this daemon and some peers saw of the roll-outs under way.
+    /// Returns the sum of the tallies of this daemon and the given peers, for the roll-outs in
+    /// progress.
     #[must_use]
     pub fn tallies_with(&self, peers: &[u64]) -> Vec<VersionTally> {
         let running = |state: &&RolloutState| state.phase == RolloutPhase::Running;
@@ -317,14 +323,15 @@
         sums.collect()
     }
 
-    /// A roll-out is under way, or its end is not in the store yet.
+    /// Returns true if a roll-out is in progress, or its final phase is not in the store yet.
     #[must_use]
     pub fn is_active(&self) -> bool {
         let mut states = self.states.values();
         states.any(|state| state.phase == RolloutPhase::Running || !state.written)
     }
 
-    /// Moves roll-outs on; returns the writes to make now.
+    /// Advances all roll-outs to the current time. Returns the writes to make now; only the leader,
+    /// which `is_leader` marks, makes any.
     pub fn advance(&mut self, now: MonotonicTime, is_leader: bool) -> Vec<RolloutWrite> {
         let mut writes = Vec::new();
         for state in self.states.values_mut() {
--- a/crates/savorywood-gateway/src/selection.rs
+++ b/crates/savorywood-gateway/src/selection.rs
@@ -1,4 +1,4 @@
-//! Which upstream gets a request.
+//! Selection of the upstream for a request.
 
 use crate::{
     affinity::PrefixCacheIndex,
@@ -18,34 +18,38 @@
 use std::time::Duration;
 use strum::{Display, EnumString};
 
-/// What an upstream in another zone must be faster by, in milliseconds, to be worth the bytes.
+/// Cost of sending a request to another zone, in milliseconds, which accounts for the transferred
+/// bytes.
 const ZONE_PENALTY_MS: f64 = 35.0;
-/// Slowdown of a plain answer by each request that runs beside it.
+/// Relative slowdown of a non-streaming response by each concurrent request at the upstream.
 const CONCURRENCY_SLOWDOWN: f64 = 0.3;
-/// What a certain failure costs, in milliseconds.
+/// Cost of a failure that is certain, in milliseconds.
 const FAILURE_PENALTY_MS: f64 = 2_500.0;
-/// Share of failures that counts as none.
+/// Failure ratio below which no cost is added.
 const IGNORED_FAILURE_RATIO: f64 = 0.05;
-/// Weight of the time after the first event: it holds a slot but is not waited for.
+/// Weight of the time after the first event: it occupies a slot, but the caller does not wait for
+/// it.
 const STREAMING_WEIGHT: f64 = 0.6;
-/// What an upstream costs, in milliseconds, that several peers leave out.
+/// Cost of an upstream that several peers have ejected, in milliseconds.
 const PEER_EJECTION_PENALTY_MS: f64 = 1_000.0;
-/// A good answer to this daemon counts for more than what peers say for this long.
+/// Time for which a successful response to this daemon takes precedence over ejections that peers
+/// report.
 const OWN_SUCCESS_WINDOW: Duration = Duration::from_millis(400);
-/// What an upstream on trial costs, in milliseconds, for what can't run elsewhere after it.
+/// Cost of an upstream on probation, in milliseconds, for a request that cannot be retried
+/// elsewhere.
 const PROBE_PENALTY_MS: f64 = 300.0;
-/// What a trial is worth, in milliseconds: while others have room an upstream that was left out
-/// would never get the one request that shows that it is sound again.
+/// Bonus for a probe request, in milliseconds. Without it, an ejected upstream would never receive
+/// the request that shows its recovery while others have free slots.
 const PROBE_BONUS_MS: f64 = 60_000.0;
 
-/// Which versions may get a request while a roll-out is under way.
+/// Versions that may receive a request while a roll-out is in progress.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum VersionFilter {
-    /// Any.
+    /// All versions.
     Any,
-    /// Only this one.
+    /// Only the given version.
     Only(VersionLabel),
-    /// Any but this one.
+    /// All versions but the given one.
     Except(VersionLabel),
 }
 
@@ -59,125 +63,129 @@
     }
 }
 
-/// What the choice of an upstream goes by. All but the first are there to be compared with it.
+/// Criterion for selecting an upstream, from the settings. All but the default serve for
+/// comparison.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Display, EnumString, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum RoutingPolicy {
-    /// Expected time for this request, zones and failures in one unit.
+    /// Lowest expected cost, with the expected time of the request, zones and failures expressed in
+    /// milliseconds.
     #[default]
     #[serde(rename = "worth")]
     #[strum(serialize = "worth")]
     LowestCost,
-    /// The same, as if all upstreams were in one zone.
+    /// The same without the cost of other zones.
     #[serde(rename = "worth-without-zones")]
     #[strum(serialize = "worth-without-zones")]
     LowestCostIgnoringZones,
-    /// Fewest requests there.
+    /// Fewest requests in progress.
     LeastOutstanding,
-    /// The one that was chosen longest ago.
+    /// Least recently selected upstream.
     RoundRobin,
-    /// Any with room.
+    /// Any upstream with a free slot.
     Random,
 }
 
-/// What is asked for.
+/// Properties of the request that an upstream is selected for.
 #[derive(Debug, Clone)]
 pub struct SelectionQuery<'a> {
-    /// Service.
+    /// Service whose upstreams are considered.
     pub service: &'a ServiceLabel,
-    /// Prompt tokens; zero for plain calls.
+    /// Prompt tokens; zero for requests without a prompt.
     pub prompt_tokens: u32,
-    /// Tokens of the answer as the caller expects; zero if it says nothing.
+    /// Expected response tokens by the caller's hint; zero without a hint.
     pub expected_tokens: u32,
-    /// Milliseconds within which the first event is in time.
+    /// Time in milliseconds within which the first event counts as in time.
     pub first_event_budget_ms: f64,
-    /// Milliseconds until the answer must be whole.
+    /// Time in milliseconds until the response has to be complete.
     pub remaining_ms: f64,
-    /// The answer is a stream.
+    /// The response is an event stream.
     pub stream: bool,
-    /// Parts of the prompt.
+    /// Parts of the prompt, in order, for the lookup of cached prefixes.
     pub prompt_parts: &'a [PromptPart],
-    /// Upstreams that have had it.
+    /// Upstreams that were sent the request before; they are excluded.
     pub attempted: &'a [UpstreamLabel],
-    /// Home regions of its route and of its team; both bind.
+    /// Home regions of the route and of the team; an upstream must satisfy both.
     pub home_regions: [&'a [RegionLabel]; 2],
-    /// Versions that may get it.
+    /// Versions that may receive the request.
     pub versions: VersionFilter,
-    /// More urgent work that comes to all daemons.
+    /// Arrival rates of more urgent requests at all daemons, for which slots are reserved.
     pub urgent_arrivals: UrgentArrivals,
-    /// It may run again elsewhere: upstreams on trial may have it.
+    /// The request may be retried elsewhere, so that it can serve as a probe request.
     pub allow_probe: bool,
 }
 
-/// What is looked at.
+/// State that the selection is based on.
 #[derive(Debug, Clone, Copy)]
 pub struct SelectionContext<'a> {
-    /// Now.
+    /// Current time.
     pub now: MonotonicTime,
-    /// Upstreams.
+    /// Registered upstreams and their state.
     pub fleet: &'a UpstreamFleet,
-    /// Peers and their slots.
+    /// Peers, with the slots that they use and the upstreams that they have ejected.
     pub peers: &'a PeerTable,
-    /// Holders of prompt parts.
+    /// Upstreams that have parts of the prompt cached.
     pub prefix_cache: &'a PrefixCacheIndex,
-    /// Own zone.
+    /// Zone of this daemon.
     pub zone: &'a ZoneLabel,
-    /// What the choice goes by.
+    /// Criterion for the selection.
     pub policy: RoutingPolicy,
     /// Regions of the zones.
     pub regions: &'a RegionMap,
-    /// Which cold upstreams this daemon may start.
+    /// Leases of this daemon, which include those for warming up cold upstreams.
     pub leases: &'a MemberLeases,
-    /// By how much rates of cold upstreams may be exceeded.
+    /// Allowed excess over the rate of cold upstreams; `None` allows none.
     pub warmup: Option<WarmupTolerance>,
-    /// Part of an upstream's cost by which it may look dearer at random.
+    /// Fraction of its cost that is added to an upstream at random at most, so that daemons do not
+    /// all select the same one.
     pub jitter: f64,
 }
 
-/// Why none was chosen.
+/// Reason why no upstream was selected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SelectionFailure {
-    /// All are full.
+    /// All eligible upstreams lack a free slot, or would be too late.
     AllFull,
-    /// There is none that may have it.
+    /// No upstream is eligible.
     NoCandidate,
 }
 
-/// An upstream chosen.
+/// The selected upstream.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SelectedUpstream {
-    /// Who.
+    /// Name of the upstream.
     pub name: UpstreamLabel,
-    /// Expected milliseconds to the first event, or of the whole plain answer.
+    /// Expected time to the first event, or of the complete non-streaming response, in
+    /// milliseconds.
     pub expected_ms: f64,
-    /// Requests counted there, of all daemons.
+    /// Number of requests of all daemons at the upstream.
     pub slots_in_use: u32,
-    /// The figure that was compared.
+    /// Score by which it was selected; the lowest wins.
     pub score: f64,
 }
 
-/// An upstream that may have the request.
+/// An upstream that is eligible for the request.
 struct Candidate<'a> {
     state: &'a UpstreamState,
-    /// Requests there, of all daemons.
+    /// Number of requests of all daemons at the upstream.
     slots_in_use: u32,
-    /// Answers a second of one slot, up to a common factor.
+    /// Responses per second of one slot, up to a common factor.
     throughput: f64,
     estimate: ResponseEstimate,
 }
 
 impl SelectionContext<'_> {
-    /// Chooses the upstream with the least expected cost among those with room.
+    /// Selects the upstream with the lowest expected cost among those with a free slot.
     ///
-    /// Where some upstream, be it full, would begin the answer in time and end it before it is
-    /// given up, only such ones are chosen from. The free slot of a slow one is no good to a
-    /// request that would be late or cut off there, while faster ones give back several slots
-    /// within the time that it has.
+    /// If any upstream, including full ones, could start the response in time and complete it
+    /// before the deadline, only such upstreams are considered. A free slot of a slow upstream is
+    /// of no use to a request that would be late or cut off there, while faster ones release
+    /// several slots within its remaining time.
     ///
     /// # Errors
     ///
-    /// Why there is none.
+    /// Returns the reason if no upstream is selected.
     pub fn select(
         &self,
         query: &SelectionQuery<'_>,
@@ -216,7 +224,7 @@
         best.ok_or(SelectionFailure::AllFull)
     }
 
-    /// Upstreams that may have the request, full or not.
+    /// Returns the upstreams that are eligible for the request, with or without a free slot.
     fn candidates<'q>(&'q self, query: &'q SelectionQuery<'q>) -> Vec<Candidate<'q>> {
         let service_latency = self.fleet.service_latency(query.service);
         let all_ejected = self.all_ejected(query);
@@ -274,7 +282,8 @@
         candidate.slots_in_use + reserved < slots && self.rate_allows(candidate.state)
     }
 
-    /// It names no limit and is warm, or its next request of this daemon is due.
+    /// Returns true if the upstream's rate limit and, while it is cold, its warm-up allow this
+    /// daemon to send a request now.
     fn rate_allows(&self, state: &UpstreamState) -> bool {
         if !state.limit.allows_dispatch() {
             return false;
@@ -291,8 +300,9 @@
             && self.leases.holds_warmup(self.now, &entry.name, &entry.zone)
     }
 
-    /// When every upstream looks ill, the fault is more likely in the requests or on the way:
-    /// leaving all of them out would turn a partial failure into a whole one.
+    /// Returns true if no upstream of the service is available without an ejection. The cause is
+    /// then more likely in the requests or the network, and excluding all upstreams would turn a
+    /// partial failure into a complete one.
     fn all_ejected(&self, query: &SelectionQuery<'_>) -> bool {
         let mut members = self.fleet.members(query.service);
         let open = |state: &UpstreamState| state.is_open(self.now);
@@ -338,14 +348,15 @@
             estimate.first_event_ms * (1.0 + f64::from(*slots_in_use) * CONCURRENCY_SLOWDOWN)
         };
         let mut score = first_event_ms + estimate.streaming_ms * STREAMING_WEIGHT;
-        // Begun where it would not end in time, it holds a slot for nothing.
+        // A request that would not complete in time occupies a slot for nothing.
         score += (first_event_ms + estimate.streaming_ms - query.remaining_ms).max(0.0);
         let failures = state.outlier.failure_ratio(self.now) - IGNORED_FAILURE_RATIO;
         score += failures.max(0.0) * FAILURE_PENALTY_MS;
         if entry.zone != *self.zone && self.policy != RoutingPolicy::LowestCostIgnoringZones {
             score += ZONE_PENALTY_MS;
         }
-        // What peers found out need not be found out once more, at the cost of a request each.
+        // Failures that peers have detected need not be detected again, at the cost of one request
+        // for each daemon.
         if self.peers.suspect(&entry.name)
             && !state.outlier.succeeded_within(self.now, OWN_SUCCESS_WINDOW)
         {
--- a/crates/savorywood-gateway/src/team_limit.rs
+++ b/crates/savorywood-gateway/src/team_limit.rs
@@ -1,4 +1,4 @@
-//! What teams may use, over all daemons together.
+//! Rate limits of teams, enforced over all daemons together.
 
 mod bucket;
 mod fair_share;
@@ -15,50 +15,52 @@
 use staleness::{StalenessIndex, StalenessThresholds, TrackedPeer};
 use std::{collections::BTreeMap, time::Duration};
 
-/// Time between two messages of a peer where nothing else is known.
+/// Interval between messages of a peer until the actual one is known.
 const DEFAULT_MESSAGE_INTERVAL: Duration = Duration::from_millis(250);
-/// A peer that sent nothing for this long is taken to be gone, if most others are seen.
+/// A peer that has not been heard from for this long is considered removed, if most other peers are
+/// reachable.
 const PEER_TTL: Duration = Duration::from_secs(20);
-/// A daemon that is out of reach of nearly all is cut off, and the others live: they are not taken to be
-/// gone before this time.
+/// The same while this daemon reaches at most half of all daemons. It is then likely to be
+/// partitioned itself, and the others continue to run.
 const PARTITIONED_PEER_TTL: Duration = Duration::from_secs(60);
-/// For so long after a start the levels of those that have run longer are taken over.
+/// Time after a start in which bucket levels of peers with a longer uptime are adopted.
 const ADOPTION_WINDOW: Duration = Duration::from_secs(3);
 
-/// Part of the burst with which a daemon begins that starts again.
+/// Fraction of the burst that a restarted daemon begins with.
 const RESTART_FILL_FRACTION: f64 = 0.3;
-/// After a start the other daemons may be unknown for so long.
+/// Time after a start until all other daemons are discovered.
 const DISCOVERY_WINDOW: Duration = Duration::from_millis(900);
-/// Meanwhile a daemon takes so many times its even part of burst and rate.
+/// Multiple of its even share of burst and rate that a daemon may use until then.
 const DISCOVERY_FACTOR: f64 = 2.0;
-/// What a peer has used in a life of less than this is counted when it is met.
+/// The whole use of a peer's incarnation is counted at its first report if the incarnation is
+/// younger than this.
 const MAX_YOUNG_UPTIME: Duration = Duration::from_secs(5);
 
-/// A peer as a meter sees it.
+/// Use of a team's limit that a peer reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerUsage {
-    /// Digest of its name.
+    /// Digest of the peer's name.
     pub peer: u64,
-    /// Its life.
+    /// Incarnation of the peer.
     pub incarnation: u64,
-    /// Age of that life.
+    /// Uptime of that incarnation.
     pub age: Duration,
-    /// Units used in it.
+    /// Units used by that incarnation so far.
     pub total: u64,
-    /// Daemons whose use that is.
+    /// Number of daemons whose use the report sums up.
     pub daemons: u32,
-    /// It is of this daemon's own zone.
+    /// The peer is in this daemon's zone.
     pub same_zone: bool,
-    /// Levels of its buckets, where it reports them.
+    /// Levels of the peer's buckets; `None` if the message does not report them.
     pub levels: Option<BucketLevels>,
 }
 
-/// Levels of the buckets of one team, in units; below zero they are overdrawn.
+/// Levels of the token buckets of one team, in units; negative if overdrawn.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BucketLevels {
-    /// Bucket of the limit.
+    /// Level of the bucket that enforces the limit.
     pub strict: i64,
-    /// Bucket of what is tolerated on top.
+    /// Level of the bucket that enforces the tolerance on top of the limit.
     pub tolerated: i64,
 }
 
@@ -69,43 +71,44 @@
     tracked: TrackedPeer,
 }
 
-/// Weight of the newest request in the usual size.
+/// Weight of the newest request in the moving average of the request size.
 const REQUEST_SIZE_WEIGHT: f64 = 0.05;
-/// Time in which old use loses most of its weight in the shares.
+/// Time constant of the decay of recent use, by which shares are computed.
 const USAGE_DECAY_WINDOW: Duration = Duration::from_secs(1);
 
-/// A request that a team's meter is asked about.
+/// A request to be checked against the limit of a team.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitQuery {
-    /// Units that it would take.
+    /// Units that the request would be charged.
     pub units: f64,
-    /// Rank of its route, 0 is the most urgent.
+    /// Rank of its route; 0 is the most urgent.
     pub rank: u32,
-    /// A number drawn evenly from 0 to 1.
+    /// Random sample, uniformly distributed between 0 and 1.
     pub sample: f64,
 }
 
-/// What a meter says of a request.
+/// Result of checking a request against the limit of a team.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LimitVerdict {
-    /// It is within the limit.
+    /// Within the limit.
     Within,
-    /// It is beyond the limit and within the tolerance.
+    /// Beyond the limit, but within the tolerance.
     Tolerated,
-    /// It is beyond both.
+    /// Beyond both limit and tolerance.
     Exceeded {
-        /// Time after which the limit may have room.
+        /// Time until the limit is expected to have room again.
         retry_after: Duration,
     },
 }
 
-/// Token buckets of one team as this daemon sees it: own use exactly, that of peers as they report.
+/// Token buckets of one team as seen by this daemon: its own use is exact, that of peers is as they
+/// report it.
 ///
-/// Each daemon keeps a copy of the same two buckets. The first is the limit. The second holds
-/// what operators tolerate on top of it: daemons learn of each other late, and a limit kept to the
-/// token by each of them would refuse what is within it. A burst that reaches several daemons
-/// within the time of a datagram overdraws the buckets once; the debt then holds all of them back
-/// until it is paid.
+/// Each daemon keeps a copy of the same two buckets. The first enforces the limit. The second holds
+/// the tolerance that operators allow on top of it: daemons learn of each other's use with a delay,
+/// so enforcing the limit strictly at each of them would refuse requests that are within it. A
+/// burst that reaches several daemons within the latency of a datagram overdraws the buckets once;
+/// the debt then restrains all of them until it is repaid.
 #[derive(Debug, Clone)]
 pub struct TeamLimiter {
     limit: TeamLimit,
@@ -115,34 +118,34 @@
     filled_at: MonotonicTime,
     discovery_until: MonotonicTime,
     own_total: u64,
-    /// Until then levels of peers are taken over.
+    /// Bucket levels of peers are adopted until this time.
     adopt_until: MonotonicTime,
-    /// Units used in this daemon's zone since it began to count, those that silent daemons are
-    /// taken to use included.
+    /// Units used in this daemon's zone since it began to count, including the use assumed for
+    /// daemons that are not heard from.
     zone_total: f64,
-    /// Own use that no message reported yet.
+    /// Own use that has not been reported to peers yet.
     unreported: f64,
-    /// Units of a request, on the average of the newest.
+    /// Moving average of the units per request.
     typical_units: f64,
-    /// Own use lately, fading.
+    /// Recent use of this daemon, with exponential decay.
     own_recent: f64,
-    /// Use of all others lately, fading.
+    /// Recent use of all other daemons, with exponential decay.
     others_recent: f64,
-    /// Daemons that there are, as far as they are known by other means than their messages.
+    /// Number of daemons known by other means than their reports, such as membership.
     expected_daemons: u32,
-    /// Daemons that the directory names to callers, if this one is among them.
+    /// Number of entry set members if this daemon is one of them; `None` otherwise.
     members: Option<u32>,
     peers: BTreeMap<u64, PeerRecord>,
     staleness: StalenessIndex,
 }
 
 impl TeamLimiter {
-    /// A meter of a daemon. `fresh` means that nothing can have been used before.
+    /// Creates a limiter. `fresh` states that no use of the limit can have preceded.
     ///
-    /// A daemon that starts again does not know what its last life admitted. When all of them
-    /// start again together, nobody does: each begins with a small part of the burst and fills
-    /// slowly until it can have seen the others. Begun with half of it each, seven daemons would
-    /// admit several bursts at once.
+    /// A restarted daemon does not know what its previous incarnation admitted, and after a restart
+    /// of all daemons none of them knows. Each therefore begins with a small fraction of the burst
+    /// and fills slowly until it can have discovered the others: with half of the burst each, seven
+    /// daemons would admit several bursts at once.
     #[must_use]
     pub fn new(
         now: MonotonicTime,
@@ -179,7 +182,7 @@
         }
     }
 
-    /// Puts another limit in force; what was used stays used.
+    /// Replaces the limit; units that are in use count against the new one.
     pub fn set_limit(&mut self, now: MonotonicTime, limit: TeamLimit) {
         self.refill(now);
         let strict_used = self.strict.capacity - self.strict.level;
@@ -191,30 +194,30 @@
         self.tolerated.level -= tolerated_used.min(limit.burst);
     }
 
-    /// Limit in force.
+    /// Returns the limit in force.
     #[must_use]
     pub fn limit(&self) -> TeamLimit {
         self.limit
     }
 
-    /// Units that this daemon has used in its life.
+    /// Returns the units that this incarnation of the daemon has used.
     #[must_use]
     pub fn own_total(&self) -> u64 {
         self.own_total
     }
 
-    /// Units that the daemons of this daemon's zone have used since it began to count.
+    /// Returns the units that the daemons of this zone have used since this daemon began to count.
     #[must_use]
     pub fn zone_total(&self) -> u64 {
         self.zone_total.max(0.0) as u64
     }
 
-    /// Says whether a request may pass now; nothing is taken yet.
+    /// Checks whether a request is admitted now, without charging it.
     pub fn check(&mut self, now: MonotonicTime, query: &LimitQuery) -> LimitVerdict {
         self.refill(now);
         self.typical_units += (query.units - self.typical_units) * REQUEST_SIZE_WEIGHT;
-        // The debt of the strict bucket is cut off, that of the tolerance never is: the strict one
-        // may be full again while the tolerance is all but spent.
+        // The debt of the strict bucket is bounded, that of the tolerance is not. So the strict
+        // bucket may be full again while the tolerance is nearly exhausted.
         if !self.has_room(&self.tolerated, query) {
             return LimitVerdict::Exceeded {
                 retry_after: self.retry_after(),
@@ -227,19 +230,19 @@
         }
     }
 
-    /// A message reports all that was used so far.
+    /// Records that a message has reported all use so far.
     pub fn mark_reported(&mut self) {
         self.unreported = 0.0;
     }
 
-    /// Time after which the limit has room again.
+    /// Returns the time until the limit has room again, between 0.05 and 30 s.
     #[must_use]
     pub fn retry_after(&self) -> Duration {
         let wait = -self.strict.level / self.strict.rate.max(1e-6);
         Duration::from_secs_f64(wait.clamp(0.05, 30.0))
     }
 
-    /// Takes units for a request. Beyond the limit they count only against the tolerance.
+    /// Charges a request. Units beyond the limit are charged to the tolerance only.
     pub fn charge(&mut self, units: f64, verdict: LimitVerdict) {
         if verdict == LimitVerdict::Within {
             self.strict.level -= units;
@@ -251,7 +254,7 @@
         self.own_recent += units;
     }
 
-    /// Gives back what a request did not use, because it never ran.
+    /// Refunds the units of a request that was not executed.
     pub fn refund(&mut self, units: f64) {
         self.strict.add(units);
         self.tolerated.add(units);
@@ -259,7 +262,7 @@
         self.zone_total -= units;
     }
 
-    /// A peer reports what it has used in its life.
+    /// Records the use that a peer reports.
     pub fn record_peer_usage(&mut self, now: MonotonicTime, reading: PeerUsage) {
         self.refill(now);
         let known = self.peers.get(&reading.peer).copied();
@@ -268,10 +271,10 @@
             Some(known) if known.incarnation == reading.incarnation => total - known.total as f64,
             Some(_) => total,
             None if reading.age < MAX_YOUNG_UPTIME => total,
-            // What an old peer used long ago is over.
+            // Use of a peer with a longer uptime is not recent.
             None => 0.0,
         };
-        // What was assumed while it was silent is settled against what it reports.
+        // Use that was assumed while the peer was not heard from is replaced by what it reports.
         let same_incarnation = known.filter(|known| known.incarnation == reading.incarnation);
         let assumed_s =
             same_incarnation.map_or(0.0, |known| self.assumed_use_s(known.tracked, now));
@@ -306,11 +309,11 @@
         }
     }
 
-    /// A daemon that starts beside others takes over what they know of the team.
+    /// Adopts the bucket levels that a peer with a longer uptime reports.
     ///
-    /// Each copy of the buckets is meant to be the same. Begun with a level of its own, every
-    /// daemon that joins or comes back while a team is at its limit would let through a part of
-    /// the burst once more; ten of them would let through several limits.
+    /// All copies of the buckets should have the same levels. If each daemon that joins or returns
+    /// while a team is at its limit began with levels of its own, it would admit a part of the
+    /// burst once more; ten of them would admit several times the limit.
     fn adopt_levels(&mut self, now: MonotonicTime, reading: PeerUsage) {
         if now >= self.adopt_until || reading.age < ADOPTION_WINDOW {
             return;
@@ -321,7 +324,7 @@
         }
     }
 
-    /// Levels of the buckets as of the last look.
+    /// Returns the bucket levels as of the last refill.
     #[must_use]
     pub fn levels(&self) -> BucketLevels {
         BucketLevels {
@@ -330,18 +333,19 @@
         }
     }
 
-    /// The directory names so many daemons to callers; `None` where this one is not among them.
+    /// Sets the number of entry set members; `None` if this daemon is not one of them.
     pub fn set_members(&mut self, members: Option<u32>) {
         self.members = members;
     }
 
-    /// A peer is known to have ended.
+    /// Removes a peer that is known to have ended.
     pub fn record_peer_ended(&mut self, now: MonotonicTime, peer: u64) {
         self.refill(now);
         self.remove_peer(peer);
     }
 
-    /// There are so many daemons, seen or not, and each sends a message after each pause.
+    /// Sets the number of daemons, whether heard from or not, and the interval at which each sends
+    /// its messages.
     pub fn set_expected_daemons(&mut self, now: MonotonicTime, daemons: u32, pause: Duration) {
         let times = StalenessThresholds::for_interval(pause);
         if self.staleness.times() != times {
@@ -367,12 +371,13 @@
         }
     }
 
-    /// Daemons that the meter counts, this one included.
+    /// Returns the number of daemons that the limiter tracks, including this one.
     fn daemons(&self) -> u32 {
         self.staleness.daemons() + 1
     }
 
-    /// What a silent peer is taken to have used: its even share, in seconds of the whole rate.
+    /// Returns the use assumed for a peer that is not heard from: its even share of the rate, as
+    /// seconds of the full rate.
     fn assumed_use_s(&self, peer: TrackedPeer, now: MonotonicTime) -> f64 {
         let share = f64::from(peer.daemons) / f64::from(self.daemons());
         self.staleness.staleness_of(peer, now).as_secs_f64() * share
@@ -411,11 +416,11 @@
         }
     }
 
-    /// Part of the burst that this daemon and those that it sees may hold.
+    /// Returns the fraction of the burst that this daemon and the peers it reaches may hold.
     ///
-    /// A daemon that is cut off holds a copy of the whole burst. Spending it alone, as every other
-    /// one that is cut off would, they let through many bursts; so each group of daemons that see
-    /// each other keeps to its part. One that has just started knows only how many there are.
+    /// A partitioned daemon holds a copy of the whole burst. If each partitioned daemon spent it
+    /// alone, they would admit many bursts; so each group of daemons that reach each other keeps to
+    /// its fraction. A daemon that has just started knows only the number of the others.
     fn reachable_fraction(&self, now: MonotonicTime) -> f64 {
         let seen = self.staleness.reachable_daemons() + 1;
         let all = self.daemons();
--- a/crates/savorywood-gateway/src/team_limit/bucket.rs
+++ b/crates/savorywood-gateway/src/team_limit/bucket.rs
@@ -1,16 +1,16 @@
-//! Token buckets of a limit and of what is tolerated on top of it.
+//! Token buckets for a limit and for the tolerance on top of it.
 
 use crate::config::TeamLimit;
 use std::time::Duration;
 
-/// By how much the sum of what all daemons admit may exceed a limit, as operators allow it.
+/// Allowed excess over a limit, for the sum of what all daemons admit; set by operators.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitTolerance {
-    /// Span over which use is summed up.
+    /// Window over which the use is summed up.
     pub window: Duration,
-    /// Share of the limit that may come on top.
+    /// Allowed excess as a fraction of the limit.
     pub overage: f64,
-    /// Units that may come on top.
+    /// Allowed excess in units, in addition to the fraction.
     pub slack: f64,
 }
 
@@ -24,36 +24,37 @@
     }
 }
 
-/// Part of the tolerated use that is admitted knowingly; the rest covers what daemons admit
-/// before they learn of each other, and what those that ended had admitted.
+/// Fraction of the tolerance that daemons admit deliberately. The rest covers what daemons admit
+/// before they learn of each other's use, and what daemons that have ended had admitted.
 pub const TOLERANCE_FRACTION: f64 = 0.65;
-/// The same where zones exchange digests: use is then learned of by way of another daemon, later.
+/// The same where zones exchange digests: use is reported through another daemon then, and arrives
+/// later.
 pub const ZONED_TOLERANCE_FRACTION: f64 = 0.6;
 
-/// One token bucket.
+/// A token bucket.
 #[derive(Debug, Clone, Copy)]
 pub struct TokenBucket {
-    /// Units a second.
+    /// Refill rate, in units per second.
     pub rate: f64,
-    /// Units that it holds at most.
+    /// Maximum level, in units.
     pub capacity: f64,
-    /// Units that it holds; below zero it is overdrawn.
+    /// Current level, in units; negative if overdrawn.
     pub level: f64,
 }
 
 impl TokenBucket {
-    /// Adds units, or takes them.
+    /// Adds units up to the capacity; a negative number removes units.
     pub fn add(&mut self, units: f64) {
         self.level = (self.level + units).min(self.capacity);
     }
 
-    /// Holds no more than a part of what the bucket can hold.
+    /// Limits the level to a fraction of the capacity.
     pub fn cap_to_fraction(&mut self, part: f64) {
         self.level = self.level.min(self.capacity * part);
     }
 }
 
-/// The bucket of a limit, full.
+/// Creates a full bucket that enforces a limit.
 pub fn strict_bucket(limit: TeamLimit) -> TokenBucket {
     TokenBucket {
         rate: limit.per_second,
@@ -62,7 +63,8 @@
     }
 }
 
-/// A bucket that lets through the knowing part of the tolerated use within any window.
+/// Creates a full bucket that admits the limit and the given fraction of the tolerance in any
+/// window.
 pub fn tolerated_bucket(
     limit: TeamLimit,
     tolerance: LimitTolerance,
--- a/crates/savorywood-gateway/src/team_limit/fair_share.rs
+++ b/crates/savorywood-gateway/src/team_limit/fair_share.rs
@@ -1,34 +1,35 @@
-//! What of a team's bucket a daemon spends between two of its messages.
+//! Share of a team's bucket that a daemon may spend between two of its messages.
 //!
-//! The load that this answers: a team at its limit whose requests come to several daemons, each of
-//! which learns of the others' use a message later.
+//! A team at its limit may send requests to several daemons, each of which learns of the others'
+//! use one message later.
 
 use super::{LimitQuery, TeamLimiter, bucket::TokenBucket};
 
-/// Part of what comes into a bucket until the next message that is spent before it: others' use of
-/// that time is learned later still.
+/// Fraction of the units that flow into a bucket until the next message which may be spent before
+/// it: the use of other daemons in that time is learned even later.
 const INFLOW_FRACTION: f64 = 0.5;
-/// Part of a bucket that requests of a rank leave to those of the rank before it.
+/// Fraction of the bucket that requests of a rank leave to those of the next more urgent rank.
 const RANK_RESERVE_FRACTION: f64 = 0.12;
-/// A request of a smaller part of the bucket leaves less of it.
+/// A request that is smaller than this fraction of the bucket leaves proportionally less.
 const SMALL_REQUEST_FRACTION: f64 = 0.01;
-/// Ranks for which this is done.
+/// Number of ranks that are distinguished in this way.
 const MAX_RESERVED_RANKS: u32 = 3;
-/// Part of a bucket that daemons spend without regard to their shares.
+/// Fraction of the bucket that daemons may spend regardless of their shares.
 const UNSHARED_FRACTION: f64 = 0.25;
-/// With more daemons than this it is smaller.
+/// With more daemons than this, that fraction is smaller.
 const UNSHARED_FULL_DAEMONS: f64 = 16.0;
-/// How many times its share a daemon may spend: use moves between daemons.
+/// Factor by which a daemon may exceed its share, as traffic moves between daemons.
 const SHARE_FACTOR: f64 = 1.2;
 
 impl TeamLimiter {
-    /// A bucket has room for this daemon.
+    /// Returns true if the bucket has room for a request at this daemon.
     ///
-    /// Between two of its messages a daemon spends its share of what is left and of what comes in
-    /// meanwhile: with all of it in reach of each, many daemons overdraw it before they learn of
-    /// each other. A share that is less than a request lets one pass as often as it is worth, large
-    /// ones as often as usual ones. Less urgent requests leave a part of the bucket to more urgent
-    /// ones of their team, small ones less of it.
+    /// Between two of its messages a daemon spends its share of the current level and of the units
+    /// that flow in meanwhile. If each daemon could use all of it, many daemons would overdraw the
+    /// bucket before they learn of each other's use. If the share is smaller than a request,
+    /// requests are admitted at random in proportion to the share, large ones as often as those of
+    /// typical size. Less urgent requests leave a fraction of the bucket to more urgent ones of
+    /// their team, small requests proportionally less.
     pub(super) fn has_room(&self, bucket: &TokenBucket, query: &LimitQuery) -> bool {
         let steps = f64::from(query.rank.min(MAX_RESERVED_RANKS));
         let size = query.units / (bucket.capacity * SMALL_REQUEST_FRACTION).max(f64::MIN_POSITIVE);
@@ -41,8 +42,8 @@
         if bucket.level >= bucket.capacity * (1.0 - free) {
             return true;
         }
-        // What was not reported yet is left out: others' use of the same time is not known either,
-        // and a daemon that saw its own alone would take the whole bucket.
+        // Unreported use is excluded: the use of others in the same time is unknown too, and a
+        // daemon that counted only its own would take the whole bucket.
         let reported = (self.own_recent - self.unreported).max(0.0);
         let used = reported + self.others_recent;
         let share = if used > 0.0 { reported / used } else { even };
@@ -53,8 +54,9 @@
         query.sample * self.typical_units.min(query.units) < room
     }
 
-    /// Units that come into a bucket until the next message and may be spent before it. Daemons that
-    /// the directory does not name wait for them: callers may come to many of these at once.
+    /// Returns the units that flow into a bucket until the next message and may be spent before it.
+    /// Daemons outside the entry set spend none in advance, as callers may reach many of them at
+    /// once.
     fn inflow_units(&self, bucket: &TokenBucket) -> f64 {
         if self.members.is_none() {
             return 0.0;
@@ -63,8 +65,8 @@
         bucket.rate * pause.as_secs_f64() * INFLOW_FRACTION
     }
 
-    /// Share that this daemon may take without having seen callers before. One that the directory
-    /// does not name may be one of many to which callers come all at once.
+    /// Returns the share that this daemon may use without recent traffic. A daemon outside the
+    /// entry set may be one of many that callers reach all at once.
     fn even_share(&self) -> f64 {
         let daemons = self.daemons().max(self.expected_daemons);
         1.0 / f64::from(self.members.unwrap_or(daemons).clamp(1, daemons))
--- a/crates/savorywood-gateway/src/team_limit/staleness.rs
+++ b/crates/savorywood-gateway/src/team_limit/staleness.rs
@@ -1,7 +1,7 @@
-//! How long peers have been silent, summed up without walking all of them.
+//! Time since peers were last heard from, summed without iterating over all of them.
 //!
-//! Every report of every peer on every team asks for these sums. Walked each time, they would cost
-//! a daemon work that grows with teams times the square of the daemons.
+//! Every report of every peer for every team needs these sums. Computed by iteration, the work of a
+//! daemon would grow with the number of teams times the square of the number of daemons.
 
 #[cfg(test)]
 mod tests;
@@ -9,25 +9,25 @@
 use savorywood_protocol::MonotonicTime;
 use std::{collections::BTreeSet, time::Duration};
 
-/// Time beyond a usual pause after which a message counts as missing.
+/// Delay beyond the message interval after which a message counts as late.
 const LATE_MARGIN: Duration = Duration::from_millis(50);
-/// Usual pauses without a message after which a peer counts as out of reach.
+/// Number of message intervals without a message after which a peer counts as unreachable.
 const UNREACHABLE_INTERVALS: f64 = 1.8;
 
-/// How long a peer may be silent.
+/// Thresholds for the time since the last message of a peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StalenessThresholds {
-    /// Usual time between two messages.
+    /// Expected interval between two messages.
     pub interval: Duration,
-    /// From then on it is taken to use its even share; what it reports next settles that, so that a
-    /// lost message costs nothing.
+    /// From this time on the peer is assumed to use its even share. Its next report corrects the
+    /// assumption, so a lost message has no lasting effect.
     pub late_after: Duration,
-    /// From then on it counts as out of reach.
+    /// From this time on the peer counts as unreachable.
     pub unreachable_after: Duration,
 }
 
 impl StalenessThresholds {
-    /// Times for peers that send a message after each pause.
+    /// Creates the thresholds for peers that send a message at each interval.
     #[must_use]
     pub fn for_interval(pause: Duration) -> Self {
         Self {
@@ -38,15 +38,15 @@
     }
 }
 
-/// A peer in the index: when it was received last, and its number.
+/// Sort key of a peer: the time of its last message, and its number.
 type StalenessKey = (MonotonicTime, u64);
 
-/// Silences of a set of peers, summed over their daemons.
+/// Sum of the staleness of a set of peers, weighted by their daemons.
 #[derive(Debug, Clone, Copy, Default)]
 struct StalenessSum {
-    /// Daemons of these peers.
+    /// Number of daemons of these peers.
     daemons: u64,
-    /// Sum of daemons times the microsecond from which they are taken to use their share.
+    /// Sum over daemons of the time, in microseconds, from which use is assumed.
     weighted_since: u128,
 }
 
@@ -65,44 +65,44 @@
         u128::from(since.0) * u128::from(daemons)
     }
 
-    /// Seconds of silence beyond the assumed time, summed over daemons.
+    /// Returns the seconds beyond the late threshold, summed over daemons.
     fn stale_s(&self, now: MonotonicTime) -> f64 {
         let until = u128::from(now.0) * u128::from(self.daemons);
         until.saturating_sub(self.weighted_since) as f64 / 1e6
     }
 }
 
-/// What the index must know of a peer.
+/// State of a peer that the index needs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TrackedPeer {
     /// Number of the peer.
     pub peer: u64,
-    /// When its last message came.
+    /// Time of its last message.
     pub received_at: MonotonicTime,
-    /// Daemons that it speaks for.
+    /// Number of daemons that its messages report on.
     pub daemons: u32,
-    /// It is of this daemon's own zone.
+    /// The peer is in this daemon's zone.
     pub same_zone: bool,
 }
 
-/// Time for which peers have been silent, in seconds of one daemon, beyond the assumed time.
+/// Time for which peers have been late, in daemon seconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct StaleTime {
-    /// Of all peers.
+    /// Sum over all peers.
     pub all_s: f64,
-    /// Of those of the own zone.
+    /// Sum over the peers of this daemon's zone.
     pub same_zone_s: f64,
 }
 
-/// Peers by the time of their last message, in three stages.
+/// Peers ordered by the time of their last message, in three stages.
 #[derive(Debug, Clone)]
 pub struct StalenessIndex {
     times: StalenessThresholds,
-    /// Received lately.
+    /// Peers with a recent message.
     fresh: BTreeSet<StalenessKey>,
-    /// Silent for the assumed time, and not yet out of reach.
+    /// Peers whose message is late, but which are not unreachable yet.
     late: BTreeSet<StalenessKey>,
-    /// Out of reach.
+    /// Unreachable peers.
     unreachable: BTreeSet<StalenessKey>,
     daemons: u32,
     unreachable_daemons: u32,
@@ -111,7 +111,7 @@
 }
 
 impl StalenessIndex {
-    /// An index without peers.
+    /// Creates an index without peers.
     #[must_use]
     pub fn new(times: StalenessThresholds) -> Self {
         Self {
@@ -126,25 +126,25 @@
         }
     }
 
-    /// How long peers may be silent.
+    /// Returns the thresholds in force.
     #[must_use]
     pub fn times(&self) -> StalenessThresholds {
         self.times
     }
 
-    /// Daemons of all peers.
+    /// Returns the number of daemons of all peers.
     #[must_use]
     pub fn daemons(&self) -> u32 {
         self.daemons
     }
 
-    /// Daemons of the peers that are in reach.
+    /// Returns the number of daemons of the peers that are reachable.
     #[must_use]
     pub fn reachable_daemons(&self) -> u32 {
         self.daemons - self.unreachable_daemons
     }
 
-    /// Silences as of a moment that is not before the last advance.
+    /// Returns the sums as of `now`, which must not be before the last advance.
     #[must_use]
     pub fn stale_time(&self, now: MonotonicTime) -> StaleTime {
         StaleTime {
@@ -153,20 +153,20 @@
         }
     }
 
-    /// Time for which one peer has been silent beyond the assumed time.
+    /// Returns the time for which one peer has been late.
     #[must_use]
     pub fn staleness_of(&self, peer: TrackedPeer, now: MonotonicTime) -> Duration {
         now.since(peer.received_at)
             .saturating_sub(self.times.late_after)
     }
 
-    /// Adds a peer whose message came just now.
+    /// Adds a peer whose message has just arrived.
     pub fn insert(&mut self, peer: TrackedPeer) {
         self.fresh.insert((peer.received_at, peer.peer));
         self.daemons += peer.daemons;
     }
 
-    /// Takes a peer out.
+    /// Removes a peer.
     pub fn remove(&mut self, peer: TrackedPeer) {
         let key = (peer.received_at, peer.peer);
         self.daemons -= peer.daemons;
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Moves peers to the stages that they have reached by now. `find` looks a peer up.
+    /// Moves peers to the stages that they have reached by now. `find` returns the state of a peer.
     pub fn advance(&mut self, now: MonotonicTime, find: impl Fn(u64) -> Option<TrackedPeer>) {
         while let Some(key) = pop_stale(&mut self.fresh, now, self.times.late_after) {
             self.late.insert(key);
@@ -202,7 +202,8 @@
         }
     }
 
-    /// A peer that has been silent for some time, the longest silent one first.
+    /// Returns the peer that has been unreachable longest, if its last message is at least `time`
+    /// old.
     #[must_use]
     pub fn stale_for(&self, now: MonotonicTime, time: Duration) -> Option<u64> {
         let first = self.unreachable.first()?;
@@ -210,7 +211,7 @@
     }
 }
 
-/// Takes out the peer that has been silent longest, if it has been so for some time.
+/// Removes and returns the peer with the oldest message, if that is at least `time` old.
 fn pop_stale(
     peers: &mut BTreeSet<StalenessKey>,
     now: MonotonicTime,
--- a/crates/savorywood-gateway/src/team_limit/staleness/tests.rs
+++ b/crates/savorywood-gateway/src/team_limit/staleness/tests.rs
@@ -1,4 +1,4 @@
-//! The sums of the index against a walk over all peers.
+//! Compares the sums of the index with an iteration over all peers.
 
 use super::{StalenessIndex, StalenessThresholds, TrackedPeer};
 use quickcheck::quickcheck;
@@ -8,7 +8,7 @@
 const PEERS: u8 = 9;
 const PAUSE: Duration = Duration::from_millis(250);
 
-/// Silence of all peers, in seconds of one daemon, by a walk over them.
+/// Returns the time for which all peers have been late, in daemon seconds, by iteration.
 fn walked_s(peers: &BTreeMap<u64, TrackedPeer>, now: MonotonicTime, near: bool) -> f64 {
     let peers = peers.values().filter(|peer| peer.same_zone || !near);
     let silent = peers.map(|peer| {
@@ -28,7 +28,8 @@
 }
 
 quickcheck! {
-    /// Guards against a team that is refused or let through for a sum that drifted from its peers.
+    /// Guards against requests that are wrongly refused or admitted because a sum has drifted from
+    /// the state of its peers.
     fn sums_match_a_walk_over_all_peers(steps: Vec<(u8, u16, bool)>) -> bool {
         let mut index = StalenessIndex::new(StalenessThresholds::for_interval(PAUSE));
         let mut peers: BTreeMap<u64, TrackedPeer> = BTreeMap::new();
--- a/crates/savorywood-gateway/src/upstream.rs
+++ b/crates/savorywood-gateway/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Upstreams as they registered themselves, and what this daemon has seen of each.
+//! Registered upstreams, and the state that this daemon tracks for each of them.
 
 use crate::{
     evacuation::{EvacuationOrder, EvacuationTable},
@@ -16,68 +16,69 @@
     time::Duration,
 };
 
-/// A registration that vanished while the store was failing may come back within this time.
+/// Grace period for a registration that disappears while the store is failing.
 const REREGISTRATION_GRACE: Duration = Duration::from_millis(1_700);
 /// The store counts as failing for this long after a failed call.
 const STORE_FAILURE_WINDOW: Duration = Duration::from_secs(4);
 
-/// A start that left as announced is remembered for this long: a store that is restored from an
-/// older backup would bring it back.
+/// Time for which an incarnation that ended after draining is recorded, as a store that is restored
+/// from an older backup would register it again.
 const DEPARTURE_RETENTION: Duration = Duration::from_secs(60);
 
-/// One upstream's registration.
+/// Registration of one upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UpstreamEntry {
-    /// Names this incarnation.
+    /// Name of this incarnation of the upstream.
     pub name: UpstreamLabel,
-    /// Service that it serves.
+    /// Service that the upstream belongs to.
     pub service: ServiceLabel,
-    /// Where.
+    /// Address that accepts requests.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Availability zone of the upstream.
     pub zone: ZoneLabel,
     /// Version of its software.
     pub version: VersionLabel,
-    /// Requests that it runs at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// It is about to leave.
+    /// The upstream is shutting down and accepts no new requests.
     pub draining: bool,
-    /// Its start, to distinguish a second life under the same name.
+    /// Number of the incarnation, which distinguishes restarts under the same name; zero if the
+    /// registration has none.
     pub incarnation: u64,
-    /// Time for which it was still cold when it wrote this.
+    /// Remaining time for which the upstream is cold, as of the registration.
     pub cold_for: Duration,
 }
 
-/// An upstream and what was seen of it.
+/// State of one upstream.
 #[derive(Debug, Clone)]
 pub struct UpstreamState {
-    /// Its newest registration.
+    /// Most recent registration.
     pub entry: UpstreamEntry,
-    /// Digest of its name, by which messages between daemons speak of it.
+    /// Digest of the name, which identifies the upstream in messages between daemons.
     pub digest: u64,
-    /// Requests of this daemon there.
+    /// Number of requests of this daemon in progress.
     pub running: u32,
-    /// Prompt tokens of these of which no event has come yet.
+    /// Prompt tokens of these requests that wait for their first event.
     pub unread_tokens: u32,
-    /// Number of this daemon's dispatch that came here last.
+    /// Sequence number of this daemon's last dispatch to the upstream.
     pub last_dispatch_number: u64,
-    /// Failures.
+    /// Failures and ejection.
     pub outlier: OutlierState,
-    /// Speed.
+    /// Latency estimates.
     pub latency: LatencyModel,
-    /// When something of an answer came from it last.
+    /// Time at which response data was last received.
     pub last_received_at: MonotonicTime,
-    /// The registration vanished; until then it may come back.
+    /// Time from which the removal of the registration takes effect; `None` while it is registered.
     pub removed_at: Option<MonotonicTime>,
     /// Its zone is under evacuation.
     pub evacuated: bool,
-    /// Until then it is cold.
+    /// Time until which the upstream is cold.
     pub cold_until: MonotonicTime,
-    /// Rate that it takes from all daemons together.
+    /// Rate limit that the upstream announces for all daemons together.
     pub limit: UpstreamLimit,
-    /// When this daemon sent something there last.
+    /// Time of this daemon's last dispatch to the upstream.
     pub last_dispatch_at: MonotonicTime,
-    /// Connections to it failed, or it fell silent, and no good answer has come since.
+    /// Connections to it failed, or it stalled, and no successful response has followed.
     pub unreachable: bool,
 }
 
@@ -101,26 +102,26 @@
         }
     }
 
-    /// It takes new work.
+    /// Returns true if the upstream accepts new requests.
     #[must_use]
     pub fn is_open(&self, now: MonotonicTime) -> bool {
         !self.entry.draining && !self.evacuated && self.removed_at.is_none_or(|at| now < at)
     }
 
-    /// It has started lately and bears only a part of its load.
+    /// Returns true if the upstream has recently started and can take only part of its load.
     #[must_use]
     pub fn is_cold(&self, now: MonotonicTime) -> bool {
         now < self.cold_until
     }
 
-    /// It is cold at least until then.
+    /// Extends the cold period to at least the given time.
     pub fn extend_cold(&mut self, until: MonotonicTime) {
         self.cold_until = self.cold_until.max(until);
     }
 
-    /// Puts a newer registration in force. A row that is read once more says nothing new of how
-    /// long the upstream stays cold, and one of a restored store may be older than the known one: a
-    /// start that has begun to leave goes on leaving.
+    /// Applies a newer registration. An unchanged row does not extend the cold period. A row of a
+    /// restored store may be older than the current one, so an incarnation that drains continues to
+    /// drain.
     fn apply_registration(&mut self, now: MonotonicTime, mut entry: UpstreamEntry) {
         entry.draining |= self.entry.draining;
         if entry != self.entry {
@@ -130,24 +131,24 @@
     }
 }
 
-/// Change of one upstream, for the log.
+/// Change of one upstream, as logged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
 pub enum FleetChange {
-    /// It is new.
+    /// A new upstream was registered.
     Joined,
-    /// It began to leave.
+    /// The upstream started to drain.
     Draining,
-    /// It is gone.
+    /// The registration was removed.
     Left,
-    /// It came back under the same name, knowing nothing.
+    /// A new incarnation was registered under the same name, with no state.
     #[strum(serialize = "reborn")]
     Restarted,
-    /// It became cold.
+    /// The upstream became cold.
     Cold,
 }
 
-/// All upstreams.
+/// All registered upstreams, with the state of their services and zones.
 #[derive(Debug, Clone, Default)]
 pub struct UpstreamFleet {
     states: BTreeMap<UpstreamLabel, UpstreamState>,
@@ -155,11 +156,11 @@
     warmups: BTreeMap<ServiceLabel, WarmupSpec>,
     evacuations: EvacuationTable,
     store_failed_at: Option<MonotonicTime>,
-    /// Starts that left as announced.
+    /// Incarnations that ended after draining.
     departed: BTreeMap<UpstreamLabel, UpstreamDeparture>,
 }
 
-/// A start of an upstream that left as announced.
+/// An incarnation that ended after draining.
 #[derive(Debug, Clone, Copy)]
 struct UpstreamDeparture {
     born: u64,
@@ -167,25 +168,25 @@
 }
 
 impl UpstreamFleet {
-    /// An upstream.
+    /// Returns the state of an upstream.
     #[must_use]
     pub fn get(&self, name: &UpstreamLabel) -> Option<&UpstreamState> {
         self.states.get(name)
     }
 
-    /// An upstream, to change what was seen of it.
+    /// Returns the mutable state of an upstream.
     pub fn get_mut(&mut self, name: &UpstreamLabel) -> Option<&mut UpstreamState> {
         self.states.get_mut(name)
     }
 
-    /// Something of an answer came from an upstream.
+    /// Records that response data was received from an upstream.
     pub fn record_received(&mut self, now: MonotonicTime, name: &UpstreamLabel) {
         if let Some(state) = self.states.get_mut(name) {
             state.last_received_at = now;
         }
     }
 
-    /// Upstreams of a service.
+    /// Iterates over the upstreams of a service.
     pub fn members<'a>(
         &'a self,
         service: &'a ServiceLabel,
@@ -194,24 +195,24 @@
         states.filter(move |state| state.entry.service == *service)
     }
 
-    /// All upstreams.
+    /// Iterates over all upstreams.
     pub fn iter(&self) -> impl Iterator<Item = &UpstreamState> {
         self.states.values()
     }
 
-    /// All upstreams, to change what was seen of them.
+    /// Iterates mutably over all upstreams.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut UpstreamState> {
         self.states.values_mut()
     }
 
-    /// Some upstream names a limit.
+    /// Returns true if any upstream announces a rate limit.
     #[must_use]
     pub fn has_limits(&self) -> bool {
         let mut states = self.states.values();
         states.any(|state| state.limit.limit().is_some())
     }
 
-    /// What is usual at a service.
+    /// Returns the latency model of all upstreams of a service.
     #[must_use]
     pub fn service_latency(&self, service: &ServiceLabel) -> LatencyModel {
         self.service_latencies
@@ -220,12 +221,12 @@
             .unwrap_or_default()
     }
 
-    /// The same, to change it.
+    /// Returns the mutable latency model of a service.
     pub fn service_latency_mut(&mut self, service: &ServiceLabel) -> &mut LatencyModel {
         self.service_latencies.entry(service.clone()).or_default()
     }
 
-    /// Median share of failures at a service.
+    /// Returns the median failure ratio of the upstreams of a service, between 0 and 1.
     #[must_use]
     pub fn median_failure_ratio(&self, now: MonotonicTime, service: &ServiceLabel) -> f64 {
         let members = self.members(service);
@@ -236,7 +237,7 @@
         shares.get(shares.len() / 2).copied().unwrap_or_default()
     }
 
-    /// The store failed to answer.
+    /// Records a failed call to the store.
     pub fn record_store_failure(&mut self, now: MonotonicTime) {
         self.store_failed_at = self.store_failed_at.max(Some(now));
     }
@@ -246,7 +247,7 @@
             .is_none_or(|at| now.since(at) > STORE_FAILURE_WINDOW)
     }
 
-    /// A registration was written.
+    /// Adds or updates an upstream by its registration. Returns the change to be logged.
     pub fn upsert(&mut self, now: MonotonicTime, entry: UpstreamEntry) -> Option<FleetChange> {
         let has_departed = self
             .departed
@@ -288,7 +289,7 @@
         (cools && state.is_cold(now)).then_some(FleetChange::Cold)
     }
 
-    /// State of an upstream of which nothing is known but its registration.
+    /// Creates the state of an upstream that has only a registration.
     fn new_state(&self, now: MonotonicTime, entry: UpstreamEntry) -> UpstreamState {
         let mut state = UpstreamState::new(entry);
         state.evacuated = self.evacuations.contains(&state.entry.zone);
@@ -296,30 +297,30 @@
         state
     }
 
-    /// How upstreams of services start.
+    /// Sets the slow start of services; services that are not in the map have none.
     pub fn set_warmups(&mut self, warmups: BTreeMap<ServiceLabel, WarmupSpec>) {
         self.warmups = warmups;
     }
 
-    /// Upstreams of some service start slowly.
+    /// Returns true if any service has a slow start.
     #[must_use]
     pub fn has_warmups(&self) -> bool {
         !self.warmups.is_empty()
     }
 
-    /// How upstreams of a service start.
+    /// Returns the slow start of a service; `None` if it has none.
     #[must_use]
     pub fn warmup(&self, service: &ServiceLabel) -> Option<&WarmupSpec> {
         self.warmups.get(service)
     }
 
-    /// Zones under evacuation.
+    /// Returns the evacuations of zones.
     #[must_use]
     pub fn evacuations(&self) -> &EvacuationTable {
         &self.evacuations
     }
 
-    /// An operator evacuates a zone; whether that is new.
+    /// Evacuates a zone. Returns true if it was not under evacuation before.
     pub fn evacuate(&mut self, order: EvacuationOrder) -> bool {
         let zone = order.zone.clone();
         let is_new = self.evacuations.apply(order);
@@ -331,8 +332,9 @@
         is_new
     }
 
-    /// An operator takes an evacuation back; whether there was one. Upstreams of the zone may have
-    /// become cold meanwhile, and their registrations say so later than the operator.
+    /// Ends an evacuation. Returns true if there was one. Upstreams of the zone may have become
+    /// cold meanwhile, and their registrations report that later than the operator's order, so they
+    /// are treated as cold.
     pub fn end_evacuation(&mut self, now: MonotonicTime, order: EvacuationOrder) -> bool {
         let zone = order.zone.clone();
         let is_end = self.evacuations.withdraw(order);
@@ -356,8 +358,8 @@
         states.filter(move |state| state.entry.zone == *zone)
     }
 
-    /// An upstream that was lost answers again: it may have started anew, and its registration says
-    /// so later than its answer.
+    /// Records that an unreachable upstream responds again. It may have restarted, and its
+    /// registration reports that later than the response, so it is treated as cold.
     pub fn record_recovery(&mut self, now: MonotonicTime, name: &UpstreamLabel) {
         if let Some(state) = self.states.get_mut(name)
             && std::mem::take(&mut state.unreachable)
@@ -367,11 +369,11 @@
         }
     }
 
-    /// A registration was removed.
+    /// Records that a registration was removed.
     ///
-    /// While the store fails, registrations expire though their owners live; they are back within
-    /// two seconds of its return. Taken for gone at once, a whole service would be empty after
-    /// each outage, and every request refused.
+    /// While the store fails, registrations expire although their upstreams are running; they are
+    /// registered again within two seconds of the store's recovery. Without a grace period, a whole
+    /// service would be empty after each store outage, and every request refused.
     pub fn remove(&mut self, now: MonotonicTime, name: &UpstreamLabel) -> Option<FleetChange> {
         let settled = self.is_store_settled(now);
         let state = self.states.get_mut(name)?;
@@ -387,7 +389,7 @@
         Some(FleetChange::Left)
     }
 
-    /// All registrations were read: whatever is not among them was removed.
+    /// Replaces all registrations; upstreams that are not among them are removed.
     pub fn replace_all(
         &mut self,
         now: MonotonicTime,
@@ -408,7 +410,7 @@
         changes
     }
 
-    /// Forgets upstreams that are gone and have no request left.
+    /// Removes upstreams whose registration is gone and that have no requests in progress.
     pub fn remove_ended(&mut self, now: MonotonicTime) {
         let is_over = |state: &UpstreamState| {
             state.running == 0 && state.removed_at.is_some_and(|at| now >= at)
--- a/crates/savorywood-gateway/src/upstream_limit.rs
+++ b/crates/savorywood-gateway/src/upstream_limit.rs
@@ -1,115 +1,118 @@
-//! Upstreams that name a rate which they take from all daemons together.
+//! Rate limits that upstreams announce for all daemons together.
 //!
-//! The load that this answers: an upstream in need names a rate far below what all daemons together
-//! send it. A few daemons, chosen alike by all of them, hold a part of the rate each; the others
-//! send nothing. What an answer says is passed on to all daemons, and the newest answer counts.
+//! An upstream under pressure announces a rate far below what all daemons together send. A few
+//! daemons, which all daemons select in the same way, hold a share of the rate each; the others
+//! send nothing. A limit announced in a response is forwarded to all daemons, and the newest one
+//! applies.
 
 use crate::lease::LeaseShare;
 use savorywood_protocol::MonotonicTime;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Daemons that send to a limited upstream: so many for each request a second, and some more. Each
-/// may have saved up a request, so their number bounds what comes at once after a rest; with a
-/// single one, requests at all other daemons could not reach a service whose upstreams are all in
-/// need.
+/// Number of daemons that send to a limited upstream: a number proportional to the rate in requests
+/// per second, and a constant. Each holder may have accumulated a request, so the number of holders
+/// bounds the burst after an idle period. With a single holder, requests at all other daemons could
+/// not reach a service whose upstreams are all limited.
 const HOLDERS_PER_RATE: f64 = 1.5;
 const EXTRA_HOLDERS: f64 = 3.0;
-/// Daemons that begin to hold parts within this time after a limit was named begin together.
+/// Daemons that become holders within this time after a limit was announced start at the same time.
 const INITIAL_FILL_WINDOW: Duration = Duration::from_secs(2);
-/// Time whose part of the rate a daemon may save up, where that is more than one request.
+/// Time for which a holder may accumulate its share of the rate, if that is more than one request.
 const BURST_WINDOW: Duration = Duration::from_millis(200);
-/// Least rate, in requests a second: an upstream that gets nothing can't say that it has recovered.
+/// Minimum rate, in requests per second: an upstream that receives no requests cannot announce its
+/// recovery.
 const MIN_RATE_PER_S: f64 = 0.1;
 
-/// Requests in a thousand seconds that an upstream takes from all daemons together.
+/// Requests per 1000 seconds that an upstream accepts from all daemons together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RateLimit(pub u32);
 
 impl RateLimit {
-    /// A limit of so many requests a second; none for what is no number of requests.
+    /// Creates a limit from requests per second; `None` for a negative or non-finite number.
     #[must_use]
     pub fn from_per_second(per_second: f64) -> Option<Self> {
         let is_number = per_second.is_finite() && per_second >= 0.0;
-        // A larger one than fits binds nothing.
+        // A rate beyond the range of the type has no effect as a limit.
         is_number.then(|| Self((per_second * 1e3).round().min(f64::from(u32::MAX)) as u32))
     }
 
-    /// Requests a second.
+    /// Returns the limit in requests per second.
     #[must_use]
     pub fn per_second(self) -> f64 {
         f64::from(self.0) / 1e3
     }
 
-    /// Daemons that hold a part of it at most.
+    /// Returns the maximum number of daemons that hold a share of the limit.
     #[must_use]
     pub fn max_holders(self) -> usize {
         (self.per_second() * HOLDERS_PER_RATE + EXTRA_HOLDERS) as usize
     }
 
-    /// Requests a second of one of so many holders.
+    /// Returns the requests per second of each holder.
     fn rate_per_holder(self, holders: usize) -> f64 {
         self.per_second().max(MIN_RATE_PER_S) / holders.max(1) as f64
     }
 }
 
-/// What an answer said of its upstream's limit.
+/// Limit that a response announced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LimitObservation {
-    /// The limit; `None` where the upstream named none.
+    /// The limit; `None` if the upstream announced none.
     pub limit: Option<RateLimit>,
-    /// When it was in force at the earliest: newer readings replace older ones.
+    /// Earliest time at which the limit was in force; newer observations replace older ones.
     pub observed_at: MonotonicTime,
 }
 
-/// A reading on its way between daemons.
+/// An observation as reported to peers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitReport {
     /// Digest of the upstream's name.
     pub upstream: u64,
-    /// Its limit, if it names one.
+    /// Limit of the upstream; `None` if it announced none.
     pub limit: Option<RateLimit>,
-    /// Age of the reading in milliseconds.
+    /// Age of the observation in milliseconds.
     pub age_ms: u32,
 }
 
-/// Readings of a daemon.
+/// Limit reports in a message of one daemon.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitGossip {
     /// Digest of the sender's zone.
     pub zone: u64,
-    /// The readings.
+    /// Reported observations.
     pub reports: Vec<LimitReport>,
 }
 
-/// Whose reading it is.
+/// Daemon that made an observation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ObservationSource {
-    /// This daemon's own.
+    /// This daemon.
     Own,
-    /// A daemon of this zone's.
+    /// Another daemon of this zone.
     Zone,
-    /// A daemon of another zone's.
+    /// A daemon of another zone.
     OtherZone,
 }
 
-/// Limit of one upstream, and what this daemon may send of it.
+/// Rate limit of one upstream, with this daemon's share of it as a token bucket.
 #[derive(Debug, Clone, Default)]
 pub struct UpstreamLimit {
     observation: Option<LimitObservation>,
-    /// When this daemon, and a daemon of its zone, had a reading last.
+    /// Times of the last observation by this daemon, and by another daemon of its zone.
     own_observed_at: Option<MonotonicTime>,
     zone_observed_at: Option<MonotonicTime>,
-    /// When the limit was named after there had been none.
+    /// Time at which a limit was announced after there had been none.
     limited_since: MonotonicTime,
     share: Option<LeaseShare>,
-    /// Requests that may be sent now.
+    /// Number of requests that may be sent now.
     level: f64,
     filled_at: MonotonicTime,
 }
 
 impl UpstreamLimit {
-    /// State of an upstream that started anew: what was said of its last life counts for nothing.
+    /// Creates the state of a new incarnation of an upstream, to which limits of the previous one
+    /// do not apply.
     #[must_use]
     pub fn for_new_incarnation(now: MonotonicTime) -> Self {
         Self {
@@ -121,13 +124,13 @@
         }
     }
 
-    /// Limit in force.
+    /// Returns the limit in force.
     #[must_use]
     pub fn limit(&self) -> Option<RateLimit> {
         self.observation.and_then(|observation| observation.limit)
     }
 
-    /// Takes a reading, unless a newer one is known; whether the limit is another one now.
+    /// Records an observation unless a newer one exists. Returns true if that changes the limit.
     pub fn observe(
         &mut self,
         now: MonotonicTime,
@@ -155,7 +158,8 @@
         before != observation.limit
     }
 
-    /// The reading, if it was had within a time by this daemon or, for other zones, by its zone.
+    /// Returns the observation if it was made within the given time by this daemon or, if `of_zone`
+    /// is set, by any daemon of its zone.
     #[must_use]
     pub fn recent_observation(
         &self,
@@ -172,7 +176,8 @@
         self.observation.filter(|_| is_new)
     }
 
-    /// Time passes; `share` is this daemon's part in sending to the upstream.
+    /// Refills the bucket up to now. `share` is this daemon's share of the lease for the upstream;
+    /// `None` if it is not a holder.
     pub fn refill(&mut self, now: MonotonicTime, share: Option<LeaseShare>) {
         let elapsed = now.since(self.filled_at);
         self.filled_at = now;
@@ -184,7 +189,7 @@
         let part = limit.rate_per_holder(share.holders);
         if self.share.replace(share).is_none() {
             self.level = if now.since(self.limited_since) < INITIAL_FILL_WINDOW {
-                // Holders that begin together take turns.
+                // Holders that start at the same time are staggered by their initial level.
                 share.rank as f64 / share.holders.max(1) as f64
             } else {
                 0.0
@@ -195,13 +200,13 @@
         self.level = (self.level + part * elapsed.as_secs_f64()).min(most);
     }
 
-    /// A request may be sent now.
+    /// Returns true if a request may be sent now.
     #[must_use]
     pub fn allows_dispatch(&self) -> bool {
         self.limit().is_none() || self.level >= 1.0
     }
 
-    /// A request is sent.
+    /// Takes a request from the bucket.
     pub fn record_dispatch(&mut self) {
         if self.limit().is_some() {
             self.level -= 1.0;
--- a/crates/savorywood-gateway/src/warmup.rs
+++ b/crates/savorywood-gateway/src/warmup.rs
@@ -1,41 +1,43 @@
-//! Slow start of cold upstreams under a bound that holds for the sum over all daemons.
+//! Slow start of cold upstreams, bounded for the sum over all daemons.
 //!
-//! The load that this answers: an upstream that has just started is empty, so every daemon takes
-//! it for the best at the same moment, and together they send what it can't bear while it is cold.
-//! For as long as it is cold one daemon alone holds the lease of its start and paces its requests.
-//! Daemons agree on the holder without messages, as each computes it from the members of the entry
-//! set that it sees. While the set changes two of them may both take themselves for the holder, so
-//! each keeps to half of the bound.
+//! An upstream that has just started is idle, so every daemon would select it at the same moment,
+//! and together they would send more than it can handle while it is cold. During the cold period a
+//! single daemon holds the warm-up lease and limits the rate of requests. Daemons agree on the
+//! holder without messages, as each computes it from the entry set members that it sees. While the
+//! set changes two daemons may both consider themselves the holder, so each keeps to half of the
+//! bound.
 
 use std::time::Duration;
 
-/// Holders of one lease at a moment at most: the one before a change of the entry set and the one
-/// after it.
+/// Maximum number of concurrent holders of one lease: the one before a change of the entry set and
+/// the one after it.
 const MAX_HOLDERS: f64 = 2.0;
-/// Least requests a second, as a part of the bound, where half of it is less than a request.
+/// Minimum rate as a fraction of the bound, for bounds whose half is less than one request per
+/// second.
 const MIN_RATE_FRACTION: f64 = 0.2;
 
-/// How cold upstreams of a service start.
+/// Slow start of the upstreams of a service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WarmupSpec {
     /// Time for which an upstream is cold after its start.
     pub duration: Duration,
-    /// Requests a second that a cold one bears.
+    /// Requests per second that a cold upstream can handle.
     pub per_second: f64,
 }
 
-/// By how much the requests of a cold upstream within a second may exceed its rate.
+/// Allowed excess over the rate of a cold upstream within a second; set by operators.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WarmupTolerance {
     /// Factor of the rate.
     pub overage: f64,
-    /// Requests on top.
+    /// Requests in addition to the factor.
     pub slack: f64,
 }
 
 impl WarmupSpec {
-    /// Least time between two requests of one holder to a cold upstream, so that the bound for a
-    /// second holds with two holders. A window of a second holds one request more than the rate.
+    /// Returns the minimum interval between two requests of one holder to a cold upstream, so that
+    /// the bound for a second holds with two holders. A window of a second may contain one request
+    /// more than the rate.
     #[must_use]
     pub fn interval(&self, tolerance: Option<WarmupTolerance>) -> Duration {
         let max_rate = tolerance.map_or(self.per_second, |tolerance| {
