--- a/crates/savorywood-front/src/feeds/reading.rs
+++ b/crates/savorywood-front/src/feeds/reading.rs
@@ -5,7 +5,7 @@
     clock::BootClock,
     edge::{StorePage, StoreRow, StoreTable},
     peers::RowsPush,
-    store::{StoreAnswer, StoreFault},
+    store::{StoreAnswer, StoreError},
 };
 use async_io::Timer;
 use savorywood_gateway::{GatewayEvent, StorePosition};
@@ -18,7 +18,10 @@
         let mut first: Option<(StorePage, StoreAnswer)> = None;
         let mut after: Option<String> = None;
         loop {
-            let call = self.shared.dialect.read_rows(self.table, after.as_deref());
+            let call = self
+                .shared
+                .adapter
+                .read_rows_call(self.table, after.as_deref());
             let answer = self.link.call(&call, CALL_TIME).await;
             let answer = self.accept(answer)?;
             let mut page = self.page(&answer)?;
@@ -73,8 +76,8 @@
     ) -> Result<(), String> {
         let call = self
             .shared
-            .dialect
-            .feed_rows(self.table, after.version, wait);
+            .adapter
+            .feed_rows_call(self.table, after.version, wait);
         let answer = self.link.call(&call, wait + FEED_MARGIN).await;
         if matches!(&answer, Ok(answer) if answer.status == 410) {
             log::info!("event=feed-gap table={} after={after}", self.table);
@@ -109,14 +112,18 @@
                 rows: page.rows,
             };
             self.sources.peers.push(&self.shared, push).await;
-            let readers = self.shared.gateway.borrow().readers(BootClock.now());
+            let readers = self
+                .shared
+                .gateway
+                .borrow()
+                .store_reader_count(BootClock.now());
             let pause = CHANGE_PAUSE.saturating_mul(readers);
             Timer::after(pause.min(LONGEST_CHANGE_PAUSE)).await;
         }
         Ok(())
     }
 
-    fn accept(&self, answer: Result<StoreAnswer, StoreFault>) -> Result<StoreAnswer, String> {
+    fn accept(&self, answer: Result<StoreAnswer, StoreError>) -> Result<StoreAnswer, String> {
         let outcome = match &answer {
             Ok(answer) if answer.status == 200 => "ok",
             Ok(_) => "refused",
@@ -136,18 +143,20 @@
         if era < self.shared.gateway.borrow().store_era() {
             return Err("an answer from before the store was restored".to_owned());
         }
-        let page = self.shared.dialect.page(era, &answer.body);
+        let page = self.shared.adapter.parse_page(era, &answer.body);
         page.ok_or_else(|| "an answer that can't be read".to_owned())
     }
 
     /// Only the table with keys and routes proves that these are up to date.
     fn confirm(&mut self, page: &StorePage, answer: &StoreAnswer) {
-        let at = self.freshness.proof(answer.exchange(page.store_micros));
+        let at = self
+            .freshness
+            .earliest_response_time(answer.exchange(page.store_micros));
         if let Some(through) = self.revision {
             self.know(&[], through, Some(at));
         }
         if self.table == StoreTable::Declared {
-            self.shared.step(GatewayEvent::Confirmed { at });
+            self.shared.step(GatewayEvent::ConfigConfirmed { at });
         }
     }
 }
--- a/crates/savorywood-front/src/feeds/rollouts.rs
+++ b/crates/savorywood-front/src/feeds/rollouts.rs
@@ -33,7 +33,7 @@
         }
         rounds += 1;
         let due = is_status_due(&shared, rounds);
-        if due && shared.gateway.borrow().follows_rollouts() {
+        if due && shared.gateway.borrow().has_active_rollouts() {
             read_statuses(&shared, &mut link).await;
         }
     }
@@ -42,28 +42,31 @@
 /// Every daemon learns by gossip how a new version does; only those that may write the status need
 /// the row at once.
 fn is_status_due(shared: &FrontShared, rounds: u32) -> bool {
-    let reads_first = shared.gateway.borrow().reads_first(shared.clock.now());
-    reads_first || rounds.is_multiple_of(STANDBY_ROUNDS)
+    let is_initial_reader = shared
+        .gateway
+        .borrow()
+        .is_initial_reader(shared.clock.now());
+    is_initial_reader || rounds.is_multiple_of(STANDBY_ROUNDS)
 }
 
 async fn write_status(shared: &FrontShared, link: &mut StoreLink, write: RolloutWrite) {
     if write.expected_position.version != 0 && write.expected_position.era != shared.era.get() {
         // The version that it expects may stand for another content by now.
         read_statuses(shared, link).await;
-        return shared.step(GatewayEvent::RolloutWritten {
+        return shared.step(GatewayEvent::RolloutWriteFinished {
             service: write.service,
             accepted: false,
             era: write.expected_position.era,
         });
     }
-    let row = shared.dialect.rollout_row(&write);
+    let row = shared.adapter.encode_rollout_row(&write);
     let table_write = TableWrite {
         table: StoreTable::Status,
         key: row.key,
         value: Some(row.value),
-        expected: Some(write.expected_position.version),
+        expected_version: Some(write.expected_position.version),
     };
-    let call = shared.dialect.write_row(&table_write);
+    let call = shared.adapter.write_row_call(&table_write);
     let answer = link.call(&call, CALL_TIME).await;
     let accepted = matches!(&answer, Ok(answer) if answer.status == 200);
     let era = answer.as_ref().map_or(0, |answer| shared.note_era(answer));
@@ -75,7 +78,7 @@
     );
     // Whatever became of it, the row is read back: an answer may be lost after the write.
     read_statuses(shared, link).await;
-    shared.step(GatewayEvent::RolloutWritten {
+    shared.step(GatewayEvent::RolloutWriteFinished {
         service: write.service,
         accepted,
         era,
@@ -83,16 +86,16 @@
 }
 
 async fn read_statuses(shared: &FrontShared, link: &mut StoreLink) {
-    let call = shared.dialect.read_rows(StoreTable::Status, None);
+    let call = shared.adapter.read_rows_call(StoreTable::Status, None);
     let answer = link.call(&call, CALL_TIME).await;
     let page = answer.ok().filter(|answer| answer.status == 200);
     let page = page.and_then(|answer| {
         let era = shared.note_era(&answer);
-        shared.dialect.page(era, &answer.body)
+        shared.adapter.parse_page(era, &answer.body)
     });
     for row in page.into_iter().flat_map(|page| page.rows) {
-        if let Some(status) = shared.dialect.rollout_status(&row) {
-            shared.step(GatewayEvent::RolloutRead(status));
+        if let Some(status) = shared.adapter.parse_rollout_status(&row) {
+            shared.step(GatewayEvent::RolloutStatusRead(status));
         }
     }
 }
--- a/crates/savorywood-gateway/src/gateway.rs
+++ b/crates/savorywood-gateway/src/gateway.rs
@@ -16,7 +16,7 @@
 mod updates;
 mod watching;
 
-pub use gossip::GatewayView;
+pub use gossip::GatewayStatus;
 
 use crate::{
     affinity::PrefixCacheIndex,
@@ -27,18 +27,18 @@
     entry_set::{EntrySet, HostResources, PeakLoad},
     evacuation::EvacuationOrder,
     event::GatewayEvent,
-    gossip::{ContactBook, SentSlots},
+    gossip::{ContactTable, SentSlots},
     label::{HostLabel, ServiceLabel, TeamLabel, ZoneLabel},
     lease::MemberLeases,
     message::SlotUse,
     peer::{PeerTable, name_digest},
     quarantine::QuarantineTable,
     queue::WaitQueue,
-    reading::ReadBook,
     region::RegionMap,
     retry_budget::{RetryBudget, RetryBudgetOptions},
     rollout::{CanaryOptions, RolloutTable},
     selection::RoutingPolicy,
+    store_reads::StoreReadTracker,
     team_limit::{LimitTolerance, TeamLimiter},
     upstream::UpstreamFleet,
     warmup::WarmupTolerance,
@@ -79,15 +79,15 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct GatewayBounds {
     /// A key must not work for longer than this after it was taken away; `None`: no such bound.
-    pub revocation: Option<Duration>,
+    pub revocation_delay: Option<Duration>,
     /// Bounds of second tries.
-    pub budget: RetryBudgetOptions,
+    pub retry_budget: RetryBudgetOptions,
     /// By how much teams may exceed their limits.
-    pub tolerance: LimitTolerance,
+    pub limit_tolerance: LimitTolerance,
     /// Share of traffic that an unproved version may get.
-    pub exposure_share: f64,
+    pub max_canary_fraction: f64,
     /// By how much cold upstreams' rates may be exceeded; `None`: no such bound is declared.
-    pub warmup: Option<WarmupTolerance>,
+    pub warmup_tolerance: Option<WarmupTolerance>,
 }
 
 /// Bound of proofs where keys have none.
@@ -95,8 +95,8 @@
 impl GatewayBounds {
     /// Age at which a proof of the configuration is worth nothing.
     #[must_use]
-    pub fn proof_bound(&self) -> Duration {
-        self.revocation.unwrap_or(USUAL_PROOF_BOUND)
+    pub fn max_confirmation_age(&self) -> Duration {
+        self.revocation_delay.unwrap_or(USUAL_PROOF_BOUND)
     }
 }
 
@@ -131,7 +131,7 @@
     demands: BTreeMap<ServiceLabel, DemandTracker>,
     parts: PrefixCacheIndex,
     peers: PeerTable,
-    contacts: ContactBook,
+    contacts: ContactTable,
     contacts_read: bool,
     /// What this process uses of its host.
     load: HostResources,
@@ -153,7 +153,7 @@
     withdrawals: Vec<EvacuationOrder>,
     /// When this process went on after it was frozen.
     resumed_at: Option<MonotonicTime>,
-    reads: ReadBook,
+    reads: StoreReadTracker,
     meters: BTreeMap<TeamLabel, TeamLimiter>,
     budgets: BTreeMap<ServiceLabel, RetryBudget>,
     rollouts: RolloutTable,
@@ -183,7 +183,7 @@
             draws: DrawSequence(options.seed),
             limit_draws: DrawSequence(options.seed ^ name_digest(options.host.as_str())),
             peers: PeerTable::new(options.zone.clone()),
-            contacts: ContactBook::new(options.peer_address, options.zone.clone()),
+            contacts: ContactTable::new(options.peer_address, options.zone.clone()),
             contacts_read: false,
             load: HostResources::default(),
             peak: PeakLoad::default(),
@@ -197,7 +197,7 @@
             restored_at: None,
             withdrawals: Vec::new(),
             resumed_at: None,
-            reads: ReadBook::default(),
+            reads: StoreReadTracker::default(),
             options,
             config: None,
             fleet: UpstreamFleet::default(),
@@ -228,11 +228,11 @@
             GatewayEvent::Arrived { request, arrival } => {
                 self.arrive(now, request, &arrival, effects);
             }
-            GatewayEvent::CallerLeft(request) => self.caller_left(now, request, effects),
-            GatewayEvent::AnswerBegan { request, marks } => {
-                self.answer_began(now, request, marks, effects);
+            GatewayEvent::CallerDisconnected(request) => self.caller_left(now, request, effects),
+            GatewayEvent::ResponseStarted { request, metadata } => {
+                self.answer_began(now, request, metadata, effects);
             }
-            GatewayEvent::AnswerMoved { request, events } => {
+            GatewayEvent::ResponseProgressed { request, events } => {
                 self.answer_moved(now, request, events);
             }
             GatewayEvent::AttemptEnded { request, outcome } => {
@@ -242,7 +242,7 @@
             GatewayEvent::UpstreamsRead(entries) => self.upstreams_read(now, entries, effects),
             GatewayEvent::UpstreamWritten(entry) => self.upstream_written(now, entry, effects),
             GatewayEvent::UpstreamRemoved(name) => self.upstream_removed(now, &name, effects),
-            GatewayEvent::Confirmed { at } => {
+            GatewayEvent::ConfigConfirmed { at } => {
                 self.proof_at = Some(self.proof_at.map_or(at, |proof| proof.max(at)));
                 self.note_readiness(now, effects);
             }
@@ -253,20 +253,20 @@
             GatewayEvent::EvacuationsRead { orders, revision } => {
                 self.evacuations_read(now, orders, revision, effects);
             }
-            GatewayEvent::StoreEraSeen(era) => self.store_era_seen(now, era, effects),
+            GatewayEvent::StoreEraObserved(era) => self.store_era_seen(now, era, effects),
             GatewayEvent::BoundsRead(bounds) => self.bounds_read(now, bounds, effects),
             GatewayEvent::TableRead {
                 table,
-                knowledge,
-                proof_at,
-            } => self.reads.read(table, knowledge, proof_at),
+                position,
+                confirmed_at,
+            } => self.reads.record_read(table, position, confirmed_at),
             GatewayEvent::StoreFailed => {
                 self.fleet.record_store_failure(now);
-                self.reads.failed(now);
+                self.reads.record_store_failure(now);
             }
             GatewayEvent::RolloutOrdered(order) => self.rollout_ordered(now, order, effects),
-            GatewayEvent::RolloutRead(status) => self.rollouts.apply_status(&status),
-            GatewayEvent::RolloutWritten {
+            GatewayEvent::RolloutStatusRead(status) => self.rollouts.apply_status(&status),
+            GatewayEvent::RolloutWriteFinished {
                 service,
                 accepted,
                 era,
@@ -277,17 +277,17 @@
             GatewayEvent::SummaryReceived(summary) => self.summary_received(now, *summary, effects),
             GatewayEvent::DigestReceived(digest) => self.digest_received(now, *digest, effects),
             GatewayEvent::SlotsReceived(update) => {
-                if self.peers.take_slots(now, update) {
+                if self.peers.apply_slot_update(now, update) {
                     self.pump_all(now, effects);
                 }
             }
             GatewayEvent::HeartbeatReceived(beat) => {
-                self.peers.take_heartbeat(now, beat);
+                self.peers.apply_heartbeat(now, beat);
             }
             GatewayEvent::CrashesReported(gossip) => self.crashes_reported(now, &gossip, effects),
             GatewayEvent::LimitsReported(gossip) => self.limits_reported(now, &gossip, effects),
             GatewayEvent::QuarantineRead(rows) => self.quarantine_read(now, &rows, effects),
-            GatewayEvent::QuarantineWritten {
+            GatewayEvent::QuarantineWriteFinished {
                 write,
                 accepted,
                 era,
@@ -330,8 +330,8 @@
 
     /// There are so many daemons that zones exchange digests.
     #[must_use]
-    pub fn is_zoned(&self) -> bool {
-        self.contacts.is_zoned()
+    pub fn uses_zone_digests(&self) -> bool {
+        self.contacts.uses_zone_digests()
     }
 
     /// Requests that wait or run.
@@ -348,13 +348,13 @@
 
     /// A roll-out is under way, or its end is not in the store yet.
     #[must_use]
-    pub fn follows_rollouts(&self) -> bool {
+    pub fn has_active_rollouts(&self) -> bool {
         self.rollouts.is_active()
     }
 
     fn trial(&self) -> CanaryOptions {
         CanaryOptions {
-            share: self.options.bounds.exposure_share,
+            share: self.options.bounds.max_canary_fraction,
         }
     }
 
@@ -363,7 +363,7 @@
         self.peers.refresh(now);
         self.refresh_entry(now, effects);
         self.refill_limits(now);
-        self.reads.sweep(now);
+        self.reads.expire(now);
         self.expire_waiting(now, effects);
         self.watch_silence(now, effects);
         self.pump_all(now, effects);
--- a/crates/savorywood-gateway/src/gateway/dispatch.rs
+++ b/crates/savorywood-gateway/src/gateway/dispatch.rs
@@ -101,7 +101,7 @@
         let waited = now.since(record.arrived_at);
         let query = SelectionQuery {
             service: &record.service,
-            prompt_tokens: record.size.prompt,
+            prompt_tokens: record.size.prompt_tokens,
             expected_tokens: record.output,
             first_event_budget_ms: record.route.objective.as_secs_f64() * 1e3
                 - waited.as_secs_f64() * 1e3,
@@ -128,8 +128,8 @@
             policy: self.options.routing,
             regions: &self.options.regions,
             leases: &self.leases,
-            warmup: self.options.bounds.warmup,
-            jitter: if self.contacts.is_zoned() {
+            warmup: self.options.bounds.warmup_tolerance,
+            jitter: if self.contacts.uses_zone_digests() {
                 ZONED_SPREAD
             } else {
                 SPREAD
@@ -161,7 +161,7 @@
             return;
         };
         state.running += 1;
-        state.unread_tokens += record.size.prompt;
+        state.unread_tokens += record.size.prompt_tokens;
         self.dispatches += 1;
         state.last_dispatch_number = self.dispatches;
         state.outlier.record_dispatch();
@@ -190,7 +190,7 @@
             .record_dispatch(&record.service, &state.entry.version);
         let order = DispatchOrder {
             request,
-            number: record.sends,
+            attempt: record.sends,
             service: record.service.clone(),
             priority: record.rank.route,
             upstream: picked.name.clone(),
@@ -249,14 +249,15 @@
                 let Some(record) = self.requests.get(&place.request) else {
                     continue;
                 };
-                let first = usual.first_event_ms(&usual, record.size.prompt) * NEEDED_PART / 1e3;
+                let first =
+                    usual.first_event_ms(&usual, record.size.prompt_tokens) * NEEDED_PART / 1e3;
                 let stream = record.route.retry_safety.is_stream();
                 if stream && now + Duration::from_secs_f64(first) >= record.leave_at {
                     hopeless.push(place.request);
                     continue;
                 }
                 let needed = if record.route.retry_safety.is_stream() {
-                    usual.first_event_ms(&usual, record.size.prompt)
+                    usual.first_event_ms(&usual, record.size.prompt_tokens)
                         + usual.streaming_ms(&usual, record.output)
                 } else {
                     usual.response_ms(&usual)
--- a/crates/savorywood-gateway/src/gateway/entry.rs
+++ b/crates/savorywood-gateway/src/gateway/entry.rs
@@ -6,7 +6,7 @@
     entry_set::{EntryCandidate, HostResources, select_members},
     label::{RegionLabel, ZoneLabel},
     message::{DaemonRole, PeerPhase},
-    peer::{KnownPeer, name_digest},
+    peer::{PeerState, name_digest},
     region::CallerLocation,
     rendezvous::address_hash,
 };
@@ -42,8 +42,8 @@
         self.entry_at = now;
         self.started_at.get_or_insert(now);
         let zone = self.options.zone.as_str();
-        let peers = self.peers.alive(now);
-        let near: Vec<&KnownPeer> = peers.filter(|peer| peer.summary.zone == zone).collect();
+        let peers = self.peers.live_peers(now);
+        let near: Vec<&PeerState> = peers.filter(|peer| peer.summary.zone == zone).collect();
         // What hosts that stand by use goes into gossip and tables, not into callers.
         let placing = near
             .iter()
@@ -58,7 +58,7 @@
         let peaks = near.iter().map(|peer| peer.summary.peak);
         self.peak.update(now, load, peaks);
         let members = self.select_members(now, zone);
-        let was_member = self.is_member();
+        let was_member = self.is_entry_member();
         let count = members.len();
         self.refresh_leases(now, &members);
         let entry_daemons = self.count_entry_daemons(now, count);
@@ -73,7 +73,7 @@
         let line = LogLine::new(LogLevel::Info, "entry-set-changed")
             .with("members", count)
             .with("daemons", daemons)
-            .with("member", self.is_member())
+            .with("member", self.is_entry_member())
             .with("was_member", was_member)
             .with("descriptors", self.peak.load().descriptors)
             .with("processor_millis", self.peak.load().processor_millis)
@@ -87,8 +87,8 @@
     /// Daemons that see few others each take themselves for the only holder of every lease, so
     /// those that do not see most daemons hold none.
     fn refresh_leases(&mut self, now: MonotonicTime, own_members: &[u64]) {
-        let is_member = own_members.contains(&name_digest(self.options.host.as_str()));
-        if !is_member || self.age(now) < LEASE_PAUSE || !self.peers.sees_most(now) {
+        let is_entry_member = own_members.contains(&name_digest(self.options.host.as_str()));
+        if !is_entry_member || self.age(now) < LEASE_PAUSE || !self.peers.sees_majority(now) {
             return self.leases.release();
         }
         let is_needed = self.fleet.has_warmups()
@@ -108,7 +108,7 @@
             let numbers = self.member_numbers(now, zone, &selected);
             members.insert(ZoneLabel::from(zone), numbers);
         }
-        for digest in self.peers.zones(now) {
+        for digest in self.peers.zone_digests(now) {
             let entry = digest.members.iter().filter(|member| {
                 member.phase == PeerPhase::Ready && member.role == DaemonRole::Entry
             });
@@ -125,7 +125,7 @@
         if members.contains(&name_digest(self.options.host.as_str())) {
             numbers.push(address_hash(self.options.peer_address));
         }
-        let peers = self.peers.candidates(now, zone, false);
+        let peers = self.peers.member_candidates(now, zone, false);
         let named = peers.filter(|peer| members.contains(&peer.digest));
         numbers.extend(named.map(|peer| address_hash(peer.summary.peer_address)));
         numbers
@@ -133,20 +133,20 @@
 
     /// This daemon is a member of the entry set of its zone.
     #[must_use]
-    pub fn is_member(&self) -> bool {
+    pub fn is_entry_member(&self) -> bool {
         self.entry.contains(name_digest(self.options.host.as_str()))
     }
 
     /// Daemons of the own zone that the directory names.
     #[must_use]
-    pub fn member_count(&self) -> usize {
+    pub fn entry_member_count(&self) -> usize {
         self.entry.count()
     }
 
     /// Part of this daemon in placing requests.
     #[must_use]
     pub fn role(&self) -> DaemonRole {
-        if self.is_member() {
+        if self.is_entry_member() {
             DaemonRole::Entry
         } else if self.requests.is_empty() {
             DaemonRole::Standby
@@ -158,12 +158,12 @@
     /// Members of a zone whose daemons send summaries here.
     fn select_members(&self, now: MonotonicTime, zone: &str) -> Vec<u64> {
         let is_own = zone == self.options.zone.as_str();
-        let heartbeats = is_own && self.contacts.is_zoned();
+        let heartbeats = is_own && self.contacts.uses_zone_digests();
         // A host that just lost power must not be called in for one that was lost with it.
         let overdue = self.contacts.pause().mul_f64(OVERDUE_FACTOR);
         let mut candidates = Vec::new();
         let mut load = HostResources::default();
-        for peer in self.peers.candidates(now, zone, heartbeats) {
+        for peer in self.peers.member_candidates(now, zone, heartbeats) {
             load = load.max(&peer.summary.peak);
             let is_overdue = heartbeats && now.since(peer.received_at) > overdue;
             candidates.push(EntryCandidate {
@@ -172,7 +172,7 @@
                 stable_for: if is_overdue {
                     Duration::ZERO
                 } else {
-                    peer.steady(now, self.resumed_at)
+                    peer.stable_for(now, self.resumed_at)
                 },
             });
         }
@@ -202,7 +202,10 @@
         let direct: usize = direct
             .map(|zone| self.select_members(now, zone).len())
             .sum();
-        let far = self.peers.zones(now).flat_map(|digest| &digest.members);
+        let far = self
+            .peers
+            .zone_digests(now)
+            .flat_map(|digest| &digest.members);
         let far = far
             .filter(|member| member.role == DaemonRole::Entry)
             .count();
@@ -216,7 +219,7 @@
 
     /// This daemon has seen most of its zone, or should have by now.
     pub(super) fn knows_own_zone(&self, now: MonotonicTime) -> bool {
-        if self.age(now) >= DISCOVERY_TIME || !self.contacts.is_zoned() {
+        if self.age(now) >= DISCOVERY_TIME || !self.contacts.uses_zone_digests() {
             return true;
         }
         let received = self.peers.neighbours(now).count();
@@ -232,7 +235,7 @@
     /// A caller whose zone has no members gets those of its region, then those of the home regions
     /// of the host that it calls: its requests must not pass through any other.
     #[must_use]
-    pub fn addresses(
+    pub fn caller_addresses(
         &self,
         now: MonotonicTime,
         caller: CallerLocation<'_>,
@@ -250,7 +253,7 @@
             let addresses = by_zone.entry(direct);
             addresses.or_insert_with(|| self.member_addresses(now, direct));
         }
-        for digest in self.peers.zones(now) {
+        for digest in self.peers.zone_digests(now) {
             let members = digest.members.iter().filter(|member| {
                 member.phase == PeerPhase::Ready && member.role == DaemonRole::Entry
             });
@@ -302,7 +305,7 @@
         if members.contains(&name_digest(self.options.host.as_str())) {
             addresses.push(self.options.caller_address);
         }
-        let peers = self.peers.candidates(now, zone, false);
+        let peers = self.peers.member_candidates(now, zone, false);
         let named = peers.filter(|peer| members.contains(&peer.digest));
         addresses.extend(named.map(|peer| peer.summary.caller_address));
         addresses
--- a/crates/savorywood-gateway/src/gateway/learning.rs
+++ b/crates/savorywood-gateway/src/gateway/learning.rs
@@ -7,7 +7,7 @@
 use crate::{
     arrival::LocalRequest,
     effect::GatewayEffect,
-    event::{AnswerMarks, AttemptOutcome},
+    event::{AttemptOutcome, ResponseMetadata},
     label::{ServiceLabel, UpstreamLabel},
     latency::LatencyModel,
 };
@@ -62,7 +62,7 @@
         &mut self,
         now: MonotonicTime,
         request: LocalRequest,
-        marks: AnswerMarks,
+        marks: ResponseMetadata,
         effects: &mut GatewayEffects,
     ) {
         let Some(record) = self.requests.get_mut(&request) else {
@@ -80,10 +80,12 @@
         self.fleet.record_received(now, &upstream);
         let sent_at = attempt.sent_at;
         if is_first && let Some(state) = self.fleet.get_mut(&upstream) {
-            state.unread_tokens = state.unread_tokens.saturating_sub(record.size.prompt);
+            state.unread_tokens = state
+                .unread_tokens
+                .saturating_sub(record.size.prompt_tokens);
         }
         if record.route.retry_safety.is_stream() {
-            let prompt = record.size.prompt;
+            let prompt = record.size.prompt_tokens;
             self.fleet
                 .service_latency_mut(&record.service)
                 .record_first_event(prompt, elapsed);
@@ -92,7 +94,7 @@
             }
         }
         self.note_alive(now, &upstream, sent_at);
-        self.note_limit(now, &upstream, sent_at, marks.limit, effects);
+        self.note_limit(now, &upstream, sent_at, marks.rate_limit, effects);
         self.mark(now, &upstream, marks);
     }
 
@@ -107,11 +109,11 @@
         }
     }
 
-    fn mark(&mut self, now: MonotonicTime, upstream: &UpstreamLabel, marks: AnswerMarks) {
+    fn mark(&mut self, now: MonotonicTime, upstream: &UpstreamLabel, marks: ResponseMetadata) {
         let Some(state) = self.fleet.get_mut(upstream) else {
             return;
         };
-        if let Some(cold) = marks.cold {
+        if let Some(cold) = marks.cold_for {
             state.extend_cold(now + cold);
         }
     }
@@ -133,7 +135,9 @@
         if attempt.began_at.is_none()
             && let Some(state) = self.fleet.get_mut(&attempt.upstream)
         {
-            state.unread_tokens = state.unread_tokens.saturating_sub(record.size.prompt);
+            state.unread_tokens = state
+                .unread_tokens
+                .saturating_sub(record.size.prompt_tokens);
         }
         let output = record.output;
         if outcome.was_received() {
@@ -155,14 +159,20 @@
         // The head of a stream was read at its beginning, and says nothing newer at its end.
         let is_read = attempt.began_at.is_some();
         match outcome {
-            AttemptOutcome::NotRun { marks, .. }
-            | AttemptOutcome::Failed { marks }
-            | AttemptOutcome::Delivered { marks, .. }
+            AttemptOutcome::NotRun { metadata, .. }
+            | AttemptOutcome::Failed { metadata }
+            | AttemptOutcome::Delivered { metadata, .. }
                 if !is_read =>
             {
                 let sent_at = attempt.sent_at;
-                self.note_limit(now, &attempt.upstream, sent_at, marks.limit, effects);
-                self.mark(now, &attempt.upstream, *marks);
+                self.note_limit(
+                    now,
+                    &attempt.upstream,
+                    sent_at,
+                    metadata.rate_limit,
+                    effects,
+                );
+                self.mark(now, &attempt.upstream, *metadata);
             }
             _ => {}
         }
@@ -199,11 +209,11 @@
         let taken_out = match outcome {
             AttemptOutcome::NotSent => outlier.record_connection_failure(now, false),
             AttemptOutcome::Failed { .. } => outlier.record_failure(now, usual.unwrap_or_default()),
-            AttemptOutcome::Broken { silent } => {
-                outlier.record_connection_failure(now, *silent && dark)
+            AttemptOutcome::Broken { stalled } => {
+                outlier.record_connection_failure(now, *stalled && dark)
             }
             AttemptOutcome::StreamBroken(end) => {
-                outlier.record_connection_failure(now, end.silent && dark)
+                outlier.record_connection_failure(now, end.stalled && dark)
             }
             AttemptOutcome::Expired if overdue => outlier.record_connection_failure(now, false),
             AttemptOutcome::Delivered { .. } => {
@@ -212,7 +222,7 @@
             }
             AttemptOutcome::NotRun { .. }
             | AttemptOutcome::Expired
-            | AttemptOutcome::CallerLeft => {
+            | AttemptOutcome::CallerDisconnected => {
                 outlier.cancel_probe();
                 false
             }
@@ -225,8 +235,8 @@
         }
         let loses = match outcome {
             AttemptOutcome::NotSent => true,
-            AttemptOutcome::Broken { silent } => *silent && dark,
-            AttemptOutcome::StreamBroken(end) => end.silent && dark,
+            AttemptOutcome::Broken { stalled } => *stalled && dark,
+            AttemptOutcome::StreamBroken(end) => end.stalled && dark,
             _ => false,
         };
         state.unreachable |= taken_out && loses;
@@ -269,7 +279,7 @@
             AttemptOutcome::NotSent
             | AttemptOutcome::NotRun { .. }
             | AttemptOutcome::Expired
-            | AttemptOutcome::CallerLeft => return,
+            | AttemptOutcome::CallerDisconnected => return,
         };
         if let Some(state) = self.fleet.get(&attempt.upstream) {
             self.rollouts
--- a/crates/savorywood-gateway/src/gateway/quarantine.rs
+++ b/crates/savorywood-gateway/src/gateway/quarantine.rs
@@ -4,7 +4,7 @@
 use crate::{
     arrival::LocalRequest,
     effect::GatewayEffect,
-    event::{AttemptOutcome, StreamEnd},
+    event::{AttemptOutcome, StreamInterruption},
     label::{TeamLabel, UpstreamLabel},
     peer::name_digest,
     quarantine::{
@@ -81,8 +81,8 @@
         };
         let fingerprint = record.fingerprint;
         let change = match outcome {
-            AttemptOutcome::Broken { silent: false }
-            | AttemptOutcome::StreamBroken(StreamEnd { silent: false, .. }) => {
+            AttemptOutcome::Broken { stalled: false }
+            | AttemptOutcome::StreamBroken(StreamInterruption { stalled: false, .. }) => {
                 let broken = FailedAttempt {
                     fingerprint,
                     upstream: name_digest(attempt.upstream.as_str()),
--- a/crates/savorywood-gateway/src/gateway/updates.rs
+++ b/crates/savorywood-gateway/src/gateway/updates.rs
@@ -8,8 +8,8 @@
     label::{UpstreamLabel, ZoneLabel},
     message::{PeerPhase, PeerSummary, TeamUse},
     peer::name_digest,
-    reading::SharedTable,
     rollout::RolloutOrder,
+    store_reads::SharedTable,
     team_limit::{PeerUsage, TeamLimiter},
     upstream::{FleetChange, UpstreamEntry},
     zone::{DigestOutcome, ZoneDigest},
@@ -73,7 +73,7 @@
                 Some(_) => {}
                 None => {
                     let fresh = !first || self.options.first_start;
-                    let tolerance = self.options.bounds.tolerance;
+                    let tolerance = self.options.bounds.limit_tolerance;
                     let mut meter = TeamLimiter::new(now, limit, tolerance, fresh);
                     meter.set_expected_daemons(now, self.contacts.daemons(), self.contacts.pause());
                     meter.set_members(members);
@@ -97,14 +97,14 @@
         let line = LogLine::new(LogLevel::Info, "bounds-in-force")
             .with(
                 "revocation_ms",
-                bounds.revocation.unwrap_or_default().as_millis(),
+                bounds.revocation_delay.unwrap_or_default().as_millis(),
             )
-            .with("retry_ratio", bounds.budget.ratio)
-            .with("limit_slack", bounds.tolerance.slack);
+            .with("retry_ratio", bounds.retry_budget.ratio)
+            .with("limit_slack", bounds.limit_tolerance.slack);
         effects.push(GatewayEffect::Log(line));
-        if self.options.bounds.tolerance != bounds.tolerance {
+        if self.options.bounds.limit_tolerance != bounds.limit_tolerance {
             for meter in self.meters.values_mut() {
-                *meter = TeamLimiter::new(now, meter.limit(), bounds.tolerance, false);
+                *meter = TeamLimiter::new(now, meter.limit(), bounds.limit_tolerance, false);
             }
         }
         self.options.bounds = bounds;
@@ -176,7 +176,7 @@
         if peer == name_digest(self.options.host.as_str()) {
             return;
         }
-        let was_alive = self.peers.is_alive(now, &summary.host);
+        let was_alive = self.peers.is_live(now, &summary.host);
         if !self.peers.receive(now, summary.clone()) {
             return;
         }
@@ -197,11 +197,11 @@
             self.neighbour_received(now, &summary, effects);
         }
         // Of a zone that another daemon reports, its message alone counts, or all would count twice.
-        if self.peers.counts(now, &summary.zone) {
+        if self.peers.uses_direct_summary(now, &summary.zone) {
             let account = PeerAccount {
                 peer,
                 incarnation: summary.incarnation,
-                age: Duration::from_millis(summary.age_ms),
+                age: Duration::from_millis(summary.uptime_ms),
                 daemons: 1,
                 near: summary.zone == self.options.zone.as_str(),
             };
@@ -223,20 +223,20 @@
         summary: &PeerSummary,
         effects: &mut GatewayEffects,
     ) {
-        self.reads.received(now, summary);
+        self.reads.record_summary(now, summary);
         if let Some(attestation) = summary.attestation {
-            let era = attestation.declared.changed.era;
+            let era = attestation.declared.last_change.era;
             self.store_era_seen(now, era, effects);
         }
         let own = name_digest(self.options.host.as_str());
-        let proof = self.reads.proof(own, summary, SharedTable::Declared);
+        let proof = self.reads.confirmed_at(own, summary, SharedTable::Declared);
         if let Some(at) = proof {
             self.proof_at = Some(self.proof_at.map_or(at, |known| known.max(at)));
             self.note_readiness(now, effects);
         }
         let failed = summary
             .attestation
-            .and_then(|attestation| attestation.failed_ms);
+            .and_then(|attestation| attestation.store_failure_age_ms);
         if let Some(age) = failed {
             let age = Duration::from_millis(u64::from(age));
             self.fleet.record_store_failure(now - age);
@@ -272,7 +272,7 @@
         let account = PeerAccount {
             peer: digest.sender.rotate_left(1),
             incarnation: digest.incarnation,
-            age: Duration::from_millis(digest.age_ms),
+            age: Duration::from_millis(digest.uptime_ms),
             daemons: digest.daemons,
             near: false,
         };
@@ -313,13 +313,13 @@
     /// Daemons among which teams' limits are shared, if this one is among them.
     fn limit_members(&self) -> Option<u32> {
         let members = u32::try_from(self.entry_daemons).unwrap_or(u32::MAX);
-        self.is_member().then_some(members)
+        self.is_entry_member().then_some(members)
     }
 
     /// Another daemon reports a zone now: what it says includes what was received before of that
     /// zone's daemons, from themselves or from the one that reported.
     fn drop_accounts(&mut self, now: MonotonicTime, zone: &ZoneLabel, before: Option<u64>) {
-        let alive = self.peers.alive(now);
+        let alive = self.peers.live_peers(now);
         let members = alive.filter(|peer| peer.summary.zone == zone.as_str());
         let mut ended: Vec<u64> = members
             .map(|peer| name_digest(&peer.summary.host))
--- a/crates/savorywood-gateway/src/gateway/watching.rs
+++ b/crates/savorywood-gateway/src/gateway/watching.rs
@@ -116,7 +116,11 @@
     /// Time for which an upstream may be silent because it reads the prompts that are still to be
     /// read there.
     fn reading_time(&self, record: &RequestRecord, state: &UpstreamState) -> Duration {
-        let unread = state.unread_tokens + self.peers.slots_of(state.digest).unread;
+        let unread = state.unread_tokens
+            + self
+                .peers
+                .slots_by_digest(state.digest)
+                .unread_prompt_tokens;
         if unread == 0 {
             return Duration::ZERO;
         }
@@ -173,6 +177,6 @@
             .with("events", attempt.events)
             .with("expected_ms", format_args!("{:.0}", attempt.expected_ms));
         effects.push(GatewayEffect::Log(line));
-        effects.push(GatewayEffect::Abandon { request });
+        effects.push(GatewayEffect::AbandonAttempt { request });
     }
 }
--- a/crates/savorywood-gateway/src/gossip.rs
+++ b/crates/savorywood-gateway/src/gossip.rs
@@ -3,7 +3,7 @@
 use crate::{
     label::ZoneLabel,
     message::{DaemonRole, PeerHeartbeat, PeerSummary, SlotUpdate},
-    peer::{KnownPeer, PeerTable},
+    peer::{PeerState, PeerTable},
     quarantine::CrashGossip,
     rendezvous::{address_hash, rendezvous_weight},
     upstream_limit::LimitGossip,
@@ -14,7 +14,7 @@
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
 /// Up to so many daemons all send each other summaries; with more, zones exchange digests.
-pub const MOST_DIRECT: u32 = 13;
+pub const MAX_DIRECT_DAEMONS: u32 = 13;
 /// A contact that was neither seen nor read for this long is forgotten. The list of daemons is
 /// read more often.
 const FORGET_TIME: Duration = Duration::from_secs(75);
@@ -64,20 +64,20 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct GossipPlan {
     /// Who gets a summary of this daemon.
-    pub summary_to: Vec<SocketAddr>,
+    pub summary_targets: Vec<SocketAddr>,
     /// Who gets a digest of this daemon's zone with its slots: daemons that place requests.
-    pub digest_to: Vec<SocketAddr>,
+    pub digest_targets: Vec<SocketAddr>,
     /// Who gets a digest without slots.
-    pub brief_to: Vec<SocketAddr>,
+    pub slotless_digest_targets: Vec<SocketAddr>,
 }
 
 /// Who gets newer slots now.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SlotPlan {
     /// Who gets those of this daemon.
-    pub own_to: Vec<SocketAddr>,
+    pub daemon_slot_targets: Vec<SocketAddr>,
     /// Who gets those of this daemon's zone.
-    pub zone_to: Vec<SocketAddr>,
+    pub zone_slot_targets: Vec<SocketAddr>,
 }
 
 /// Usual messages that so many slots are worth.
@@ -112,18 +112,18 @@
 
 /// Addresses of other daemons.
 #[derive(Debug, Clone)]
-pub struct ContactBook {
+pub struct ContactTable {
     own_address: SocketAddr,
     own_number: u64,
     own_zone: ZoneLabel,
     contacts: BTreeMap<SocketAddr, KnownContact>,
 }
 
-fn peer_number(peer: &KnownPeer) -> u64 {
+fn peer_number(peer: &PeerState) -> u64 {
     address_hash(peer.summary.peer_address)
 }
 
-impl ContactBook {
+impl ContactTable {
     /// A book without contacts.
     #[must_use]
     pub fn new(own_address: SocketAddr, own_zone: ZoneLabel) -> Self {
@@ -160,8 +160,8 @@
 
     /// There are so many daemons that zones exchange digests.
     #[must_use]
-    pub fn is_zoned(&self) -> bool {
-        self.daemons() > MOST_DIRECT
+    pub fn uses_zone_digests(&self) -> bool {
+        self.daemons() > MAX_DIRECT_DAEMONS
     }
 
     /// Time until the next messages.
@@ -172,13 +172,13 @@
 
     /// Time until the next message on slots alone, while these are scarce.
     #[must_use]
-    pub fn slot_pause(&self) -> Duration {
+    pub fn slot_update_interval(&self) -> Duration {
         SLOT_UPDATE_INTERVAL
     }
 
     /// Time until a member of the entry set sends its next heartbeat.
     #[must_use]
-    pub fn heartbeat_pause(&self) -> Duration {
+    pub fn heartbeat_interval(&self) -> Duration {
         HEARTBEAT_TIME
     }
 
@@ -208,20 +208,20 @@
         self.contacts
             .retain(|_, known| now.since(known.seen_at) < FORGET_TIME);
         let mut plan = GossipPlan::default();
-        if !self.is_zoned() {
-            plan.summary_to = self.contacts.keys().copied().collect();
+        if !self.uses_zone_digests() {
+            plan.summary_targets = self.contacts.keys().copied().collect();
             return plan;
         }
         let senders: Vec<u64> = peers.neighbours(now).map(peer_number).collect();
-        let placing = peers.placing_far(now);
+        let placing = peers.remote_serving_addresses(now);
         for (address, contact) in &self.contacts {
             if self.is_near(contact) {
-                plan.summary_to.push(*address);
+                plan.summary_targets.push(*address);
             } else if self.sends_to(contact.number, &senders) {
                 if placing.contains(address) {
-                    plan.digest_to.push(*address);
+                    plan.digest_targets.push(*address);
                 } else {
-                    plan.brief_to.push(*address);
+                    plan.slotless_digest_targets.push(*address);
                 }
             }
         }
@@ -238,8 +238,8 @@
         sent: Option<SentSlots>,
     ) -> SlotPlan {
         let mut plan = SlotPlan::default();
-        if !self.is_zoned() {
-            plan.own_to = self.contacts.keys().copied().collect();
+        if !self.uses_zone_digests() {
+            plan.daemon_slot_targets = self.contacts.keys().copied().collect();
             return plan;
         }
         let mut senders = Vec::new();
@@ -247,15 +247,15 @@
             match peer.summary.role {
                 DaemonRole::Entry => {
                     senders.push(peer_number(peer));
-                    plan.own_to.push(peer.summary.peer_address);
+                    plan.daemon_slot_targets.push(peer.summary.peer_address);
                 }
-                DaemonRole::Draining => plan.own_to.push(peer.summary.peer_address),
+                DaemonRole::Draining => plan.daemon_slot_targets.push(peer.summary.peer_address),
                 DaemonRole::Standby => {}
             }
         }
         if sent.is_some_and(|sent| sent.is_next_due(now)) {
-            let far = peers.placing_far(now).into_iter();
-            plan.zone_to = far
+            let far = peers.remote_serving_addresses(now).into_iter();
+            plan.zone_slot_targets = far
                 .filter(|address| self.sends_to(address_hash(*address), &senders))
                 .collect();
         }
--- a/crates/savorywood-gateway/src/lib.rs
+++ b/crates/savorywood-gateway/src/lib.rs
@@ -24,13 +24,13 @@
 mod position;
 mod quarantine;
 mod queue;
-mod reading;
 mod refusal;
 mod region;
 mod rendezvous;
 mod retry_budget;
 mod rollout;
 mod selection;
+mod store_reads;
 mod team_limit;
 mod upstream;
 mod upstream_limit;
@@ -45,9 +45,9 @@
 pub use effect::{DispatchOrder, GatewayEffect};
 pub use entry_set::{EntryCandidate, EntrySet, HostResources, PeakLoad, select_members};
 pub use evacuation::{EvacuationOrder, EvacuationTable};
-pub use event::{AnswerMarks, AttemptOutcome, GatewayEvent, LoadFigures, StreamEnd};
+pub use event::{AttemptOutcome, GatewayEvent, ReportedLoad, ResponseMetadata, StreamInterruption};
 pub use freshness::{FreshnessClock, StoreExchange};
-pub use gateway::{Gateway, GatewayBounds, GatewayOptions, GatewayView};
+pub use gateway::{Gateway, GatewayBounds, GatewayOptions, GatewayStatus};
 pub use gossip::{GossipPlan, PeerContact, PeerMessage, SlotPlan};
 pub use label::{
     HostLabel, RegionLabel, ServiceLabel, TeamLabel, UpstreamLabel, VersionLabel, ZoneLabel,
@@ -58,7 +58,7 @@
     VersionTally,
 };
 pub use outlier::OutlierState;
-pub use peer::{PeerTable, SlotSum, name_digest};
+pub use peer::{PeerTable, SlotTotal, name_digest};
 pub use position::StorePosition;
 pub use quarantine::{
     CrashGossip, CrashRecord, CrashReport, FailedAttempt, QUARANTINE_CRASHES, QuarantineChange,
@@ -66,14 +66,14 @@
     RequestFingerprint, StoredCrash,
 };
 pub use queue::RequestRank;
-pub use reading::{
-    PeerEcho, ReadPlan, SharedTable, StoreAttestation, TableAttestation, TableKnowledge,
-};
 pub use refusal::RefusalReason;
 pub use region::{CallerLocation, RegionMap};
 pub use retry_budget::{RetryBudget, RetryBudgetOptions};
 pub use rollout::{RolloutOrder, RolloutPhase, RolloutStatus, RolloutWrite};
 pub use selection::RoutingPolicy;
+pub use store_reads::{
+    PeerEcho, ReadPlan, SharedTable, StoreAttestation, TableAttestation, TablePosition,
+};
 pub use team_limit::{
     BucketLevels, LimitQuery, LimitTolerance, LimitVerdict, PeerUsage, TeamLimiter,
 };
--- a/crates/savorywood-gateway/src/rollout.rs
+++ b/crates/savorywood-gateway/src/rollout.rs
@@ -107,13 +107,13 @@
         let mut total = self.own;
         let peers = self.peers.iter().filter(|(peer, _)| includes(**peer));
         for (_, tally) in peers {
-            total.new_answers += tally.new_answers;
+            total.new_responses += tally.new_responses;
             total.new_bad += tally.new_bad;
-            total.old_answers += tally.old_answers;
+            total.old_responses += tally.old_responses;
             total.old_bad += tally.old_bad;
-            total.sent += tally.sent;
-            total.sent_new += tally.sent_new;
-            total.condemned |= tally.condemned;
+            total.dispatched += tally.dispatched;
+            total.dispatched_new += tally.dispatched_new;
+            total.rejected |= tally.rejected;
         }
         total
     }
@@ -136,12 +136,12 @@
 /// Returns true if the ratio of bad responses is significantly higher at the new version: above
 /// that of the old versions by three standard deviations and 0.02.
 fn is_significantly_worse(total: &VersionTally) -> bool {
-    if total.new_bad < MIN_BAD_RESPONSES || total.new_answers == 0 {
+    if total.new_bad < MIN_BAD_RESPONSES || total.new_responses == 0 {
         return false;
     }
-    let new = f64::from(total.new_bad) / f64::from(total.new_answers);
-    let old = f64::from(total.old_bad) / f64::from(total.old_answers.max(1));
-    let spread = (old.max(0.02) * (1.0 - old.min(0.98)) / f64::from(total.new_answers)).sqrt();
+    let new = f64::from(total.new_bad) / f64::from(total.new_responses);
+    let old = f64::from(total.old_bad) / f64::from(total.old_responses.max(1));
+    let spread = (old.max(0.02) * (1.0 - old.min(0.98)) / f64::from(total.new_responses)).sqrt();
     new > old + 3.0 * spread + 0.02
 }
 
@@ -170,13 +170,13 @@
         let known = self.states.get(&order.service);
         let own = VersionTally {
             rollout: digest(&order),
-            new_answers: 0,
+            new_responses: 0,
             new_bad: 0,
-            old_answers: 0,
+            old_responses: 0,
             old_bad: 0,
-            sent: 0,
-            sent_new: 0,
-            condemned: false,
+            dispatched: 0,
+            dispatched_new: 0,
+            rejected: false,
         };
         let position = known.map_or(StorePosition::default(), |state| state.position);
         let state = RolloutState {
@@ -255,19 +255,19 @@
             RolloutPhase::Running => {}
         }
         let total = state.total();
-        if total.condemned || is_significantly_worse(&total) {
+        if total.rejected || is_significantly_worse(&total) {
             return VersionFilter::Except(to);
         }
         let progress = state.progress(now);
         if progress >= SWITCH_FRACTION {
             return VersionFilter::Only(to);
         }
-        let is_verified = total.new_answers >= MIN_RESPONSES;
+        let is_verified = total.new_responses >= MIN_RESPONSES;
         if progress >= CANARY_END_FRACTION && is_verified {
             return VersionFilter::Any;
         }
-        let allowed = f64::from(total.sent) * options.share * CANARY_SHARE_FRACTION + 2.0;
-        if f64::from(total.sent_new) < allowed {
+        let allowed = f64::from(total.dispatched) * options.share * CANARY_SHARE_FRACTION + 2.0;
+        if f64::from(total.dispatched_new) < allowed {
             VersionFilter::Only(to)
         } else {
             VersionFilter::Except(to)
@@ -277,8 +277,8 @@
     /// Records that a request is sent to an upstream of the given version.
     pub fn record_dispatch(&mut self, service: &ServiceLabel, version: &VersionLabel) {
         if let Some(state) = self.states.get_mut(service) {
-            state.own.sent += 1;
-            state.own.sent_new += u32::from(state.order.target_version == *version);
+            state.own.dispatched += 1;
+            state.own.dispatched_new += u32::from(state.order.target_version == *version);
         }
     }
 
@@ -286,10 +286,10 @@
     pub fn record_response(&mut self, service: &ServiceLabel, version: &VersionLabel, bad: bool) {
         if let Some(state) = self.states.get_mut(service) {
             if state.order.target_version == *version {
-                state.own.new_answers += 1;
+                state.own.new_responses += 1;
                 state.own.new_bad += u32::from(bad);
             } else {
-                state.own.old_answers += 1;
+                state.own.old_responses += 1;
                 state.own.old_bad += u32::from(bad);
             }
         }
@@ -337,8 +337,8 @@
         for state in self.states.values_mut() {
             let total = state.total();
             if state.phase == RolloutPhase::Running {
-                if total.condemned || is_significantly_worse(&total) {
-                    state.own.condemned = true;
+                if total.rejected || is_significantly_worse(&total) {
+                    state.own.rejected = true;
                     state.phase = RolloutPhase::RolledBack;
                     state.written = false;
                 } else if state.progress(now) >= COMPLETION_FRACTION {
--- a/crates/savorywood-gateway/src/selection.rs
+++ b/crates/savorywood-gateway/src/selection.rs
@@ -232,12 +232,12 @@
         let usable = members.filter(|state| self.is_eligible(state, query, all_ejected));
         usable
             .map(|state| {
-                let others = self.peers.slots_of(state.digest);
+                let others = self.peers.slots_by_digest(state.digest);
                 Candidate {
                     state,
                     slots_in_use: state.running + others.running,
                     throughput: state.latency.throughput(&service_latency),
-                    estimate: self.estimate(state, query, &service_latency, others.unread),
+                    estimate: self.estimate(state, query, &service_latency, others.unread_prompt_tokens),
                 }
             })
             .collect()
@@ -357,7 +357,7 @@
         }
         // Failures that peers have detected need not be detected again, at the cost of one request
         // for each daemon.
-        if self.peers.suspect(&entry.name)
+        if self.peers.is_ejected_by_peers(&entry.name)
             && !state.outlier.succeeded_within(self.now, OWN_SUCCESS_WINDOW)
         {
             score += PEER_EJECTION_PENALTY_MS;
--- a/crates/savorywood-gateway/src/team_limit.rs
+++ b/crates/savorywood-gateway/src/team_limit.rs
@@ -6,7 +6,7 @@
 
 pub use bucket::LimitTolerance;
 
-use crate::{config::TeamLimit, gossip::MOST_DIRECT};
+use crate::{config::TeamLimit, gossip::MAX_DIRECT_DAEMONS};
 use bucket::{
     TOLERANCE_FRACTION, TokenBucket, ZONED_TOLERANCE_FRACTION, strict_bucket, tolerated_bucket,
 };
@@ -364,7 +364,7 @@
     }
 
     fn tolerance_fraction(&self) -> f64 {
-        if self.expected_daemons > MOST_DIRECT {
+        if self.expected_daemons > MAX_DIRECT_DAEMONS {
             ZONED_TOLERANCE_FRACTION
         } else {
             TOLERANCE_FRACTION
--- a/crates/savorywood-gateway/src/zone.rs
+++ b/crates/savorywood-gateway/src/zone.rs
@@ -44,7 +44,7 @@
     /// Its life; a later one is larger.
     pub incarnation: u64,
     /// Age of that life in milliseconds.
-    pub age_ms: u64,
+    pub uptime_ms: u64,
     /// Grows with each message of a life.
     pub sequence: u64,
     /// Daemons of the zone that place requests.
@@ -61,7 +61,7 @@
 
 /// A zone and when it was reported.
 #[derive(Debug, Clone)]
-pub struct KnownZone {
+pub struct ZoneState {
     /// The newest message.
     pub digest: ZoneDigest,
     /// When that came.
@@ -90,7 +90,7 @@
     },
 }
 
-impl KnownZone {
+impl ZoneState {
     /// A zone's first digest.
     #[must_use]
     pub fn new(now: MonotonicTime, digest: ZoneDigest) -> Self {
@@ -111,7 +111,7 @@
     }
 
     /// Takes slots of the zone, unless newer ones are known or another member sends them.
-    pub fn take_slots(&mut self, now: MonotonicTime, update: SlotUpdate) -> bool {
+    pub fn apply_slot_update(&mut self, now: MonotonicTime, update: SlotUpdate) -> bool {
         let fresh = self.has_fresh_slots(now);
         let known = self.slots.as_ref().map(|slots| &slots.update);
         let is_newer = known.is_none_or(|known| {
--- a/crates/savorywood-gateway/tests/common/field.rs
+++ b/crates/savorywood-gateway/tests/common/field.rs
@@ -67,7 +67,7 @@
     options.caller_address = caller_address(number);
     options.incarnation = incarnation;
     options.first_start = incarnation == 1;
-    options.bounds.tolerance = LimitTolerance {
+    options.bounds.limit_tolerance = LimitTolerance {
         window: WINDOW,
         overage: 0.1,
         slack: 190_000.0,
@@ -241,18 +241,21 @@
                 continue;
             }
             let plan = daemon.gateway.plan_gossip(self.now);
-            count
-                .sent
-                .push(plan.summary_to.len() + plan.digest_to.len() + plan.brief_to.len());
+            count.sent.push(
+                plan.summary_targets.len()
+                    + plan.digest_targets.len()
+                    + plan.slotless_digest_targets.len(),
+            );
             let summary = daemon.gateway.summary(self.now);
             let received = |address| self.addresses.get(address).copied();
-            for receiver in plan.summary_to.iter().filter_map(received) {
+            for receiver in plan.summary_targets.iter().filter_map(received) {
                 let event = GatewayEvent::SummaryReceived(Box::new(summary.clone()));
                 messages.push((number, receiver, event));
             }
-            let far: Vec<SocketAddr> = [&plan.digest_to[..], &plan.brief_to[..]].concat();
+            let far: Vec<SocketAddr> =
+                [&plan.digest_targets[..], &plan.slotless_digest_targets[..]].concat();
             for (scope, receivers) in [
-                (ReportScope::Daemon, &plan.summary_to),
+                (ReportScope::Daemon, &plan.summary_targets),
                 (ReportScope::Zone, &far),
             ] {
                 let gossip = daemon.gateway.crash_gossip(self.now, scope);
@@ -266,11 +269,14 @@
                     messages.extend(event.map(|event| (number, receiver, event)));
                 }
             }
-            for (slots, receivers) in [(true, &plan.digest_to), (false, &plan.brief_to)] {
+            for (slots, receivers) in [
+                (true, &plan.digest_targets),
+                (false, &plan.slotless_digest_targets),
+            ] {
                 if receivers.is_empty() {
                     continue;
                 }
-                let digest = daemon.gateway.digest(self.now, slots);
+                let digest = daemon.gateway.zone_digest(self.now, slots);
                 for receiver in receivers.iter().filter_map(received) {
                     let event = GatewayEvent::DigestReceived(Box::new(digest.clone()));
                     messages.push((number, receiver, event));
@@ -326,7 +332,10 @@
                 self.daemons[number].step(GatewayEvent::Tick);
                 self.daemons[number].effects.clear();
             }
-            let pause = self.daemons[0].gateway.gossip_pause(self.now).as_millis();
+            let pause = self.daemons[0]
+                .gateway
+                .gossip_interval(self.now)
+                .as_millis();
             let pause = pause / CALLER_STEP.as_millis();
             if u128::from(self.steps).is_multiple_of(pause) {
                 self.talk();
@@ -380,9 +389,13 @@
     /// Callers of each zone use some descriptors, spread over the members.
     pub fn spread_load(&mut self, descriptors: u32) {
         for daemon in &mut self.daemons {
-            let members = u32::try_from(daemon.gateway.member_count()).expect("few members");
+            let members = u32::try_from(daemon.gateway.entry_member_count()).expect("few members");
             let share = descriptors / members.max(1);
-            let descriptors = if daemon.gateway.is_member() { share } else { 0 };
+            let descriptors = if daemon.gateway.is_entry_member() {
+                share
+            } else {
+                0
+            };
             daemon.step(GatewayEvent::LoadMeasured(HostResources {
                 descriptors,
                 ..HostResources::default()
@@ -401,8 +414,11 @@
                     self.ask(number);
                 }
             }
-            let pause =
-                self.daemons[0].gateway.gossip_pause(self.now).as_millis() / STEP.as_millis();
+            let pause = self.daemons[0]
+                .gateway
+                .gossip_interval(self.now)
+                .as_millis()
+                / STEP.as_millis();
             if (u128::from(step) + 1).is_multiple_of(pause) {
                 self.talk();
             }
@@ -420,8 +436,8 @@
         daemon.confirm();
         let mut hot = arrival(path);
         hot.size = Some(RequestSize {
-            prompt: self.units as u32 - OUTPUT,
-            output: OUTPUT,
+            prompt_tokens: self.units as u32 - OUTPUT,
+            max_output_tokens: OUTPUT,
         });
         let request = daemon.arrive(hot);
         let passes = daemon.refusal(request).is_none();
--- a/crates/savorywood-gateway/tests/common/load.rs
+++ b/crates/savorywood-gateway/tests/common/load.rs
@@ -13,8 +13,9 @@
 use calls::{CallKind, CallTally, DrawSource, OpenCall};
 use engine::{EngineModel, EngineOutput, EngineRun};
 use savorywood_gateway::{
-    AnswerMarks, AttemptOutcome, DispatchOrder, GatewayEffect, GatewayEvent, LocalRequest,
-    PeerContact, RequestArrival, RequestSize, RetrySafety, StreamEnd, UpstreamLabel, ZoneLabel,
+    AttemptOutcome, DispatchOrder, GatewayEffect, GatewayEvent, LocalRequest, PeerContact,
+    RequestArrival, RequestSize, ResponseMetadata, RetrySafety, StreamInterruption, UpstreamLabel,
+    ZoneLabel,
 };
 use savorywood_protocol::MonotonicTime;
 use std::{
@@ -189,13 +190,14 @@
                 retry_after,
                 ..
             } => self.refused(number, request, retry_after),
-            GatewayEffect::BreakOff { request } | GatewayEffect::PassFailure { request } => {
+            GatewayEffect::AbortResponse { request }
+            | GatewayEffect::ForwardFailure { request } => {
                 if let Some(call) = self.calls.remove(&(number, request)) {
                     self.tallies[call.kind].unserved(&call);
                     self.tallies[call.kind].cut += 1;
                 }
             }
-            GatewayEffect::Abandon { request } => self.abandon(number, request),
+            GatewayEffect::AbandonAttempt { request } => self.abandon(number, request),
             GatewayEffect::WriteRollout(_)
             | GatewayEffect::WriteQuarantine(_)
             | GatewayEffect::Log(_) => {}
@@ -236,12 +238,12 @@
         call.moves += 1;
         self.taken_away += u32::from(call.events > 0);
         let outcome = if call.events > 0 {
-            AttemptOutcome::StreamBroken(StreamEnd {
+            AttemptOutcome::StreamBroken(StreamInterruption {
                 events: call.events,
-                silent: true,
+                stalled: true,
             })
         } else {
-            AttemptOutcome::Broken { silent: true }
+            AttemptOutcome::Broken { stalled: true }
         };
         if let Some(name) = engine {
             self.engine(&name).drop_run(number, request);
@@ -291,11 +293,11 @@
         let mut arrival: RequestArrival = crate::scene::arrival(&format!("{}1", kind.path));
         arrival.deadline = Some(left);
         arrival.size = Some(RequestSize {
-            prompt: call.prompt,
-            output: call.guess,
+            prompt_tokens: call.prompt,
+            max_output_tokens: call.guess,
         });
-        arrival.output_guess = Some(call.guess);
-        arrival.parts = Vec::new();
+        arrival.expected_output_tokens = Some(call.guess);
+        arrival.prompt_parts = Vec::new();
         call.received_at = self.now;
         call.give_up_at = call.deadline_at;
         let request = self.daemons[number].next_request();
@@ -345,12 +347,12 @@
         call.received_at = self.now;
         call.events += 1;
         call.tokens_left = output.tokens_left;
-        let marks = AnswerMarks::default();
+        let metadata = ResponseMetadata::default();
         let request = output.request;
         let event = if output.is_first {
-            GatewayEvent::AnswerBegan { request, marks }
+            GatewayEvent::ResponseStarted { request, metadata }
         } else {
-            GatewayEvent::AnswerMoved { request, events: 1 }
+            GatewayEvent::ResponseProgressed { request, events: 1 }
         };
         self.step(output.daemon, event);
         if output.tokens_left > 0 {
@@ -359,7 +361,7 @@
         if let Some(call) = self.calls.remove(&key) {
             self.tallies[call.kind].served(&call);
             let events = call.events;
-            let outcome = AttemptOutcome::Delivered { marks, events };
+            let outcome = AttemptOutcome::Delivered { metadata, events };
             self.step(
                 output.daemon,
                 GatewayEvent::AttemptEnded { request, outcome },
@@ -393,13 +395,13 @@
             let event = match (engine, left) {
                 (Some(_), true) => GatewayEvent::AttemptEnded {
                     request,
-                    outcome: AttemptOutcome::CallerLeft,
+                    outcome: AttemptOutcome::CallerDisconnected,
                 },
                 (Some(_), false) => GatewayEvent::AttemptEnded {
                     request,
                     outcome: AttemptOutcome::Expired,
                 },
-                (None, _) => GatewayEvent::CallerLeft(request),
+                (None, _) => GatewayEvent::CallerDisconnected(request),
             };
             self.step(number, event);
         }
--- a/crates/savorywood-gateway/tests/common/scene.rs
+++ b/crates/savorywood-gateway/tests/common/scene.rs
@@ -2,11 +2,11 @@
 #![allow(dead_code, reason = "each test file uses a part of the scene")]
 
 use savorywood_gateway::{
-    AnswerMarks, AttemptOutcome, ContentDigest, DeclaredConfig, DispatchOrder, Gateway,
-    GatewayBounds, GatewayEffect, GatewayEvent, GatewayOptions, HostLabel, HostResources,
-    LocalRequest, PromptPart, RefusalReason, RegionMap, RequestArrival, RequestSize, RetrySafety,
-    RouteSpec, RoutingPolicy, ServiceLabel, ServiceSpec, TeamLabel, TeamLimit, TeamSpec,
-    TrafficShare, UpstreamEntry, UpstreamLabel, VersionLabel, ZoneLabel, name_digest,
+    AttemptOutcome, ContentDigest, DeclaredConfig, DispatchOrder, Gateway, GatewayBounds,
+    GatewayEffect, GatewayEvent, GatewayOptions, HostLabel, HostResources, LocalRequest,
+    PromptPart, RefusalReason, RegionMap, RequestArrival, RequestSize, ResponseMetadata,
+    RetrySafety, RouteSpec, RoutingPolicy, ServiceLabel, ServiceSpec, TeamLabel, TeamLimit,
+    TeamSpec, TrafficShare, UpstreamEntry, UpstreamLabel, VersionLabel, ZoneLabel, name_digest,
 };
 use savorywood_protocol::MonotonicTime;
 use std::{sync::Arc, time::Duration};
@@ -31,8 +31,8 @@
         caller_address: "10.0.0.1:80".parse().expect("an address"),
         first_start: true,
         bounds: GatewayBounds {
-            revocation: Some(REVOCATION),
-            exposure_share: 0.1,
+            revocation_delay: Some(REVOCATION),
+            max_canary_fraction: 0.1,
             ..GatewayBounds::default()
         },
         seed: 7,
@@ -112,18 +112,18 @@
 
 pub fn arrival(path: &str) -> RequestArrival {
     RequestArrival {
-        identity: "request".to_owned(),
+        request_id: "request".to_owned(),
         host: "api.example".to_owned(),
         path: path.to_owned(),
-        content: ContentDigest(name_digest(path)),
-        key: Some("key".to_owned()),
+        content_digest: ContentDigest(name_digest(path)),
+        api_key: Some("key".to_owned()),
         deadline: Some(Duration::from_secs(8)),
         size: Some(RequestSize {
-            prompt: 1_000,
-            output: 100,
+            prompt_tokens: 1_000,
+            max_output_tokens: 100,
         }),
-        output_guess: None,
-        parts: vec![PromptPart { id: 1, tokens: 60 }],
+        expected_output_tokens: None,
+        prompt_parts: vec![PromptPart { id: 1, tokens: 60 }],
     }
 }
 
@@ -150,7 +150,7 @@
 
     pub fn confirm(&mut self) {
         let at = self.now;
-        self.step(GatewayEvent::Confirmed { at });
+        self.step(GatewayEvent::ConfigConfirmed { at });
     }
 
     pub fn step(&mut self, event: GatewayEvent) {
@@ -180,7 +180,7 @@
 
     pub fn deliver(&mut self, request: LocalRequest) {
         let outcome = AttemptOutcome::Delivered {
-            marks: AnswerMarks::default(),
+            metadata: ResponseMetadata::default(),
             events: 1,
         };
         self.end(request, outcome);
--- a/crates/savorywood-gateway/tests/rate_limits.rs
+++ b/crates/savorywood-gateway/tests/rate_limits.rs
@@ -11,15 +11,15 @@
 
 use limits::{LimitField, LimitTally};
 use savorywood_gateway::{
-    AnswerMarks, AttemptOutcome, GatewayEffect, GatewayEvent, RateLimit, UpstreamEntry,
+    AttemptOutcome, GatewayEffect, GatewayEvent, RateLimit, ResponseMetadata, UpstreamEntry,
 };
 use scene::{GatewayScene, arrival, upstream};
 use std::time::Duration;
 
-fn marks(per_second: Option<f64>) -> AnswerMarks {
-    AnswerMarks {
-        limit: per_second.and_then(RateLimit::from_per_second),
-        ..AnswerMarks::default()
+fn marks(per_second: Option<f64>) -> ResponseMetadata {
+    ResponseMetadata {
+        rate_limit: per_second.and_then(RateLimit::from_per_second),
+        ..ResponseMetadata::default()
     }
 }
 
@@ -30,7 +30,7 @@
     for per_second in [None, Some(1.2), Some(1.2), Some(3.0), None] {
         let request = scene.arrive(arrival("/safe/1"));
         let outcome = AttemptOutcome::Delivered {
-            marks: marks(per_second),
+            metadata: marks(per_second),
             events: 0,
         };
         scene.end(request, outcome);
@@ -59,9 +59,9 @@
 fn the_end_of_a_stream_says_nothing_new_of_a_limit() {
     let mut scene = GatewayScene::ready(2);
     let stream = scene.arrive(arrival("/stream/1"));
-    scene.step(GatewayEvent::AnswerBegan {
+    scene.step(GatewayEvent::ResponseStarted {
         request: stream,
-        marks: marks(Some(2.0)),
+        metadata: marks(Some(2.0)),
     });
     let limited = |scene: &GatewayScene| {
         let states = scene.gateway.fleet().iter();
@@ -69,7 +69,7 @@
     };
     assert_eq!(limited(&scene), 1);
     let outcome = AttemptOutcome::Delivered {
-        marks: marks(None),
+        metadata: marks(None),
         events: 3,
     };
     scene.end(stream, outcome);
@@ -242,7 +242,7 @@
     let mut scene = GatewayScene::ready(1);
     let request = scene.arrive(arrival("/safe/1"));
     let outcome = AttemptOutcome::Delivered {
-        marks: marks(Some(0.2)),
+        metadata: marks(Some(0.2)),
         events: 0,
     };
     scene.end(request, outcome);
--- a/crates/savorywood-gateway/tests/regions.rs
+++ b/crates/savorywood-gateway/tests/regions.rs
@@ -68,7 +68,7 @@
 fn zone_of(scene: &mut GatewayScene, region: &str, key: &str) -> Option<String> {
     let mut asked = arrival(&format!("/{region}/1"));
     asked.host = format!("{region}.example");
-    asked.key = Some(key.to_owned());
+    asked.api_key = Some(key.to_owned());
     let request = scene.arrive(asked);
     let sent_to = scene.orders(request).first()?.upstream.clone();
     let state = scene.gateway.fleet().get(&sent_to);
@@ -145,7 +145,7 @@
             region: Some(region),
             host: Some(host),
         };
-        scene.gateway.addresses(scene.now, caller, 64)
+        scene.gateway.caller_addresses(scene.now, caller, 64)
     };
     let north = address("10.0.0.1:80");
     let south = address("10.0.0.3:80");
--- a/crates/savorywood-gateway/tests/warmup.rs
+++ b/crates/savorywood-gateway/tests/warmup.rs
@@ -11,7 +11,7 @@
 use field::{DAEMONS, DaemonField, zone};
 use quickcheck::{TestResult, quickcheck};
 use savorywood_gateway::{
-    AnswerMarks, AttemptOutcome, GatewayEvent, UpstreamEntry, UpstreamLabel, WarmupSpec,
+    AttemptOutcome, GatewayEvent, ResponseMetadata, UpstreamEntry, UpstreamLabel, WarmupSpec,
     WarmupTolerance,
 };
 use savorywood_protocol::MonotonicTime;
@@ -80,7 +80,7 @@
         let daemon = &mut self.field.daemons[number];
         daemon.now = self.field.now;
         let mut bounds = field::daemon_options(number, 1).bounds;
-        bounds.warmup = Some(TOLERANCE);
+        bounds.warmup_tolerance = Some(TOLERANCE);
         daemon.step(GatewayEvent::BoundsRead(bounds));
         daemon.step(GatewayEvent::ConfigRead(Arc::new(declared)));
         let entry = cold_entry(self.born);
@@ -118,7 +118,7 @@
         daemon.now = self.field.now;
         let request = daemon.arrive(arrival("/safe/1"));
         if daemon.orders(request).is_empty() {
-            daemon.step(GatewayEvent::CallerLeft(request));
+            daemon.step(GatewayEvent::CallerDisconnected(request));
             return;
         }
         if is_cold {
@@ -209,12 +209,12 @@
 #[test]
 fn the_end_of_a_stream_says_nothing_new_of_how_long_its_upstream_is_cold() {
     let mut scene = GatewayScene::ready(1);
-    let marks = AnswerMarks {
-        cold: Some(SPEC.duration),
-        ..AnswerMarks::default()
+    let metadata = ResponseMetadata {
+        cold_for: Some(SPEC.duration),
+        ..ResponseMetadata::default()
     };
     let request = scene.arrive(arrival("/stream/1"));
-    scene.step(GatewayEvent::AnswerBegan { request, marks });
+    scene.step(GatewayEvent::ResponseStarted { request, metadata });
     let is_cold = |scene: &GatewayScene| {
         let mut states = scene.gateway.fleet().iter();
         states.any(|state| state.is_cold(scene.now))
@@ -222,7 +222,13 @@
     assert!(is_cold(&scene));
     scene.advance(SPEC.duration);
     assert!(!is_cold(&scene));
-    scene.end(request, AttemptOutcome::Delivered { marks, events: 3 });
+    scene.end(
+        request,
+        AttemptOutcome::Delivered {
+            metadata,
+            events: 3,
+        },
+    );
     assert!(!is_cold(&scene));
 }
 
