--- a/crates/savorywood-gateway/src/selection.rs
+++ b/crates/savorywood-gateway/src/selection.rs
@@ -237,7 +237,12 @@
                     state,
                     slots_in_use: state.running + others.running,
                     throughput: state.latency.throughput(&service_latency),
-                    estimate: self.estimate(state, query, &service_latency, others.unread_prompt_tokens),
+                    estimate: self.estimate(
+                        state,
+                        query,
+                        &service_latency,
+                        others.unread_prompt_tokens,
+                    ),
                 }
             })
             .collect()
