--- a/crates/savorywood-gateway/src/gateway/quarantine.rs
+++ b/crates/savorywood-gateway/src/gateway/quarantine.rs
@@ -118,7 +118,7 @@
     ) {
         let is_near = gossip.zone == name_digest(self.options.zone.as_str());
         for report in &gossip.reports {
-            let change = self.quarantine.merge(now, report, is_near);
+            let change = self.quarantine.merge_report(now, report, is_near);
             log_change(report.fingerprint, change, "peer", effects);
         }
     }
--- a/crates/savorywood-gateway/src/gateway/updates.rs
+++ b/crates/savorywood-gateway/src/gateway/updates.rs
@@ -340,7 +340,7 @@
             let reading = PeerUsage {
                 peer: account.peer,
                 incarnation: account.incarnation,
-                age: account.age,
+                uptime: account.age,
                 total: used.map_or(0, |used| used.total),
                 daemons: account.daemons,
                 same_zone: account.near,
--- a/crates/savorywood-gateway/src/quarantine.rs
+++ b/crates/savorywood-gateway/src/quarantine.rs
@@ -246,7 +246,7 @@
     }
 
     /// Merges the report of a peer. `is_same_zone` states that the peer is in this daemon's zone.
-    pub fn merge(
+    pub fn merge_report(
         &mut self,
         now: MonotonicTime,
         report: &CrashReport,
--- a/crates/savorywood-gateway/src/team_limit.rs
+++ b/crates/savorywood-gateway/src/team_limit.rs
@@ -44,7 +44,7 @@
     /// Incarnation of the peer.
     pub incarnation: u64,
     /// Uptime of that incarnation.
-    pub age: Duration,
+    pub uptime: Duration,
     /// Units used by that incarnation so far.
     pub total: u64,
     /// Number of daemons whose use the report sums up.
@@ -270,7 +270,7 @@
         let used = match known {
             Some(known) if known.incarnation == reading.incarnation => total - known.total as f64,
             Some(_) => total,
-            None if reading.age < MAX_YOUNG_UPTIME => total,
+            None if reading.uptime < MAX_YOUNG_UPTIME => total,
             // Use of a peer with a longer uptime is not recent.
             None => 0.0,
         };
@@ -315,7 +315,7 @@
     /// while a team is at its limit began with levels of its own, it would admit a part of the
     /// burst once more; ten of them would admit several times the limit.
     fn adopt_levels(&mut self, now: MonotonicTime, reading: PeerUsage) {
-        if now >= self.adopt_until || reading.age < ADOPTION_WINDOW {
+        if now >= self.adopt_until || reading.uptime < ADOPTION_WINDOW {
             return;
         }
         if let Some(levels) = reading.levels {
--- a/crates/savorywood-gateway/tests/quarantine.rs
+++ b/crates/savorywood-gateway/tests/quarantine.rs
@@ -343,7 +343,7 @@
     let round = Duration::from_millis(250);
     let mut peer = QuarantineTable::default();
     for report in book.reports(start + round, ReportScope::Daemon, round) {
-        peer.merge(start + round, &report, true);
+        peer.merge_report(start + round, &report, true);
     }
     let send_to_all = |book: &mut QuarantineTable, sent_at: MonotonicTime| {
         for upstream in 1..=3 {
@@ -438,7 +438,7 @@
         let sent = start + round * number;
         for report in sender.reports(sent, ReportScope::Daemon, round) {
             let read = wake + Duration::from_millis(u64::from(number) * 900);
-            frozen.merge(read, &report, true);
+            frozen.merge_report(read, &report, true);
         }
     }
     assert_eq!(frozen.verdict(fingerprint(0)), QuarantineVerdict::Clear);
@@ -475,15 +475,15 @@
         let mut straight = QuarantineTable::default();
         let mut shuffled = QuarantineTable::default();
         for report in &reports {
-            straight.merge(now, report, true);
+            straight.merge_report(now, report, true);
         }
         for index in &order {
             if let Some(report) = reports.get(index % reports.len().max(1)) {
-                shuffled.merge(now, report, false);
+                shuffled.merge_report(now, report, false);
             }
         }
         for report in reports.iter().rev() {
-            shuffled.merge(now, report, false);
+            shuffled.merge_report(now, report, false);
         }
         (0..3).all(|number| {
             let held = |book: &QuarantineTable| {
