--- a/crates/savorywood-gateway/src/team_limit.rs
+++ b/crates/savorywood-gateway/src/team_limit.rs
@@ -263,44 +263,44 @@
     }
 
     /// Records the use that a peer reports.
-    pub fn record_peer_usage(&mut self, now: MonotonicTime, reading: PeerUsage) {
+    pub fn record_peer_usage(&mut self, now: MonotonicTime, report: PeerUsage) {
         self.refill(now);
-        let known = self.peers.get(&reading.peer).copied();
-        let total = reading.total as f64;
+        let known = self.peers.get(&report.peer).copied();
+        let total = report.total as f64;
         let used = match known {
-            Some(known) if known.incarnation == reading.incarnation => total - known.total as f64,
+            Some(known) if known.incarnation == report.incarnation => total - known.total as f64,
             Some(_) => total,
-            None if reading.uptime < MAX_YOUNG_UPTIME => total,
+            None if report.uptime < MAX_YOUNG_UPTIME => total,
             // Use of a peer with a longer uptime is not recent.
             None => 0.0,
         };
         // Use that was assumed while the peer was not heard from is replaced by what it reports.
-        let same_incarnation = known.filter(|known| known.incarnation == reading.incarnation);
+        let same_incarnation = known.filter(|known| known.incarnation == report.incarnation);
         let assumed_s =
             same_incarnation.map_or(0.0, |known| self.assumed_use_s(known.tracked, now));
-        if reading.same_zone {
+        if report.same_zone {
             self.zone_total += used - assumed_s * self.strict.rate;
         }
         self.others_recent += used.max(0.0);
         self.strict.add(assumed_s * self.strict.rate - used);
         self.tolerated.add(assumed_s * self.tolerated.rate - used);
-        self.adopt_levels(now, reading);
+        self.adopt_levels(now, report);
         let least = -self.strict.capacity.max(self.limit.per_second);
         self.strict.level = self.strict.level.max(least);
-        self.remove_peer(reading.peer);
-        let silence = TrackedPeer {
-            peer: reading.peer,
+        self.remove_peer(report.peer);
+        let tracked = TrackedPeer {
+            peer: report.peer,
             received_at: now,
-            daemons: reading.daemons,
-            same_zone: reading.same_zone,
+            daemons: report.daemons,
+            same_zone: report.same_zone,
         };
-        self.staleness.insert(silence);
+        self.staleness.insert(tracked);
         let received = PeerRecord {
-            incarnation: reading.incarnation,
-            total: reading.total,
-            tracked: silence,
+            incarnation: report.incarnation,
+            total: report.total,
+            tracked,
         };
-        self.peers.insert(reading.peer, received);
+        self.peers.insert(report.peer, received);
     }
 
     fn remove_peer(&mut self, peer: u64) {
@@ -314,11 +314,11 @@
     /// All copies of the buckets should have the same levels. If each daemon that joins or returns
     /// while a team is at its limit began with levels of its own, it would admit a part of the
     /// burst once more; ten of them would admit several times the limit.
-    fn adopt_levels(&mut self, now: MonotonicTime, reading: PeerUsage) {
-        if now >= self.adopt_until || reading.uptime < ADOPTION_WINDOW {
+    fn adopt_levels(&mut self, now: MonotonicTime, report: PeerUsage) {
+        if now >= self.adopt_until || report.uptime < ADOPTION_WINDOW {
             return;
         }
-        if let Some(levels) = reading.levels {
+        if let Some(levels) = report.levels {
             self.strict.level = self.strict.level.min(levels.strict as f64);
             self.tolerated.level = self.tolerated.level.min(levels.tolerated as f64);
         }
@@ -346,11 +346,16 @@
 
     /// Sets the number of daemons, whether heard from or not, and the interval at which each sends
     /// its messages.
-    pub fn set_expected_daemons(&mut self, now: MonotonicTime, daemons: u32, pause: Duration) {
-        let times = StalenessThresholds::for_interval(pause);
-        if self.staleness.times() != times {
+    pub fn set_expected_daemons(
+        &mut self,
+        now: MonotonicTime,
+        daemons: u32,
+        message_interval: Duration,
+    ) {
+        let thresholds = StalenessThresholds::for_interval(message_interval);
+        if self.staleness.thresholds() != thresholds {
             self.refill(now);
-            self.staleness = StalenessIndex::new(times);
+            self.staleness = StalenessIndex::new(thresholds);
             for peer in self.peers.values() {
                 self.staleness.insert(peer.tracked);
             }
--- a/crates/savorywood-gateway/src/team_limit/fair_share.rs
+++ b/crates/savorywood-gateway/src/team_limit/fair_share.rs
@@ -61,8 +61,8 @@
         if self.members.is_none() {
             return 0.0;
         }
-        let pause = self.staleness.times().interval;
-        bucket.rate * pause.as_secs_f64() * INFLOW_FRACTION
+        let message_interval = self.staleness.thresholds().interval;
+        bucket.rate * message_interval.as_secs_f64() * INFLOW_FRACTION
     }
 
     /// Returns the share that this daemon may use without recent traffic. A daemon outside the
--- a/crates/savorywood-gateway/src/team_limit/staleness.rs
+++ b/crates/savorywood-gateway/src/team_limit/staleness.rs
@@ -29,11 +29,11 @@
 impl StalenessThresholds {
     /// Creates the thresholds for peers that send a message at each interval.
     #[must_use]
-    pub fn for_interval(pause: Duration) -> Self {
+    pub fn for_interval(message_interval: Duration) -> Self {
         Self {
-            interval: pause,
-            late_after: pause + LATE_MARGIN,
-            unreachable_after: pause.mul_f64(UNREACHABLE_INTERVALS),
+            interval: message_interval,
+            late_after: message_interval + LATE_MARGIN,
+            unreachable_after: message_interval.mul_f64(UNREACHABLE_INTERVALS),
         }
     }
 }
@@ -97,7 +97,7 @@
 /// Peers ordered by the time of their last message, in three stages.
 #[derive(Debug, Clone)]
 pub struct StalenessIndex {
-    times: StalenessThresholds,
+    thresholds: StalenessThresholds,
     /// Peers with a recent message.
     fresh: BTreeSet<StalenessKey>,
     /// Peers whose message is late, but which are not unreachable yet.
@@ -113,9 +113,9 @@
 impl StalenessIndex {
     /// Creates an index without peers.
     #[must_use]
-    pub fn new(times: StalenessThresholds) -> Self {
+    pub fn new(thresholds: StalenessThresholds) -> Self {
         Self {
-            times,
+            thresholds,
             fresh: BTreeSet::new(),
             late: BTreeSet::new(),
             unreachable: BTreeSet::new(),
@@ -128,8 +128,8 @@
 
     /// Returns the thresholds in force.
     #[must_use]
-    pub fn times(&self) -> StalenessThresholds {
-        self.times
+    pub fn thresholds(&self) -> StalenessThresholds {
+        self.thresholds
     }
 
     /// Returns the number of daemons of all peers.
@@ -157,7 +157,7 @@
     #[must_use]
     pub fn staleness_of(&self, peer: TrackedPeer, now: MonotonicTime) -> Duration {
         now.since(peer.received_at)
-            .saturating_sub(self.times.late_after)
+            .saturating_sub(self.thresholds.late_after)
     }
 
     /// Adds a peer whose message has just arrived.
@@ -173,7 +173,7 @@
         if self.fresh.remove(&key) {
             return;
         }
-        let since = peer.received_at + self.times.late_after;
+        let since = peer.received_at + self.thresholds.late_after;
         self.stale.remove(since, peer.daemons);
         if peer.same_zone {
             self.stale_same_zone.remove(since, peer.daemons);
@@ -186,17 +186,17 @@
 
     /// Moves peers to the stages that they have reached by now. `find` returns the state of a peer.
     pub fn advance(&mut self, now: MonotonicTime, find: impl Fn(u64) -> Option<TrackedPeer>) {
-        while let Some(key) = pop_stale(&mut self.fresh, now, self.times.late_after) {
+        while let Some(key) = pop_stale(&mut self.fresh, now, self.thresholds.late_after) {
             self.late.insert(key);
             if let Some(peer) = find(key.1) {
-                let since = key.0 + self.times.late_after;
+                let since = key.0 + self.thresholds.late_after;
                 self.stale.add(since, peer.daemons);
                 if peer.same_zone {
                     self.stale_same_zone.add(since, peer.daemons);
                 }
             }
         }
-        while let Some(key) = pop_stale(&mut self.late, now, self.times.unreachable_after) {
+        while let Some(key) = pop_stale(&mut self.late, now, self.thresholds.unreachable_after) {
             self.unreachable.insert(key);
             self.unreachable_daemons += find(key.1).map_or(0, |peer| peer.daemons);
         }
