--- a/crates/savorywood-gateway/src/team_limit.rs
+++ b/crates/savorywood-gateway/src/team_limit.rs
@@ -265,19 +265,19 @@
     /// Records the use that a peer reports.
     pub fn record_peer_usage(&mut self, now: MonotonicTime, report: PeerUsage) {
         self.refill(now);
-        let known = self.peers.get(&report.peer).copied();
+        let record = self.peers.get(&report.peer).copied();
         let total = report.total as f64;
-        let used = match known {
-            Some(known) if known.incarnation == report.incarnation => total - known.total as f64,
+        let used = match record {
+            Some(record) if record.incarnation == report.incarnation => total - record.total as f64,
             Some(_) => total,
             None if report.uptime < MAX_YOUNG_UPTIME => total,
             // Use of a peer with a longer uptime is not recent.
             None => 0.0,
         };
         // Use that was assumed while the peer was not heard from is replaced by what it reports.
-        let same_incarnation = known.filter(|known| known.incarnation == report.incarnation);
+        let same_incarnation = record.filter(|record| record.incarnation == report.incarnation);
         let assumed_s =
-            same_incarnation.map_or(0.0, |known| self.assumed_use_s(known.tracked, now));
+            same_incarnation.map_or(0.0, |record| self.assumed_use_s(record.tracked, now));
         if report.same_zone {
             self.zone_total += used - assumed_s * self.strict.rate;
         }
@@ -285,8 +285,8 @@
         self.strict.add(assumed_s * self.strict.rate - used);
         self.tolerated.add(assumed_s * self.tolerated.rate - used);
         self.adopt_levels(now, report);
-        let least = -self.strict.capacity.max(self.limit.per_second);
-        self.strict.level = self.strict.level.max(least);
+        let min_level = -self.strict.capacity.max(self.limit.per_second);
+        self.strict.level = self.strict.level.max(min_level);
         self.remove_peer(report.peer);
         let tracked = TrackedPeer {
             peer: report.peer,
@@ -295,17 +295,17 @@
             same_zone: report.same_zone,
         };
         self.staleness.insert(tracked);
-        let received = PeerRecord {
+        let updated = PeerRecord {
             incarnation: report.incarnation,
             total: report.total,
             tracked,
         };
-        self.peers.insert(report.peer, received);
+        self.peers.insert(report.peer, updated);
     }
 
     fn remove_peer(&mut self, peer: u64) {
-        if let Some(known) = self.peers.remove(&peer) {
-            self.staleness.remove(known.tracked);
+        if let Some(record) = self.peers.remove(&peer) {
+            self.staleness.remove(record.tracked);
         }
     }
 
@@ -360,7 +360,7 @@
                 self.staleness.insert(peer.tracked);
             }
             let peers = &self.peers;
-            let find = |peer| peers.get(&peer).map(|known| known.tracked);
+            let find = |peer| peers.get(&peer).map(|record| record.tracked);
             self.staleness.advance(now, find);
         }
         self.expected_daemons = daemons;
@@ -391,27 +391,27 @@
     fn refill(&mut self, now: MonotonicTime) {
         let before = self.staleness.stale_time(self.filled_at);
         let peers = &self.peers;
-        let find = |peer| peers.get(&peer).map(|known| known.tracked);
+        let find = |peer| peers.get(&peer).map(|record| record.tracked);
         self.staleness.advance(now, find);
         let after = self.staleness.stale_time(now);
-        let part = self.reachable_fraction(now);
+        let fraction = self.reachable_fraction(now);
         let mut elapsed_s = now.since(self.filled_at).as_secs_f64();
         if now < self.discovery_until {
-            elapsed_s *= part;
+            elapsed_s *= fraction;
         }
-        let fading =
+        let decay =
             (-now.since(self.filled_at).as_secs_f64() / USAGE_DECAY_WINDOW.as_secs_f64()).exp();
-        self.own_recent *= fading;
-        self.others_recent *= fading;
+        self.own_recent *= decay;
+        self.others_recent *= decay;
         let share = 1.0 / f64::from(self.daemons());
         self.zone_total += (after.same_zone_s - before.same_zone_s) * share * self.strict.rate;
-        let left_s = elapsed_s - (after.all_s - before.all_s) * share;
+        let refill_s = elapsed_s - (after.all_s - before.all_s) * share;
         for bucket in [&mut self.strict, &mut self.tolerated] {
-            bucket.add(left_s * bucket.rate);
-            bucket.cap_to_fraction(part);
+            bucket.add(refill_s * bucket.rate);
+            bucket.cap_to_fraction(fraction);
         }
         self.filled_at = now;
-        let ttl = if part > 0.5 {
+        let ttl = if fraction > 0.5 {
             PEER_TTL
         } else {
             PARTITIONED_PEER_TTL
@@ -427,12 +427,12 @@
     /// alone, they would admit many bursts; so each group of daemons that reach each other keeps to
     /// its fraction. A daemon that has just started knows only the number of the others.
     fn reachable_fraction(&self, now: MonotonicTime) -> f64 {
-        let seen = self.staleness.reachable_daemons() + 1;
+        let reachable = self.staleness.reachable_daemons() + 1;
         let all = self.daemons();
         if now < self.discovery_until && self.expected_daemons > all {
-            let part = f64::from(seen) / f64::from(self.expected_daemons);
-            return (part * DISCOVERY_FACTOR).min(1.0);
+            let fraction = f64::from(reachable) / f64::from(self.expected_daemons);
+            return (fraction * DISCOVERY_FACTOR).min(1.0);
         }
-        f64::from(seen) / f64::from(all)
+        f64::from(reachable) / f64::from(all)
     }
 }
