--- a/crates/savorywood-gateway/src/team_limit/fair_share.rs
+++ b/crates/savorywood-gateway/src/team_limit/fair_share.rs
@@ -38,8 +38,8 @@
             return false;
         }
         let even = self.even_share();
-        let free = UNSHARED_FRACTION * (UNSHARED_FULL_DAEMONS * even).min(1.0);
-        if bucket.level >= bucket.capacity * (1.0 - free) {
+        let unshared = UNSHARED_FRACTION * (UNSHARED_FULL_DAEMONS * even).min(1.0);
+        if bucket.level >= bucket.capacity * (1.0 - unshared) {
             return true;
         }
         // Unreported use is excluded: the use of others in the same time is unknown too, and a
@@ -49,8 +49,9 @@
         let share = if used > 0.0 { reported / used } else { even };
         let inflow = self.inflow_units(bucket);
         let share = share.max(even);
-        let left = (level + self.unreported) * (share * SHARE_FACTOR).min(1.0) + inflow * share;
-        let room = left - self.unreported;
+        let available =
+            (level + self.unreported) * (share * SHARE_FACTOR).min(1.0) + inflow * share;
+        let room = available - self.unreported;
         query.sample * self.typical_units.min(query.units) < room
     }
 
