--- a/crates/savorywood-gateway/src/team_limit/bucket.rs
+++ b/crates/savorywood-gateway/src/team_limit/bucket.rs
@@ -49,8 +49,8 @@
     }
 
     /// Limits the level to a fraction of the capacity.
-    pub fn cap_to_fraction(&mut self, part: f64) {
-        self.level = self.level.min(self.capacity * part);
+    pub fn cap_to_fraction(&mut self, fraction: f64) {
+        self.level = self.level.min(self.capacity * fraction);
     }
 }
 
@@ -73,9 +73,9 @@
     let window = tolerance.window.as_secs_f64().max(0.1);
     let declared = limit.per_second * window + limit.burst;
     let tolerated = declared * (1.0 + tolerance.overage) + tolerance.slack;
-    let most = declared + (tolerated - declared) * tolerance_fraction;
+    let max_units = declared + (tolerated - declared) * tolerance_fraction;
     TokenBucket {
-        rate: (most - limit.burst) / window,
+        rate: (max_units - limit.burst) / window,
         capacity: limit.burst,
         level: limit.burst,
     }
