--- a/crates/savorywood-gateway/src/team_limit/staleness/tests.rs
+++ b/crates/savorywood-gateway/src/team_limit/staleness/tests.rs
@@ -6,36 +6,36 @@
 use std::{collections::BTreeMap, time::Duration};
 
 const PEERS: u8 = 9;
-const PAUSE: Duration = Duration::from_millis(250);
+const INTERVAL: Duration = Duration::from_millis(250);
 
 /// Returns the time for which all peers have been late, in daemon seconds, by iteration.
-fn walked_s(peers: &BTreeMap<u64, TrackedPeer>, now: MonotonicTime, near: bool) -> f64 {
+fn iterated_s(peers: &BTreeMap<u64, TrackedPeer>, now: MonotonicTime, near: bool) -> f64 {
     let peers = peers.values().filter(|peer| peer.same_zone || !near);
-    let silent = peers.map(|peer| {
-        let assumed = StalenessThresholds::for_interval(PAUSE).late_after;
-        let silence = now.since(peer.received_at).saturating_sub(assumed);
-        silence.as_secs_f64() * f64::from(peer.daemons)
+    let late = peers.map(|peer| {
+        let late_after = StalenessThresholds::for_interval(INTERVAL).late_after;
+        let lateness = now.since(peer.received_at).saturating_sub(late_after);
+        lateness.as_secs_f64() * f64::from(peer.daemons)
     });
-    silent.sum()
+    late.sum()
 }
 
-fn walked_in_reach(peers: &BTreeMap<u64, TrackedPeer>, now: MonotonicTime) -> u32 {
+fn iterated_reachable(peers: &BTreeMap<u64, TrackedPeer>, now: MonotonicTime) -> u32 {
     let peers = peers.values();
-    let seen = peers.filter(|peer| {
-        now.since(peer.received_at) < StalenessThresholds::for_interval(PAUSE).unreachable_after
+    let reachable = peers.filter(|peer| {
+        now.since(peer.received_at) < StalenessThresholds::for_interval(INTERVAL).unreachable_after
     });
-    seen.map(|peer| peer.daemons).sum()
+    reachable.map(|peer| peer.daemons).sum()
 }
 
 quickcheck! {
     /// Guards against requests that are wrongly refused or admitted because a sum has drifted from
     /// the state of its peers.
-    fn sums_match_a_walk_over_all_peers(steps: Vec<(u8, u16, bool)>) -> bool {
-        let mut index = StalenessIndex::new(StalenessThresholds::for_interval(PAUSE));
+    fn sums_match_an_iteration_over_all_peers(steps: Vec<(u8, u16, bool)>) -> bool {
+        let mut index = StalenessIndex::new(StalenessThresholds::for_interval(INTERVAL));
         let mut peers: BTreeMap<u64, TrackedPeer> = BTreeMap::new();
         let mut now = MonotonicTime(1_000_000);
-        for (number, pause_ms, ends) in steps {
-            now = now + Duration::from_millis(u64::from(pause_ms % 700));
+        for (number, step_ms, ends) in steps {
+            now = now + Duration::from_millis(u64::from(step_ms % 700));
             index.advance(now, |peer| peers.get(&peer).copied());
             let peer = u64::from(number % PEERS);
             if let Some(known) = peers.remove(&peer) {
@@ -51,13 +51,13 @@
                 index.insert(known);
                 peers.insert(peer, known);
             }
-            let later = now + Duration::from_millis(u64::from(pause_ms % 311));
+            let later = now + Duration::from_millis(u64::from(step_ms % 311));
             let mut ahead = index.clone();
             ahead.advance(later, |peer| peers.get(&peer).copied());
-            let silent = ahead.stale_time(later);
-            let same = (silent.all_s - walked_s(&peers, later, false)).abs() < 1e-6
-                && (silent.same_zone_s - walked_s(&peers, later, true)).abs() < 1e-6
-                && ahead.reachable_daemons() == walked_in_reach(&peers, later)
+            let late = ahead.stale_time(later);
+            let same = (late.all_s - iterated_s(&peers, later, false)).abs() < 1e-6
+                && (late.same_zone_s - iterated_s(&peers, later, true)).abs() < 1e-6
+                && ahead.reachable_daemons() == iterated_reachable(&peers, later)
                 && ahead.daemons() == peers.values().map(|peer| peer.daemons).sum::<u32>();
             if !same {
                 return false;
