--- a/crates/savorywood-gateway/src/lease.rs
+++ b/crates/savorywood-gateway/src/lease.rs
@@ -53,8 +53,8 @@
         self.zones.retain(|zone, _| members.contains_key(zone));
         for (zone, mut members) in members {
             members.sort_unstable();
-            let known = self.zones.get(&zone).map(|holders| &holders.members);
-            if known != Some(&members) {
+            let previous = self.zones.get(&zone).map(|holders| &holders.members);
+            if previous != Some(&members) {
                 let holders = ZoneMemberSet {
                     members,
                     since: now,
@@ -90,11 +90,11 @@
         }
         let weight = rendezvous_weight(own, key);
         let members = zones.flat_map(|zone| &zone.members);
-        let before = members
+        let higher_ranked = members
             .clone()
             .filter(|member| rendezvous_weight(**member, key) > weight);
         let share = LeaseShare {
-            rank: before.count(),
+            rank: higher_ranked.count(),
             holders: members.count().min(max_holders),
         };
         (share.rank < share.holders).then_some(share)
@@ -113,9 +113,9 @@
             return false;
         };
         let upstream = name_digest(upstream.as_str());
-        let near = self.zones.get(zone);
-        match near.filter(|near| !near.members.is_empty()) {
-            Some(near) => is_holder(now, own, upstream, [near].into_iter()),
+        let zone_members = self.zones.get(zone);
+        match zone_members.filter(|zone_members| !zone_members.members.is_empty()) {
+            Some(zone_members) => is_holder(now, own, upstream, [zone_members].into_iter()),
             None => is_holder(now, own, upstream, self.zones.values()),
         }
     }
