--- a/crates/savorywood-gateway/src/outlier.rs
+++ b/crates/savorywood-gateway/src/outlier.rs
@@ -36,8 +36,9 @@
     /// upstream without traffic could otherwise never recover.
     #[must_use]
     pub fn failure_ratio(&self, now: MonotonicTime) -> f64 {
-        let halvings = now.since(self.observed_at).as_secs_f64() / FAILURE_HALF_LIFE.as_secs_f64();
-        self.failure_ratio * 0.5f64.powf(halvings)
+        let half_lives =
+            now.since(self.observed_at).as_secs_f64() / FAILURE_HALF_LIFE.as_secs_f64();
+        self.failure_ratio * 0.5f64.powf(half_lives)
     }
 
     /// Returns true if requests may be sent: the upstream is not ejected, or its ejection has ended
@@ -48,12 +49,12 @@
         if self.ejections == 0 {
             return true;
         }
-        let pause = if repeatable {
+        let period = if repeatable {
             Duration::ZERO
         } else {
             NON_REPEATABLE_DELAY
         };
-        now >= self.ejected_until + pause && !self.probe_running
+        now >= self.ejected_until + period && !self.probe_running
     }
 
     /// Returns true if the upstream is ejected for a recent failure. Older failures are not
@@ -101,10 +102,10 @@
     /// median failure ratio of the service. Returns true if the upstream is ejected for it.
     pub fn record_failure(&mut self, now: MonotonicTime, typical_ratio: f64) -> bool {
         self.count_failure(now);
-        let far_worse = self.failure_ratio > typical_ratio * 2.0 + 0.25;
-        let row = self.consecutive_failures >= CONSECUTIVE_FAILURES_TO_EJECT
+        let is_far_worse = self.failure_ratio > typical_ratio * 2.0 + 0.25;
+        let is_repeated = self.consecutive_failures >= CONSECUTIVE_FAILURES_TO_EJECT
             && self.failure_ratio > typical_ratio + 0.1;
-        if self.ejections == 0 && !row && !far_worse {
+        if self.ejections == 0 && !is_repeated && !is_far_worse {
             return false;
         }
         self.eject(now)
@@ -121,8 +122,8 @@
     }
 
     fn count_failure(&mut self, now: MonotonicTime) {
-        let share = self.failure_ratio(now);
-        self.failure_ratio = share + (1.0 - share) * NEWEST_WEIGHT;
+        let ratio = self.failure_ratio(now);
+        self.failure_ratio = ratio + (1.0 - ratio) * NEWEST_WEIGHT;
         self.observed_at = now;
         self.consecutive_failures += 1;
         self.probe_running = false;
@@ -132,9 +133,9 @@
         if now < self.ejected_until {
             return false;
         }
-        let pause = BASE_EJECTION_PERIOD * 2u32.pow(self.ejections.min(4));
+        let period = BASE_EJECTION_PERIOD * 2u32.pow(self.ejections.min(4));
         self.ejections += 1;
-        self.ejected_until = now + pause.min(MAX_EJECTION_PERIOD);
+        self.ejected_until = now + period.min(MAX_EJECTION_PERIOD);
         true
     }
 }
