--- a/crates/savorywood-gateway/src/latency.rs
+++ b/crates/savorywood-gateway/src/latency.rs
@@ -27,8 +27,8 @@
 
 /// Returns the time to the first event of an upstream of typical speed, in milliseconds.
 #[must_use]
-pub fn nominal_first_event_ms(prompt: u32) -> f64 {
-    let tokens = f64::from(prompt);
+pub fn nominal_first_event_ms(prompt_tokens: u32) -> f64 {
+    let tokens = f64::from(prompt_tokens);
     DEFAULT_BASE_MS + tokens * DEFAULT_TOKEN_MS + tokens * tokens * DEFAULT_TOKEN_PAIR_MS
 }
 
@@ -37,7 +37,7 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct LatencyModel {
     /// Time to the first event, as a ratio to the nominal time.
-    first: Option<f64>,
+    first_event_ratio: Option<f64>,
     /// Interval between events, in milliseconds.
     gap_ms: Option<f64>,
     /// Longest gap between events of a stream, in milliseconds.
@@ -50,7 +50,7 @@
     events_per_token: Option<f64>,
 }
 
-fn blend(mean: &mut Option<f64>, value: f64) {
+fn update_mean(mean: &mut Option<f64>, value: f64) {
     *mean = Some(match *mean {
         Some(old) => old + (value - old) * NEWEST_WEIGHT,
         None => value,
@@ -59,12 +59,12 @@
 
 impl LatencyModel {
     /// Records the time to the first event of a response.
-    pub fn record_first_event(&mut self, prompt: u32, elapsed: Duration) {
-        let ratio = elapsed.as_secs_f64() * 1e3 / nominal_first_event_ms(prompt);
+    pub fn record_first_event(&mut self, prompt_tokens: u32, elapsed: Duration) {
+        let ratio = elapsed.as_secs_f64() * 1e3 / nominal_first_event_ms(prompt_tokens);
         // Estimates the median: a wait in the upstream's queue, or behind another request's long
         // prompt, does not reflect its speed, and would distort a mean.
-        let known = self.first.get_or_insert(ratio);
-        *known *= if ratio > *known {
+        let estimate = self.first_event_ratio.get_or_insert(ratio);
+        *estimate *= if ratio > *estimate {
             1.0 + FIRST_EVENT_STEP
         } else {
             1.0 / (1.0 + FIRST_EVENT_STEP)
@@ -82,26 +82,26 @@
     ) {
         if events > 1 {
             let gap = after_first.as_secs_f64() * 1e3 / f64::from(events - 1);
-            blend(&mut self.gap_ms, gap);
+            update_mean(&mut self.gap_ms, gap);
         }
-        blend(&mut self.events, f64::from(events));
+        update_mean(&mut self.events, f64::from(events));
         if expected_tokens > 0 {
             let ratio = f64::from(events) / f64::from(expected_tokens);
-            blend(&mut self.events_per_token, ratio.min(2.0));
+            update_mean(&mut self.events_per_token, ratio.min(2.0));
         }
-        blend(&mut self.response_ms, total.as_secs_f64() * 1e3);
+        update_mean(&mut self.response_ms, total.as_secs_f64() * 1e3);
     }
 
     /// Records the longest gap between events of a stream that ended successfully.
     pub fn record_longest_gap(&mut self, longest: Duration) {
         let millis = longest.as_secs_f64() * 1e3;
-        let known = self.longest_gap_ms.get_or_insert(millis);
-        let weight = if millis > *known {
+        let estimate = self.longest_gap_ms.get_or_insert(millis);
+        let weight = if millis > *estimate {
             LONGER_GAP_WEIGHT
         } else {
             SHORTER_GAP_WEIGHT
         };
-        *known += (millis - *known) * weight;
+        *estimate += (millis - *estimate) * weight;
     }
 
     /// Returns the typical longest gap between events, in milliseconds; `service` is used without
@@ -115,14 +115,18 @@
 
     /// Records the total time of a successful non-streaming response.
     pub fn record_response(&mut self, total: Duration) {
-        blend(&mut self.response_ms, total.as_secs_f64() * 1e3);
+        update_mean(&mut self.response_ms, total.as_secs_f64() * 1e3);
     }
 
     /// Returns the expected time to the first event, in milliseconds; `service` is used without
     /// observations.
     #[must_use]
-    pub fn first_event_ms(&self, service: &Self, prompt: u32) -> f64 {
-        nominal_first_event_ms(prompt) * self.first.or(service.first).unwrap_or(1.0)
+    pub fn first_event_ms(&self, service: &Self, prompt_tokens: u32) -> f64 {
+        nominal_first_event_ms(prompt_tokens)
+            * self
+                .first_event_ratio
+                .or(service.first_event_ratio)
+                .unwrap_or(1.0)
     }
 
     /// Returns the expected time from the first event to the last, in milliseconds.
