--- a/crates/savorywood-gateway/src/selection.rs
+++ b/crates/savorywood-gateway/src/selection.rs
@@ -229,8 +229,8 @@
         let service_latency = self.fleet.service_latency(query.service);
         let all_ejected = self.all_ejected(query);
         let members = self.fleet.members(query.service);
-        let usable = members.filter(|state| self.is_eligible(state, query, all_ejected));
-        usable
+        let eligible = members.filter(|state| self.is_eligible(state, query, all_ejected));
+        eligible
             .map(|state| {
                 let others = self.peers.slots_by_digest(state.digest);
                 Candidate {
@@ -300,8 +300,8 @@
         let Some(warmup) = self.fleet.warmup(&entry.service) else {
             return true;
         };
-        let pause = self.now.since(state.last_dispatch_at);
-        pause >= warmup.interval(self.warmup)
+        let since_dispatch = self.now.since(state.last_dispatch_at);
+        since_dispatch >= warmup.interval(self.warmup)
             && self.leases.holds_warmup(self.now, &entry.name, &entry.zone)
     }
 
@@ -310,8 +310,8 @@
     /// partial failure into a complete one.
     fn all_ejected(&self, query: &SelectionQuery<'_>) -> bool {
         let mut members = self.fleet.members(query.service);
-        let open = |state: &UpstreamState| state.is_open(self.now);
-        members.all(|state| !open(state) || state.outlier.is_ejected())
+        let is_open = |state: &UpstreamState| state.is_open(self.now);
+        members.all(|state| !is_open(state) || state.outlier.is_ejected())
     }
 
     fn is_eligible(
@@ -320,8 +320,8 @@
         query: &SelectionQuery<'_>,
         all_ejected: bool,
     ) -> bool {
-        let usable = all_ejected || state.outlier.is_usable(self.now, query.allow_probe);
-        usable
+        let eligible = all_ejected || state.outlier.is_usable(self.now, query.allow_probe);
+        eligible
             && state.is_open(self.now)
             && self.is_in_home_regions(state, query)
             && query.versions.allows(&state.entry.version)
