--- a/crates/savorywood-gateway/src/quarantine.rs
+++ b/crates/savorywood-gateway/src/quarantine.rs
@@ -27,7 +27,7 @@
     peer::{name_digest, slot_key},
     rendezvous::rendezvous_weight,
 };
-use entry::{QuarantineEntry, RowState, RowTimer, SUSPECT_TTL};
+use entry::{QuarantineEntry, RowState, SUSPECT_TTL, WriteSchedule};
 use savorywood_protocol::MonotonicTime;
 use serde::{Deserialize, Serialize};
 use served::ServedRequests;
@@ -156,7 +156,7 @@
         let upstream = slot_key(attempt.upstream);
         let known = self.upstreams.get(&upstream);
         let is_down = known.is_some_and(|known| known.is_down(attempt.sent_at, now));
-        if is_down || self.served.covers(fingerprint, now) {
+        if is_down || self.served.excuses(fingerprint, now) {
             return QuarantineChange::None;
         }
         self.record_upstream_failure(now, upstream);
@@ -179,15 +179,15 @@
     /// Records that attempts fail at an upstream, as observed by this daemon or a peer.
     fn record_upstream_failure(&mut self, at: MonotonicTime, upstream: u32) {
         let is_known = self.upstreams.get(&upstream).is_some_and(|known| {
-            let lives = known.responded_at.is_some_and(|answered| answered < at);
-            at < known.at + RESTART_WINDOW && !lives
+            let is_running = known.responded_at.is_some_and(|responded| responded < at);
+            at < known.at + RESTART_WINDOW && !is_running
         });
         if !is_known {
-            let broken = SuspectUpstream {
+            let suspect = SuspectUpstream {
                 at,
                 responded_at: None,
             };
-            self.upstreams.insert(upstream, broken);
+            self.upstreams.insert(upstream, suspect);
         }
     }
 
@@ -202,7 +202,7 @@
             return QuarantineChange::None;
         };
         let was_quarantined = entry.is_quarantined();
-        entry.history.clear(now);
+        entry.history.record_served(now);
         entry.own_changed_at = Some(now);
         lifted(was_quarantined)
     }
@@ -211,15 +211,15 @@
     /// shortly before, only its connection was lost and the upstream did not crash.
     pub fn record_response(&mut self, now: MonotonicTime, upstream: u64, sent_at: MonotonicTime) {
         let upstream = slot_key(upstream);
-        let Some(broken) = self.upstreams.get_mut(&upstream) else {
+        let Some(suspect) = self.upstreams.get_mut(&upstream) else {
             return;
         };
-        let at = broken.at;
+        let at = suspect.at;
         let is_later = sent_at > at + REFUTATION_MARGIN && sent_at < at + REFUTATION_WINDOW;
-        if broken.responded_at.is_some() || !is_later {
+        if suspect.responded_at.is_some() || !is_later {
             return;
         }
-        broken.responded_at = Some(now);
+        suspect.responded_at = Some(now);
         for entry in self.entries.values_mut() {
             entry.history.withdraw(upstream, at);
         }
@@ -258,15 +258,15 @@
             .iter()
             .map(|crash| crash.to_record(now))
             .filter(|record| {
-                !self.is_refuted(*record) && !self.served.covers(fingerprint, record.at)
+                !self.is_refuted(*record) && !self.served.excuses(fingerprint, record.at)
             })
             .collect();
         if records.len() < report.crashes.len()
-            && let Some(served_at) = self.served.covering(fingerprint, now)
+            && let Some(served_at) = self.served.excusing_response(fingerprint, now)
         {
             // The peer has not received yet that the request had a complete response.
             let entry = self.entries.entry(fingerprint).or_default();
-            if entry.history.clear(served_at) {
+            if entry.history.record_served(served_at) {
                 entry.own_changed_at = Some(now);
             }
         }
@@ -276,7 +276,7 @@
         }
         let entry = self.entries.entry(fingerprint).or_default();
         let was_quarantined = entry.is_quarantined();
-        let mut is_changed = served_at.is_some_and(|at| entry.history.clear(at));
+        let mut is_changed = served_at.is_some_and(|at| entry.history.record_served(at));
         for record in &records {
             is_changed |= entry.history.merge(*record);
         }
@@ -297,8 +297,8 @@
     }
 
     fn is_refuted(&self, record: CrashRecord) -> bool {
-        let broken = self.upstreams.get(&record.upstream);
-        let responded_at = broken.and_then(|broken| broken.responded_at);
+        let suspect = self.upstreams.get(&record.upstream);
+        let responded_at = suspect.and_then(|suspect| suspect.responded_at);
         responded_at.is_some_and(|responded_at| record.at <= responded_at)
     }
 
@@ -322,7 +322,7 @@
                 RowState::Removed => RowState::Read,
                 _ => RowState::Absent,
             };
-            entry.timer = RowTimer::default();
+            entry.schedule = WriteSchedule::default();
         }
     }
 
@@ -336,12 +336,12 @@
         let mut writes = Vec::new();
         for (fingerprint, entry) in &mut self.entries {
             let is_own = entry.row == RowState::Written || holds(*fingerprint);
-            if !entry.is_row_outdated(now) || now < entry.timer.due_at || !is_own {
+            if !entry.is_row_outdated(now) || now < entry.schedule.due_at || !is_own {
                 continue;
             }
-            entry.timer.backoff =
-                (entry.timer.backoff * 2).clamp(MIN_WRITE_BACKOFF, MAX_WRITE_BACKOFF);
-            entry.timer.due_at = now + entry.timer.backoff;
+            entry.schedule.backoff =
+                (entry.schedule.backoff * 2).clamp(MIN_WRITE_BACKOFF, MAX_WRITE_BACKOFF);
+            entry.schedule.due_at = now + entry.schedule.backoff;
             writes.push(QuarantineWrite {
                 fingerprint: *fingerprint,
                 crashes: entry.needs_row(now).then(|| entry.history.to_stored()),
@@ -361,7 +361,7 @@
             };
             let crashes = write.crashes.as_ref().map_or(0, Vec::len);
             entry.stored_crashes = u32::try_from(crashes).unwrap_or(u32::MAX);
-            entry.timer = RowTimer::default();
+            entry.schedule = WriteSchedule::default();
         }
     }
 
@@ -396,7 +396,7 @@
         };
         self.entries.retain(|_, entry| is_kept(entry));
         self.upstreams
-            .retain(|_, broken| now.since(broken.at) < SUSPECT_TTL);
+            .retain(|_, suspect| now.since(suspect.at) < SUSPECT_TTL);
     }
 
     /// Keeps the number of entries bounded. Those with the fewest crashes are evicted first, so
--- a/crates/savorywood-gateway/src/quarantine/crash_history.rs
+++ b/crates/savorywood-gateway/src/quarantine/crash_history.rs
@@ -58,30 +58,30 @@
             known.at = known.at.min(crash.at);
             return false;
         }
-        if self.is_covered(crash) || self.crashes.len() >= MAX_CRASHES {
+        if self.is_excused(crash) || self.crashes.len() >= MAX_CRASHES {
             return false;
         }
         self.crashes.push(crash);
         true
     }
 
-    fn is_covered(&self, crash: CrashRecord) -> bool {
+    fn is_excused(&self, crash: CrashRecord) -> bool {
         self.served_at
             .is_some_and(|served_at| crash.at < served_at + SERVED_WINDOW)
     }
 
     /// Removes the crash of an upstream around the given time, which has turned out to be none.
     pub fn withdraw(&mut self, upstream: u32, at: MonotonicTime) {
-        let is_it = |crash: &CrashRecord| {
-            let apart = crash.at.since(at).max(at.since(crash.at));
-            crash.upstream == upstream && apart < SAME_CRASH_WINDOW
+        let is_same = |crash: &CrashRecord| {
+            let distance = crash.at.since(at).max(at.since(crash.at));
+            crash.upstream == upstream && distance < SAME_CRASH_WINDOW
         };
-        self.crashes.retain(|crash| !is_it(crash));
+        self.crashes.retain(|crash| !is_same(crash));
     }
 
     /// Records a complete response, which excuses earlier crashes. Returns true if it is more
     /// recent than the recorded one.
-    pub fn clear(&mut self, served_at: MonotonicTime) -> bool {
+    pub fn record_served(&mut self, served_at: MonotonicTime) -> bool {
         if self.served_at.is_some_and(|known| known >= served_at) {
             return false;
         }
@@ -89,7 +89,7 @@
         let crashes = std::mem::take(&mut self.crashes);
         self.crashes = crashes
             .into_iter()
-            .filter(|crash| !self.is_covered(*crash))
+            .filter(|crash| !self.is_excused(*crash))
             .collect();
         true
     }
--- a/crates/savorywood-gateway/src/quarantine/entry.rs
+++ b/crates/savorywood-gateway/src/quarantine/entry.rs
@@ -44,7 +44,7 @@
 
 /// Schedule for writing the row of an entry.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct RowTimer {
+pub struct WriteSchedule {
     /// Earliest time of the next write.
     pub due_at: MonotonicTime,
     /// Delay after that write, which doubles with each write that is not accepted.
@@ -67,7 +67,7 @@
     /// Number of crashes that the row holds.
     pub stored_crashes: u32,
     /// Schedule of the next write of the row.
-    pub timer: RowTimer,
+    pub schedule: WriteSchedule,
 }
 
 impl QuarantineEntry {
--- a/crates/savorywood-gateway/src/quarantine/served.rs
+++ b/crates/savorywood-gateway/src/quarantine/served.rs
@@ -38,7 +38,7 @@
 
     /// Returns the time of a complete response that excuses the request for a crash at `crash_at`.
     #[must_use]
-    pub fn covering(
+    pub fn excusing_response(
         &self,
         fingerprint: RequestFingerprint,
         crash_at: MonotonicTime,
@@ -49,7 +49,7 @@
 
     /// Returns true if the request is excused for a crash at `crash_at`.
     #[must_use]
-    pub fn covers(&self, fingerprint: RequestFingerprint, crash_at: MonotonicTime) -> bool {
-        self.covering(fingerprint, crash_at).is_some()
+    pub fn excuses(&self, fingerprint: RequestFingerprint, crash_at: MonotonicTime) -> bool {
+        self.excusing_response(fingerprint, crash_at).is_some()
     }
 }
