--- a/crates/savorywood-gateway/src/quarantine/entry.rs
+++ b/crates/savorywood-gateway/src/quarantine/entry.rs
@@ -78,9 +78,9 @@
 
     /// Returns the earliest time of the next probe.
     pub fn probe_at(&self) -> MonotonicTime {
-        let further = self.history.count().saturating_sub(QUARANTINE_CRASHES);
-        let pause = PROBE_DELAY * 2u32.pow(further.min(MAX_DOUBLINGS));
-        self.history.last_changed_at().max(self.probed_at) + pause
+        let excess = self.history.count().saturating_sub(QUARANTINE_CRASHES);
+        let delay = PROBE_DELAY * 2u32.pow(excess.min(MAX_DOUBLINGS));
+        self.history.last_changed_at().max(self.probed_at) + delay
     }
 
     /// Returns the time of the last change that is reported in the given scope.
@@ -112,7 +112,7 @@
         let needed = self.history.count().min(QUARANTINE_CRASHES);
         match (self.needs_row(now), self.row.is_present()) {
             (true, true) => self.stored_crashes < needed,
-            (wanted, there) => wanted != there,
+            (required, present) => required != present,
         }
     }
 }
