--- a/crates/savorywood-gateway/src/quarantine/crash_history.rs
+++ b/crates/savorywood-gateway/src/quarantine/crash_history.rs
@@ -33,11 +33,11 @@
 impl CrashHistory {
     /// Records a crash of an upstream at this daemon. Returns true if it is new and counts.
     pub fn add(&mut self, now: MonotonicTime, upstream: u32) -> bool {
-        let there = self
+        let of_upstream = self
             .crashes
             .iter()
             .filter(|crash| crash.upstream == upstream);
-        let newest = there.max_by_key(|crash| crash.number);
+        let newest = of_upstream.max_by_key(|crash| crash.number);
         if newest.is_some_and(|crash| now.since(crash.at) < SAME_CRASH_WINDOW) {
             return false;
         }
