--- a/crates/savorywood-gateway/src/quarantine/report.rs
+++ b/crates/savorywood-gateway/src/quarantine/report.rs
@@ -134,13 +134,13 @@
 
     /// Returns the next quarantined request to be reported without a change, in round-robin order.
     fn next_repeated(&mut self) -> Option<RequestFingerprint> {
-        let held = |bound: Bound<RequestFingerprint>| {
+        let next_in = |bound: Bound<RequestFingerprint>| {
             let mut later = self.entries.range((bound, Bound::Unbounded));
             let found = later.find(|(_, entry)| entry.is_quarantined());
             found.map(|(fingerprint, _)| *fingerprint)
         };
         let after = self.last_repeated.map_or(Bound::Unbounded, Bound::Excluded);
-        let next = held(after).or_else(|| held(Bound::Unbounded));
+        let next = next_in(after).or_else(|| next_in(Bound::Unbounded));
         self.last_repeated = next;
         next
     }
