--- a/crates/savorywood-gateway/src/upstream_limit.rs
+++ b/crates/savorywood-gateway/src/upstream_limit.rs
@@ -32,9 +32,9 @@
     /// Creates a limit from requests per second; `None` for a negative or non-finite number.
     #[must_use]
     pub fn from_per_second(per_second: f64) -> Option<Self> {
-        let is_number = per_second.is_finite() && per_second >= 0.0;
+        let is_valid = per_second.is_finite() && per_second >= 0.0;
         // A rate beyond the range of the type has no effect as a limit.
-        is_number.then(|| Self((per_second * 1e3).round().min(f64::from(u32::MAX)) as u32))
+        is_valid.then(|| Self((per_second * 1e3).round().min(f64::from(u32::MAX)) as u32))
     }
 
     /// Returns the limit in requests per second.
@@ -137,8 +137,8 @@
         observation: LimitObservation,
         source: ObservationSource,
     ) -> bool {
-        let known = self.observation;
-        if known.is_some_and(|known| known.observed_at >= observation.observed_at) {
+        let previous = self.observation;
+        if previous.is_some_and(|previous| previous.observed_at >= observation.observed_at) {
             return false;
         }
         let before = self.limit();
@@ -186,7 +186,7 @@
             self.level = 0.0;
             return;
         };
-        let part = limit.rate_per_holder(share.holders);
+        let rate = limit.rate_per_holder(share.holders);
         if self.share.replace(share).is_none() {
             self.level = if now.since(self.limited_since) < INITIAL_FILL_WINDOW {
                 // Holders that start at the same time are staggered by their initial level.
@@ -196,8 +196,8 @@
             };
             return;
         }
-        let most = (part * BURST_WINDOW.as_secs_f64()).max(1.0);
-        self.level = (self.level + part * elapsed.as_secs_f64()).min(most);
+        let max_level = (rate * BURST_WINDOW.as_secs_f64()).max(1.0);
+        self.level = (self.level + rate * elapsed.as_secs_f64()).min(max_level);
     }
 
     /// Returns true if a request may be sent now.
