--- a/crates/savorywood-gateway/src/rollout.rs
+++ b/crates/savorywood-gateway/src/rollout.rs
@@ -121,10 +121,10 @@
     /// Returns true if the order is unchanged but has a new position, as after a restore of the
     /// store.
     fn is_same_after_restore(&self, order: &RolloutOrder) -> bool {
-        let known = &self.order;
-        known.position.era < order.position.era
-            && known.target_version == order.target_version
-            && known.time_limit == order.time_limit
+        let current = &self.order;
+        current.position.era < order.position.era
+            && current.target_version == order.target_version
+            && current.time_limit == order.time_limit
     }
 
     fn progress(&self, now: MonotonicTime) -> f64 {
@@ -141,8 +141,8 @@
     }
     let new = f64::from(total.new_bad) / f64::from(total.new_responses);
     let old = f64::from(total.old_bad) / f64::from(total.old_responses.max(1));
-    let spread = (old.max(0.02) * (1.0 - old.min(0.98)) / f64::from(total.new_responses)).sqrt();
-    new > old + 3.0 * spread + 0.02
+    let std_error = (old.max(0.02) * (1.0 - old.min(0.98)) / f64::from(total.new_responses)).sqrt();
+    new > old + 3.0 * std_error + 0.02
 }
 
 /// State of all roll-outs by service.
@@ -158,16 +158,16 @@
 impl RolloutTable {
     /// Applies an order. Returns true if it is new.
     pub fn apply_order(&mut self, now: MonotonicTime, order: RolloutOrder) -> bool {
-        if let Some(known) = self.states.get_mut(&order.service) {
-            if known.order.position >= order.position {
+        if let Some(current) = self.states.get_mut(&order.service) {
+            if current.order.position >= order.position {
                 return false;
             }
-            if known.is_same_after_restore(&order) {
-                known.order.position = order.position;
+            if current.is_same_after_restore(&order) {
+                current.order.position = order.position;
                 return false;
             }
         }
-        let known = self.states.get(&order.service);
+        let current = self.states.get(&order.service);
         let own = VersionTally {
             rollout: digest(&order),
             new_responses: 0,
@@ -178,7 +178,7 @@
             dispatched_new: 0,
             rejected: false,
         };
-        let position = known.map_or(StorePosition::default(), |state| state.position);
+        let position = current.map_or(StorePosition::default(), |state| state.position);
         let state = RolloutState {
             started_at: now,
             own,
