--- a/crates/savorywood-gateway/src/upstream.rs
+++ b/crates/savorywood-gateway/src/upstream.rs
@@ -157,13 +157,13 @@
     evacuations: EvacuationTable,
     store_failed_at: Option<MonotonicTime>,
     /// Incarnations that ended after draining.
-    departed: BTreeMap<UpstreamLabel, UpstreamDeparture>,
+    departed: BTreeMap<UpstreamLabel, DepartedIncarnation>,
 }
 
 /// An incarnation that ended after draining.
 #[derive(Debug, Clone, Copy)]
-struct UpstreamDeparture {
-    born: u64,
+struct DepartedIncarnation {
+    incarnation: u64,
     at: MonotonicTime,
 }
 
@@ -230,11 +230,11 @@
     #[must_use]
     pub fn median_failure_ratio(&self, now: MonotonicTime, service: &ServiceLabel) -> f64 {
         let members = self.members(service);
-        let mut shares: Vec<f64> = members
+        let mut ratios: Vec<f64> = members
             .map(|state| state.outlier.failure_ratio(now))
             .collect();
-        shares.sort_by(f64::total_cmp);
-        shares.get(shares.len() / 2).copied().unwrap_or_default()
+        ratios.sort_by(f64::total_cmp);
+        ratios.get(ratios.len() / 2).copied().unwrap_or_default()
     }
 
     /// Records a failed call to the store.
@@ -252,7 +252,7 @@
         let has_departed = self
             .departed
             .get(&entry.name)
-            .is_some_and(|left| left.born == entry.incarnation);
+            .is_some_and(|departure| departure.incarnation == entry.incarnation);
         if has_departed && entry.incarnation != 0 {
             return None;
         }
@@ -280,13 +280,13 @@
             self.states.insert(restarted.entry.name.clone(), restarted);
             return Some(FleetChange::Restarted);
         }
-        let drains = entry.draining && !state.entry.draining;
-        let cools = !state.is_cold(now);
+        let starts_draining = entry.draining && !state.entry.draining;
+        let was_warm = !state.is_cold(now);
         state.apply_registration(now, entry);
-        if drains {
+        if starts_draining {
             return Some(FleetChange::Draining);
         }
-        (cools && state.is_cold(now)).then_some(FleetChange::Cold)
+        (was_warm && state.is_cold(now)).then_some(FleetChange::Cold)
     }
 
     /// Creates the state of an upstream that has only a registration.
@@ -337,8 +337,8 @@
     /// are treated as cold.
     pub fn end_evacuation(&mut self, now: MonotonicTime, order: EvacuationOrder) -> bool {
         let zone = order.zone.clone();
-        let is_end = self.evacuations.withdraw(order);
-        if is_end {
+        let was_evacuated = self.evacuations.withdraw(order);
+        if was_evacuated {
             let warmups = self.warmups.clone();
             for state in self.states_in(&zone) {
                 state.evacuated = false;
@@ -347,7 +347,7 @@
                 }
             }
         }
-        is_end
+        was_evacuated
     }
 
     fn states_in<'a>(
@@ -412,20 +412,20 @@
 
     /// Removes upstreams whose registration is gone and that have no requests in progress.
     pub fn remove_ended(&mut self, now: MonotonicTime) {
-        let is_over = |state: &UpstreamState| {
+        let has_ended = |state: &UpstreamState| {
             state.running == 0 && state.removed_at.is_some_and(|at| now >= at)
         };
-        for state in self.states.values().filter(|state| is_over(state)) {
+        for state in self.states.values().filter(|state| has_ended(state)) {
             if state.entry.draining {
-                let departure = UpstreamDeparture {
-                    born: state.entry.incarnation,
+                let departure = DepartedIncarnation {
+                    incarnation: state.entry.incarnation,
                     at: now,
                 };
                 self.departed.insert(state.entry.name.clone(), departure);
             }
         }
-        self.states.retain(|_, state| !is_over(state));
+        self.states.retain(|_, state| !has_ended(state));
         self.departed
-            .retain(|_, left| now.since(left.at) < DEPARTURE_RETENTION);
+            .retain(|_, departure| now.since(departure.at) < DEPARTURE_RETENTION);
     }
 }
