--- a/crates/savorywood-gateway/src/evacuation.rs
+++ b/crates/savorywood-gateway/src/evacuation.rs
@@ -28,12 +28,14 @@
     /// Returns true if the zone is under evacuation.
     #[must_use]
     pub fn contains(&self, zone: &ZoneLabel) -> bool {
-        self.orders.get(zone).is_some_and(|known| known.in_force)
+        self.orders
+            .get(zone)
+            .is_some_and(|recorded| recorded.in_force)
     }
 
     /// Iterates over the zones under evacuation.
     pub fn zones(&self) -> impl Iterator<Item = &ZoneLabel> {
-        let orders = self.orders.iter().filter(|(_, known)| known.in_force);
+        let orders = self.orders.iter().filter(|(_, recorded)| recorded.in_force);
         orders.map(|(zone, _)| zone)
     }
 
@@ -55,8 +57,9 @@
         orders: &[EvacuationOrder],
         revision: StorePosition,
     ) -> Vec<EvacuationOrder> {
-        let known = self.orders.iter();
-        let old = known.filter(|(_, known)| known.in_force && known.position <= revision);
+        let recorded = self.orders.iter();
+        let old =
+            recorded.filter(|(_, recorded)| recorded.in_force && recorded.position <= revision);
         let missing = old.filter(|(zone, _)| !orders.iter().any(|order| order.zone == **zone));
         let withdrawn = missing.map(|(zone, _)| EvacuationOrder {
             zone: zone.clone(),
@@ -70,15 +73,15 @@
             position: order.position,
             in_force,
         };
-        let Some(known) = self.orders.get_mut(&order.zone) else {
+        let Some(recorded) = self.orders.get_mut(&order.zone) else {
             self.orders.insert(order.zone, newest);
             return in_force;
         };
-        if known.position > order.position {
+        if recorded.position > order.position {
             return false;
         }
-        let changed = known.in_force != in_force;
-        *known = newest;
+        let changed = recorded.in_force != in_force;
+        *recorded = newest;
         changed
     }
 }
