--- a/crates/savorywood-gateway/src/demand.rs
+++ b/crates/savorywood-gateway/src/demand.rs
@@ -23,17 +23,17 @@
 
 impl DecayingCounter {
     fn add(&mut self, now: MonotonicTime) {
-        self.count = self.at(now) + 1.0;
+        self.count = self.value_at(now) + 1.0;
         self.updated_at = now;
     }
 
-    fn at(&self, now: MonotonicTime) -> f64 {
+    fn value_at(&self, now: MonotonicTime) -> f64 {
         let elapsed = now.since(self.updated_at).as_secs_f64();
         self.count * (-elapsed / DECAY_WINDOW.as_secs_f64()).exp()
     }
 
     fn per_second(&self, now: MonotonicTime) -> f64 {
-        self.at(now) / DECAY_WINDOW.as_secs_f64()
+        self.value_at(now) / DECAY_WINDOW.as_secs_f64()
     }
 }
 
