--- a/crates/savorywood-gateway/src/entry_set.rs
+++ b/crates/savorywood-gateway/src/entry_set.rs
@@ -83,11 +83,11 @@
     /// scarcest resource. A resource without a declared capacity is ignored.
     fn carried_fraction(&self, load: &Self) -> f64 {
         let pairs = self.amounts().into_iter().zip(load.amounts());
-        let parts = pairs.filter(|(capacity, _)| *capacity > 0).map(|pair| {
+        let fractions = pairs.filter(|(capacity, _)| *capacity > 0).map(|pair| {
             let (capacity, load) = pair;
             f64::from(capacity) * TARGET_UTILISATION / f64::from(load.max(1))
         });
-        parts.fold(MAX_CARRIED_FRACTION, f64::min)
+        fractions.fold(MAX_CARRIED_FRACTION, f64::min)
     }
 }
 
@@ -127,9 +127,9 @@
         if members.len() >= MIN_MEMBERS && carried - largest >= 1.0 {
             break;
         }
-        let part = candidate.capacity.carried_fraction(load);
-        carried += part;
-        largest = largest.max(part);
+        let fraction = candidate.capacity.carried_fraction(load);
+        carried += fraction;
+        largest = largest.max(fraction);
         members.push(candidate.host);
     }
     members
