--- a/crates/savorywood-gateway/src/affinity.rs
+++ b/crates/savorywood-gateway/src/affinity.rs
@@ -43,11 +43,11 @@
         let mut tokens = 0;
         for part in parts {
             let holders = self.holders.get(&part.id);
-            let held = holders
+            let is_cached = holders
                 .into_iter()
                 .flatten()
                 .any(|holder| holder.upstream == *upstream && now.since(holder.at) < CACHE_TTL);
-            if !held {
+            if !is_cached {
                 break;
             }
             tokens += part.tokens;
