--- a/crates/savorywood-gateway/src/retry_budget.rs
+++ b/crates/savorywood-gateway/src/retry_budget.rs
@@ -64,11 +64,11 @@
     }
 
     fn evict_expired(&mut self, now: MonotonicTime, window: Duration) {
-        let from = now - window;
-        while self.requests.front().is_some_and(|at| *at < from) {
+        let window_start = now - window;
+        while self.requests.front().is_some_and(|at| *at < window_start) {
             self.requests.pop_front();
         }
-        while self.retries.front().is_some_and(|at| *at < from) {
+        while self.retries.front().is_some_and(|at| *at < window_start) {
             self.retries.pop_front();
         }
     }
