--- a/crates/savorywood-gateway/src/config.rs
+++ b/crates/savorywood-gateway/src/config.rs
@@ -91,12 +91,12 @@
     /// Returns the service for `sample`, which is uniformly distributed between 0 and 1; `None` if
     /// all weights are zero.
     #[must_use]
-    pub fn choose_service(&self, draw: f64) -> Option<&ServiceLabel> {
+    pub fn choose_service(&self, sample: f64) -> Option<&ServiceLabel> {
         let total: u32 = self.traffic_split.iter().map(|share| share.weight).sum();
-        let mut rest = draw * f64::from(total);
+        let mut remaining = sample * f64::from(total);
         for share in &self.traffic_split {
-            rest -= f64::from(share.weight);
-            if rest < 0.0 {
+            remaining -= f64::from(share.weight);
+            if remaining < 0.0 {
                 return Some(&share.service);
             }
         }
