--- a/crates/savorywood-gateway/src/estimate.rs
+++ b/crates/savorywood-gateway/src/estimate.rs
@@ -37,10 +37,10 @@
         self.idle_first_event_ms + self.streaming_ms
     }
 
-    /// Returns true if a stream that starts now completes within `left_ms`, with a margin for a
+    /// Returns true if a stream that starts now completes within `remaining_ms`, with a margin for a
     /// longer response than expected. Non-streaming responses always fit.
     #[must_use]
-    pub fn fits_within(&self, left_ms: f64) -> bool {
-        !self.stream || self.idle_first_event_ms + self.streaming_ms * LENGTH_MARGIN <= left_ms
+    pub fn fits_within(&self, remaining_ms: f64) -> bool {
+        !self.stream || self.idle_first_event_ms + self.streaming_ms * LENGTH_MARGIN <= remaining_ms
     }
 }
