--- a/crates/savorywood-gateway/src/config.rs
+++ b/crates/savorywood-gateway/src/config.rs
@@ -54,7 +54,7 @@
 /// bounds that apply to them.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RouteSpec {
-    /// Name from the configuration, unique to the route.
+    /// Name, as declared by operators.
     pub name: String,
     /// Host that callers address, in lower case.
     pub host: String,
--- a/crates/savorywood-gateway/src/rollout.rs
+++ b/crates/savorywood-gateway/src/rollout.rs
@@ -69,8 +69,8 @@
 const MIN_BAD_RESPONSES: u32 = 3;
 /// Fraction of the allowed canary share that is used.
 const CANARY_SHARE_FRACTION: f64 = 0.6;
-/// Fraction of the time limit after which a version that is verified and not rejected receives all
-/// kinds of traffic.
+/// Fraction of the time limit after which a version that is verified and not rejected may receive
+/// any request.
 const CANARY_END_FRACTION: f64 = 0.45;
 /// Fraction of the time limit after which the old versions receive no traffic.
 const SWITCH_FRACTION: f64 = 0.7;
