--- a/crates/savorywood-gateway/src/gateway/gossip.rs
+++ b/crates/savorywood-gateway/src/gateway/gossip.rs
@@ -256,7 +256,11 @@
             return true;
         }
         let mut services: BTreeMap<&ServiceLabel, SlotCount> = BTreeMap::new();
-        for state in self.fleet.iter().filter(|state| state.is_open(now)) {
+        for state in self
+            .fleet
+            .iter()
+            .filter(|state| state.accepts_requests(now))
+        {
             let count = services.entry(&state.entry.service).or_default();
             let others = self.peers.slots_by_digest(state.digest).running;
             count.taken += state.running + others;
--- a/crates/savorywood-gateway/src/selection.rs
+++ b/crates/savorywood-gateway/src/selection.rs
@@ -310,8 +310,8 @@
     /// partial failure into a complete one.
     fn all_ejected(&self, query: &SelectionQuery<'_>) -> bool {
         let mut members = self.fleet.members(query.service);
-        let is_open = |state: &UpstreamState| state.is_open(self.now);
-        members.all(|state| !is_open(state) || state.outlier.is_ejected())
+        let accepts_requests = |state: &UpstreamState| state.accepts_requests(self.now);
+        members.all(|state| !accepts_requests(state) || state.outlier.is_ejected())
     }
 
     fn is_eligible(
@@ -322,7 +322,7 @@
     ) -> bool {
         let eligible = all_ejected || state.outlier.is_usable(self.now, query.allow_probe);
         eligible
-            && state.is_open(self.now)
+            && state.accepts_requests(self.now)
             && self.is_in_home_regions(state, query)
             && query.versions.allows(&state.entry.version)
             && !query.attempted.contains(&state.entry.name)
--- a/crates/savorywood-gateway/src/upstream.rs
+++ b/crates/savorywood-gateway/src/upstream.rs
@@ -104,7 +104,7 @@
 
     /// Returns true if the upstream accepts new requests.
     #[must_use]
-    pub fn is_open(&self, now: MonotonicTime) -> bool {
+    pub fn accepts_requests(&self, now: MonotonicTime) -> bool {
         !self.entry.draining && !self.evacuated && self.removed_at.is_none_or(|at| now < at)
     }
 
