--- a/crates/savorywood-gateway/src/quarantine.rs
+++ b/crates/savorywood-gateway/src/quarantine.rs
@@ -129,8 +129,8 @@
 impl SuspectUpstream {
     /// Returns true if an attempt that failed was sent while the upstream was down.
     fn is_down(self, sent_at: MonotonicTime, failed_at: MonotonicTime) -> bool {
-        let is_soon = failed_at.since(self.at) < RESTART_WINDOW;
-        sent_at > self.at && is_soon && self.responded_at.is_none()
+        let is_within_window = failed_at.since(self.at) < RESTART_WINDOW;
+        sent_at > self.at && is_within_window && self.responded_at.is_none()
     }
 }
 
@@ -204,7 +204,7 @@
         let was_quarantined = entry.is_quarantined();
         entry.history.record_served(now);
         entry.own_changed_at = Some(now);
-        lifted(was_quarantined)
+        lifted_if(was_quarantined)
     }
 
     /// Records a response of an upstream to a request sent at `sent_at`. If an attempt failed there
@@ -414,7 +414,7 @@
     }
 }
 
-fn lifted(was_quarantined: bool) -> QuarantineChange {
+fn lifted_if(was_quarantined: bool) -> QuarantineChange {
     if was_quarantined {
         QuarantineChange::Lifted
     } else {
--- a/crates/savorywood-gateway/src/team_limit.rs
+++ b/crates/savorywood-gateway/src/team_limit.rs
@@ -405,7 +405,7 @@
         self.others_recent *= decay;
         let share = 1.0 / f64::from(self.daemons());
         self.zone_total += (after.same_zone_s - before.same_zone_s) * share * self.strict.rate;
-        let refill_s = elapsed_s - (after.all_s - before.all_s) * share;
+        let refill_s = elapsed_s - (after.total_s - before.total_s) * share;
         for bucket in [&mut self.strict, &mut self.tolerated] {
             bucket.add(refill_s * bucket.rate);
             bucket.cap_to_fraction(fraction);
--- a/crates/savorywood-gateway/src/team_limit/staleness.rs
+++ b/crates/savorywood-gateway/src/team_limit/staleness.rs
@@ -89,7 +89,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct StaleTime {
     /// Sum over all peers.
-    pub all_s: f64,
+    pub total_s: f64,
     /// Sum over the peers of this daemon's zone.
     pub same_zone_s: f64,
 }
@@ -148,7 +148,7 @@
     #[must_use]
     pub fn stale_time(&self, now: MonotonicTime) -> StaleTime {
         StaleTime {
-            all_s: self.stale.stale_s(now),
+            total_s: self.stale.stale_s(now),
             same_zone_s: self.stale_same_zone.stale_s(now),
         }
     }
--- a/crates/savorywood-gateway/src/team_limit/staleness/tests.rs
+++ b/crates/savorywood-gateway/src/team_limit/staleness/tests.rs
@@ -55,7 +55,7 @@
             let mut ahead = index.clone();
             ahead.advance(later, |peer| peers.get(&peer).copied());
             let late = ahead.stale_time(later);
-            let same = (late.all_s - iterated_s(&peers, later, false)).abs() < 1e-6
+            let same = (late.total_s - iterated_s(&peers, later, false)).abs() < 1e-6
                 && (late.same_zone_s - iterated_s(&peers, later, true)).abs() < 1e-6
                 && ahead.reachable_daemons() == iterated_reachable(&peers, later)
                 && ahead.daemons() == peers.values().map(|peer| peer.daemons).sum::<u32>();
--- a/crates/savorywood-gateway/src/upstream.rs
+++ b/crates/savorywood-gateway/src/upstream.rs
@@ -325,7 +325,7 @@
         let zone = order.zone.clone();
         let is_new = self.evacuations.apply(order);
         if is_new {
-            for state in self.states_in(&zone) {
+            for state in self.states_in_zone(&zone) {
                 state.evacuated = true;
             }
         }
@@ -340,7 +340,7 @@
         let was_evacuated = self.evacuations.withdraw(order);
         if was_evacuated {
             let warmups = self.warmups.clone();
-            for state in self.states_in(&zone) {
+            for state in self.states_in_zone(&zone) {
                 state.evacuated = false;
                 if let Some(warmup) = warmups.get(&state.entry.service) {
                     state.extend_cold(now + warmup.duration);
@@ -350,7 +350,7 @@
         was_evacuated
     }
 
-    fn states_in<'a>(
+    fn states_in_zone<'a>(
         &'a mut self,
         zone: &'a ZoneLabel,
     ) -> impl Iterator<Item = &'a mut UpstreamState> {
