--- a/crates/savorywood-gateway/src/config.rs
+++ b/crates/savorywood-gateway/src/config.rs
@@ -76,7 +76,7 @@
     /// Priority rank; 0 is the most urgent.
     pub priority: u32,
     /// Services that share the traffic, by weight.
-    pub traffic_split: Vec<TrafficShare>,
+    pub service_shares: Vec<TrafficShare>,
     /// Maximum number of upstreams that one request is sent to.
     pub max_attempts: u32,
     /// Requests need no API key.
@@ -92,15 +92,15 @@
     /// all weights are zero.
     #[must_use]
     pub fn choose_service(&self, sample: f64) -> Option<&ServiceLabel> {
-        let total: u32 = self.traffic_split.iter().map(|share| share.weight).sum();
+        let total: u32 = self.service_shares.iter().map(|share| share.weight).sum();
         let mut remaining = sample * f64::from(total);
-        for share in &self.traffic_split {
+        for share in &self.service_shares {
             remaining -= f64::from(share.weight);
             if remaining < 0.0 {
                 return Some(&share.service);
             }
         }
-        self.traffic_split
+        self.service_shares
             .iter()
             .rev()
             .find(|share| share.weight > 0)
--- a/crates/savorywood-gateway/tests/common/scene.rs
+++ b/crates/savorywood-gateway/tests/common/scene.rs
@@ -53,7 +53,7 @@
         gap_objective: Some(Duration::from_millis(800)),
         caller_idle_timeout: None,
         priority,
-        traffic_split: vec![TrafficShare {
+        service_shares: vec![TrafficShare {
             service: ServiceLabel::from("engine"),
             weight: 1,
         }],
