--- a/crates/savorywood-gateway/src/gateway/dispatch.rs
+++ b/crates/savorywood-gateway/src/gateway/dispatch.rs
@@ -161,7 +161,7 @@
             return;
         };
         state.running += 1;
-        state.unread_tokens += record.size.prompt_tokens;
+        state.unread_prompt_tokens += record.size.prompt_tokens;
         self.dispatches += 1;
         state.last_dispatch_number = self.dispatches;
         state.outlier.record_dispatch();
@@ -209,7 +209,7 @@
             .with("score", format_args!("{:.0}", picked.score))
             .with("occupied", picked.slots_in_use)
             .with("slots", state.entry.slots)
-            .with("unread", state.unread_tokens)
+            .with("unread", state.unread_prompt_tokens)
             .with("cold_ms", state.cold_until.since(now).as_millis());
         let line = match state.limit.limit() {
             Some(limit) => line.with("limit", limit.per_second()),
--- a/crates/savorywood-gateway/src/gateway/gossip.rs
+++ b/crates/savorywood-gateway/src/gateway/gossip.rs
@@ -156,7 +156,7 @@
         let slots = states.map(|state| SlotUse {
             upstream: u64::from(slot_key(state.digest)),
             running: u16::try_from(state.running).unwrap_or(u16::MAX),
-            unread_prompt_tokens: state.unread_tokens,
+            unread_prompt_tokens: state.unread_prompt_tokens,
         });
         slots.collect()
     }
--- a/crates/savorywood-gateway/src/gateway/learning.rs
+++ b/crates/savorywood-gateway/src/gateway/learning.rs
@@ -80,8 +80,8 @@
         self.fleet.record_received(now, &upstream);
         let sent_at = attempt.sent_at;
         if is_first && let Some(state) = self.fleet.get_mut(&upstream) {
-            state.unread_tokens = state
-                .unread_tokens
+            state.unread_prompt_tokens = state
+                .unread_prompt_tokens
                 .saturating_sub(record.size.prompt_tokens);
         }
         if record.route.retry_safety.is_stream() {
@@ -135,8 +135,8 @@
         if attempt.began_at.is_none()
             && let Some(state) = self.fleet.get_mut(&attempt.upstream)
         {
-            state.unread_tokens = state
-                .unread_tokens
+            state.unread_prompt_tokens = state
+                .unread_prompt_tokens
                 .saturating_sub(record.size.prompt_tokens);
         }
         let output = record.output;
--- a/crates/savorywood-gateway/src/gateway/watching.rs
+++ b/crates/savorywood-gateway/src/gateway/watching.rs
@@ -116,7 +116,7 @@
     /// Time for which an upstream may be silent because it reads the prompts that are still to be
     /// read there.
     fn reading_time(&self, record: &RequestRecord, state: &UpstreamState) -> Duration {
-        let unread = state.unread_tokens
+        let unread = state.unread_prompt_tokens
             + self
                 .peers
                 .slots_by_digest(state.digest)
--- a/crates/savorywood-gateway/src/selection.rs
+++ b/crates/savorywood-gateway/src/selection.rs
@@ -262,7 +262,7 @@
             self.prefix_cache
                 .cached_tokens(self.now, query.prompt_parts, &state.entry.name);
         let own = query.prompt_tokens.saturating_sub(cached);
-        let unread = own + state.unread_tokens + others_unread;
+        let unread = own + state.unread_prompt_tokens + others_unread;
         ResponseEstimate {
             idle_first_event_ms: state
                 .latency
--- a/crates/savorywood-gateway/src/upstream.rs
+++ b/crates/savorywood-gateway/src/upstream.rs
@@ -59,7 +59,7 @@
     /// Number of requests of this daemon in progress.
     pub running: u32,
     /// Prompt tokens of these requests that wait for their first event.
-    pub unread_tokens: u32,
+    pub unread_prompt_tokens: u32,
     /// Sequence number of this daemon's last dispatch to the upstream.
     pub last_dispatch_number: u64,
     /// Failures and ejection.
@@ -88,7 +88,7 @@
             digest: name_digest(entry.name.as_str()),
             entry,
             running: 0,
-            unread_tokens: 0,
+            unread_prompt_tokens: 0,
             last_dispatch_number: 0,
             outlier: OutlierState::default(),
             latency: LatencyModel::default(),
@@ -268,11 +268,14 @@
         };
         state.removed_at = None;
         if state.entry.incarnation != entry.incarnation && entry.incarnation != 0 {
-            let (running, unread, sent_at) =
-                (state.running, state.unread_tokens, state.last_dispatch_at);
+            let (running, unread, sent_at) = (
+                state.running,
+                state.unread_prompt_tokens,
+                state.last_dispatch_at,
+            );
             let restarted = UpstreamState {
                 running,
-                unread_tokens: unread,
+                unread_prompt_tokens: unread,
                 last_dispatch_at: sent_at,
                 limit: UpstreamLimit::for_new_incarnation(now),
                 ..self.new_state(now, entry)
