--- a/crates/savorywood-gateway/src/affinity.rs
+++ b/crates/savorywood-gateway/src/affinity.rs
@@ -1,4 +1,4 @@
-//! Which upstream read a part of a prompt last.
+//! Prompt cache affinity: records which upstreams processed each part of a prompt most recently.
 
 use crate::{arrival::PromptPart, label::UpstreamLabel};
 use savorywood_protocol::MonotonicTime;
@@ -7,29 +7,32 @@
     time::Duration,
 };
 
-/// Parts remembered at most.
-const MAX_PARTS: usize = 4_096;
-/// A part that nobody asked for in this time is taken to be gone.
-const KEPT_TIME: Duration = Duration::from_secs(20);
+/// Maximum number of prompt parts in the index; the oldest are evicted first.
+const MAX_PROMPT_PARTS: usize = 4_096;
+/// A prompt part that an upstream has not processed within this time is assumed to have been
+/// evicted from its cache.
+const CACHE_TTL: Duration = Duration::from_secs(20);
 
 #[derive(Debug, Clone)]
-struct PartHolder {
+struct CacheHolder {
     upstream: UpstreamLabel,
     at: MonotonicTime,
 }
 
-/// Holders of prompt parts, newest last.
+/// Upstreams that hold each prompt part, keyed by the part's id; holders are ordered from the
+/// oldest to the most recent.
 #[derive(Debug, Clone, Default)]
 pub struct PrefixCacheIndex {
-    holders: HashMap<u64, Vec<PartHolder>>,
+    holders: HashMap<u64, Vec<CacheHolder>>,
     order: VecDeque<u64>,
 }
 
-/// Upstreams remembered for one part.
-const HOLDERS: usize = 4;
+/// Maximum number of upstreams recorded for one prompt part.
+const MAX_HOLDERS_PER_PART: usize = 4;
 
 impl PrefixCacheIndex {
-    /// Tokens of the prompt's beginning that an upstream is expected to hold.
+    /// Returns how many tokens at the start of the prompt the upstream is expected to have cached.
+    /// Counting stops at the first part that is not cached.
     #[must_use]
     pub fn cached_tokens(
         &self,
@@ -40,11 +43,11 @@
         let mut tokens = 0;
         for part in parts {
             let holders = self.holders.get(&part.id);
-            let held = holders
+            let is_cached = holders
                 .into_iter()
                 .flatten()
-                .any(|holder| holder.upstream == *upstream && now.since(holder.at) < KEPT_TIME);
-            if !held {
+                .any(|holder| holder.upstream == *upstream && now.since(holder.at) < CACHE_TTL);
+            if !is_cached {
                 break;
             }
             tokens += part.tokens;
@@ -52,7 +55,7 @@
         tokens
     }
 
-    /// An upstream reads a prompt.
+    /// Records that an upstream processes all parts of a prompt.
     pub fn record_prompt(
         &mut self,
         now: MonotonicTime,
@@ -65,15 +68,15 @@
                 Vec::new()
             });
             holders.retain(|holder| holder.upstream != *upstream);
-            if holders.len() >= HOLDERS {
+            if holders.len() >= MAX_HOLDERS_PER_PART {
                 holders.remove(0);
             }
-            holders.push(PartHolder {
+            holders.push(CacheHolder {
                 upstream: upstream.clone(),
                 at: now,
             });
         }
-        while self.order.len() > MAX_PARTS {
+        while self.order.len() > MAX_PROMPT_PARTS {
             if let Some(oldest) = self.order.pop_front() {
                 self.holders.remove(&oldest);
             }
--- a/crates/savorywood-gateway/src/gateway/dispatch.rs
+++ b/crates/savorywood-gateway/src/gateway/dispatch.rs
@@ -162,7 +162,7 @@
             return;
         };
         state.running += 1;
-        state.unread_tokens += record.size.prompt_tokens;
+        state.unread_prompt_tokens += record.size.prompt_tokens;
         self.dispatches += 1;
         state.last_dispatch_number = self.dispatches;
         state.outlier.record_dispatch();
@@ -210,7 +210,7 @@
             .with("score", format_args!("{:.0}", selected.score))
             .with("occupied", selected.slots_in_use)
             .with("slots", state.entry.slots)
-            .with("unread", state.unread_tokens)
+            .with("unread", state.unread_prompt_tokens)
             .with("cold_ms", state.cold_until.since(now).as_millis());
         let line = match state.limit.limit() {
             Some(limit) => line.with("limit", limit.per_second()),
@@ -260,7 +260,7 @@
                     service_latency.first_event_ms(&service_latency, record.size.prompt_tokens)
                         + service_latency.streaming_ms(&service_latency, record.expected_output_tokens)
                 } else {
-                    service_latency.whole_ms(&service_latency)
+                    service_latency.response_ms(&service_latency)
                 };
                 let needed = Duration::from_secs_f64(needed * MIN_REMAINING_FRACTION / 1e3);
                 if now + needed >= record.give_up_at {
--- a/crates/savorywood-gateway/src/gateway/feedback.rs
+++ b/crates/savorywood-gateway/src/gateway/feedback.rs
@@ -88,8 +88,8 @@
         self.fleet.record_received(now, &upstream);
         let dispatched_at = attempt.dispatched_at;
         if is_first && let Some(state) = self.fleet.get_mut(&upstream) {
-            state.unread_tokens = state
-                .unread_tokens
+            state.unread_prompt_tokens = state
+                .unread_prompt_tokens
                 .saturating_sub(record.size.prompt_tokens);
         }
         if record.route.retry_safety.is_stream() {
@@ -153,8 +153,8 @@
         if attempt.first_event_at.is_none()
             && let Some(state) = self.fleet.get_mut(&attempt.upstream)
         {
-            state.unread_tokens = state
-                .unread_tokens
+            state.unread_prompt_tokens = state
+                .unread_prompt_tokens
                 .saturating_sub(record.size.prompt_tokens);
         }
         let expected_output_tokens = record.expected_output_tokens;
--- a/crates/savorywood-gateway/src/gateway/gossip.rs
+++ b/crates/savorywood-gateway/src/gateway/gossip.rs
@@ -161,7 +161,7 @@
         let slots = states.map(|state| SlotUse {
             upstream: u64::from(slot_key(state.digest)),
             running: u16::try_from(state.running).unwrap_or(u16::MAX),
-            unread_prompt_tokens: state.unread_tokens,
+            unread_prompt_tokens: state.unread_prompt_tokens,
         });
         slots.collect()
     }
@@ -263,7 +263,11 @@
             return true;
         }
         let mut services: BTreeMap<&ServiceLabel, SlotCount> = BTreeMap::new();
-        for state in self.fleet.iter().filter(|state| state.is_open(now)) {
+        for state in self
+            .fleet
+            .iter()
+            .filter(|state| state.accepts_requests(now))
+        {
             let count = services.entry(&state.entry.service).or_default();
             let others = self.peers.slots_by_digest(state.digest).running;
             count.in_use += state.running + others;
--- a/crates/savorywood-gateway/src/gateway/quarantine.rs
+++ b/crates/savorywood-gateway/src/gateway/quarantine.rs
@@ -117,7 +117,7 @@
     ) {
         let is_same_zone = gossip.zone == name_digest(self.options.zone.as_str());
         for report in &gossip.reports {
-            let change = self.quarantine.merge(now, report, is_same_zone);
+            let change = self.quarantine.merge_report(now, report, is_same_zone);
             log_change(report.fingerprint, change, "peer", effects);
         }
     }
--- a/crates/savorywood-gateway/src/gateway/stall_detection.rs
+++ b/crates/savorywood-gateway/src/gateway/stall_detection.rs
@@ -105,7 +105,7 @@
             return (since_event > threshold).then_some(StallKind::First);
         }
         let service_latency = self.fleet.service_latency(&record.service);
-        let event_gap = Duration::from_secs_f64(state.latency.pause_ms(&service_latency) / 1e3);
+        let event_gap = Duration::from_secs_f64(state.latency.longest_gap_ms(&service_latency) / 1e3);
         let prefill = self.prefill_allowance(record, state);
         let since_any_data = now.since(
             state
@@ -127,7 +127,7 @@
 
     /// Returns the time for which an upstream may send nothing because it is reading prompts.
     fn prefill_allowance(&self, record: &RequestRecord, state: &UpstreamState) -> Duration {
-        let unread_tokens = state.unread_tokens
+        let unread_tokens = state.unread_prompt_tokens
             + self
                 .peers
                 .slots_by_digest(state.digest)
--- a/crates/savorywood-gateway/src/gateway/state_updates.rs
+++ b/crates/savorywood-gateway/src/gateway/state_updates.rs
@@ -354,7 +354,7 @@
             let peer_usage = PeerUsage {
                 peer: source.peer,
                 incarnation: source.incarnation,
-                age: source.age,
+                uptime: source.age,
                 total: used.map_or(0, |used| used.total),
                 daemons: source.daemons,
                 same_zone: source.same_zone,
--- a/crates/savorywood-gateway/src/latency.rs
+++ b/crates/savorywood-gateway/src/latency.rs
@@ -1,55 +1,56 @@
-//! How fast upstreams are, learned from what this daemon sees.
+//! Latency model of upstreams, estimated from the responses that this daemon receives.
 
 use std::time::Duration;
 
-/// Weight of the newest observation.
+/// Weight of the newest observation in moving averages.
 const NEWEST_WEIGHT: f64 = 0.2;
-/// Weight of a pause that is longer than the usual longest ones: these come beside long prompts,
-/// rarely and at any moment.
-const LONGER_PAUSE_WEIGHT: f64 = 0.5;
-/// Weight of a shorter one.
-const SHORTER_PAUSE_WEIGHT: f64 = 0.05;
-/// Longest pause, before anything was seen.
-const PAUSE_MS: f64 = 400.0;
-/// Time of a request without prompt, before anything was seen.
-const BASE_MS: f64 = 20.0;
-/// Time of one prompt token, before anything was seen.
-const TOKEN_MS: f64 = 0.025;
-/// Time of a pair of prompt tokens: each token attends to all before it.
-const PAIR_MS: f64 = 0.000_000_29;
-/// By how much the usual time to the first event moves with each observation, as a part of it.
-const FIRST_STEP: f64 = 0.12;
-/// Weight of a caller's guess of its answer's length against the usual length: guesses are right
-/// at the median and often far off.
-const GUESS_WEIGHT: f64 = 0.7;
-/// Time between two events, before anything was seen.
-const GAP_MS: f64 = 20.0;
+/// Weight of a gap that exceeds the current estimate of the longest gap. Such gaps are caused by
+/// long prompts in the same batch, rarely and at any time.
+const LONGER_GAP_WEIGHT: f64 = 0.5;
+/// Weight of a gap that is shorter than the estimate.
+const SHORTER_GAP_WEIGHT: f64 = 0.05;
+/// Longest gap between events, without observations.
+const DEFAULT_LONGEST_GAP_MS: f64 = 400.0;
+/// Time to the first event for an empty prompt, without observations.
+const DEFAULT_BASE_MS: f64 = 20.0;
+/// Time for each prompt token, without observations.
+const DEFAULT_TOKEN_MS: f64 = 0.025;
+/// Time for each pair of prompt tokens: a token attends to all tokens before it.
+const DEFAULT_TOKEN_PAIR_MS: f64 = 0.000_000_29;
+/// Relative step by which the estimated time to the first event changes with each observation.
+const FIRST_EVENT_STEP: f64 = 0.12;
+/// Weight of a caller's length hint relative to the mean length: hints are accurate at the median
+/// and often far off.
+const HINT_WEIGHT: f64 = 0.7;
+/// Interval between events, without observations.
+const DEFAULT_GAP_MS: f64 = 20.0;
 
-/// Time to the first event that an upstream of ordinary speed needs for a prompt.
+/// Returns the time to the first event of an upstream of typical speed, in milliseconds.
 #[must_use]
-pub fn nominal_first_event_ms(prompt: u32) -> f64 {
-    let tokens = f64::from(prompt);
-    BASE_MS + tokens * TOKEN_MS + tokens * tokens * PAIR_MS
+pub fn nominal_first_event_ms(prompt_tokens: u32) -> f64 {
+    let tokens = f64::from(prompt_tokens);
+    DEFAULT_BASE_MS + tokens * DEFAULT_TOKEN_MS + tokens * tokens * DEFAULT_TOKEN_PAIR_MS
 }
 
-/// Moving means of one upstream, or of all upstreams of a service.
+/// Moving averages for one upstream, or for all upstreams of a service. `None` means that nothing
+/// has been observed yet.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct LatencyModel {
-    /// Time to the first event against the nominal one.
-    first: Option<f64>,
-    /// Milliseconds between events.
+    /// Time to the first event, as a ratio to the nominal time.
+    first_event_ratio: Option<f64>,
+    /// Interval between events, in milliseconds.
     gap_ms: Option<f64>,
-    /// Milliseconds of the longest pauses between events.
-    pause_ms: Option<f64>,
-    /// Milliseconds of a whole answer.
-    whole_ms: Option<f64>,
-    /// Events of an answer.
+    /// Longest gap between events of a stream, in milliseconds.
+    longest_gap_ms: Option<f64>,
+    /// Duration of a complete response, in milliseconds.
+    response_ms: Option<f64>,
+    /// Number of events of a stream.
     events: Option<f64>,
-    /// Events against the tokens that the caller expected.
+    /// Ratio of events to the tokens that the caller expected.
     events_per_token: Option<f64>,
 }
 
-fn blend(mean: &mut Option<f64>, value: f64) {
+fn update_mean(mean: &mut Option<f64>, value: f64) {
     *mean = Some(match *mean {
         Some(old) => old + (value - old) * NEWEST_WEIGHT,
         None => value,
@@ -57,95 +58,105 @@
 }
 
 impl LatencyModel {
-    /// The first event came.
-    pub fn record_first_event(&mut self, prompt: u32, elapsed: Duration) {
-        let ratio = elapsed.as_secs_f64() * 1e3 / nominal_first_event_ms(prompt);
-        // The median: a wait in the upstream's queue, or behind another's long prompt, says little
-        // of its speed, and a mean would take such an upstream for a slow one.
-        let known = self.first.get_or_insert(ratio);
-        *known *= if ratio > *known {
-            1.0 + FIRST_STEP
+    /// Records the time to the first event of a response.
+    pub fn record_first_event(&mut self, prompt_tokens: u32, elapsed: Duration) {
+        let ratio = elapsed.as_secs_f64() * 1e3 / nominal_first_event_ms(prompt_tokens);
+        // Estimates the median: a wait in the upstream's queue, or behind another request's long
+        // prompt, does not reflect its speed, and would distort a mean.
+        let estimate = self.first_event_ratio.get_or_insert(ratio);
+        *estimate *= if ratio > *estimate {
+            1.0 + FIRST_EVENT_STEP
         } else {
-            1.0 / (1.0 + FIRST_STEP)
+            1.0 / (1.0 + FIRST_EVENT_STEP)
         };
     }
 
-    /// A stream ended well.
+    /// Records a stream that ended successfully: its number of events, the tokens that the caller
+    /// expected, the time after the first event and the total time.
     pub fn record_stream(
         &mut self,
         events: u32,
         expected_tokens: u32,
         after_first: Duration,
-        whole: Duration,
+        total: Duration,
     ) {
         if events > 1 {
             let gap = after_first.as_secs_f64() * 1e3 / f64::from(events - 1);
-            blend(&mut self.gap_ms, gap);
+            update_mean(&mut self.gap_ms, gap);
         }
-        blend(&mut self.events, f64::from(events));
+        update_mean(&mut self.events, f64::from(events));
         if expected_tokens > 0 {
             let ratio = f64::from(events) / f64::from(expected_tokens);
-            blend(&mut self.events_per_token, ratio.min(2.0));
+            update_mean(&mut self.events_per_token, ratio.min(2.0));
         }
-        blend(&mut self.whole_ms, whole.as_secs_f64() * 1e3);
+        update_mean(&mut self.response_ms, total.as_secs_f64() * 1e3);
     }
 
-    /// The longest pause of a stream that ended well.
+    /// Records the longest gap between events of a stream that ended successfully.
     pub fn record_longest_gap(&mut self, longest: Duration) {
         let millis = longest.as_secs_f64() * 1e3;
-        let known = self.pause_ms.get_or_insert(millis);
-        let weight = if millis > *known {
-            LONGER_PAUSE_WEIGHT
+        let estimate = self.longest_gap_ms.get_or_insert(millis);
+        let weight = if millis > *estimate {
+            LONGER_GAP_WEIGHT
         } else {
-            SHORTER_PAUSE_WEIGHT
+            SHORTER_GAP_WEIGHT
         };
-        *known += (millis - *known) * weight;
+        *estimate += (millis - *estimate) * weight;
     }
 
-    /// Milliseconds of the longest pauses that are usual there.
+    /// Returns the typical longest gap between events, in milliseconds; `service` is used without
+    /// observations.
     #[must_use]
-    pub fn pause_ms(&self, usual: &Self) -> f64 {
-        self.pause_ms.or(usual.pause_ms).unwrap_or(PAUSE_MS)
+    pub fn longest_gap_ms(&self, service: &Self) -> f64 {
+        self.longest_gap_ms
+            .or(service.longest_gap_ms)
+            .unwrap_or(DEFAULT_LONGEST_GAP_MS)
     }
 
-    /// A plain answer ended well.
-    pub fn record_response(&mut self, whole: Duration) {
-        blend(&mut self.whole_ms, whole.as_secs_f64() * 1e3);
+    /// Records the total time of a successful non-streaming response.
+    pub fn record_response(&mut self, total: Duration) {
+        update_mean(&mut self.response_ms, total.as_secs_f64() * 1e3);
     }
 
-    /// Expected milliseconds to the first event; `usual` stands in for what was not seen.
+    /// Returns the expected time to the first event, in milliseconds; `service` is used without
+    /// observations.
     #[must_use]
-    pub fn first_event_ms(&self, usual: &Self, prompt: u32) -> f64 {
-        nominal_first_event_ms(prompt) * self.first.or(usual.first).unwrap_or(1.0)
+    pub fn first_event_ms(&self, service: &Self, prompt_tokens: u32) -> f64 {
+        nominal_first_event_ms(prompt_tokens)
+            * self
+                .first_event_ratio
+                .or(service.first_event_ratio)
+                .unwrap_or(1.0)
     }
 
-    /// Expected milliseconds from the first event to the last, for an answer of about so many
-    /// tokens; zero where nobody guessed.
+    /// Returns the expected time from the first event to the last, in milliseconds.
+    /// `expected_tokens` is the caller's hint, zero if there is none.
     #[must_use]
-    pub fn streaming_ms(&self, usual: &Self, expected_tokens: u32) -> f64 {
-        let gap = self.gap_ms.or(usual.gap_ms).unwrap_or(GAP_MS);
-        let mean = usual.events.unwrap_or(10.0);
-        let guessed = match usual.events_per_token {
+    pub fn streaming_ms(&self, service: &Self, expected_tokens: u32) -> f64 {
+        let gap = self.gap_ms.or(service.gap_ms).unwrap_or(DEFAULT_GAP_MS);
+        let mean = service.events.unwrap_or(10.0);
+        let hinted = match service.events_per_token {
             Some(ratio) if expected_tokens > 0 => ratio * f64::from(expected_tokens),
             _ => mean,
         };
-        gap * (guessed * GUESS_WEIGHT + mean * (1.0 - GUESS_WEIGHT))
+        gap * (hinted * HINT_WEIGHT + mean * (1.0 - HINT_WEIGHT))
     }
 
-    /// Expected milliseconds of a whole answer.
+    /// Returns the expected duration of a complete response, in milliseconds.
     #[must_use]
-    pub fn whole_ms(&self, usual: &Self) -> f64 {
-        self.whole_ms.or(usual.whole_ms).unwrap_or(100.0)
+    pub fn response_ms(&self, service: &Self) -> f64 {
+        self.response_ms.or(service.response_ms).unwrap_or(100.0)
     }
 
-    /// Answers a second of one slot, up to a factor that is the same for a whole service.
+    /// Returns the responses per second of one slot, up to a factor that is the same within a
+    /// service.
     #[must_use]
-    pub fn throughput(&self, usual: &Self) -> f64 {
-        let gap = self.gap_ms.or(usual.gap_ms);
-        1.0 / gap.unwrap_or_else(|| self.whole_ms(usual)).max(0.1)
+    pub fn throughput(&self, service: &Self) -> f64 {
+        let gap = self.gap_ms.or(service.gap_ms);
+        1.0 / gap.unwrap_or_else(|| self.response_ms(service)).max(0.1)
     }
 
-    /// Mean gap between events in milliseconds, where some were seen.
+    /// Returns the mean interval between events in milliseconds, if any were observed.
     #[must_use]
     pub fn gap_ms(&self) -> Option<f64> {
         self.gap_ms
--- a/crates/savorywood-gateway/src/quarantine/crash_history.rs
+++ b/crates/savorywood-gateway/src/quarantine/crash_history.rs
@@ -1,142 +1,147 @@
-//! Upstreams that crashed under one request.
+//! Crashes of upstreams while they executed one request.
 
-use super::{row::StoredCrash, served::SERVED_TIME};
+use super::{row::StoredCrash, served::SERVED_WINDOW};
 use savorywood_protocol::MonotonicTime;
 use std::time::Duration;
 
-/// Crashes that are kept; more say nothing new.
-const MOST_MARKS: usize = 8;
-/// An upstream needs longer to start again: what breaks there within this time broke in one crash.
-const SAME_CRASH_TIME: Duration = Duration::from_secs(1);
+/// Maximum number of crashes that are kept; more do not change the outcome.
+const MAX_CRASHES: usize = 8;
+/// An upstream needs longer than this to restart, so attempts that fail there within this time
+/// failed in the same crash.
+const SAME_CRASH_WINDOW: Duration = Duration::from_secs(1);
 
-/// An upstream that crashed under a request.
+/// Crash of an upstream while it executed a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CrashRecord {
-    /// Half of the digest of its name.
+    /// Half of the digest of the upstream's name.
     pub upstream: u32,
-    /// Which of its crashes under the request, from 1. Reports of one crash are known by it, as their
-    /// times depend on how long they lay unread.
+    /// Number of the crash among those of this upstream under the request, from 1. It identifies
+    /// reports of the same crash, as their times depend on how long the messages were queued.
     pub number: u8,
-    /// When.
+    /// Time of the crash, on this daemon's clock.
     pub at: MonotonicTime,
 }
 
-/// What speaks against a request.
+/// Crashes under a request that have not been excused by a complete response.
 #[derive(Debug, Clone, Default)]
 pub struct CrashHistory {
-    marks: Vec<CrashRecord>,
-    /// When the request was answered in whole last.
+    crashes: Vec<CrashRecord>,
+    /// Time of the last complete response.
     served_at: Option<MonotonicTime>,
 }
 
 impl CrashHistory {
-    /// An upstream crashed a moment ago; whether that was new and counts.
+    /// Records a crash of an upstream at this daemon. Returns true if it is new and counts.
     pub fn add(&mut self, now: MonotonicTime, upstream: u32) -> bool {
-        let there = self.marks.iter().filter(|mark| mark.upstream == upstream);
-        let newest = there.max_by_key(|mark| mark.number);
-        if newest.is_some_and(|mark| now.since(mark.at) < SAME_CRASH_TIME) {
+        let of_upstream = self
+            .crashes
+            .iter()
+            .filter(|crash| crash.upstream == upstream);
+        let newest = of_upstream.max_by_key(|crash| crash.number);
+        if newest.is_some_and(|crash| now.since(crash.at) < SAME_CRASH_WINDOW) {
             return false;
         }
-        let number = newest.map_or(0, |mark| mark.number).saturating_add(1);
-        self.take(CrashRecord {
+        let number = newest.map_or(0, |crash| crash.number).saturating_add(1);
+        self.merge(CrashRecord {
             upstream,
             number,
             at: now,
         })
     }
 
-    /// Takes a crash that a peer reports; whether it was new and counts.
-    pub fn take(&mut self, mark: CrashRecord) -> bool {
+    /// Merges a crash that a peer reports. Returns true if it is new and counts.
+    pub fn merge(&mut self, crash: CrashRecord) -> bool {
         let is_same = |known: &&mut CrashRecord| {
-            (known.upstream, known.number) == (mark.upstream, mark.number)
+            (known.upstream, known.number) == (crash.upstream, crash.number)
         };
-        if let Some(known) = self.marks.iter_mut().find(is_same) {
-            known.at = known.at.min(mark.at);
+        if let Some(known) = self.crashes.iter_mut().find(is_same) {
+            known.at = known.at.min(crash.at);
             return false;
         }
-        if self.is_covered(mark) || self.marks.len() >= MOST_MARKS {
+        if self.is_excused(crash) || self.crashes.len() >= MAX_CRASHES {
             return false;
         }
-        self.marks.push(mark);
+        self.crashes.push(crash);
         true
     }
 
-    fn is_covered(&self, mark: CrashRecord) -> bool {
+    fn is_excused(&self, crash: CrashRecord) -> bool {
         self.served_at
-            .is_some_and(|served_at| mark.at < served_at + SERVED_TIME)
+            .is_some_and(|served_at| crash.at < served_at + SERVED_WINDOW)
     }
 
-    /// Drops what was taken for a crash of an upstream around a moment.
+    /// Removes the crash of an upstream around the given time, which has turned out to be none.
     pub fn withdraw(&mut self, upstream: u32, at: MonotonicTime) {
-        let is_it = |mark: &CrashRecord| {
-            let apart = mark.at.since(at).max(at.since(mark.at));
-            mark.upstream == upstream && apart < SAME_CRASH_TIME
+        let is_same = |crash: &CrashRecord| {
+            let distance = crash.at.since(at).max(at.since(crash.at));
+            crash.upstream == upstream && distance < SAME_CRASH_WINDOW
         };
-        self.marks.retain(|mark| !is_it(mark));
+        self.crashes.retain(|crash| !is_same(crash));
     }
 
-    /// The request was answered in whole; whether that was not known.
-    pub fn clear(&mut self, served_at: MonotonicTime) -> bool {
+    /// Records a complete response, which excuses earlier crashes. Returns true if it is more
+    /// recent than the recorded one.
+    pub fn record_served(&mut self, served_at: MonotonicTime) -> bool {
         if self.served_at.is_some_and(|known| known >= served_at) {
             return false;
         }
         self.served_at = Some(served_at);
-        let marks = std::mem::take(&mut self.marks);
-        self.marks = marks
+        let crashes = std::mem::take(&mut self.crashes);
+        self.crashes = crashes
             .into_iter()
-            .filter(|mark| !self.is_covered(*mark))
+            .filter(|crash| !self.is_excused(*crash))
             .collect();
         true
     }
 
-    /// Takes what the store reports; whether that is more than was known.
+    /// Merges crashes from the store. Returns true if any of them was new.
     pub fn restore(&mut self, now: MonotonicTime, crashes: &[StoredCrash]) -> bool {
         if self.served_at.is_some() {
             return false;
         }
-        let before = self.marks.len();
+        let before = self.crashes.len();
         for crash in crashes {
-            self.take(CrashRecord {
+            self.merge(CrashRecord {
                 upstream: crash.upstream,
                 number: crash.number,
                 at: now,
             });
         }
-        self.marks.len() > before
+        self.crashes.len() > before
     }
 
-    /// What the store keeps of it.
+    /// Returns the crashes in the form that the store keeps.
     #[must_use]
-    pub fn stored(&self) -> Vec<StoredCrash> {
-        let marks = self.marks.iter().map(|mark| StoredCrash {
-            upstream: mark.upstream,
-            number: mark.number,
+    pub fn to_stored(&self) -> Vec<StoredCrash> {
+        let crashes = self.crashes.iter().map(|crash| StoredCrash {
+            upstream: crash.upstream,
+            number: crash.number,
         });
-        marks.collect()
+        crashes.collect()
     }
 
-    /// Upstreams that crashed under the request.
+    /// Returns the number of crashes.
     #[must_use]
     pub fn count(&self) -> u32 {
-        u32::try_from(self.marks.len()).unwrap_or(u32::MAX)
+        u32::try_from(self.crashes.len()).unwrap_or(u32::MAX)
     }
 
-    /// Crashes that daemons saw.
+    /// Returns the crashes.
     #[must_use]
-    pub fn marks(&self) -> &[CrashRecord] {
-        &self.marks
+    pub fn crashes(&self) -> &[CrashRecord] {
+        &self.crashes
     }
 
-    /// When the request was served last.
+    /// Returns the time of the last complete response.
     #[must_use]
     pub fn served_at(&self) -> Option<MonotonicTime> {
         self.served_at
     }
 
-    /// When something was learned last.
+    /// Returns the time of the last crash or complete response.
     #[must_use]
-    pub fn newest(&self) -> MonotonicTime {
-        let marks = self.marks.iter().map(|mark| mark.at);
-        marks.max().max(self.served_at).unwrap_or_default()
+    pub fn last_changed_at(&self) -> MonotonicTime {
+        let crashes = self.crashes.iter().map(|crash| crash.at);
+        crashes.max().max(self.served_at).unwrap_or_default()
     }
 }
--- a/crates/savorywood-gateway/src/team_limit.rs
+++ b/crates/savorywood-gateway/src/team_limit.rs
@@ -1,4 +1,4 @@
-//! What teams may use, over all daemons together.
+//! Rate limits of teams, enforced over all daemons together.
 
 mod bucket;
 mod fair_share;
@@ -7,103 +7,108 @@
 pub use bucket::LimitTolerance;
 
 use crate::{config::TeamLimit, gossip::MAX_DIRECT_DAEMONS};
-use bucket::{KNOWING_PART, TokenBucket, ZONED_KNOWING_PART, strict_bucket, tolerated_bucket};
+use bucket::{
+    TOLERANCE_FRACTION, TokenBucket, ZONED_TOLERANCE_FRACTION, strict_bucket, tolerated_bucket,
+};
 use savorywood_protocol::MonotonicTime;
 use serde::{Deserialize, Serialize};
-use staleness::{SilenceIndex, SilenceTimes, SilentPeer};
+use staleness::{StalenessIndex, StalenessThresholds, TrackedPeer};
 use std::{collections::BTreeMap, time::Duration};
 
-/// Time between two messages of a peer where nothing else is known.
-const USUAL_PAUSE: Duration = Duration::from_millis(250);
-/// A peer that sent nothing for this long is taken to be gone, if most others are seen.
-const GONE_TIME: Duration = Duration::from_secs(20);
-/// A daemon that is out of reach of nearly all is cut off, and the others live: they are not taken to be
-/// gone before this time.
-const CUT_OFF_TIME: Duration = Duration::from_secs(60);
-/// For so long after a start the levels of those that have run longer are taken over.
-const ADOPT_TIME: Duration = Duration::from_secs(3);
-
-/// Part of the burst with which a daemon begins that starts again.
-const START_PART: f64 = 0.3;
-/// After a start the other daemons may be unknown for so long.
-const UNKNOWN_TIME: Duration = Duration::from_millis(900);
-/// Meanwhile a daemon takes so many times its even part of burst and rate.
-const UNKNOWN_FACTOR: f64 = 2.0;
-/// What a peer has used in a life of less than this is counted when it is met.
-const YOUNG_TIME: Duration = Duration::from_secs(5);
-
-/// A peer as a meter sees it.
+/// Interval between messages of a peer until the actual one is known.
+const DEFAULT_MESSAGE_INTERVAL: Duration = Duration::from_millis(250);
+/// A peer that has not been heard from for this long is considered removed, if most other peers are
+/// reachable.
+const PEER_TTL: Duration = Duration::from_secs(20);
+/// The same while this daemon reaches at most half of all daemons. It is then likely to be
+/// partitioned itself, and the others continue to run.
+const PARTITIONED_PEER_TTL: Duration = Duration::from_secs(60);
+/// Time after a start in which bucket levels of peers with a longer uptime are adopted.
+const ADOPTION_WINDOW: Duration = Duration::from_secs(3);
+
+/// Fraction of the burst that a restarted daemon begins with.
+const RESTART_FILL_FRACTION: f64 = 0.3;
+/// Time after a start until all other daemons are discovered.
+const DISCOVERY_WINDOW: Duration = Duration::from_millis(900);
+/// Multiple of its even share of burst and rate that a daemon may use until then.
+const DISCOVERY_FACTOR: f64 = 2.0;
+/// The whole use of a peer's incarnation is counted at its first report if the incarnation is
+/// younger than this.
+const MAX_YOUNG_UPTIME: Duration = Duration::from_secs(5);
+
+/// Use of a team's limit that a peer reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerUsage {
-    /// Digest of its name.
+    /// Digest of the peer's name.
     pub peer: u64,
-    /// Its life.
+    /// Incarnation of the peer.
     pub incarnation: u64,
-    /// Age of that life.
-    pub age: Duration,
-    /// Units used in it.
+    /// Uptime of that incarnation.
+    pub uptime: Duration,
+    /// Units used by that incarnation so far.
     pub total: u64,
-    /// Daemons whose use that is.
+    /// Number of daemons whose use the report sums up.
     pub daemons: u32,
-    /// It is of this daemon's own zone.
+    /// The peer is in this daemon's zone.
     pub same_zone: bool,
-    /// Levels of its buckets, where it reports them.
+    /// Levels of the peer's buckets; `None` if the message does not report them.
     pub levels: Option<BucketLevels>,
 }
 
-/// Levels of the buckets of one team, in units; below zero they are overdrawn.
+/// Levels of the token buckets of one team, in units; negative if overdrawn.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BucketLevels {
-    /// Bucket of the limit.
+    /// Level of the bucket that enforces the limit.
     pub strict: i64,
-    /// Bucket of what is tolerated on top.
+    /// Level of the bucket that enforces the tolerance on top of the limit.
     pub tolerated: i64,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct PeerUse {
+struct PeerRecord {
     incarnation: u64,
     total: u64,
-    silence: SilentPeer,
+    tracked: TrackedPeer,
 }
 
-/// Weight of the newest request in the usual size.
-const NEWEST_WEIGHT: f64 = 0.05;
-/// Time in which old use loses most of its weight in the shares.
-const RECENT_TIME: Duration = Duration::from_secs(1);
+/// Weight of the newest request in the moving average of the request size.
+const REQUEST_SIZE_WEIGHT: f64 = 0.05;
+/// Time constant of the decay of recent use, by which shares are computed.
+const USAGE_DECAY_WINDOW: Duration = Duration::from_secs(1);
 
-/// A request that a team's meter is asked about.
+/// A request to be checked against the limit of a team.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitQuery {
-    /// Units that it would take.
+    /// Units that the request would be charged.
     pub units: f64,
-    /// Rank of its route, 0 is the most urgent.
+    /// Rank of its route; 0 is the most urgent.
     pub rank: u32,
-    /// A number drawn evenly from 0 to 1.
+    /// Random sample, uniformly distributed between 0 and 1.
     pub sample: f64,
 }
 
-/// What a meter says of a request.
+/// Result of checking a request against the limit of a team.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LimitVerdict {
-    /// It is within the limit.
+    /// Within the limit.
     Within,
-    /// It is beyond the limit and within the tolerance.
+    /// Beyond the limit, but within the tolerance.
     Tolerated,
-    /// It is beyond both.
+    /// Beyond both limit and tolerance.
     Exceeded {
-        /// Time after which the limit may have room.
+        /// Time until the limit is expected to have room again.
         retry_after: Duration,
     },
 }
 
-/// Token buckets of one team as this daemon sees it: own use exactly, that of peers as they report.
+/// Token buckets of one team as seen by this daemon: its own use is exact, that of peers is as they
+/// report it.
 ///
-/// Each daemon keeps a copy of the same two buckets. The first is the limit. The second holds
-/// what operators tolerate on top of it: daemons learn of each other late, and a limit kept to the
-/// token by each of them would refuse what is within it. A burst that reaches several daemons
-/// within the time of a datagram overdraws the buckets once; the debt then holds all of them back
-/// until it is paid.
+/// Each daemon keeps a copy of the same two buckets. The first enforces the limit. The second holds
+/// the tolerance that operators allow on top of it: daemons learn of each other's use with a delay,
+/// so enforcing the limit strictly at each of them would refuse requests that are within it. A
+/// burst that reaches several daemons within the latency of a datagram overdraws the buckets once;
+/// the debt then restrains all of them until it is repaid.
 #[derive(Debug, Clone)]
 pub struct TeamLimiter {
     limit: TeamLimit,
@@ -111,36 +116,36 @@
     strict: TokenBucket,
     tolerated: TokenBucket,
     filled_at: MonotonicTime,
-    slow_until: MonotonicTime,
+    discovery_until: MonotonicTime,
     own_total: u64,
-    /// Until then levels of peers are taken over.
+    /// Bucket levels of peers are adopted until this time.
     adopt_until: MonotonicTime,
-    /// Units used in this daemon's zone since it began to count, those that silent daemons are
-    /// taken to use included.
+    /// Units used in this daemon's zone since it began to count, including the use assumed for
+    /// daemons that are not heard from.
     zone_total: f64,
-    /// Own use that no message reported yet.
+    /// Own use that has not been reported to peers yet.
     unreported: f64,
-    /// Units of a request, on the average of the newest.
-    usual_units: f64,
-    /// Own use lately, fading.
+    /// Moving average of the units per request.
+    typical_units: f64,
+    /// Recent use of this daemon, with exponential decay.
     own_recent: f64,
-    /// Use of all others lately, fading.
+    /// Recent use of all other daemons, with exponential decay.
     others_recent: f64,
-    /// Daemons that there are, as far as they are known by other means than their messages.
-    expected: u32,
-    /// Daemons that the directory names to callers, if this one is among them.
+    /// Number of daemons known by other means than their reports, such as membership.
+    expected_daemons: u32,
+    /// Number of entry set members if this daemon is one of them; `None` otherwise.
     members: Option<u32>,
-    peers: BTreeMap<u64, PeerUse>,
-    silences: SilenceIndex,
+    peers: BTreeMap<u64, PeerRecord>,
+    staleness: StalenessIndex,
 }
 
 impl TeamLimiter {
-    /// A meter of a daemon. `fresh` means that nothing can have been used before.
+    /// Creates a limiter. `fresh` states that no use of the limit can have preceded.
     ///
-    /// A daemon that starts again does not know what its last life admitted. When all of them
-    /// start again together, nobody does: each begins with a small part of the burst and fills
-    /// slowly until it can have seen the others. Begun with half of it each, seven daemons would
-    /// admit several bursts at once.
+    /// A restarted daemon does not know what its previous incarnation admitted, and after a restart
+    /// of all daemons none of them knows. Each therefore begins with a small fraction of the burst
+    /// and fills slowly until it can have discovered the others: with half of the burst each, seven
+    /// daemons would admit several bursts at once.
     #[must_use]
     pub fn new(
         now: MonotonicTime,
@@ -149,10 +154,10 @@
         fresh: bool,
     ) -> Self {
         let mut strict = strict_bucket(limit);
-        let mut tolerated = tolerated_bucket(limit, tolerance, KNOWING_PART);
+        let mut tolerated = tolerated_bucket(limit, tolerance, TOLERANCE_FRACTION);
         if !fresh {
-            strict.level *= START_PART;
-            tolerated.level *= START_PART;
+            strict.level *= RESTART_FILL_FRACTION;
+            tolerated.level *= RESTART_FILL_FRACTION;
         }
         Self {
             limit,
@@ -160,82 +165,84 @@
             strict,
             tolerated,
             filled_at: now,
-            slow_until: if fresh { now } else { now + UNKNOWN_TIME },
+            discovery_until: if fresh { now } else { now + DISCOVERY_WINDOW },
             own_total: 0,
-            adopt_until: if fresh { now } else { now + ADOPT_TIME },
+            adopt_until: if fresh { now } else { now + ADOPTION_WINDOW },
             zone_total: 0.0,
             unreported: 0.0,
-            usual_units: 0.0,
+            typical_units: 0.0,
             own_recent: 0.0,
             others_recent: 0.0,
-            expected: 1,
+            expected_daemons: 1,
             members: None,
             peers: BTreeMap::new(),
-            silences: SilenceIndex::new(SilenceTimes::of(USUAL_PAUSE)),
+            staleness: StalenessIndex::new(StalenessThresholds::for_interval(
+                DEFAULT_MESSAGE_INTERVAL,
+            )),
         }
     }
 
-    /// Puts another limit in force; what was used stays used.
+    /// Replaces the limit; units that are in use count against the new one.
     pub fn set_limit(&mut self, now: MonotonicTime, limit: TeamLimit) {
-        self.fill(now);
+        self.refill(now);
         let strict_used = self.strict.capacity - self.strict.level;
         let tolerated_used = self.tolerated.capacity - self.tolerated.level;
         self.limit = limit;
         self.strict = strict_bucket(limit);
         self.strict.level -= strict_used.min(limit.burst);
-        self.tolerated = tolerated_bucket(limit, self.tolerance, self.knowing_part());
+        self.tolerated = tolerated_bucket(limit, self.tolerance, self.tolerance_fraction());
         self.tolerated.level -= tolerated_used.min(limit.burst);
     }
 
-    /// Limit in force.
+    /// Returns the limit in force.
     #[must_use]
     pub fn limit(&self) -> TeamLimit {
         self.limit
     }
 
-    /// Units that this daemon has used in its life.
+    /// Returns the units that this incarnation of the daemon has used.
     #[must_use]
     pub fn own_total(&self) -> u64 {
         self.own_total
     }
 
-    /// Units that the daemons of this daemon's zone have used since it began to count.
+    /// Returns the units that the daemons of this zone have used since this daemon began to count.
     #[must_use]
     pub fn zone_total(&self) -> u64 {
         self.zone_total.max(0.0) as u64
     }
 
-    /// Says whether a request may pass now; nothing is taken yet.
+    /// Checks whether a request is admitted now, without charging it.
     pub fn check(&mut self, now: MonotonicTime, query: &LimitQuery) -> LimitVerdict {
-        self.fill(now);
-        self.usual_units += (query.units - self.usual_units) * NEWEST_WEIGHT;
-        // The debt of the strict bucket is cut off, that of the tolerance never is: the strict one
-        // may be full again while the tolerance is all but spent.
-        if !self.is_open(&self.tolerated, query) {
+        self.refill(now);
+        self.typical_units += (query.units - self.typical_units) * REQUEST_SIZE_WEIGHT;
+        // The debt of the strict bucket is bounded, that of the tolerance is not. So the strict
+        // bucket may be full again while the tolerance is nearly exhausted.
+        if !self.has_room(&self.tolerated, query) {
             return LimitVerdict::Exceeded {
                 retry_after: self.retry_after(),
             };
         }
-        if self.is_open(&self.strict, query) {
+        if self.has_room(&self.strict, query) {
             LimitVerdict::Within
         } else {
             LimitVerdict::Tolerated
         }
     }
 
-    /// A message reports all that was used so far.
+    /// Records that a message has reported all use so far.
     pub fn mark_reported(&mut self) {
         self.unreported = 0.0;
     }
 
-    /// Time after which the limit has room again.
+    /// Returns the time until the limit has room again, between 0.05 and 30 s.
     #[must_use]
     pub fn retry_after(&self) -> Duration {
         let wait = -self.strict.level / self.strict.rate.max(1e-6);
         Duration::from_secs_f64(wait.clamp(0.05, 30.0))
     }
 
-    /// Takes units for a request. Beyond the limit they count only against the tolerance.
+    /// Charges a request. Units beyond the limit are charged to the tolerance only.
     pub fn charge(&mut self, units: f64, verdict: LimitVerdict) {
         if verdict == LimitVerdict::Within {
             self.strict.level -= units;
@@ -247,76 +254,77 @@
         self.own_recent += units;
     }
 
-    /// Gives back what a request did not use, because it never ran.
+    /// Refunds the units of a request that was not executed.
     pub fn refund(&mut self, units: f64) {
-        self.strict.fill(units);
-        self.tolerated.fill(units);
+        self.strict.add(units);
+        self.tolerated.add(units);
         self.own_total = self.own_total.saturating_sub(units as u64);
         self.zone_total -= units;
     }
 
-    /// A peer reports what it has used in its life.
-    pub fn record_peer_usage(&mut self, now: MonotonicTime, reading: PeerUsage) {
-        self.fill(now);
-        let known = self.peers.get(&reading.peer).copied();
-        let total = reading.total as f64;
-        let used = match known {
-            Some(known) if known.incarnation == reading.incarnation => total - known.total as f64,
+    /// Records the use that a peer reports.
+    pub fn record_peer_usage(&mut self, now: MonotonicTime, report: PeerUsage) {
+        self.refill(now);
+        let record = self.peers.get(&report.peer).copied();
+        let total = report.total as f64;
+        let used = match record {
+            Some(record) if record.incarnation == report.incarnation => total - record.total as f64,
             Some(_) => total,
-            None if reading.age < YOUNG_TIME => total,
-            // What an old peer used long ago is over.
+            None if report.uptime < MAX_YOUNG_UPTIME => total,
+            // Use of a peer with a longer uptime is not recent.
             None => 0.0,
         };
-        // What was assumed while it was silent is settled against what it reports.
-        let same_life = known.filter(|known| known.incarnation == reading.incarnation);
-        let assumed_s = same_life.map_or(0.0, |known| self.assumed_s(known.silence, now));
-        if reading.same_zone {
+        // Use that was assumed while the peer was not heard from is replaced by what it reports.
+        let same_incarnation = record.filter(|record| record.incarnation == report.incarnation);
+        let assumed_s =
+            same_incarnation.map_or(0.0, |record| self.assumed_use_s(record.tracked, now));
+        if report.same_zone {
             self.zone_total += used - assumed_s * self.strict.rate;
         }
         self.others_recent += used.max(0.0);
-        self.strict.fill(assumed_s * self.strict.rate - used);
-        self.tolerated.fill(assumed_s * self.tolerated.rate - used);
-        self.adopt(now, reading);
-        let least = -self.strict.capacity.max(self.limit.per_second);
-        self.strict.level = self.strict.level.max(least);
-        self.remove_peer(reading.peer);
-        let silence = SilentPeer {
-            peer: reading.peer,
+        self.strict.add(assumed_s * self.strict.rate - used);
+        self.tolerated.add(assumed_s * self.tolerated.rate - used);
+        self.adopt_levels(now, report);
+        let min_level = -self.strict.capacity.max(self.limit.per_second);
+        self.strict.level = self.strict.level.max(min_level);
+        self.remove_peer(report.peer);
+        let tracked = TrackedPeer {
+            peer: report.peer,
             received_at: now,
-            daemons: reading.daemons,
-            near: reading.same_zone,
+            daemons: report.daemons,
+            same_zone: report.same_zone,
         };
-        self.silences.insert(silence);
-        let received = PeerUse {
-            incarnation: reading.incarnation,
-            total: reading.total,
-            silence,
+        self.staleness.insert(tracked);
+        let updated = PeerRecord {
+            incarnation: report.incarnation,
+            total: report.total,
+            tracked,
         };
-        self.peers.insert(reading.peer, received);
+        self.peers.insert(report.peer, updated);
     }
 
     fn remove_peer(&mut self, peer: u64) {
-        if let Some(known) = self.peers.remove(&peer) {
-            self.silences.remove(known.silence);
+        if let Some(record) = self.peers.remove(&peer) {
+            self.staleness.remove(record.tracked);
         }
     }
 
-    /// A daemon that starts beside others takes over what they know of the team.
+    /// Adopts the bucket levels that a peer with a longer uptime reports.
     ///
-    /// Each copy of the buckets is meant to be the same. Begun with a level of its own, every
-    /// daemon that joins or comes back while a team is at its limit would let through a part of
-    /// the burst once more; ten of them would let through several limits.
-    fn adopt(&mut self, now: MonotonicTime, reading: PeerUsage) {
-        if now >= self.adopt_until || reading.age < ADOPT_TIME {
+    /// All copies of the buckets should have the same levels. If each daemon that joins or returns
+    /// while a team is at its limit began with levels of its own, it would admit a part of the
+    /// burst once more; ten of them would admit several times the limit.
+    fn adopt_levels(&mut self, now: MonotonicTime, report: PeerUsage) {
+        if now >= self.adopt_until || report.uptime < ADOPTION_WINDOW {
             return;
         }
-        if let Some(levels) = reading.levels {
+        if let Some(levels) = report.levels {
             self.strict.level = self.strict.level.min(levels.strict as f64);
             self.tolerated.level = self.tolerated.level.min(levels.tolerated as f64);
         }
     }
 
-    /// Levels of the buckets as of the last look.
+    /// Returns the bucket levels as of the last refill.
     #[must_use]
     pub fn levels(&self) -> BucketLevels {
         BucketLevels {
@@ -325,94 +333,106 @@
         }
     }
 
-    /// The directory names so many daemons to callers; `None` where this one is not among them.
+    /// Sets the number of entry set members; `None` if this daemon is not one of them.
     pub fn set_members(&mut self, members: Option<u32>) {
         self.members = members;
     }
 
-    /// A peer is known to have ended.
+    /// Removes a peer that is known to have ended.
     pub fn record_peer_ended(&mut self, now: MonotonicTime, peer: u64) {
-        self.fill(now);
+        self.refill(now);
         self.remove_peer(peer);
     }
 
-    /// There are so many daemons, seen or not, and each sends a message after each pause.
-    pub fn set_expected_daemons(&mut self, now: MonotonicTime, daemons: u32, pause: Duration) {
-        let times = SilenceTimes::of(pause);
-        if self.silences.times() != times {
-            self.fill(now);
-            self.silences = SilenceIndex::new(times);
+    /// Sets the number of daemons, whether heard from or not, and the interval at which each sends
+    /// its messages.
+    pub fn set_expected_daemons(
+        &mut self,
+        now: MonotonicTime,
+        daemons: u32,
+        message_interval: Duration,
+    ) {
+        let thresholds = StalenessThresholds::for_interval(message_interval);
+        if self.staleness.thresholds() != thresholds {
+            self.refill(now);
+            self.staleness = StalenessIndex::new(thresholds);
             for peer in self.peers.values() {
-                self.silences.insert(peer.silence);
+                self.staleness.insert(peer.tracked);
             }
             let peers = &self.peers;
-            let find = |peer| peers.get(&peer).map(|known| known.silence);
-            self.silences.advance(now, find);
+            let find = |peer| peers.get(&peer).map(|record| record.tracked);
+            self.staleness.advance(now, find);
         }
-        self.expected = daemons;
-        let bucket = tolerated_bucket(self.limit, self.tolerance, self.knowing_part());
+        self.expected_daemons = daemons;
+        let bucket = tolerated_bucket(self.limit, self.tolerance, self.tolerance_fraction());
         self.tolerated.rate = bucket.rate;
     }
 
-    fn knowing_part(&self) -> f64 {
-        if self.expected > MAX_DIRECT_DAEMONS {
-            ZONED_KNOWING_PART
+    fn tolerance_fraction(&self) -> f64 {
+        if self.expected_daemons > MAX_DIRECT_DAEMONS {
+            ZONED_TOLERANCE_FRACTION
         } else {
-            KNOWING_PART
+            TOLERANCE_FRACTION
         }
     }
 
-    /// Daemons that the meter counts, this one included.
+    /// Returns the number of daemons that the limiter tracks, including this one.
     fn daemons(&self) -> u32 {
-        self.silences.daemons() + 1
+        self.staleness.daemons() + 1
     }
 
-    /// What a silent peer is taken to have used: its even share, in seconds of the whole rate.
-    fn assumed_s(&self, peer: SilentPeer, now: MonotonicTime) -> f64 {
+    /// Returns the use assumed for a peer that is not heard from: its even share of the rate, as
+    /// seconds of the full rate.
+    fn assumed_use_s(&self, peer: TrackedPeer, now: MonotonicTime) -> f64 {
         let share = f64::from(peer.daemons) / f64::from(self.daemons());
-        self.silences.silence_of(peer, now).as_secs_f64() * share
+        self.staleness.staleness_of(peer, now).as_secs_f64() * share
     }
 
-    fn fill(&mut self, now: MonotonicTime) {
-        let before = self.silences.silent_time(self.filled_at);
+    fn refill(&mut self, now: MonotonicTime) {
+        let before = self.staleness.stale_time(self.filled_at);
         let peers = &self.peers;
-        let find = |peer| peers.get(&peer).map(|known| known.silence);
-        self.silences.advance(now, find);
-        let after = self.silences.silent_time(now);
-        let part = self.reachable_part(now);
+        let find = |peer| peers.get(&peer).map(|record| record.tracked);
+        self.staleness.advance(now, find);
+        let after = self.staleness.stale_time(now);
+        let fraction = self.reachable_fraction(now);
         let mut elapsed_s = now.since(self.filled_at).as_secs_f64();
-        if now < self.slow_until {
-            elapsed_s *= part;
+        if now < self.discovery_until {
+            elapsed_s *= fraction;
         }
-        let fading = (-now.since(self.filled_at).as_secs_f64() / RECENT_TIME.as_secs_f64()).exp();
-        self.own_recent *= fading;
-        self.others_recent *= fading;
+        let decay =
+            (-now.since(self.filled_at).as_secs_f64() / USAGE_DECAY_WINDOW.as_secs_f64()).exp();
+        self.own_recent *= decay;
+        self.others_recent *= decay;
         let share = 1.0 / f64::from(self.daemons());
-        self.zone_total += (after.near_s - before.near_s) * share * self.strict.rate;
-        let left_s = elapsed_s - (after.all_s - before.all_s) * share;
+        self.zone_total += (after.same_zone_s - before.same_zone_s) * share * self.strict.rate;
+        let refill_s = elapsed_s - (after.total_s - before.total_s) * share;
         for bucket in [&mut self.strict, &mut self.tolerated] {
-            bucket.fill(left_s * bucket.rate);
-            bucket.keep_part(part);
+            bucket.add(refill_s * bucket.rate);
+            bucket.cap_to_fraction(fraction);
         }
         self.filled_at = now;
-        let gone = if part > 0.5 { GONE_TIME } else { CUT_OFF_TIME };
-        while let Some(peer) = self.silences.silent_for(now, gone) {
+        let ttl = if fraction > 0.5 {
+            PEER_TTL
+        } else {
+            PARTITIONED_PEER_TTL
+        };
+        while let Some(peer) = self.staleness.stale_for(now, ttl) {
             self.remove_peer(peer);
         }
     }
 
-    /// Part of the burst that this daemon and those that it sees may hold.
+    /// Returns the fraction of the burst that this daemon and the peers it reaches may hold.
     ///
-    /// A daemon that is cut off holds a copy of the whole burst. Spending it alone, as every other
-    /// one that is cut off would, they let through many bursts; so each group of daemons that see
-    /// each other keeps to its part. One that has just started knows only how many there are.
-    fn reachable_part(&self, now: MonotonicTime) -> f64 {
-        let seen = self.silences.daemons_in_reach() + 1;
+    /// A partitioned daemon holds a copy of the whole burst. If each partitioned daemon spent it
+    /// alone, they would admit many bursts; so each group of daemons that reach each other keeps to
+    /// its fraction. A daemon that has just started knows only the number of the others.
+    fn reachable_fraction(&self, now: MonotonicTime) -> f64 {
+        let reachable = self.staleness.reachable_daemons() + 1;
         let all = self.daemons();
-        if now < self.slow_until && self.expected > all {
-            let part = f64::from(seen) / f64::from(self.expected);
-            return (part * UNKNOWN_FACTOR).min(1.0);
+        if now < self.discovery_until && self.expected_daemons > all {
+            let fraction = f64::from(reachable) / f64::from(self.expected_daemons);
+            return (fraction * DISCOVERY_FACTOR).min(1.0);
         }
-        f64::from(seen) / f64::from(all)
+        f64::from(reachable) / f64::from(all)
     }
 }
--- a/crates/savorywood-gateway/tests/common/scene.rs
+++ b/crates/savorywood-gateway/tests/common/scene.rs
@@ -56,7 +56,7 @@
         gap_objective: Some(Duration::from_millis(800)),
         caller_idle_timeout: None,
         priority,
-        split: vec![TrafficShare {
+        service_shares: vec![TrafficShare {
             service: ServiceLabel::from("engine"),
             weight: 1,
         }],
