--- a/crates/savorywood-gateway/src/gateway/dispatch.rs
+++ b/crates/savorywood-gateway/src/gateway/dispatch.rs
@@ -30,7 +30,11 @@
 const MIN_REMAINING_FRACTION: f64 = 0.6;
 
 impl Gateway {
-    pub(super) fn dispatch_all_waiting(&mut self, now: MonotonicTime, effects: &mut GatewayEffects,) {
+    pub(super) fn dispatch_all_waiting(
+        &mut self,
+        now: MonotonicTime,
+        effects: &mut GatewayEffects,
+    ) {
         let waiting = self.queues.iter().filter(|(_, queue)| queue.len() > 0);
         let services: Vec<ServiceLabel> = waiting.map(|(service, _)| service.clone()).collect();
         for service in services {
@@ -80,7 +84,8 @@
             return Vec::new();
         };
         let mut positions: Vec<QueuePosition> = queue.iter().copied().collect();
-        positions.sort_by_key(|position| (position.rank, position.start_by < now, position.start_by));
+        positions
+            .sort_by_key(|position| (position.rank, position.start_by < now, position.start_by));
         positions
     }
 
@@ -173,7 +178,10 @@
         {
             queue.remove(position);
         }
-        let demand = self.demand_trackers.entry(record.service.clone()).or_default();
+        let demand = self
+            .demand_trackers
+            .entry(record.service.clone())
+            .or_default();
         demand.record_dispatch(now, record.rank);
         record.attempts += 1;
         record.state = RequestState::Running(RunningAttempt {
@@ -186,7 +194,8 @@
             events: 0,
             abandoned: false,
         });
-        self.prefix_cache.record_prompt(now, &record.prompt_parts, &selected.name);
+        self.prefix_cache
+            .record_prompt(now, &record.prompt_parts, &selected.name);
         self.rollouts
             .record_dispatch(&record.service, &state.entry.version);
         let order = DispatchOrder {
@@ -230,7 +239,10 @@
         let Some(record) = self.requests.get_mut(&request) else {
             return;
         };
-        if !record.attempted_upstreams.is_empty() && record.executions == 0 && record.attempts < MAX_ATTEMPTS {
+        if !record.attempted_upstreams.is_empty()
+            && record.executions == 0
+            && record.attempts < MAX_ATTEMPTS
+        {
             // All attempted upstreams were full or unreachable; they may have free slots by now.
             record.attempted_upstreams.clear();
         }
@@ -250,15 +262,21 @@
                 let Some(record) = self.requests.get(&position.request) else {
                     continue;
                 };
-                let min_first_event_s = service_latency.first_event_ms(&service_latency, record.size.prompt_tokens) * MIN_REMAINING_FRACTION / 1e3;
+                let min_first_event_s = service_latency
+                    .first_event_ms(&service_latency, record.size.prompt_tokens)
+                    * MIN_REMAINING_FRACTION
+                    / 1e3;
                 let stream = record.route.retry_safety.is_stream();
-                if stream && now + Duration::from_secs_f64(min_first_event_s) >= record.caller_timeout_at {
+                if stream
+                    && now + Duration::from_secs_f64(min_first_event_s) >= record.caller_timeout_at
+                {
                     too_late.push(position.request);
                     continue;
                 }
                 let needed = if record.route.retry_safety.is_stream() {
                     service_latency.first_event_ms(&service_latency, record.size.prompt_tokens)
-                        + service_latency.streaming_ms(&service_latency, record.expected_output_tokens)
+                        + service_latency
+                            .streaming_ms(&service_latency, record.expected_output_tokens)
                 } else {
                     service_latency.response_ms(&service_latency)
                 };
--- a/crates/savorywood-gateway/src/gateway/stall_detection.rs
+++ b/crates/savorywood-gateway/src/gateway/stall_detection.rs
@@ -105,7 +105,8 @@
             return (since_event > threshold).then_some(StallKind::First);
         }
         let service_latency = self.fleet.service_latency(&record.service);
-        let event_gap = Duration::from_secs_f64(state.latency.longest_gap_ms(&service_latency) / 1e3);
+        let event_gap =
+            Duration::from_secs_f64(state.latency.longest_gap_ms(&service_latency) / 1e3);
         let prefill = self.prefill_allowance(record, state);
         let since_any_data = now.since(
             state
