--- a/crates/savorywood-front/src/admin.rs
+++ b/crates/savorywood-front/src/admin.rs
@@ -70,10 +70,10 @@
     let mut reader = ByteReader::new(stream);
     while let Some(Some(head)) = within(IDLE_TIME, read_head(&mut reader)).await {
         let answer = answer(&shared, &head);
-        let mut sink = AnswerSink::new(reader.stream().clone(), head.closes);
+        let mut sink = AnswerSink::new(reader.stream().clone(), head.closes_connection);
         let lines = [HeaderLine::new("Content-Type", answer.kind)];
         let written = sink.write_whole(answer.status, answer.reason, &lines, &answer.body);
-        if written.await.is_err() || head.closes {
+        if written.await.is_err() || head.closes_connection {
             return;
         }
     }
--- a/crates/savorywood-front/src/attempt.rs
+++ b/crates/savorywood-front/src/attempt.rs
@@ -109,7 +109,7 @@
         // Where the rest of a body is still due, any other byte would be taken for it.
         if let Some(head) = reusable
             && written.get()
-            && !head.closes
+            && !head.closes_connection
         {
             self.shared
                 .pool
--- a/crates/savorywood-front/src/caller.rs
+++ b/crates/savorywood-front/src/caller.rs
@@ -209,7 +209,7 @@
 
 async fn answer(shared: &FrontShared, reader: &mut ByteReader, request: &WholeRequest) -> NextStep {
     shared.metrics.arrived.inc();
-    let closes = request.head.closes || shared.stopping.get();
+    let closes = request.head.closes_connection || shared.stopping.get();
     let mut sink = AnswerSink::new(reader.stream().clone(), closes);
     let arrival = match shared.adapter.parse_arrival(&request.head) {
         Ok(arrival) => RequestArrival {
@@ -248,7 +248,7 @@
 }
 
 fn after(written: bool, sink: &AnswerSink) -> NextStep {
-    match (written, sink.closes) {
+    match (written, sink.closes_connection) {
         (false, _) => NextStep::Abort,
         (true, true) => NextStep::Close,
         (true, false) => NextStep::KeepAlive,
@@ -281,7 +281,7 @@
                 self.count_end("caller-left");
                 return NextStep::Abort;
             };
-            sink.closes |= self.shared.stopping.get();
+            sink.closes_connection |= self.shared.stopping.get();
             match decision {
                 RequestDecision::Dispatch(order) => {
                     let outcome = self
--- a/crates/savorywood-front/src/lib.rs
+++ b/crates/savorywood-front/src/lib.rs
@@ -31,5 +31,5 @@
 pub use settings::{BoundSettings, FrontSettings, LimitSettings, ListenSettings, StoreSettings};
 pub use wire::{
     BodyFraming, HeadError, HeaderLine, HeaderList, RequestHead, ResponseHead, StoreCall,
-    is_hop_header,
+    is_hop_by_hop_header,
 };
--- a/crates/savorywood-front/src/sink.rs
+++ b/crates/savorywood-front/src/sink.rs
@@ -10,7 +10,7 @@
 pub struct AnswerSink {
     stream: TcpStream,
     /// The connection ends after this answer.
-    pub closes: bool,
+    pub closes_connection: bool,
     begun: bool,
     last_event_id: Option<String>,
     events: u32,
@@ -21,10 +21,10 @@
 impl AnswerSink {
     /// A sink for one answer.
     #[must_use]
-    pub fn new(stream: TcpStream, closes: bool) -> Self {
+    pub fn new(stream: TcpStream, closes_connection: bool) -> Self {
         Self {
             stream,
-            closes,
+            closes_connection,
             begun: false,
             last_event_id: None,
             events: 0,
@@ -69,7 +69,7 @@
             let written = write!(head, "{}: {}\r\n", line.name, line.value);
             debug_assert!(written.is_ok());
         }
-        if self.closes {
+        if self.closes_connection {
             head.push_str("Connection: close\r\n");
         }
         head
--- a/crates/savorywood-front/src/store.rs
+++ b/crates/savorywood-front/src/store.rs
@@ -145,7 +145,7 @@
             sent,
             received: self.clock.now(),
         };
-        Ok((answer, (!head.closes).then_some(reader)))
+        Ok((answer, (!head.closes_connection).then_some(reader)))
     }
 
     async fn connect(&self) -> Result<ByteReader, StoreError> {
--- a/crates/savorywood-front/src/wire.rs
+++ b/crates/savorywood-front/src/wire.rs
@@ -11,7 +11,7 @@
 
 pub use body::{BodyDecoder, BodyError, read_body};
 pub use head::{
-    BodyFraming, HeadError, HeaderLine, HeaderList, RequestHead, ResponseHead, is_hop_header,
+    BodyFraming, HeadError, HeaderLine, HeaderList, RequestHead, ResponseHead, is_hop_by_hop_header,
 };
 pub use reader::{
     bytes_read, {ByteReader, read_answer_head},
--- a/crates/savorywood-front/src/wire/head.rs
+++ b/crates/savorywood-front/src/wire/head.rs
@@ -95,7 +95,7 @@
 
 /// Headers that concern one connection only.
 #[must_use]
-pub fn is_hop_header(name: &str) -> bool {
+pub fn is_hop_by_hop_header(name: &str) -> bool {
     const HOP_HEADERS: [&str; 9] = [
         "connection",
         "keep-alive",
@@ -122,7 +122,7 @@
     /// Framing of the body.
     pub framing: BodyFraming,
     /// The caller closes the connection after the answer.
-    pub closes: bool,
+    pub closes_connection: bool,
     /// The caller waits for "100 Continue" before it sends the body.
     pub expects_continue: bool,
 }
@@ -136,7 +136,7 @@
 
     /// Value of a parameter of the query.
     #[must_use]
-    pub fn parameter(&self, name: &str) -> Option<&str> {
+    pub fn query_parameter(&self, name: &str) -> Option<&str> {
         let query = self.target.split_once('?')?.1;
         let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
         pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
@@ -172,7 +172,7 @@
             method: parsed.method.unwrap_or_default().to_owned(),
             target: target.to_owned(),
             framing,
-            closes: headers.has_token("connection", "close"),
+            closes_connection: headers.has_token("connection", "close"),
             expects_continue: headers.has_token("expect", "100-continue"),
             headers,
         })
@@ -191,7 +191,7 @@
     /// Framing of the body.
     pub framing: BodyFraming,
     /// The upstream closes the connection after the answer.
-    pub closes: bool,
+    pub closes_connection: bool,
     /// Time for which the upstream keeps an idle connection.
     pub keep_alive: Option<Duration>,
 }
@@ -217,7 +217,7 @@
             status,
             reason: parsed.reason.unwrap_or_default().to_owned(),
             framing,
-            closes: closes || framing == BodyFraming::UntilClose,
+            closes_connection: closes || framing == BodyFraming::UntilClose,
             keep_alive: keep_alive(&headers),
             headers,
         })
