--- a/crates/savorywood-front/src/admin.rs
+++ b/crates/savorywood-front/src/admin.rs
@@ -1,10 +1,10 @@
 //! Small servers beside the callers': directory, readiness and metrics.
 
 use crate::{
-    attempt::prepare,
+    attempt::configure_socket,
     clock::within,
     shared::FrontShared,
-    sink::AnswerSink,
+    sink::ResponseSink,
     wire::{ByteReader, HeaderLine, RequestHead},
 };
 use async_net::{TcpListener, TcpStream};
@@ -66,13 +66,13 @@
 }
 
 async fn serve(shared: Rc<FrontShared>, stream: TcpStream) {
-    prepare(&stream);
+    configure_socket(&stream);
     let mut reader = ByteReader::new(stream);
     while let Some(Some(head)) = within(IDLE_TIME, read_head(&mut reader)).await {
         let answer = answer(&shared, &head);
-        let mut sink = AnswerSink::new(reader.stream().clone(), head.closes_connection);
+        let mut sink = ResponseSink::new(reader.stream().clone(), head.closes_connection);
         let lines = [HeaderLine::new("Content-Type", answer.kind)];
-        let written = sink.write_whole(answer.status, answer.reason, &lines, &answer.body);
+        let written = sink.write_response(answer.status, answer.reason, &lines, &answer.body);
         if written.await.is_err() || head.closes_connection {
             return;
         }
--- a/crates/savorywood-front/src/attempt.rs
+++ b/crates/savorywood-front/src/attempt.rs
@@ -7,10 +7,10 @@
     edge::{DispatchContext, ParsedResponseHead},
     metrics,
     shared::FrontShared,
-    sink::AnswerSink,
+    sink::ResponseSink,
     wire::{
-        BodyDecoder, BodyFraming, ByteReader, HeaderLine, RequestHead, ResponseHead,
-        read_answer_head, read_body,
+        BodyDecoder, BodyFraming, ByteReader, HeaderLine, RequestHead, ResponseHead, read_body,
+        read_response_head,
     },
 };
 use async_net::TcpStream;
@@ -31,7 +31,7 @@
 
 /// A failure that the upstream gave, kept while another one is tried.
 #[derive(Debug)]
-pub struct KeptFailure {
+pub struct SavedFailure {
     /// Status.
     pub status: u16,
     /// Text beside it.
@@ -55,9 +55,9 @@
     /// Its body.
     pub body: &'a [u8],
     /// Where the answer goes.
-    pub sink: &'a mut AnswerSink,
+    pub sink: &'a mut ResponseSink,
     /// Gets the upstream's failure.
-    pub kept: &'a mut Option<KeptFailure>,
+    pub kept: &'a mut Option<SavedFailure>,
 }
 
 /// The answer could not be had.
@@ -127,7 +127,7 @@
             .metrics
             .connecting
             .observe(elapsed.as_secs_f64());
-        prepare(&stream);
+        configure_socket(&stream);
         Some(ByteReader::new(stream))
     }
 
@@ -182,7 +182,7 @@
         if success && self.order.stream && is_event_stream(&head) {
             return self.relay_stream(reader, head, &facts).await;
         }
-        if self.sink.has_begun() {
+        if self.sink.has_started() {
             // A stream is read on only by another stream.
             return (self.stream_broken(), None);
         }
@@ -197,7 +197,7 @@
     ) -> Result<(ResponseHead, ParsedResponseHead), ReadFailure> {
         let mut strays = 0;
         loop {
-            let head = read_answer_head(reader).await;
+            let head = read_response_head(reader).await;
             let head = head.map_err(|_| ReadFailure)?;
             if head.status < 200 {
                 continue;
@@ -239,7 +239,7 @@
         };
         let lines = self.passing_lines(&head);
         if head.status >= 500 || matches!(head.status, 408 | 421 | 429) {
-            *self.kept = Some(KeptFailure {
+            *self.kept = Some(SavedFailure {
                 status: head.status,
                 reason: head.reason.clone(),
                 lines,
@@ -252,7 +252,7 @@
         }
         let written = self
             .sink
-            .write_whole(head.status, &head.reason, &lines, &body)
+            .write_response(head.status, &head.reason, &lines, &body)
             .await;
         if written.is_err() {
             return (AttemptOutcome::CallerDisconnected, Some(head));
@@ -298,7 +298,7 @@
                 Ok(_) => {}
             }
         }
-        if !buffer.is_empty() || !self.sink.has_begun() {
+        if !buffer.is_empty() || !self.sink.has_started() {
             return (self.stream_broken(), None);
         }
         if self.sink.end_stream().await.is_err() {
@@ -324,13 +324,13 @@
                 continue;
             }
             bytes.extend_from_slice(&event.bytes);
-            self.sink.note_event(event.identity);
+            self.sink.record_event(event.identity);
             events += 1;
         }
         if bytes.is_empty() {
             return Ok(0);
         }
-        if self.sink.has_begun() {
+        if self.sink.has_started() {
             self.sink.write_events(&bytes).await?;
         } else {
             let lines = self.passing_lines(head);
@@ -375,8 +375,8 @@
 }
 
 /// How an attempt ended without a whole answer.
-pub fn broken_outcome(sink: &AnswerSink, stalled: bool) -> AttemptOutcome {
-    if sink.has_begun() {
+pub fn broken_outcome(sink: &ResponseSink, stalled: bool) -> AttemptOutcome {
+    if sink.has_started() {
         AttemptOutcome::StreamBroken(StreamInterruption {
             events: sink.events(),
             stalled,
@@ -393,7 +393,7 @@
 
 /// Sets what each connection needs: small writes leave at once, and a peer that vanished without
 /// a message is noticed by the kernel.
-pub fn prepare(stream: &TcpStream) {
+pub fn configure_socket(stream: &TcpStream) {
     let socket = socket2::SockRef::from(stream);
     let set = socket
         .set_tcp_nodelay(true)
--- a/crates/savorywood-front/src/caller.rs
+++ b/crates/savorywood-front/src/caller.rs
@@ -1,12 +1,12 @@
 //! One caller's connection: heads in, answers out.
 
 use crate::{
-    attempt::{KeptFailure, UpstreamAttempt, broken_outcome, prepare},
+    attempt::{SavedFailure, UpstreamAttempt, broken_outcome, configure_socket},
     clock::within,
     content::content_digest,
     metrics,
     shared::{FrontShared, RequestDecision},
-    sink::AnswerSink,
+    sink::ResponseSink,
     wire::{BodyError, BodyFraming, ByteReader, HeadError, HeaderLine, RequestHead, read_body},
 };
 use async_channel::Receiver;
@@ -41,13 +41,13 @@
 }
 
 /// A request read whole.
-struct WholeRequest {
+struct CompleteRequest {
     head: RequestHead,
     body: Vec<u8>,
 }
 
 enum RequestRead {
-    Request(Box<WholeRequest>),
+    Request(Box<CompleteRequest>),
     Closed,
     Fault(u16, &'static str),
 }
@@ -82,7 +82,7 @@
 
 /// Serves one connection until one side closes it.
 pub async fn serve(shared: Rc<FrontShared>, stream: TcpStream) {
-    prepare(&stream);
+    configure_socket(&stream);
     let _open = CountGuard::new(&shared.connections);
     let mut reader = ByteReader::new(stream);
     loop {
@@ -98,10 +98,10 @@
             RequestRead::Closed => return,
             RequestRead::Fault(status, reason) => {
                 let _busy = CountGuard::new(&shared.busy);
-                let mut sink = AnswerSink::new(reader.stream().clone(), true);
+                let mut sink = ResponseSink::new(reader.stream().clone(), true);
                 log::info!("event=request-malformed status={status} reason={reason:?}");
                 let written = sink
-                    .write_whole(status, status_text(status), &[], &[])
+                    .write_response(status, status_text(status), &[], &[])
                     .await;
                 if written.is_ok() {
                     linger(reader).await;
@@ -160,7 +160,7 @@
     }
     let body = read_body(reader, head.framing, limits.body_bytes);
     match within(BODY_TIME, body).await {
-        Some(Ok(body)) => RequestRead::Request(Box::new(WholeRequest { head, body })),
+        Some(Ok(body)) => RequestRead::Request(Box::new(CompleteRequest { head, body })),
         Some(Err(BodyError::TooLarge)) => RequestRead::Fault(413, "body too large"),
         Some(Err(BodyError::BadChunk)) => RequestRead::Fault(400, "the chunks can't be read"),
         Some(Err(BodyError::CutOff | BodyError::Broken { .. })) => RequestRead::Closed,
@@ -207,10 +207,14 @@
     }
 }
 
-async fn answer(shared: &FrontShared, reader: &mut ByteReader, request: &WholeRequest) -> NextStep {
+async fn answer(
+    shared: &FrontShared,
+    reader: &mut ByteReader,
+    request: &CompleteRequest,
+) -> NextStep {
     shared.metrics.arrived.inc();
     let closes = request.head.closes_connection || shared.stopping.get();
-    let mut sink = AnswerSink::new(reader.stream().clone(), closes);
+    let mut sink = ResponseSink::new(reader.stream().clone(), closes);
     let arrival = match shared.adapter.parse_arrival(&request.head) {
         Ok(arrival) => RequestArrival {
             content_digest: content_digest(&request.head, &request.body),
@@ -222,7 +226,9 @@
                 fault.reason
             );
             let lines = shared.adapter.local_response_headers(&request.head);
-            let written = sink.write_whole(400, status_text(400), &lines, &[]).await;
+            let written = sink
+                .write_response(400, status_text(400), &lines, &[])
+                .await;
             return after(written.is_ok(), &sink);
         }
     };
@@ -247,7 +253,7 @@
     next
 }
 
-fn after(written: bool, sink: &AnswerSink) -> NextStep {
+fn after(written: bool, sink: &ResponseSink) -> NextStep {
     match (written, sink.closes_connection) {
         (false, _) => NextStep::Abort,
         (true, true) => NextStep::Close,
@@ -258,7 +264,7 @@
 /// One request between its arrival and its final answer.
 struct CallerExchange<'a> {
     shared: &'a FrontShared,
-    request: &'a WholeRequest,
+    request: &'a CompleteRequest,
     arrived_at: MonotonicTime,
     id: LocalRequest,
 }
@@ -267,7 +273,7 @@
     async fn decide(
         &self,
         reader: &mut ByteReader,
-        sink: &mut AnswerSink,
+        sink: &mut ResponseSink,
         decisions: &Receiver<RequestDecision>,
     ) -> NextStep {
         let mut kept = None;
@@ -319,8 +325,8 @@
     async fn attempt(
         &self,
         reader: &mut ByteReader,
-        sink: &mut AnswerSink,
-        kept: &mut Option<KeptFailure>,
+        sink: &mut ResponseSink,
+        kept: &mut Option<SavedFailure>,
         order: &DispatchOrder,
         decisions: &Receiver<RequestDecision>,
     ) -> AttemptOutcome {
@@ -356,7 +362,7 @@
         &self,
         order: &DispatchOrder,
         outcome: &AttemptOutcome,
-        sink: &AnswerSink,
+        sink: &ResponseSink,
     ) -> Option<NextStep> {
         match outcome {
             AttemptOutcome::Delivered { .. } => {
@@ -392,7 +398,7 @@
 
     async fn refuse(
         &self,
-        sink: &mut AnswerSink,
+        sink: &mut ResponseSink,
         reason: RefusalReason,
         retry_after: Option<Duration>,
     ) -> bool {
@@ -407,20 +413,20 @@
         }
         lines.push(HeaderLine::new("Content-Type", "application/json"));
         let body = format!("{{\"error\":\"{reason}\"}}");
-        let written = sink.write_whole(status, status_text(status), &lines, body.as_bytes());
+        let written = sink.write_response(status, status_text(status), &lines, body.as_bytes());
         written.await.is_ok()
     }
 
     /// Gives the caller the upstream's failure, unless its status would promise that the request
     /// has not run.
-    async fn pass_failure(&self, sink: &mut AnswerSink, kept: Option<KeptFailure>) -> bool {
+    async fn pass_failure(&self, sink: &mut ResponseSink, kept: Option<SavedFailure>) -> bool {
         let kept = kept.filter(|kept| !matches!(kept.status, 408 | 421 | 429 | 503));
         let Some(kept) = kept else {
             return self
                 .refuse(sink, RefusalReason::IncompleteResponse, None)
                 .await;
         };
-        let written = sink.write_whole(kept.status, &kept.reason, &kept.lines, &kept.body);
+        let written = sink.write_response(kept.status, &kept.reason, &kept.lines, &kept.body);
         written.await.is_ok()
     }
 }
--- a/crates/savorywood-front/src/feeds/reading.rs
+++ b/crates/savorywood-front/src/feeds/reading.rs
@@ -5,7 +5,7 @@
     clock::BootClock,
     edge::{StorePage, StoreRow, StoreTable},
     peers::RowsPush,
-    store::{StoreAnswer, StoreError},
+    store::{StoreError, StoreResponse},
 };
 use async_io::Timer;
 use savorywood_gateway::{GatewayEvent, StorePosition};
@@ -15,7 +15,7 @@
     /// Reads the whole table and passes on what differs from what was known.
     pub(super) async fn read_all(&mut self) -> Result<(), String> {
         let mut rows = Vec::new();
-        let mut first: Option<(StorePage, StoreAnswer)> = None;
+        let mut first: Option<(StorePage, StoreResponse)> = None;
         let mut after: Option<String> = None;
         loop {
             let call = self
@@ -123,7 +123,7 @@
         Ok(())
     }
 
-    fn accept(&self, answer: Result<StoreAnswer, StoreError>) -> Result<StoreAnswer, String> {
+    fn accept(&self, answer: Result<StoreResponse, StoreError>) -> Result<StoreResponse, String> {
         let outcome = match &answer {
             Ok(answer) if answer.status == 200 => "ok",
             Ok(_) => "refused",
@@ -138,7 +138,7 @@
         }
     }
 
-    fn page(&self, answer: &StoreAnswer) -> Result<StorePage, String> {
+    fn page(&self, answer: &StoreResponse) -> Result<StorePage, String> {
         let era = self.shared.note_era(answer);
         if era < self.shared.gateway.borrow().store_era() {
             return Err("an answer from before the store was restored".to_owned());
@@ -148,7 +148,7 @@
     }
 
     /// Only the table with keys and routes proves that these are up to date.
-    fn confirm(&mut self, page: &StorePage, answer: &StoreAnswer) {
+    fn confirm(&mut self, page: &StorePage, answer: &StoreResponse) {
         let at = self
             .freshness
             .earliest_response_time(answer.exchange(page.store_micros));
--- a/crates/savorywood-front/src/shared.rs
+++ b/crates/savorywood-front/src/shared.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     clock::BootClock, edge::FrontAdapter, logging::LogQueue, metrics::FrontMetrics,
-    peers::RowsPush, pool::UpstreamPool, settings::FrontSettings, store::StoreAnswer,
+    peers::RowsPush, pool::UpstreamPool, settings::FrontSettings, store::StoreResponse,
 };
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
@@ -142,7 +142,7 @@
 
     /// Notes the era that an answer of the store names, and returns it; the era known
     /// so far where it names none.
-    pub fn note_era(&self, answer: &StoreAnswer) -> u64 {
+    pub fn note_era(&self, answer: &StoreResponse) -> u64 {
         let named = self.adapter.store_era(&answer.headers);
         let known = self.gateway.borrow().store_era();
         let era = named.unwrap_or(known);
--- a/crates/savorywood-front/src/sink.rs
+++ b/crates/savorywood-front/src/sink.rs
@@ -7,7 +7,7 @@
 
 /// What reaches one caller for one request.
 #[derive(Debug)]
-pub struct AnswerSink {
+pub struct ResponseSink {
     stream: TcpStream,
     /// The connection ends after this answer.
     pub closes_connection: bool,
@@ -18,7 +18,7 @@
     writing: Rc<Cell<bool>>,
 }
 
-impl AnswerSink {
+impl ResponseSink {
     /// A sink for one answer.
     #[must_use]
     pub fn new(stream: TcpStream, closes_connection: bool) -> Self {
@@ -47,7 +47,7 @@
 
     /// Something of the answer has reached the caller.
     #[must_use]
-    pub fn has_begun(&self) -> bool {
+    pub fn has_started(&self) -> bool {
         self.begun
     }
 
@@ -80,7 +80,7 @@
     /// # Errors
     ///
     /// When the caller's connection is broken.
-    pub async fn write_whole(
+    pub async fn write_response(
         &mut self,
         status: u16,
         reason: &str,
@@ -140,7 +140,7 @@
     }
 
     /// Notes an event that was passed on.
-    pub fn note_event(&mut self, identity: Option<String>) {
+    pub fn record_event(&mut self, identity: Option<String>) {
         self.events += 1;
         if identity.is_some() {
             self.last_event_id = identity;
--- a/crates/savorywood-front/src/store.rs
+++ b/crates/savorywood-front/src/store.rs
@@ -1,9 +1,9 @@
 //! Calls to the store.
 
 use crate::{
-    attempt::prepare,
+    attempt::configure_socket,
     clock::{BootClock, within},
-    wire::{ByteReader, HeaderList, StoreCall, read_answer_head, read_body},
+    wire::{ByteReader, HeaderList, StoreCall, read_body, read_response_head},
 };
 use async_net::TcpStream;
 use futures_lite::AsyncWriteExt;
@@ -42,7 +42,7 @@
 
 /// An answer of the store.
 #[derive(Debug)]
-pub struct StoreAnswer {
+pub struct StoreResponse {
     /// Status.
     pub status: u16,
     /// Header lines.
@@ -55,7 +55,7 @@
     pub received: MonotonicTime,
 }
 
-impl StoreAnswer {
+impl StoreResponse {
     /// The exchange, for judging how fresh the answer is.
     #[must_use]
     pub fn exchange(&self, store_micros: Option<u64>) -> StoreExchange {
@@ -98,7 +98,7 @@
         &mut self,
         call: &StoreCall,
         time: Duration,
-    ) -> Result<StoreAnswer, StoreError> {
+    ) -> Result<StoreResponse, StoreError> {
         let reader = self.reader.take();
         let address = self.address;
         let exchange = self.exchange(reader, call);
@@ -118,7 +118,7 @@
         &self,
         reader: Option<ByteReader>,
         call: &StoreCall,
-    ) -> Result<(StoreAnswer, Option<ByteReader>), StoreError> {
+    ) -> Result<(StoreResponse, Option<ByteReader>), StoreError> {
         let address = self.address;
         let mut reader = match reader {
             Some(reader) => reader,
@@ -133,12 +133,12 @@
             .await
             .context(BrokenSnafu { step, address })?;
         let step = "reading";
-        let head = read_answer_head(&mut reader).await;
+        let head = read_response_head(&mut reader).await;
         let head = head.context(BrokenSnafu { step, address })?;
         let body = read_body(&mut reader, head.framing, MAX_ANSWER).await;
         let body = body.map_err(io::Error::other);
         let body = body.context(BrokenSnafu { step, address })?;
-        let answer = StoreAnswer {
+        let answer = StoreResponse {
             status: head.status,
             headers: head.headers,
             body,
@@ -154,7 +154,7 @@
         let connected = connected.unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()));
         let step = "connecting";
         let stream = connected.context(BrokenSnafu { step, address })?;
-        prepare(&stream);
+        configure_socket(&stream);
         Ok(ByteReader::beside_load(stream))
     }
 
--- a/crates/savorywood-front/src/wire.rs
+++ b/crates/savorywood-front/src/wire.rs
@@ -14,7 +14,7 @@
     BodyFraming, HeadError, HeaderLine, HeaderList, RequestHead, ResponseHead, is_hop_by_hop_header,
 };
 pub use reader::{
-    bytes_read, {ByteReader, read_answer_head},
+    bytes_read, {ByteReader, read_response_head},
 };
 
 /// One call to the store, ready to be written.
--- a/crates/savorywood-front/src/wire/reader.rs
+++ b/crates/savorywood-front/src/wire/reader.rs
@@ -119,7 +119,7 @@
 /// # Errors
 ///
 /// When the connection breaks or ends before it, or what came is no answer.
-pub async fn read_answer_head(reader: &mut ByteReader) -> io::Result<ResponseHead> {
+pub async fn read_response_head(reader: &mut ByteReader) -> io::Result<ResponseHead> {
     loop {
         if let Some(end) = reader.head_end() {
             let bytes = reader.take(end);
