--- a/crates/savorywood-front/src/caller.rs
+++ b/crates/savorywood-front/src/caller.rs
@@ -23,11 +23,11 @@
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 /// Time for which bytes of a refused request are still read: closing a connection with unread
 /// bytes resets it, and the reset can overtake the refusal.
-const LINGER_TIME: Duration = Duration::from_millis(300);
+const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
 /// Bytes of a next request that are read while one is answered.
-const MAX_AHEAD: usize = 65_536;
+const MAX_PIPELINED_BYTES: usize = 65_536;
 /// Longest time for a body.
-const BODY_TIME: Duration = Duration::from_secs(20);
+const BODY_TIMEOUT: Duration = Duration::from_secs(20);
 /// Time beyond the limit for which idle connections are kept: a request may be on its way.
 const IDLE_MARGIN: Duration = Duration::from_secs(2);
 
@@ -122,7 +122,7 @@
             reader.consume(count);
         }
     };
-    within(LINGER_TIME, read_on).await;
+    within(LINGER_TIMEOUT, read_on).await;
 }
 
 fn limits(shared: &FrontShared) -> CallerLimits {
@@ -159,7 +159,7 @@
         }
     }
     let body = read_body(reader, head.framing, limits.body_bytes);
-    match within(BODY_TIME, body).await {
+    match within(BODY_TIMEOUT, body).await {
         Some(Ok(body)) => RequestRead::Request(Box::new(CompleteRequest { head, body })),
         Some(Err(BodyError::TooLarge)) => RequestRead::Fault(413, "body too large"),
         Some(Err(BodyError::BadChunk)) => RequestRead::Fault(400, "the chunks can't be read"),
@@ -198,7 +198,7 @@
 /// Waits until the caller has gone. What it sends meanwhile is the next request.
 async fn caller_gone(reader: &mut ByteReader) {
     loop {
-        if reader.bytes().len() > MAX_AHEAD {
+        if reader.bytes().len() > MAX_PIPELINED_BYTES {
             return future::pending().await;
         }
         if !matches!(reader.fill().await, Ok(1..)) {
--- a/crates/savorywood-front/src/feeds.rs
+++ b/crates/savorywood-front/src/feeds.rs
@@ -30,33 +30,33 @@
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
 /// Wait of one call for registrations; changes are answered at once.
-const UPSTREAMS_WAIT: Duration = Duration::from_millis(2_400);
+const UPSTREAMS_POLL_TIMEOUT: Duration = Duration::from_millis(2_400);
 /// Time beyond the wait within which the answer must come: a connection that fell silent must
 /// not hide a drain or a revoked key.
-const FEED_MARGIN: Duration = Duration::from_millis(700);
+const FEED_TIMEOUT_MARGIN: Duration = Duration::from_millis(700);
 /// Time for any other call.
-const CALL_TIME: Duration = Duration::from_millis(1_500);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// First pause after a failed call.
-const FIRST_PAUSE: Duration = Duration::from_millis(60);
+const MIN_BACKOFF: Duration = Duration::from_millis(60);
 /// Longest pause after failed calls.
-const LONGEST_PAUSE: Duration = Duration::from_millis(400);
+const MAX_BACKOFF: Duration = Duration::from_millis(400);
 /// First pause after a failed call of a daemon that others of its zone go before.
-const FIRST_STANDBY_PAUSE: Duration = Duration::from_millis(500);
+const MIN_STANDBY_BACKOFF: Duration = Duration::from_millis(500);
 /// Longest pause after failed calls of such a daemon.
-const LONGEST_STANDBY_PAUSE: Duration = Duration::from_secs(2);
+const MAX_STANDBY_BACKOFF: Duration = Duration::from_secs(2);
 /// Pause between two answers of a feed that reported changes, for each daemon that reads it: changes
 /// gather meanwhile. Every change is an answer to every daemon, so without a pause that grows with
 /// them the calls grow with daemons times upstreams.
-const CHANGE_PAUSE: Duration = Duration::from_millis(8);
+const CHANGE_BATCH_DELAY: Duration = Duration::from_millis(8);
 /// Longest such pause: an upstream that leaves must be learned of well before its bound.
-const LONGEST_CHANGE_PAUSE: Duration = Duration::from_millis(400);
+const MAX_CHANGE_BATCH_DELAY: Duration = Duration::from_millis(400);
 /// The feed alone may miss a change: the whole table is read again so often.
-const REREAD_TIME: Duration = Duration::from_secs(10);
+const FULL_READ_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Rows that can't be read that are remembered at most.
-const MOST_UNREADABLE: usize = 256;
+const MAX_UNREADABLE_ROWS: usize = 256;
 /// Time between two looks whether another daemon still attests to a table.
-const REST_TIME: Duration = Duration::from_millis(40);
+const ATTESTATION_POLL_INTERVAL: Duration = Duration::from_millis(40);
 
 /// Reads one table for as long as the process lives.
 pub struct TableReader {
@@ -112,7 +112,7 @@
             unreadable: BTreeMap::new(),
             plan: ReadPlan::Direct,
             read_at: MonotonicTime::default(),
-            pause: FIRST_PAUSE,
+            pause: MIN_BACKOFF,
             reachable: true,
         }
     }
@@ -121,7 +121,7 @@
     pub async fn run(mut self) {
         loop {
             let now = BootClock.now();
-            let due = now.since(self.read_at) >= REREAD_TIME;
+            let due = now.since(self.read_at) >= FULL_READ_INTERVAL;
             let plan = self
                 .shared
                 .gateway
@@ -134,7 +134,7 @@
                     continue;
                 }
                 (Some(_), ReadPlan::AwaitReader) => {
-                    Timer::after(REST_TIME).await;
+                    Timer::after(ATTESTATION_POLL_INTERVAL).await;
                     continue;
                 }
                 (Some(after), ReadPlan::Direct) if self.yields(after) => {
@@ -148,7 +148,7 @@
             };
             match result {
                 Ok(()) => {
-                    self.pause = FIRST_PAUSE;
+                    self.pause = MIN_BACKOFF;
                     self.note_reachable(true, "");
                 }
                 Err(cause) => self.rest(&cause).await,
@@ -180,7 +180,7 @@
     async fn yield_read(&mut self) {
         self.has_yielded = true;
         let jitter = 0.5 + fastrand::f64();
-        self.rest_for(FIRST_STANDBY_PAUSE.mul_f64(jitter)).await;
+        self.rest_for(MIN_STANDBY_BACKOFF.mul_f64(jitter)).await;
     }
 
     fn note_plan(&mut self, plan: ReadPlan) {
@@ -200,7 +200,7 @@
         if row.value.is_none() || known == Some(&row.position) {
             return;
         }
-        if self.unreadable.len() >= MOST_UNREADABLE {
+        if self.unreadable.len() >= MAX_UNREADABLE_ROWS {
             self.unreadable.clear();
         }
         self.unreadable.insert(row.key.clone(), row.position);
@@ -225,7 +225,7 @@
     fn wait(&self) -> Duration {
         match self.table {
             StoreTable::Declared => self.shared.gateway.borrow().config_poll_timeout(),
-            _ => UPSTREAMS_WAIT,
+            _ => UPSTREAMS_POLL_TIMEOUT,
         }
     }
 
@@ -233,7 +233,7 @@
     async fn rest_on_attestation(&mut self, known: StorePosition) {
         let pushed = async { self.sources.pushes.recv().await.ok() };
         let pause = async {
-            Timer::after(REST_TIME).await;
+            Timer::after(ATTESTATION_POLL_INTERVAL).await;
             None
         };
         let push = future::or(pushed, pause).await;
@@ -287,9 +287,9 @@
             .borrow()
             .is_initial_reader(BootClock.now());
         let (first, longest) = if is_initial_reader {
-            (FIRST_PAUSE, LONGEST_PAUSE)
+            (MIN_BACKOFF, MAX_BACKOFF)
         } else {
-            (FIRST_STANDBY_PAUSE, LONGEST_STANDBY_PAUSE)
+            (MIN_STANDBY_BACKOFF, MAX_STANDBY_BACKOFF)
         };
         self.rest_for(self.pause.max(first).mul_f64(jitter)).await;
         self.pause = (self.pause.max(first) * 2).min(longest);
@@ -300,7 +300,7 @@
         let until = BootClock.now() + pause;
         while BootClock.now() < until {
             let left = until.since(BootClock.now());
-            Timer::after(left.min(REST_TIME)).await;
+            Timer::after(left.min(ATTESTATION_POLL_INTERVAL)).await;
             let gateway = self.shared.gateway.borrow();
             if gateway.read_plan(BootClock.now(), self.shared_table()) != ReadPlan::Direct {
                 return;
--- a/crates/savorywood-front/src/feeds/members.rs
+++ b/crates/savorywood-front/src/feeds/members.rs
@@ -1,6 +1,6 @@
 //! The list of daemons in the store: where they find each other.
 
-use super::{CALL_TIME, LONGEST_PAUSE};
+use super::{CALL_TIMEOUT, MAX_BACKOFF};
 use crate::{
     edge::{StoreTable, TableWrite},
     peers::PeerSocket,
@@ -39,7 +39,7 @@
         }
         let zoned = shared.gateway.borrow().uses_zone_digests();
         let pause = match (done, zoned) {
-            (false, _) => LONGEST_PAUSE,
+            (false, _) => MAX_BACKOFF,
             (true, false) => MEMBERS_TIME,
             (true, true) => ZONED_MEMBERS_TIME,
         };
@@ -63,7 +63,7 @@
         expected_version: None,
     };
     let call = shared.adapter.write_row_call(&write);
-    match link.call(&call, CALL_TIME).await {
+    match link.call(&call, CALL_TIMEOUT).await {
         Ok(answer) => answer.status == 200,
         Err(fault) => {
             log::warn!("event=member-unregistered cause={:?}", fault.to_string());
@@ -84,7 +84,7 @@
         let call = shared
             .adapter
             .read_rows_call(StoreTable::Members, after.as_deref());
-        let answer = link.call(&call, CALL_TIME).await.ok()?;
+        let answer = link.call(&call, CALL_TIMEOUT).await.ok()?;
         if answer.status != 200 {
             return None;
         }
@@ -127,7 +127,7 @@
         expected_version: None,
     };
     let call = shared.adapter.write_row_call(&write);
-    if let Err(fault) = link.call(&call, CALL_TIME).await {
+    if let Err(fault) = link.call(&call, CALL_TIMEOUT).await {
         log::warn!("event=member-unremoved cause={:?}", fault.to_string());
     }
 }
--- a/crates/savorywood-front/src/feeds/quarantine.rs
+++ b/crates/savorywood-front/src/feeds/quarantine.rs
@@ -1,6 +1,6 @@
 //! Requests under which upstreams crashed, in the store: what a start of all daemons must not forget.
 
-use super::{CALL_TIME, LONGEST_PAUSE};
+use super::{CALL_TIMEOUT, MAX_BACKOFF};
 use crate::{
     edge::{StoreRow, StoreTable, TableWrite},
     shared::FrontShared,
@@ -19,7 +19,7 @@
             shared.step(GatewayEvent::QuarantineRead(rows));
             break;
         }
-        Timer::after(LONGEST_PAUSE.mul_f64(0.8 + fastrand::f64() * 0.4)).await;
+        Timer::after(MAX_BACKOFF.mul_f64(0.8 + fastrand::f64() * 0.4)).await;
     }
     while let Ok(write) = writes.recv().await {
         write_row(&shared, &mut link, write).await;
@@ -33,7 +33,7 @@
     loop {
         let table = StoreTable::Quarantine;
         let call = shared.adapter.read_rows_call(table, after.as_deref());
-        let answer = link.call(&call, CALL_TIME).await.ok()?;
+        let answer = link.call(&call, CALL_TIMEOUT).await.ok()?;
         let page = Some(answer).filter(|answer| answer.status == 200);
         let page = page.and_then(|answer| {
             let era = shared.note_era(&answer);
@@ -61,7 +61,7 @@
         expected_version: None,
     };
     let call = shared.adapter.write_row_call(&table_write);
-    let answer = link.call(&call, CALL_TIME).await;
+    let answer = link.call(&call, CALL_TIMEOUT).await;
     let accepted = matches!(&answer, Ok(answer) if answer.status == 200);
     let era = answer.as_ref().map_or(0, |answer| shared.note_era(answer));
     log::info!(
--- a/crates/savorywood-front/src/feeds/reading.rs
+++ b/crates/savorywood-front/src/feeds/reading.rs
@@ -1,6 +1,8 @@
 //! Calls of a reader to the store: the whole table, or what has changed in it.
 
-use super::{CALL_TIME, CHANGE_PAUSE, FEED_MARGIN, LONGEST_CHANGE_PAUSE, TableReader};
+use super::{
+    CALL_TIMEOUT, CHANGE_BATCH_DELAY, FEED_TIMEOUT_MARGIN, MAX_CHANGE_BATCH_DELAY, TableReader,
+};
 use crate::{
     clock::BootClock,
     edge::{StorePage, StoreRow, StoreTable},
@@ -22,7 +24,7 @@
                 .shared
                 .adapter
                 .read_rows_call(self.table, after.as_deref());
-            let answer = self.link.call(&call, CALL_TIME).await;
+            let answer = self.link.call(&call, CALL_TIMEOUT).await;
             let answer = self.accept(answer)?;
             let mut page = self.page(&answer)?;
             let began = first
@@ -78,7 +80,7 @@
             .shared
             .adapter
             .feed_rows_call(self.table, after.version, wait);
-        let answer = self.link.call(&call, wait + FEED_MARGIN).await;
+        let answer = self.link.call(&call, wait + FEED_TIMEOUT_MARGIN).await;
         if matches!(&answer, Ok(answer) if answer.status == 410) {
             log::info!("event=feed-gap table={} after={after}", self.table);
             self.has_gap = true;
@@ -117,8 +119,8 @@
                 .gateway
                 .borrow()
                 .store_reader_count(BootClock.now());
-            let pause = CHANGE_PAUSE.saturating_mul(readers);
-            Timer::after(pause.min(LONGEST_CHANGE_PAUSE)).await;
+            let pause = CHANGE_BATCH_DELAY.saturating_mul(readers);
+            Timer::after(pause.min(MAX_CHANGE_BATCH_DELAY)).await;
         }
         Ok(())
     }
--- a/crates/savorywood-front/src/feeds/rollouts.rs
+++ b/crates/savorywood-front/src/feeds/rollouts.rs
@@ -1,6 +1,6 @@
 //! States of roll-outs in the store.
 
-use super::CALL_TIME;
+use super::CALL_TIMEOUT;
 use crate::{
     edge::{StoreTable, TableWrite},
     shared::FrontShared,
@@ -13,7 +13,7 @@
 use std::{rc::Rc, time::Duration};
 
 /// Status rows are read so often while a roll-out is under way.
-const STATUS_TIME: Duration = Duration::from_millis(1_000);
+const STATUS_READ_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// The other daemons of a zone read them each so many times more rarely.
 const STANDBY_ROUNDS: u32 = 5;
@@ -25,7 +25,7 @@
     loop {
         let next = async { writes.recv().await.ok() };
         let pause = async {
-            Timer::after(STATUS_TIME).await;
+            Timer::after(STATUS_READ_INTERVAL).await;
             None
         };
         if let Some(write) = future::or(next, pause).await {
@@ -67,7 +67,7 @@
         expected_version: Some(write.expected_position.version),
     };
     let call = shared.adapter.write_row_call(&table_write);
-    let answer = link.call(&call, CALL_TIME).await;
+    let answer = link.call(&call, CALL_TIMEOUT).await;
     let accepted = matches!(&answer, Ok(answer) if answer.status == 200);
     let era = answer.as_ref().map_or(0, |answer| shared.note_era(answer));
     log::info!(
@@ -87,7 +87,7 @@
 
 async fn read_statuses(shared: &FrontShared, link: &mut StoreLink) {
     let call = shared.adapter.read_rows_call(StoreTable::Status, None);
-    let answer = link.call(&call, CALL_TIME).await;
+    let answer = link.call(&call, CALL_TIMEOUT).await;
     let page = answer.ok().filter(|answer| answer.status == 200);
     let page = page.and_then(|answer| {
         let era = shared.note_era(&answer);
--- a/crates/savorywood-front/src/peers.rs
+++ b/crates/savorywood-front/src/peers.rs
@@ -19,13 +19,13 @@
 };
 
 /// Largest datagram that passes usual links in one piece.
-const MAX_DATAGRAM: usize = 1_400;
+const MAX_UNFRAGMENTED_BYTES: usize = 1_400;
 
 /// Senders of unreadable datagrams that are logged at most.
-const MOST_UNREAD_SENDERS: usize = 64;
+const MAX_LOGGED_SENDERS: usize = 64;
 
 /// Bytes of rows that are handed on at most; larger changes are read by each daemon.
-const MAX_PUSH: usize = 32_768;
+const MAX_PUSH_BYTES: usize = 32_768;
 
 fn row_bytes(row: &StoreRow) -> usize {
     row.key.len() + row.value.as_ref().map_or(0, Vec::len)
@@ -143,7 +143,7 @@
     pub async fn push(&self, shared: &FrontShared, push: RowsPush) {
         let bytes: usize = push.rows.iter().map(row_bytes).sum();
         let followers = shared.gateway.borrow().row_update_targets(self.clock.now());
-        if !followers.is_empty() && bytes <= MAX_PUSH {
+        if !followers.is_empty() && bytes <= MAX_PUSH_BYTES {
             self.send(&PeerDatagram::Rows(push), &followers).await;
         }
     }
@@ -152,7 +152,7 @@
         let Some(bytes) = format::encode(datagram) else {
             return;
         };
-        if bytes.len() > MAX_DATAGRAM {
+        if bytes.len() > MAX_UNFRAGMENTED_BYTES {
             log::debug!("event=datagram-large bytes={}", bytes.len());
         }
         for address in addresses {
@@ -194,7 +194,7 @@
     fn note_unread(&self, shared: &FrontShared, sender: SocketAddr, fault: DatagramError) {
         shared.metrics.unread_datagrams.inc();
         let mut unread = self.unread.borrow_mut();
-        if unread.len() < MOST_UNREAD_SENDERS && unread.insert(sender) {
+        if unread.len() < MAX_LOGGED_SENDERS && unread.insert(sender) {
             let cause = fault.to_string();
             log::warn!("event=datagram-unread sender={sender} cause={cause:?}");
         }
--- a/crates/savorywood-front/src/peers/format.rs
+++ b/crates/savorywood-front/src/peers/format.rs
@@ -7,7 +7,7 @@
 use snafu::Snafu;
 
 /// First byte of each datagram of a daemon.
-const MARK: u8 = 0xd5;
+const MAGIC_BYTE: u8 = 0xd5;
 /// Changes with every type that travels between daemons.
 const FORMAT_VERSION: u8 = 1;
 
@@ -30,7 +30,7 @@
 
 /// Bytes of a message; `None` when it can't be encoded.
 pub fn encode<T: Serialize>(message: &T) -> Option<Vec<u8>> {
-    postcard::to_extend(message, vec![MARK, FORMAT_VERSION]).ok()
+    postcard::to_extend(message, vec![MAGIC_BYTE, FORMAT_VERSION]).ok()
 }
 
 /// Reads a message.
@@ -40,10 +40,10 @@
 /// When the bytes are not of this format.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, DatagramError> {
     match bytes {
-        [MARK, FORMAT_VERSION, message @ ..] => {
+        [MAGIC_BYTE, FORMAT_VERSION, message @ ..] => {
             postcard::from_bytes(message).map_err(|_| DatagramError::Malformed)
         }
-        [MARK, version, ..] => Err(DatagramError::OtherVersion { version: *version }),
+        [MAGIC_BYTE, version, ..] => Err(DatagramError::OtherVersion { version: *version }),
         _ => Err(DatagramError::Unmarked),
     }
 }
--- a/crates/savorywood-front/src/pool.rs
+++ b/crates/savorywood-front/src/pool.rs
@@ -7,17 +7,17 @@
 use std::{cell::RefCell, collections::HashMap, time::Duration};
 
 /// An upstream that does not say how long it keeps a connection is taken to keep it so long.
-const USUAL_KEEP: Duration = Duration::from_millis(2_500);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Longest time for which an idle connection is trusted.
-const LONGEST_KEEP: Duration = Duration::from_secs(4);
+const MAX_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 /// Time before the upstream's own end of a connection from which it is not used any more: a
 /// request that crosses the close can't be distinguished from one that ran.
-const KEEP_MARGIN: Duration = Duration::from_millis(800);
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(800);
 /// Longest idle time for a request that may not run twice: on a connection that fell silent it
 /// would be lost.
-const ONCE_KEEP: Duration = Duration::from_millis(1_500);
+const MAX_IDLE_WITHOUT_REPEAT: Duration = Duration::from_millis(1_500);
 /// Idle connections kept for one upstream.
-const MOST_IDLE: usize = 8;
+const MAX_IDLE_PER_UPSTREAM: usize = 8;
 
 #[derive(Debug)]
 struct IdleConnection {
@@ -46,7 +46,7 @@
             let newest = self.idle.borrow_mut().get_mut(upstream)?.pop()?;
             let idle = self.clock.now().since(newest.since);
             let keep = if once {
-                newest.keep.min(ONCE_KEEP)
+                newest.keep.min(MAX_IDLE_WITHOUT_REPEAT)
             } else {
                 newest.keep
             };
@@ -63,19 +63,21 @@
 
     /// Puts a connection back after a whole answer.
     pub fn put(&self, upstream: &UpstreamLabel, reader: ByteReader, keep: Option<Duration>) {
-        let keep = keep.map_or(USUAL_KEEP, |keep| keep.saturating_sub(KEEP_MARGIN));
+        let keep = keep.map_or(DEFAULT_IDLE_TIMEOUT, |keep| {
+            keep.saturating_sub(IDLE_TIMEOUT_MARGIN)
+        });
         if keep.is_zero() || !reader.bytes().is_empty() {
             return;
         }
         let mut idle = self.idle.borrow_mut();
         let connections = idle.entry(upstream.clone()).or_default();
-        if connections.len() >= MOST_IDLE {
+        if connections.len() >= MAX_IDLE_PER_UPSTREAM {
             connections.remove(0);
         }
         connections.push(IdleConnection {
             reader,
             since: self.clock.now(),
-            keep: keep.min(LONGEST_KEEP),
+            keep: keep.min(MAX_IDLE_TIMEOUT),
         });
     }
 
--- a/crates/savorywood-front/src/run.rs
+++ b/crates/savorywood-front/src/run.rs
@@ -28,15 +28,15 @@
 };
 
 /// Time between two ticks while requests wait.
-const BUSY_TICK: Duration = Duration::from_millis(10);
+const BUSY_TICK_INTERVAL: Duration = Duration::from_millis(10);
 /// Time between two ticks otherwise.
-const IDLE_TICK: Duration = Duration::from_millis(100);
+const IDLE_TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// Longest time for which callers wait for the first reads of the store.
-const FIRST_READS_TIME: Duration = Duration::from_millis(500);
+const FIRST_READS_TIMEOUT: Duration = Duration::from_millis(500);
 /// How often these are looked for.
-const FIRST_READS_LOOK: Duration = Duration::from_millis(2);
+const FIRST_READS_POLL_INTERVAL: Duration = Duration::from_millis(2);
 /// Time between two hand-overs of log lines.
-const FLUSH_TIME: Duration = Duration::from_millis(200);
+const LOG_FLUSH_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Why a front daemon did not run.
 #[derive(Debug, Snafu)]
@@ -178,10 +178,10 @@
 async fn wait_for_first_reads(shared: &FrontShared) {
     let began = shared.clock.now();
     while !shared.gateway.borrow().is_ready(shared.clock.now()) {
-        if shared.clock.now().since(began) >= FIRST_READS_TIME {
+        if shared.clock.now().since(began) >= FIRST_READS_TIMEOUT {
             return;
         }
-        Timer::after(FIRST_READS_LOOK).await;
+        Timer::after(FIRST_READS_POLL_INTERVAL).await;
     }
 }
 
@@ -202,14 +202,18 @@
     loop {
         shared.step(GatewayEvent::Tick);
         let waiting = shared.gateway.borrow().waiting_requests();
-        let pause = if waiting > 0 { BUSY_TICK } else { IDLE_TICK };
+        let pause = if waiting > 0 {
+            BUSY_TICK_INTERVAL
+        } else {
+            IDLE_TICK_INTERVAL
+        };
         Timer::after(pause).await;
     }
 }
 
 async fn flush(shared: Rc<FrontShared>) {
     loop {
-        Timer::after(FLUSH_TIME).await;
+        Timer::after(LOG_FLUSH_INTERVAL).await;
         shared.log.flush();
         shared.pool.sweep();
     }
--- a/crates/savorywood-front/src/shared.rs
+++ b/crates/savorywood-front/src/shared.rs
@@ -18,7 +18,7 @@
 };
 
 /// Pushes of rows that wait to be applied at most.
-const MOST_PUSHES: usize = 64;
+const MAX_PENDING_PUSHES: usize = 64;
 
 /// What becomes of a request next.
 #[derive(Debug, Clone)]
@@ -48,7 +48,7 @@
 
 impl Default for RowChannel {
     fn default() -> Self {
-        let (sender, receiver) = async_channel::bounded(MOST_PUSHES);
+        let (sender, receiver) = async_channel::bounded(MAX_PENDING_PUSHES);
         Self { sender, receiver }
     }
 }
--- a/crates/savorywood-front/src/stop.rs
+++ b/crates/savorywood-front/src/stop.rs
@@ -13,13 +13,13 @@
 };
 
 /// Callers that hold an old answer of the directory still come for about this long.
-const LEAST_DRAIN: Duration = Duration::from_millis(3_300);
+const MIN_DRAIN_PERIOD: Duration = Duration::from_millis(3_300);
 /// The process ends this long before it would be killed.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 /// How often the settings file is looked at.
-const SETTINGS_TIME: Duration = Duration::from_secs(3);
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(3);
 /// How often open requests are counted.
-const LOOK_TIME: Duration = Duration::from_millis(25);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Takes signals from now on.
 ///
@@ -69,7 +69,7 @@
 pub async fn watch_settings(shared: Rc<FrontShared>, path: PathBuf) {
     let mut known = changed_at(&path);
     loop {
-        Timer::after(SETTINGS_TIME).await;
+        Timer::after(SETTINGS_POLL_INTERVAL).await;
         let newest = changed_at(&path);
         if newest != known {
             known = newest;
@@ -98,13 +98,13 @@
     loop {
         let elapsed = shared.clock.now().since(began);
         let idle = shared.busy.get() == 0;
-        if idle && elapsed >= LEAST_DRAIN {
+        if idle && elapsed >= MIN_DRAIN_PERIOD {
             break;
         }
         if elapsed + KILL_MARGIN >= grace {
             log::warn!("event=stop-forced open={}", shared.busy.get());
             break;
         }
-        Timer::after(LOOK_TIME).await;
+        Timer::after(DRAIN_POLL_INTERVAL).await;
     }
 }
