--- a/crates/savorywood-front/src/admin.rs
+++ b/crates/savorywood-front/src/admin.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     attempt::configure_socket,
-    clock::within,
+    clock::with_timeout,
     shared::FrontShared,
     sink::ResponseSink,
     wire::{ByteReader, HeaderLine, RequestHead},
@@ -68,7 +68,7 @@
 async fn serve(shared: Rc<FrontShared>, stream: TcpStream) {
     configure_socket(&stream);
     let mut reader = ByteReader::new(stream);
-    while let Some(Some(head)) = within(IDLE_TIME, read_head(&mut reader)).await {
+    while let Some(Some(head)) = with_timeout(IDLE_TIME, read_head(&mut reader)).await {
         let answer = answer(&shared, &head);
         let mut sink = ResponseSink::new(reader.stream().clone(), head.closes_connection);
         let lines = [HeaderLine::new("Content-Type", answer.kind)];
--- a/crates/savorywood-front/src/attempt.rs
+++ b/crates/savorywood-front/src/attempt.rs
@@ -3,7 +3,7 @@
 mod events;
 
 use crate::{
-    clock::within,
+    clock::with_timeout,
     edge::{DispatchContext, ParsedResponseHead},
     metrics,
     shared::FrontShared,
@@ -21,13 +21,13 @@
 use std::{cell::Cell, io, pin::pin, time::Duration};
 
 /// Longest time to connect: an opening packet that was lost comes again after a second only.
-const CONNECT_TIME: Duration = Duration::from_millis(350);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
 /// Answers of earlier requests that are skipped before a connection is given up.
-const MAX_STRAY_ANSWERS: usize = 2;
+const MAX_STALE_RESPONSES: usize = 2;
 /// Largest plain answer.
-const MAX_ANSWER_BYTES: usize = 16 << 20;
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 /// Time after which the kernel gives up on bytes that nobody acknowledges.
-const UNACKNOWLEDGED_TIME: Duration = Duration::from_secs(4);
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// A failure that the upstream gave, kept while another one is tried.
 #[derive(Debug)]
@@ -57,7 +57,7 @@
     /// Where the answer goes.
     pub sink: &'a mut ResponseSink,
     /// Gets the upstream's failure.
-    pub kept: &'a mut Option<SavedFailure>,
+    pub saved_failure: &'a mut Option<SavedFailure>,
 }
 
 /// The answer could not be had.
@@ -100,7 +100,7 @@
             future::pending::<AttemptOutcome>().await
         };
         // Upstreams may answer before they have read a long body: both go on side by side.
-        let answer = self.read_answer(&mut reader);
+        let answer = self.read_response(&mut reader);
         let (outcome, reusable) = {
             let answer = pin!(answer);
             let never = async { (write_rest.await, None) };
@@ -121,7 +121,7 @@
     async fn connect(&self) -> Option<ByteReader> {
         let began = self.shared.clock.now();
         let connecting = TcpStream::connect(self.order.address);
-        let stream = within(CONNECT_TIME, connecting).await?.ok()?;
+        let stream = with_timeout(CONNECT_TIMEOUT, connecting).await?.ok()?;
         let elapsed = self.shared.clock.now().since(began);
         self.shared
             .metrics
@@ -133,13 +133,13 @@
 
     fn request_bytes(&self) -> Vec<u8> {
         let time_left = self.order.give_up_at.since(self.shared.clock.now());
-        let facts = DispatchContext {
+        let context = DispatchContext {
             upstream: &self.order.upstream,
             team: self.order.team.as_ref(),
             time_left,
             last_event_id: self.sink.last_event_id(),
         };
-        let lines = self.shared.adapter.upstream_headers(self.head, &facts);
+        let lines = self.shared.adapter.upstream_headers(self.head, &context);
         let mut text = format!("{} {} HTTP/1.1\r\n", self.head.method, self.head.target);
         for line in &lines {
             text.push_str(&line.name);
@@ -157,96 +157,96 @@
     }
 
     /// Reads the answer; with the head of one that left the connection usable.
-    async fn read_answer(
+    async fn read_response(
         &mut self,
         reader: &mut ByteReader,
     ) -> (AttemptOutcome, Option<ResponseHead>) {
-        let (head, facts) = match self.read_own_head(reader).await {
+        let (head, parsed) = match self.read_matching_head(reader).await {
             Ok(read) => read,
             Err(ReadFailure) => return (AttemptOutcome::Broken { stalled: false }, None),
         };
-        if facts.not_executed || facts.misdirected {
-            let body = read_body(reader, head.framing, MAX_ANSWER_BYTES).await;
+        if parsed.not_executed || parsed.misdirected {
+            let body = read_body(reader, head.framing, MAX_RESPONSE_BYTES).await;
             let outcome = AttemptOutcome::NotRun {
-                misdirected: facts.misdirected,
-                metadata: facts.metadata,
+                misdirected: parsed.misdirected,
+                metadata: parsed.metadata,
             };
             return (outcome, body.ok().map(|_| head));
         }
         let success = (200..300).contains(&head.status);
         // A coded body is not the upstream's own: nobody asked for a coding.
         let coded = head.headers.get("content-encoding").is_some();
-        if coded || (success && !facts.from_upstream) {
+        if coded || (success && !parsed.from_upstream) {
             return (AttemptOutcome::Broken { stalled: false }, None);
         }
         if success && self.order.stream && is_event_stream(&head) {
-            return self.relay_stream(reader, head, &facts).await;
+            return self.relay_stream(reader, head, &parsed).await;
         }
         if self.sink.has_started() {
             // A stream is read on only by another stream.
             return (self.stream_broken(), None);
         }
-        self.relay_whole(reader, head, &facts).await
+        self.relay_response(reader, head, &parsed).await
     }
 
     /// Head of the answer to this request: answers to earlier ones may come late, in the place
     /// where this one is due.
-    async fn read_own_head(
+    async fn read_matching_head(
         &self,
         reader: &mut ByteReader,
     ) -> Result<(ResponseHead, ParsedResponseHead), ReadFailure> {
-        let mut strays = 0;
+        let mut stale_responses = 0;
         loop {
             let head = read_response_head(reader).await;
             let head = head.map_err(|_| ReadFailure)?;
             if head.status < 200 {
                 continue;
             }
-            let facts = self.shared.adapter.parse_response_head(&head);
-            let own = self.shared.adapter.parse_arrival(self.head);
-            let own = own.map(|arrival| arrival.request_id).unwrap_or_default();
-            match &facts.request_id {
-                Some(identity) if *identity != own => {
-                    strays += 1;
+            let parsed = self.shared.adapter.parse_response_head(&head);
+            let own_id = self.shared.adapter.parse_arrival(self.head);
+            let own_id = own_id.map(|arrival| arrival.request_id).unwrap_or_default();
+            match &parsed.request_id {
+                Some(id) if *id != own_id => {
+                    stale_responses += 1;
                     let framed = head.framing != BodyFraming::UntilClose;
-                    if strays > MAX_STRAY_ANSWERS || !framed {
+                    if stale_responses > MAX_STALE_RESPONSES || !framed {
                         return Err(ReadFailure);
                     }
-                    let skipped = read_body(reader, head.framing, MAX_ANSWER_BYTES).await;
+                    let skipped = read_body(reader, head.framing, MAX_RESPONSE_BYTES).await;
                     skipped.map_err(|_| ReadFailure)?;
                 }
-                Some(_) => return Ok((head, facts)),
-                None if facts.not_executed || facts.misdirected => return Ok((head, facts)),
+                Some(_) => return Ok((head, parsed)),
+                None if parsed.not_executed || parsed.misdirected => return Ok((head, parsed)),
                 None => return Err(ReadFailure),
             }
         }
     }
 
     /// A plain answer reaches the caller only once it is whole.
-    async fn relay_whole(
+    async fn relay_response(
         &mut self,
         reader: &mut ByteReader,
         head: ResponseHead,
-        facts: &ParsedResponseHead,
+        parsed: &ParsedResponseHead,
     ) -> (AttemptOutcome, Option<ResponseHead>) {
         let framing = if self.head.method == "HEAD" {
             BodyFraming::Empty
         } else {
             head.framing
         };
-        let Ok(body) = read_body(reader, framing, MAX_ANSWER_BYTES).await else {
+        let Ok(body) = read_body(reader, framing, MAX_RESPONSE_BYTES).await else {
             return (AttemptOutcome::Broken { stalled: false }, None);
         };
-        let lines = self.passing_lines(&head);
+        let lines = self.forwarded_headers(&head);
         if head.status >= 500 || matches!(head.status, 408 | 421 | 429) {
-            *self.kept = Some(SavedFailure {
+            *self.saved_failure = Some(SavedFailure {
                 status: head.status,
                 reason: head.reason.clone(),
                 lines,
                 body,
             });
             let outcome = AttemptOutcome::Failed {
-                metadata: facts.metadata,
+                metadata: parsed.metadata,
             };
             return (outcome, Some(head));
         }
@@ -258,7 +258,7 @@
             return (AttemptOutcome::CallerDisconnected, Some(head));
         }
         let outcome = AttemptOutcome::Delivered {
-            metadata: facts.metadata,
+            metadata: parsed.metadata,
             events: 0,
         };
         (outcome, Some(head))
@@ -268,20 +268,20 @@
         &mut self,
         reader: &mut ByteReader,
         head: ResponseHead,
-        facts: &ParsedResponseHead,
+        parsed: &ParsedResponseHead,
     ) -> (AttemptOutcome, Option<ResponseHead>) {
         let mut decoder = BodyDecoder::new(head.framing);
         let mut buffer = EventBuffer::default();
         let mut began = false;
         loop {
-            if decoder.decode(reader, buffer.space()).is_err() {
+            if decoder.decode(reader, buffer.input_mut()).is_err() {
                 return (self.stream_broken(), None);
             }
-            match self.pass_events(&mut buffer, &head).await {
+            match self.forward_events(&mut buffer, &head).await {
                 Ok(0) => {}
                 Ok(_) if !began => {
                     began = true;
-                    self.report_begun(facts);
+                    self.report_started(parsed);
                 }
                 Ok(events) => self.shared.step(GatewayEvent::ResponseProgressed {
                     request: self.order.request,
@@ -305,14 +305,14 @@
             return (AttemptOutcome::CallerDisconnected, None);
         }
         let outcome = AttemptOutcome::Delivered {
-            metadata: facts.metadata,
+            metadata: parsed.metadata,
             events: self.sink.events(),
         };
         (outcome, Some(head))
     }
 
     /// Passes on the whole events of the buffer; says how many there were.
-    async fn pass_events(
+    async fn forward_events(
         &mut self,
         buffer: &mut EventBuffer,
         head: &ResponseHead,
@@ -320,11 +320,11 @@
         let mut bytes = Vec::new();
         let mut events = 0;
         while let Some(event) = buffer.take_event() {
-            if self.is_repeated(&event) {
+            if self.is_duplicate(&event) {
                 continue;
             }
             bytes.extend_from_slice(&event.bytes);
-            self.sink.record_event(event.identity);
+            self.sink.record_event(event.id);
             events += 1;
         }
         if bytes.is_empty() {
@@ -333,33 +333,30 @@
         if self.sink.has_started() {
             self.sink.write_events(&bytes).await?;
         } else {
-            let lines = self.passing_lines(head);
+            let lines = self.forwarded_headers(head);
             self.sink
-                .begin_stream(head.status, &head.reason, &lines, &bytes)
+                .start_stream(head.status, &head.reason, &lines, &bytes)
                 .await?;
         }
         Ok(events)
     }
 
     /// An upstream that reads a stream on may begin with an event that the caller has.
-    fn is_repeated(&self, event: &StreamEvent) -> bool {
+    fn is_duplicate(&self, event: &StreamEvent) -> bool {
         let known = self
             .sink
             .last_event_id()
             .and_then(|id| id.parse::<u64>().ok());
-        let new = event
-            .identity
-            .as_ref()
-            .and_then(|id| id.parse::<u64>().ok());
+        let new = event.id.as_ref().and_then(|id| id.parse::<u64>().ok());
         matches!((known, new), (Some(known), Some(new)) if new <= known)
     }
 
-    fn report_begun(&self, facts: &ParsedResponseHead) {
+    fn report_started(&self, parsed: &ParsedResponseHead) {
         let elapsed = self.shared.clock.now().since(self.arrived_at);
         metrics::observe(&self.shared.metrics.first_event, self.order, elapsed);
         self.shared.step(GatewayEvent::ResponseStarted {
             request: self.order.request,
-            metadata: facts.metadata,
+            metadata: parsed.metadata,
         });
     }
 
@@ -367,7 +364,7 @@
         broken_outcome(self.sink, false)
     }
 
-    fn passing_lines(&self, head: &ResponseHead) -> Vec<HeaderLine> {
+    fn forwarded_headers(&self, head: &ResponseHead) -> Vec<HeaderLine> {
         let lines = head.headers.iter();
         let passing = lines.filter(|line| self.shared.adapter.forwards_response_header(&line.name));
         passing.cloned().collect()
@@ -397,7 +394,7 @@
     let socket = socket2::SockRef::from(stream);
     let set = socket
         .set_tcp_nodelay(true)
-        .and_then(|()| socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIME)));
+        .and_then(|()| socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT)));
     if let Err(error) = set {
         log::debug!("event=socket-option-failed error={error:?}");
     }
--- a/crates/savorywood-front/src/attempt/events.rs
+++ b/crates/savorywood-front/src/attempt/events.rs
@@ -11,26 +11,26 @@
 pub struct StreamEvent {
     /// Its bytes.
     pub bytes: Vec<u8>,
-    /// Its identity.
-    pub identity: Option<String>,
+    /// Its id.
+    pub id: Option<String>,
 }
 
 impl EventBuffer {
     /// Where bytes that came are put.
-    pub fn space(&mut self) -> &mut Vec<u8> {
+    pub fn input_mut(&mut self) -> &mut Vec<u8> {
         &mut self.bytes
     }
 
     /// Takes the next whole event.
     ///
-    /// An upstream may stop within an event. Passed on as it came, the half of it would be joined
+    /// An upstream may stop with_timeout an event. Passed on as it came, the half of it would be joined
     /// with the first bytes of the upstream at which the stream is read on.
     pub fn take_event(&mut self) -> Option<StreamEvent> {
         let end = event_end(&self.bytes)?;
         let rest = self.bytes.split_off(end);
         let bytes = std::mem::replace(&mut self.bytes, rest);
-        let identity = identity(&bytes);
-        Some(StreamEvent { bytes, identity })
+        let id = event_id(&bytes);
+        Some(StreamEvent { bytes, id })
     }
 
     /// Nothing is left over.
@@ -55,7 +55,7 @@
     None
 }
 
-fn identity(event: &[u8]) -> Option<String> {
+fn event_id(event: &[u8]) -> Option<String> {
     let lines = event.split(|byte| *byte == b'\n');
     let mut values = lines.filter_map(|line| line.strip_prefix(b"id:"));
     let value = values.next_back()?;
--- a/crates/savorywood-front/src/attempt/events/tests.rs
+++ b/crates/savorywood-front/src/attempt/events/tests.rs
@@ -17,10 +17,10 @@
         let mut bytes = Vec::new();
         for cut in cuts.iter().copied().map(usize::from).chain([usize::MAX]) {
             let (piece, after) = rest.split_at(cut.min(rest.len()));
-            buffer.space().extend_from_slice(piece);
+            buffer.input_mut().extend_from_slice(piece);
             rest = after;
             while let Some(event) = buffer.take_event() {
-                ids.extend(event.identity.and_then(|id| id.parse::<u8>().ok()));
+                ids.extend(event.id.and_then(|id| id.parse::<u8>().ok()));
                 bytes.extend(event.bytes);
             }
         }
@@ -28,12 +28,12 @@
     }
 }
 
-/// An upstream stops within an event: the half of it stays here.
+/// An upstream stops with_timeout an event: the half of it stays here.
 #[test]
 fn half_an_event_is_not_passed_on() {
     let mut buffer = EventBuffer::default();
     buffer
-        .space()
+        .input_mut()
         .extend_from_slice(b"id: 1\ndata: a\n\nid: 2\ndata: hal");
     assert!(buffer.take_event().is_some());
     assert_eq!(buffer.take_event(), None);
--- a/crates/savorywood-front/src/caller.rs
+++ b/crates/savorywood-front/src/caller.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     attempt::{SavedFailure, UpstreamAttempt, broken_outcome, configure_socket},
-    clock::within,
+    clock::with_timeout,
     content::content_digest,
     metrics,
     shared::{FrontShared, RequestDecision},
@@ -28,7 +28,7 @@
 const MAX_PIPELINED_BYTES: usize = 65_536;
 /// Longest time for a body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(20);
-/// Time beyond the limit for which idle connections are kept: a request may be on its way.
+/// Time beyond the limit for which idle connections are saved_failure: a request may be on its way.
 const IDLE_MARGIN: Duration = Duration::from_secs(2);
 
 /// What becomes of the connection after an answer.
@@ -122,7 +122,7 @@
             reader.consume(count);
         }
     };
-    within(LINGER_TIMEOUT, read_on).await;
+    with_timeout(LINGER_TIMEOUT, read_on).await;
 }
 
 fn limits(shared: &FrontShared) -> CallerLimits {
@@ -137,12 +137,12 @@
     let limits = limits(shared);
     skip_empty_lines(reader);
     if reader.bytes().is_empty() {
-        let first = within(limits.idle_timeout + IDLE_MARGIN, reader.fill()).await;
+        let first = with_timeout(limits.idle_timeout + IDLE_MARGIN, reader.fill()).await;
         if !matches!(first, Some(Ok(1..))) {
             return RequestRead::Closed;
         }
     }
-    let head = match within(limits.header_timeout, read_head(reader, &limits)).await {
+    let head = match with_timeout(limits.header_timeout, read_head(reader, &limits)).await {
         Some(Ok(Some(head))) => head,
         Some(Ok(None)) => return RequestRead::Closed,
         Some(Err(HeadError::TooLarge)) => return RequestRead::Fault(431, "head too large"),
@@ -159,7 +159,7 @@
         }
     }
     let body = read_body(reader, head.framing, limits.body_bytes);
-    match within(BODY_TIMEOUT, body).await {
+    match with_timeout(BODY_TIMEOUT, body).await {
         Some(Ok(body)) => RequestRead::Request(Box::new(CompleteRequest { head, body })),
         Some(Err(BodyError::TooLarge)) => RequestRead::Fault(413, "body too large"),
         Some(Err(BodyError::BadChunk)) => RequestRead::Fault(400, "the chunks can't be read"),
@@ -276,7 +276,7 @@
         sink: &mut ResponseSink,
         decisions: &Receiver<RequestDecision>,
     ) -> NextStep {
-        let mut kept = None;
+        let mut saved_failure = None;
         loop {
             let decision = async { decisions.recv().await.ok() };
             let gone = async {
@@ -291,7 +291,7 @@
             match decision {
                 RequestDecision::Dispatch(order) => {
                     let outcome = self
-                        .attempt(reader, sink, &mut kept, &order, decisions)
+                        .attempt(reader, sink, &mut saved_failure, &order, decisions)
                         .await;
                     let end = self.after_attempt(&order, &outcome, sink);
                     self.report(outcome);
@@ -309,7 +309,7 @@
                 }
                 RequestDecision::PassFailure => {
                     self.count_end("failure-passed");
-                    let written = self.pass_failure(sink, kept).await;
+                    let written = self.pass_failure(sink, saved_failure).await;
                     return after(written, sink);
                 }
                 // The attempt that it was meant for has ended by itself.
@@ -326,7 +326,7 @@
         &self,
         reader: &mut ByteReader,
         sink: &mut ResponseSink,
-        kept: &mut Option<SavedFailure>,
+        saved_failure: &mut Option<SavedFailure>,
         order: &DispatchOrder,
         decisions: &Receiver<RequestDecision>,
     ) -> AttemptOutcome {
@@ -342,7 +342,7 @@
             head: &self.request.head,
             body: &self.request.body,
             sink: &mut *sink,
-            kept,
+            saved_failure,
         };
         let gone = async {
             caller_gone(reader).await;
@@ -419,14 +419,24 @@
 
     /// Gives the caller the upstream's failure, unless its status would promise that the request
     /// has not run.
-    async fn pass_failure(&self, sink: &mut ResponseSink, kept: Option<SavedFailure>) -> bool {
-        let kept = kept.filter(|kept| !matches!(kept.status, 408 | 421 | 429 | 503));
-        let Some(kept) = kept else {
+    async fn pass_failure(
+        &self,
+        sink: &mut ResponseSink,
+        saved_failure: Option<SavedFailure>,
+    ) -> bool {
+        let saved_failure = saved_failure
+            .filter(|saved_failure| !matches!(saved_failure.status, 408 | 421 | 429 | 503));
+        let Some(saved_failure) = saved_failure else {
             return self
                 .refuse(sink, RefusalReason::IncompleteResponse, None)
                 .await;
         };
-        let written = sink.write_response(kept.status, &kept.reason, &kept.lines, &kept.body);
+        let written = sink.write_response(
+            saved_failure.status,
+            &saved_failure.reason,
+            &saved_failure.lines,
+            &saved_failure.body,
+        );
         written.await.is_ok()
     }
 }
--- a/crates/savorywood-front/src/clock.rs
+++ b/crates/savorywood-front/src/clock.rs
@@ -33,7 +33,7 @@
 }
 
 /// Waits for a future, for some time at most.
-pub async fn within<T>(time: Duration, work: impl Future<Output = T>) -> Option<T> {
+pub async fn with_timeout<T>(time: Duration, work: impl Future<Output = T>) -> Option<T> {
     let expired = async {
         Timer::after(time).await;
         None
--- a/crates/savorywood-front/src/feeds.rs
+++ b/crates/savorywood-front/src/feeds.rs
@@ -18,7 +18,7 @@
     edge::{StoreRow, StoreTable},
     peers::{PeerSocket, RowsPush},
     shared::FrontShared,
-    store::StoreLink,
+    store::StoreConnection,
 };
 use async_channel::Receiver;
 use async_io::Timer;
@@ -31,7 +31,7 @@
 
 /// Wait of one call for registrations; changes are answered at once.
 const UPSTREAMS_POLL_TIMEOUT: Duration = Duration::from_millis(2_400);
-/// Time beyond the wait within which the answer must come: a connection that fell silent must
+/// Time beyond the wait with_timeout which the answer must come: a connection that fell silent must
 /// not hide a drain or a revoked key.
 const FEED_TIMEOUT_MARGIN: Duration = Duration::from_millis(700);
 /// Time for any other call.
@@ -63,7 +63,7 @@
     shared: Rc<FrontShared>,
     sources: TableSources,
     table: StoreTable,
-    link: StoreLink,
+    link: StoreConnection,
     freshness: FreshnessClock,
     /// All changes up to this position are known.
     revision: Option<StorePosition>,
@@ -96,7 +96,7 @@
 impl TableReader {
     /// A reader that begins with a full read.
     pub fn new(shared: Rc<FrontShared>, table: StoreTable, sources: TableSources) -> Self {
-        let link = StoreLink::new(shared.settings.store.address);
+        let link = StoreConnection::new(shared.settings.store.address);
         Self {
             shared,
             sources,
--- a/crates/savorywood-front/src/feeds/members.rs
+++ b/crates/savorywood-front/src/feeds/members.rs
@@ -6,7 +6,7 @@
     peers::PeerSocket,
     settings::FrontSettings,
     shared::FrontShared,
-    store::StoreLink,
+    store::StoreConnection,
 };
 use async_io::Timer;
 use savorywood_gateway::{GatewayEvent, PeerContact, ZoneLabel};
@@ -19,7 +19,7 @@
 
 /// Keeps the list of members in the store and reads it.
 pub async fn keep_members(shared: Rc<FrontShared>, peers: Rc<PeerSocket>) {
-    let mut link = StoreLink::new(shared.settings.store.address);
+    let mut link = StoreConnection::new(shared.settings.store.address);
     let mut announced = false;
     loop {
         let mut members = read_members(&shared, &mut link).await;
@@ -55,7 +55,7 @@
 }
 
 /// Writes this daemon into the list; whether that was accepted.
-async fn register(shared: &FrontShared, link: &mut StoreLink) -> bool {
+async fn register(shared: &FrontShared, link: &mut StoreConnection) -> bool {
     let write = TableWrite {
         table: StoreTable::Members,
         key: shared.settings.host.clone(),
@@ -73,7 +73,7 @@
 }
 
 /// All members, or nothing where a page of them could not be read.
-async fn read_members(shared: &FrontShared, link: &mut StoreLink) -> Option<MemberList> {
+async fn read_members(shared: &FrontShared, link: &mut StoreConnection) -> Option<MemberList> {
     let own = member_text(&shared.settings).into_bytes();
     let mut members = MemberList {
         contacts: Vec::new(),
@@ -119,7 +119,7 @@
 
 /// Takes this daemon out of the list of members.
 pub async fn leave_members(shared: &FrontShared) {
-    let mut link = StoreLink::new(shared.settings.store.address);
+    let mut link = StoreConnection::new(shared.settings.store.address);
     let write = TableWrite {
         table: StoreTable::Members,
         key: shared.settings.host.clone(),
--- a/crates/savorywood-front/src/feeds/quarantine.rs
+++ b/crates/savorywood-front/src/feeds/quarantine.rs
@@ -4,7 +4,7 @@
 use crate::{
     edge::{StoreRow, StoreTable, TableWrite},
     shared::FrontShared,
-    store::StoreLink,
+    store::StoreConnection,
 };
 use async_channel::Receiver;
 use async_io::Timer;
@@ -13,7 +13,7 @@
 
 /// Reads all rows once, then writes those that this daemon is to write.
 pub async fn keep_quarantine(shared: Rc<FrontShared>, writes: Receiver<QuarantineWrite>) {
-    let mut link = StoreLink::new(shared.settings.store.address);
+    let mut link = StoreConnection::new(shared.settings.store.address);
     loop {
         if let Some(rows) = read_rows(&shared, &mut link).await {
             shared.step(GatewayEvent::QuarantineRead(rows));
@@ -27,7 +27,7 @@
 }
 
 /// All rows, or nothing where a page of them could not be read.
-async fn read_rows(shared: &FrontShared, link: &mut StoreLink) -> Option<Vec<QuarantineRow>> {
+async fn read_rows(shared: &FrontShared, link: &mut StoreConnection) -> Option<Vec<QuarantineRow>> {
     let mut rows = Vec::new();
     let mut after: Option<String> = None;
     loop {
@@ -52,7 +52,7 @@
     QuarantineRow::parse(&row.key, value)
 }
 
-async fn write_row(shared: &FrontShared, link: &mut StoreLink, write: QuarantineWrite) {
+async fn write_row(shared: &FrontShared, link: &mut StoreConnection, write: QuarantineWrite) {
     let value = write.value().map(String::into_bytes);
     let table_write = TableWrite {
         table: StoreTable::Quarantine,
--- a/crates/savorywood-front/src/feeds/rollouts.rs
+++ b/crates/savorywood-front/src/feeds/rollouts.rs
@@ -4,7 +4,7 @@
 use crate::{
     edge::{StoreTable, TableWrite},
     shared::FrontShared,
-    store::StoreLink,
+    store::StoreConnection,
 };
 use async_channel::Receiver;
 use async_io::Timer;
@@ -20,7 +20,7 @@
 
 /// Writes states of roll-outs, and reads what others wrote while one is under way.
 pub async fn keep_rollouts(shared: Rc<FrontShared>, writes: Receiver<RolloutWrite>) {
-    let mut link = StoreLink::new(shared.settings.store.address);
+    let mut link = StoreConnection::new(shared.settings.store.address);
     let mut rounds = 0;
     loop {
         let next = async { writes.recv().await.ok() };
@@ -49,7 +49,7 @@
     is_initial_reader || rounds.is_multiple_of(STANDBY_ROUNDS)
 }
 
-async fn write_status(shared: &FrontShared, link: &mut StoreLink, write: RolloutWrite) {
+async fn write_status(shared: &FrontShared, link: &mut StoreConnection, write: RolloutWrite) {
     if write.expected_position.version != 0 && write.expected_position.era != shared.era.get() {
         // The version that it expects may stand for another content by now.
         read_statuses(shared, link).await;
@@ -85,7 +85,7 @@
     });
 }
 
-async fn read_statuses(shared: &FrontShared, link: &mut StoreLink) {
+async fn read_statuses(shared: &FrontShared, link: &mut StoreConnection) {
     let call = shared.adapter.read_rows_call(StoreTable::Status, None);
     let answer = link.call(&call, CALL_TIMEOUT).await;
     let page = answer.ok().filter(|answer| answer.status == 200);
--- a/crates/savorywood-front/src/settings.rs
+++ b/crates/savorywood-front/src/settings.rs
@@ -87,7 +87,7 @@
     pub limit_slack: f64,
     /// Share of traffic that an unproved version may get.
     pub exposure_share: f64,
-    /// Factor by which the declared rate of a cold upstream may be exceeded within a second; none
+    /// Factor by which the declared rate of a cold upstream may be exceeded with_timeout a second; none
     /// without such a bound.
     pub warmup_overage: Option<f64>,
     /// Requests that may come on top of it.
--- a/crates/savorywood-front/src/sink.rs
+++ b/crates/savorywood-front/src/sink.rs
@@ -11,7 +11,7 @@
     stream: TcpStream,
     /// The connection ends after this answer.
     pub closes_connection: bool,
-    begun: bool,
+    started: bool,
     last_event_id: Option<String>,
     events: u32,
     /// Bytes are on their way: an attempt that ended now would leave half a piece behind.
@@ -25,7 +25,7 @@
         Self {
             stream,
             closes_connection,
-            begun: false,
+            started: false,
             last_event_id: None,
             events: 0,
             writing: Rc::default(),
@@ -48,7 +48,7 @@
     /// Something of the answer has reached the caller.
     #[must_use]
     pub fn has_started(&self) -> bool {
-        self.begun
+        self.started
     }
 
     /// Identity of the last event that was passed on.
@@ -95,7 +95,7 @@
         head.push_str("\r\n");
         let mut bytes = head.into_bytes();
         bytes.extend_from_slice(body);
-        self.begun = true;
+        self.started = true;
         self.write(&bytes).await
     }
 
@@ -104,7 +104,7 @@
     /// # Errors
     ///
     /// When the caller's connection is broken.
-    pub async fn begin_stream(
+    pub async fn start_stream(
         &mut self,
         status: u16,
         reason: &str,
@@ -115,7 +115,7 @@
         head.push_str("Transfer-Encoding: chunked\r\n\r\n");
         let mut bytes = head.into_bytes();
         push_chunk(&mut bytes, events);
-        self.begun = true;
+        self.started = true;
         self.write(&bytes).await
     }
 
@@ -140,10 +140,10 @@
     }
 
     /// Notes an event that was passed on.
-    pub fn record_event(&mut self, identity: Option<String>) {
+    pub fn record_event(&mut self, id: Option<String>) {
         self.events += 1;
-        if identity.is_some() {
-            self.last_event_id = identity;
+        if id.is_some() {
+            self.last_event_id = id;
         }
     }
 }
--- a/crates/savorywood-front/src/store.rs
+++ b/crates/savorywood-front/src/store.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     attempt::configure_socket,
-    clock::{BootClock, within},
+    clock::{BootClock, with_timeout},
     wire::{ByteReader, HeaderList, StoreCall, read_body, read_response_head},
 };
 use async_net::TcpStream;
@@ -13,9 +13,9 @@
 use std::{io, net::SocketAddr, time::Duration};
 
 /// Longest time to connect.
-const CONNECT_TIME: Duration = Duration::from_millis(400);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Largest answer.
-const MAX_ANSWER: usize = 8 << 20;
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
 /// Why a call has no answer.
 #[derive(Debug, Snafu)]
@@ -31,8 +31,8 @@
         source: io::Error,
     },
     /// No answer came in time. The call may still be carried out.
-    #[snafu(display("no answer of the store {address} within {} ms", after.as_millis()))]
-    Silent {
+    #[snafu(display("no answer of the store {address} with_timeout {} ms", after.as_millis()))]
+    TimedOut {
         /// The store.
         address: SocketAddr,
         /// Time waited.
@@ -69,14 +69,14 @@
 
 /// One connection to the store, made anew when it breaks.
 #[derive(Debug)]
-pub struct StoreLink {
+pub struct StoreConnection {
     address: SocketAddr,
     host: String,
     reader: Option<ByteReader>,
     clock: BootClock,
 }
 
-impl StoreLink {
+impl StoreConnection {
     /// A link that connects at its first call.
     #[must_use]
     pub fn new(address: SocketAddr) -> Self {
@@ -102,9 +102,9 @@
         let reader = self.reader.take();
         let address = self.address;
         let exchange = self.exchange(reader, call);
-        let answered = within(time, exchange).await;
+        let answered = with_timeout(time, exchange).await;
         let (answer, reader) = answered.unwrap_or(
-            SilentSnafu {
+            TimedOutSnafu {
                 address,
                 after: time,
             }
@@ -135,7 +135,7 @@
         let step = "reading";
         let head = read_response_head(&mut reader).await;
         let head = head.context(BrokenSnafu { step, address })?;
-        let body = read_body(&mut reader, head.framing, MAX_ANSWER).await;
+        let body = read_body(&mut reader, head.framing, MAX_RESPONSE_BYTES).await;
         let body = body.map_err(io::Error::other);
         let body = body.context(BrokenSnafu { step, address })?;
         let answer = StoreResponse {
@@ -150,12 +150,12 @@
 
     async fn connect(&self) -> Result<ByteReader, StoreError> {
         let address = self.address;
-        let connected = within(CONNECT_TIME, TcpStream::connect(address)).await;
+        let connected = with_timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         let connected = connected.unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()));
         let step = "connecting";
         let stream = connected.context(BrokenSnafu { step, address })?;
         configure_socket(&stream);
-        Ok(ByteReader::beside_load(stream))
+        Ok(ByteReader::new_uncounted(stream))
     }
 
     fn call_bytes(&self, call: &StoreCall) -> Vec<u8> {
--- a/crates/savorywood-front/src/wire/body/tests.rs
+++ b/crates/savorywood-front/src/wire/body/tests.rs
@@ -52,7 +52,7 @@
         .quickcheck(property as fn(Vec<Vec<u8>>, Vec<u8>) -> bool);
 }
 
-/// The connection ends within a body. Taken for whole, a caller would get a part as the answer.
+/// The connection ends with_timeout a body. Taken for whole, a caller would get a part as the answer.
 #[test]
 fn a_body_that_ends_early_is_never_whole() {
     let property = |pieces: Vec<Vec<u8>>, cut: usize| {
--- a/crates/savorywood-front/src/wire/head.rs
+++ b/crates/savorywood-front/src/wire/head.rs
@@ -211,7 +211,7 @@
         }
         let headers = collect(parsed.headers)?;
         let status = parsed.code.unwrap_or_default();
-        let framing = answer_framing(status, &headers)?;
+        let framing = response_framing(status, &headers)?;
         let closes = headers.has_token("connection", "close") || parsed.version != Some(1);
         Ok(Self {
             status,
@@ -270,7 +270,7 @@
     }
 }
 
-fn answer_framing(status: u16, headers: &HeaderList) -> Result<BodyFraming, HeadError> {
+fn response_framing(status: u16, headers: &HeaderList) -> Result<BodyFraming, HeadError> {
     if matches!(status, 100..=199 | 204 | 304) {
         return Ok(BodyFraming::Empty);
     }
--- a/crates/savorywood-front/src/wire/reader.rs
+++ b/crates/savorywood-front/src/wire/reader.rs
@@ -9,17 +9,17 @@
 };
 
 /// Bytes read at a time.
-const READ_BYTES: usize = 16_384;
+const READ_BUFFER_BYTES: usize = 16_384;
 /// Largest head of an answer.
-const MAX_ANSWER_HEAD: usize = 65_536;
+const MAX_RESPONSE_HEAD_BYTES: usize = 65_536;
 
 /// Bytes that this process has read from connections of callers and upstreams.
-static BYTES_READ: AtomicU64 = AtomicU64::new(0);
+static LOAD_BYTES_READ: AtomicU64 = AtomicU64::new(0);
 
 /// Bytes that this process has read from connections of callers and upstreams.
 #[must_use]
 pub fn bytes_read() -> u64 {
-    BYTES_READ.load(Ordering::Relaxed)
+    LOAD_BYTES_READ.load(Ordering::Relaxed)
 }
 
 /// A connection and the bytes of it that were read and not yet used.
@@ -32,7 +32,7 @@
     start: usize,
     scratch: Box<[u8]>,
     /// What is read is work for callers.
-    is_load: bool,
+    counts_as_load: bool,
 }
 
 impl ByteReader {
@@ -43,16 +43,16 @@
             stream,
             buffer: Vec::new(),
             start: 0,
-            scratch: vec![0; READ_BYTES].into_boxed_slice(),
-            is_load: true,
+            scratch: vec![0; READ_BUFFER_BYTES].into_boxed_slice(),
+            counts_as_load: true,
         }
     }
 
     /// Wraps a connection whose bytes are no work for callers.
     #[must_use]
-    pub fn beside_load(stream: TcpStream) -> Self {
+    pub fn new_uncounted(stream: TcpStream) -> Self {
         Self {
-            is_load: false,
+            counts_as_load: false,
             ..Self::new(stream)
         }
     }
@@ -84,14 +84,14 @@
     ///
     /// When the connection is broken.
     pub async fn fill(&mut self) -> io::Result<usize> {
-        if self.start > READ_BYTES {
+        if self.start > READ_BUFFER_BYTES {
             self.buffer.drain(..self.start);
             self.start = 0;
         }
         let count = self.stream.read(&mut self.scratch).await?;
         self.buffer.extend_from_slice(&self.scratch[..count]);
-        if self.is_load {
-            BYTES_READ.fetch_add(count as u64, Ordering::Relaxed);
+        if self.counts_as_load {
+            LOAD_BYTES_READ.fetch_add(count as u64, Ordering::Relaxed);
         }
         Ok(count)
     }
@@ -136,7 +136,7 @@
                 reason: "what came is no answer",
             }));
         }
-        if reader.bytes().len() > MAX_ANSWER_HEAD {
+        if reader.bytes().len() > MAX_RESPONSE_HEAD_BYTES {
             return Err(invalid(HeadError::TooLarge));
         }
         if reader.fill().await? == 0 {
