--- a/crates/savorywood-front/src/attempt.rs
+++ b/crates/savorywood-front/src/attempt.rs
@@ -3,8 +3,8 @@
 mod events;
 
 use crate::{
+    adapter::{DispatchContext, ParsedResponseHead},
     clock::with_timeout,
-    edge::{DispatchContext, ParsedResponseHead},
     metrics,
     shared::FrontShared,
     sink::ResponseSink,
--- a/crates/savorywood-front/src/feeds.rs
+++ b/crates/savorywood-front/src/feeds.rs
@@ -1,21 +1,21 @@
 //! What lies in the store reaches the decisions: a full read, then a feed, then a full read again
 //! after any gap.
 
-mod applying;
-mod known;
 mod members;
 mod quarantine;
-mod reading;
 mod rollouts;
+mod row_cache;
+mod row_updates;
+mod table_reads;
 
 pub use members::{keep_members, leave_members};
 pub use quarantine::keep_quarantine;
 pub use rollouts::keep_rollouts;
 
-use self::known::KnownRows;
+use self::row_cache::RowCache;
 use crate::{
+    adapter::{StoreRow, StoreTable},
     clock::BootClock,
-    edge::{StoreRow, StoreTable},
     peers::{PeerSocket, RowsPush},
     shared::FrontShared,
     store::StoreConnection,
@@ -75,7 +75,7 @@
     has_gap: bool,
     /// A whole read was left to other daemons of the zone once, and nothing was learned since.
     has_yielded: bool,
-    known: KnownRows,
+    row_cache: RowCache,
     /// Positions of rows that could not be read, so that each is logged once.
     unreadable: BTreeMap<String, StorePosition>,
     /// How the table was learned of last.
@@ -108,7 +108,7 @@
             was_read: false,
             has_gap: false,
             has_yielded: false,
-            known: KnownRows::default(),
+            row_cache: RowCache::default(),
             unreadable: BTreeMap::new(),
             plan: ReadPlan::Direct,
             read_at: MonotonicTime::default(),
@@ -261,7 +261,7 @@
     ) {
         for row in rows {
             self.changed = self.changed.max(row.position);
-            self.known.note(row);
+            self.row_cache.insert(row);
         }
         self.revision = Some(read_through);
         self.has_gap = false;
--- a/crates/savorywood-front/src/feeds/members.rs
+++ b/crates/savorywood-front/src/feeds/members.rs
@@ -2,7 +2,7 @@
 
 use super::{CALL_TIMEOUT, MAX_BACKOFF};
 use crate::{
-    edge::{StoreTable, TableWrite},
+    adapter::{StoreTable, TableWrite},
     peers::PeerSocket,
     settings::FrontSettings,
     shared::FrontShared,
--- a/crates/savorywood-front/src/feeds/quarantine.rs
+++ b/crates/savorywood-front/src/feeds/quarantine.rs
@@ -2,7 +2,7 @@
 
 use super::{CALL_TIMEOUT, MAX_BACKOFF};
 use crate::{
-    edge::{StoreRow, StoreTable, TableWrite},
+    adapter::{StoreRow, StoreTable, TableWrite},
     shared::FrontShared,
     store::StoreConnection,
 };
--- a/crates/savorywood-front/src/feeds/rollouts.rs
+++ b/crates/savorywood-front/src/feeds/rollouts.rs
@@ -2,7 +2,7 @@
 
 use super::CALL_TIMEOUT;
 use crate::{
-    edge::{StoreTable, TableWrite},
+    adapter::{StoreTable, TableWrite},
     shared::FrontShared,
     store::StoreConnection,
 };
--- a/crates/savorywood-front/src/feeds/known.rs
+++ b/crates/savorywood-front/src/feeds/row_cache.rs
@@ -1,12 +1,12 @@
 //! Rows of a table as they were read last.
 
-use crate::edge::StoreRow;
+use crate::adapter::StoreRow;
 use savorywood_gateway::StorePosition;
 use std::collections::BTreeMap;
 
 /// What a row is compared by.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct KnownRow {
+struct CachedRow {
     position: StorePosition,
     /// Digest of its value.
     content: u64,
@@ -14,16 +14,16 @@
 
 /// Rows of a table by key.
 #[derive(Debug, Clone, Default)]
-pub(super) struct KnownRows {
-    rows: BTreeMap<String, KnownRow>,
+pub(super) struct RowCache {
+    rows: BTreeMap<String, CachedRow>,
 }
 
-impl KnownRows {
+impl RowCache {
     /// Takes a row that was written or removed.
-    pub fn note(&mut self, row: &StoreRow) {
+    pub fn insert(&mut self, row: &StoreRow) {
         match &row.value {
             Some(value) => {
-                let known = KnownRow {
+                let known = CachedRow {
                     position: row.position,
                     content: content_digest(value),
                 };
@@ -39,7 +39,7 @@
     pub fn replace(&mut self, rows: Vec<StoreRow>, revision: StorePosition) -> Vec<StoreRow> {
         let before = std::mem::take(&mut self.rows);
         for row in &rows {
-            self.note(row);
+            self.insert(row);
         }
         let missing = before.keys().filter(|key| !self.rows.contains_key(*key));
         let removed: Vec<StoreRow> = missing
@@ -57,7 +57,7 @@
     }
 }
 
-impl KnownRow {
+impl CachedRow {
     /// The row was written since. After a restore every row has another position.
     fn differs(self, read: Self) -> bool {
         let is_restored = self.position.era < read.position.era;
--- a/crates/savorywood-front/src/feeds/known/tests.rs
+++ b/crates/savorywood-front/src/feeds/row_cache/tests.rs
@@ -1,5 +1,5 @@
-use super::KnownRows;
-use crate::{edge::StoreRow, peers::RowsPush};
+use super::RowCache;
+use crate::{adapter::StoreRow, peers::RowsPush};
 use savorywood_gateway::{SharedTable, StorePosition};
 
 fn row(key: &str, value: &str, era: u64, version: u64) -> StoreRow {
@@ -17,7 +17,7 @@
 /// Guards against a restore after which every row counts as changed.
 #[test]
 fn a_restored_table_differs_by_what_the_backup_lacks() {
-    let mut known = KnownRows::default();
+    let mut known = RowCache::default();
     let before = vec![
         row("kept", "a", 1, 10),
         row("rewritten", "new", 1, 20),
@@ -37,7 +37,7 @@
 /// Guards against an order that is withdrawn and given again with the same text, and is not passed on.
 #[test]
 fn a_row_that_is_written_again_within_an_era_differs() {
-    let mut known = KnownRows::default();
+    let mut known = RowCache::default();
     known.replace(vec![row("order", "a", 1, 10)], StorePosition::new(1, 10));
     let again = vec![row("order", "a", 1, 14)];
     let differences = known.replace(again, StorePosition::new(1, 14));
--- a/crates/savorywood-front/src/feeds/applying.rs
+++ b/crates/savorywood-front/src/feeds/row_updates.rs
@@ -1,7 +1,7 @@
 //! Rows of a table become events.
 
 use super::TableReader;
-use crate::edge::{DeclaredRow, StoreRow, StoreTable};
+use crate::adapter::{DeclaredRow, StoreRow, StoreTable};
 use savorywood_gateway::{
     EvacuationOrder, GatewayEvent, StorePosition, UpstreamEntry, UpstreamLabel,
 };
--- a/crates/savorywood-front/src/feeds/reading.rs
+++ b/crates/savorywood-front/src/feeds/table_reads.rs
@@ -4,8 +4,8 @@
     CALL_TIMEOUT, CHANGE_BATCH_DELAY, FEED_TIMEOUT_MARGIN, MAX_CHANGE_BATCH_DELAY, TableReader,
 };
 use crate::{
+    adapter::{StorePage, StoreRow, StoreTable},
     clock::BootClock,
-    edge::{StorePage, StoreRow, StoreTable},
     peers::RowsPush,
     store::{StoreError, StoreResponse},
 };
@@ -48,7 +48,7 @@
         self.apply_all(&rows, page.revision);
         let before = self.revision.unwrap_or_default();
         let changed = self.changed;
-        let differences = self.known.replace(rows, page.revision);
+        let differences = self.row_cache.replace(rows, page.revision);
         // After a restore other daemons may hold what the store has lost.
         let is_changed = before.era < page.revision.era || !differences.is_empty();
         if is_changed {
--- a/crates/savorywood-front/src/lib.rs
+++ b/crates/savorywood-front/src/lib.rs
@@ -3,12 +3,12 @@
 //!
 //! What other programs call things, and how they write them, comes in through [`FrontAdapter`].
 
+mod adapter;
 mod admin;
 mod attempt;
 mod caller;
 mod clock;
 mod content;
-mod edge;
 mod feeds;
 mod load;
 mod logging;
@@ -23,7 +23,7 @@
 mod store;
 mod wire;
 
-pub use edge::{
+pub use adapter::{
     ArrivalError, DeclaredRow, DirectoryQuery, DispatchContext, FrontAdapter, ParsedResponseHead,
     RolloutRow, StorePage, StoreRow, StoreTable, TableWrite,
 };
--- a/crates/savorywood-front/src/peers.rs
+++ b/crates/savorywood-front/src/peers.rs
@@ -3,7 +3,7 @@
 mod format;
 
 use self::format::DatagramError;
-use crate::{clock::BootClock, edge::StoreRow, shared::FrontShared};
+use crate::{adapter::StoreRow, clock::BootClock, shared::FrontShared};
 use async_io::Timer;
 use async_net::UdpSocket;
 use futures_lite::future;
--- a/crates/savorywood-front/src/run.rs
+++ b/crates/savorywood-front/src/run.rs
@@ -1,8 +1,8 @@
 //! A front daemon's whole life.
 
 use crate::{
+    adapter::{FrontAdapter, StoreTable},
     admin, caller,
-    edge::{FrontAdapter, StoreTable},
     feeds::{TableReader, TableSources, keep_members, keep_quarantine, keep_rollouts},
     load::measure_load,
     logging::LogQueue,
--- a/crates/savorywood-front/src/shared.rs
+++ b/crates/savorywood-front/src/shared.rs
@@ -1,7 +1,7 @@
 //! What all tasks of a front daemon share, and the way of effects from decisions to tasks.
 
 use crate::{
-    clock::BootClock, edge::FrontAdapter, logging::LogQueue, metrics::FrontMetrics,
+    adapter::FrontAdapter, clock::BootClock, logging::LogQueue, metrics::FrontMetrics,
     peers::RowsPush, pool::UpstreamPool, settings::FrontSettings, store::StoreResponse,
 };
 use async_channel::{Receiver, Sender};
