--- a/crates/savorywood-front/src/feeds.rs
+++ b/crates/savorywood-front/src/feeds.rs
@@ -8,9 +8,9 @@
 mod row_updates;
 mod table_reads;
 
-pub use members::{keep_members, leave_members};
-pub use quarantine::keep_quarantine;
-pub use rollouts::keep_rollouts;
+pub use members::{deregister_member, maintain_membership};
+pub use quarantine::sync_quarantine;
+pub use rollouts::sync_rollouts;
 
 use self::row_cache::RowCache;
 use crate::{
@@ -70,18 +70,18 @@
     /// Position of the last change that is known.
     changed: StorePosition,
     /// The whole table was read once.
-    was_read: bool,
+    has_full_read: bool,
     /// The changes after `revision` can't be had one by one.
     has_gap: bool,
     /// A whole read was left to other daemons of the zone once, and nothing was learned since.
-    has_yielded: bool,
+    has_deferred: bool,
     row_cache: RowCache,
     /// Positions of rows that could not be read, so that each is logged once.
     unreadable: BTreeMap<String, StorePosition>,
     /// How the table was learned of last.
     plan: ReadPlan,
-    read_at: MonotonicTime,
-    pause: Duration,
+    full_read_at: MonotonicTime,
+    backoff: Duration,
     reachable: bool,
 }
 
@@ -105,14 +105,14 @@
             freshness: FreshnessClock::default(),
             revision: None,
             changed: StorePosition::default(),
-            was_read: false,
+            has_full_read: false,
             has_gap: false,
-            has_yielded: false,
+            has_deferred: false,
             row_cache: RowCache::default(),
             unreadable: BTreeMap::new(),
             plan: ReadPlan::Direct,
-            read_at: MonotonicTime::default(),
-            pause: MIN_BACKOFF,
+            full_read_at: MonotonicTime::default(),
+            backoff: MIN_BACKOFF,
             reachable: true,
         }
     }
@@ -121,69 +121,72 @@
     pub async fn run(mut self) {
         loop {
             let now = BootClock.now();
-            let due = now.since(self.read_at) >= FULL_READ_INTERVAL;
+            let due = now.since(self.full_read_at) >= FULL_READ_INTERVAL;
             let plan = self
                 .shared
                 .gateway
                 .borrow()
                 .read_plan(now, self.shared_table());
-            self.note_plan(plan);
+            self.update_plan(plan);
             let result = match (self.revision, plan) {
                 (Some(after), ReadPlan::FollowAttestation) => {
-                    self.rest_on_attestation(after).await;
+                    self.follow_attestation(after).await;
                     continue;
                 }
                 (Some(_), ReadPlan::AwaitReader) => {
                     Timer::after(ATTESTATION_POLL_INTERVAL).await;
                     continue;
                 }
-                (Some(after), ReadPlan::Direct) if self.yields(after) => {
-                    self.yield_read().await;
+                (Some(after), ReadPlan::Direct) if self.should_defer(after) => {
+                    self.defer_full_read().await;
                     continue;
                 }
-                (Some(after), _) if self.needs_whole_read(after) => self.read_all().await,
-                (Some(after), ReadPlan::CatchUp) => self.follow(after, Duration::ZERO).await,
-                (Some(after), ReadPlan::Direct) if !due => self.follow(after, self.wait()).await,
-                _ => self.read_all().await,
+                (Some(after), _) if self.needs_full_read(after) => self.read_table().await,
+                (Some(after), ReadPlan::CatchUp) => self.poll_changes(after, Duration::ZERO).await,
+                (Some(after), ReadPlan::Direct) if !due => {
+                    self.poll_changes(after, self.poll_timeout()).await
+                }
+                _ => self.read_table().await,
             };
             match result {
                 Ok(()) => {
-                    self.pause = MIN_BACKOFF;
-                    self.note_reachable(true, "");
+                    self.backoff = MIN_BACKOFF;
+                    self.update_reachable(true, "");
                 }
-                Err(cause) => self.rest(&cause).await,
+                Err(cause) => self.back_off(&cause).await,
             }
         }
     }
 
     /// What changed since a position can't be had one by one.
-    fn needs_whole_read(&self, after: StorePosition) -> bool {
+    fn needs_full_read(&self, after: StorePosition) -> bool {
         self.has_gap || after.era < self.shared.gateway.borrow().store_era()
     }
 
     /// A whole read is first left to the daemons of the zone that go first; they pass on what changed.
-    fn yields(&self, after: StorePosition) -> bool {
+    fn should_defer(&self, after: StorePosition) -> bool {
         let is_first = self
             .shared
             .gateway
             .borrow()
             .is_initial_reader(BootClock.now());
-        !self.has_yielded && !is_first && self.needs_whole_read(after)
+        !self.has_deferred && !is_first && self.needs_full_read(after)
     }
 
     /// A call failed; the pause after it is all that a whole read waits for.
-    fn note_failure(&mut self) {
+    fn record_failure(&mut self) {
         self.has_gap = true;
-        self.has_yielded = true;
+        self.has_deferred = true;
     }
 
-    async fn yield_read(&mut self) {
-        self.has_yielded = true;
+    async fn defer_full_read(&mut self) {
+        self.has_deferred = true;
         let jitter = 0.5 + fastrand::f64();
-        self.rest_for(MIN_STANDBY_BACKOFF.mul_f64(jitter)).await;
+        self.sleep_until_attested(MIN_STANDBY_BACKOFF.mul_f64(jitter))
+            .await;
     }
 
-    fn note_plan(&mut self, plan: ReadPlan) {
+    fn update_plan(&mut self, plan: ReadPlan) {
         if self.plan != plan {
             self.plan = plan;
             let known = self.revision.unwrap_or_default();
@@ -195,7 +198,7 @@
     }
 
     /// A row by another writer; it is logged once, however often it is read.
-    fn note_unreadable(&mut self, row: &StoreRow) {
+    fn log_unreadable(&mut self, row: &StoreRow) {
         let known = self.unreadable.get(&row.key);
         if row.value.is_none() || known == Some(&row.position) {
             return;
@@ -222,7 +225,7 @@
         }
     }
 
-    fn wait(&self) -> Duration {
+    fn poll_timeout(&self) -> Duration {
         match self.table {
             StoreTable::Declared => self.shared.gateway.borrow().config_poll_timeout(),
             _ => UPSTREAMS_POLL_TIMEOUT,
@@ -230,7 +233,7 @@
     }
 
     /// Another daemon attests to what is known; it hands on what changes.
-    async fn rest_on_attestation(&mut self, known: StorePosition) {
+    async fn follow_attestation(&mut self, known: StorePosition) {
         let pushed = async { self.sources.pushes.recv().await.ok() };
         let pause = async {
             Timer::after(ATTESTATION_POLL_INTERVAL).await;
@@ -238,7 +241,7 @@
         };
         let push = future::or(pushed, pause).await;
         // Rows after a gap are not enough: what lies in it is read.
-        let Some(push) = push.filter(|push| push.completes(known)) else {
+        let Some(push) = push.filter(|push| push.is_complete_for(known)) else {
             return;
         };
         // What a restore has lost is not what was withdrawn: the decisions learn of the restore first.
@@ -246,14 +249,14 @@
         for row in &push.rows {
             // A version that is not reported can't be known.
             if row.position > known || row.position.version == 0 {
-                self.apply(row);
+                self.apply_row(row);
             }
         }
-        self.know(&push.rows, push.through, None);
+        self.record_position(&push.rows, push.through, None);
     }
 
     /// Notes what is known now.
-    fn know(
+    fn record_position(
         &mut self,
         rows: &[StoreRow],
         read_through: StorePosition,
@@ -265,7 +268,7 @@
         }
         self.revision = Some(read_through);
         self.has_gap = false;
-        self.has_yielded = false;
+        self.has_deferred = false;
         let position = TablePosition {
             read_through,
             last_change: self.changed,
@@ -277,8 +280,8 @@
         });
     }
 
-    async fn rest(&mut self, cause: &str) {
-        self.note_reachable(false, cause);
+    async fn back_off(&mut self, cause: &str) {
+        self.update_reachable(false, cause);
         self.shared.step(GatewayEvent::StoreFailed);
         let jitter = 0.5 + fastrand::f64();
         let is_initial_reader = self
@@ -291,12 +294,13 @@
         } else {
             (MIN_STANDBY_BACKOFF, MAX_STANDBY_BACKOFF)
         };
-        self.rest_for(self.pause.max(first).mul_f64(jitter)).await;
-        self.pause = (self.pause.max(first) * 2).min(longest);
+        self.sleep_until_attested(self.backoff.max(first).mul_f64(jitter))
+            .await;
+        self.backoff = (self.backoff.max(first) * 2).min(longest);
     }
 
     /// Pauses, until another daemon attests to what is known at the longest.
-    async fn rest_for(&self, pause: Duration) {
+    async fn sleep_until_attested(&self, pause: Duration) {
         let until = BootClock.now() + pause;
         while BootClock.now() < until {
             let left = until.since(BootClock.now());
@@ -308,7 +312,7 @@
         }
     }
 
-    fn note_reachable(&mut self, reachable: bool, cause: &str) {
+    fn update_reachable(&mut self, reachable: bool, cause: &str) {
         if self.reachable == reachable {
             return;
         }
--- a/crates/savorywood-front/src/feeds/members.rs
+++ b/crates/savorywood-front/src/feeds/members.rs
@@ -13,12 +13,12 @@
 use std::{rc::Rc, time::Duration};
 
 /// Members are read so often.
-const MEMBERS_TIME: Duration = Duration::from_secs(8);
+const MEMBERS_READ_INTERVAL: Duration = Duration::from_secs(8);
 /// The same where daemons learn of most others from their peers.
-const ZONED_MEMBERS_TIME: Duration = Duration::from_secs(30);
+const ZONED_MEMBERS_READ_INTERVAL: Duration = Duration::from_secs(30);
 
 /// Keeps the list of members in the store and reads it.
-pub async fn keep_members(shared: Rc<FrontShared>, peers: Rc<PeerSocket>) {
+pub async fn maintain_membership(shared: Rc<FrontShared>, peers: Rc<PeerSocket>) {
     let mut link = StoreConnection::new(shared.settings.store.address);
     let mut announced = false;
     loop {
@@ -40,8 +40,8 @@
         let zoned = shared.gateway.borrow().uses_zone_digests();
         let pause = match (done, zoned) {
             (false, _) => MAX_BACKOFF,
-            (true, false) => MEMBERS_TIME,
-            (true, true) => ZONED_MEMBERS_TIME,
+            (true, false) => MEMBERS_READ_INTERVAL,
+            (true, true) => ZONED_MEMBERS_READ_INTERVAL,
         };
         Timer::after(pause.mul_f64(0.8 + fastrand::f64() * 0.4)).await;
     }
@@ -118,7 +118,7 @@
 }
 
 /// Takes this daemon out of the list of members.
-pub async fn leave_members(shared: &FrontShared) {
+pub async fn deregister_member(shared: &FrontShared) {
     let mut link = StoreConnection::new(shared.settings.store.address);
     let write = TableWrite {
         table: StoreTable::Members,
--- a/crates/savorywood-front/src/feeds/quarantine.rs
+++ b/crates/savorywood-front/src/feeds/quarantine.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 
 /// Reads all rows once, then writes those that this daemon is to write.
-pub async fn keep_quarantine(shared: Rc<FrontShared>, writes: Receiver<QuarantineWrite>) {
+pub async fn sync_quarantine(shared: Rc<FrontShared>, writes: Receiver<QuarantineWrite>) {
     let mut link = StoreConnection::new(shared.settings.store.address);
     loop {
         if let Some(rows) = read_rows(&shared, &mut link).await {
--- a/crates/savorywood-front/src/feeds/rollouts.rs
+++ b/crates/savorywood-front/src/feeds/rollouts.rs
@@ -19,7 +19,7 @@
 const STANDBY_ROUNDS: u32 = 5;
 
 /// Writes states of roll-outs, and reads what others wrote while one is under way.
-pub async fn keep_rollouts(shared: Rc<FrontShared>, writes: Receiver<RolloutWrite>) {
+pub async fn sync_rollouts(shared: Rc<FrontShared>, writes: Receiver<RolloutWrite>) {
     let mut link = StoreConnection::new(shared.settings.store.address);
     let mut rounds = 0;
     loop {
--- a/crates/savorywood-front/src/feeds/row_cache/tests.rs
+++ b/crates/savorywood-front/src/feeds/row_cache/tests.rs
@@ -54,14 +54,23 @@
         through: StorePosition::new(2, 12),
         rows: Vec::new(),
     };
-    assert!(push.completes(StorePosition::new(1, 10)));
-    assert!(push.completes(StorePosition::new(1, 20)));
-    assert!(!push.completes(StorePosition::new(1, 9)), "it lacks rows");
-    assert!(!push.completes(StorePosition::new(1, 21)), "it holds more");
-    assert!(!push.completes(StorePosition::new(2, 12)), "it knows all");
+    assert!(push.is_complete_for(StorePosition::new(1, 10)));
+    assert!(push.is_complete_for(StorePosition::new(1, 20)));
+    assert!(
+        !push.is_complete_for(StorePosition::new(1, 9)),
+        "it lacks rows"
+    );
+    assert!(
+        !push.is_complete_for(StorePosition::new(1, 21)),
+        "it holds more"
+    );
+    assert!(
+        !push.is_complete_for(StorePosition::new(2, 12)),
+        "it knows all"
+    );
     let same_era = RowsPush {
         through: StorePosition::new(1, 30),
         ..push
     };
-    assert!(same_era.completes(StorePosition::new(1, 25)));
+    assert!(same_era.is_complete_for(StorePosition::new(1, 25)));
 }
--- a/crates/savorywood-front/src/feeds/row_updates.rs
+++ b/crates/savorywood-front/src/feeds/row_updates.rs
@@ -8,14 +8,14 @@
 use std::sync::Arc;
 
 impl TableReader {
-    pub(super) fn apply_all(&mut self, rows: &[StoreRow], revision: StorePosition) {
+    pub(super) fn apply_table(&mut self, rows: &[StoreRow], revision: StorePosition) {
         match self.table {
             StoreTable::Upstreams => {
                 let mut entries: Vec<UpstreamEntry> = Vec::new();
                 for row in rows {
                     match self.shared.adapter.parse_upstream(row) {
                         Some(entry) => entries.push(entry),
-                        None => self.note_unreadable(row),
+                        None => self.log_unreadable(row),
                     }
                 }
                 self.shared.step(GatewayEvent::UpstreamsRead(entries));
@@ -46,14 +46,14 @@
         self.shared.step(event);
     }
 
-    pub(super) fn apply(&mut self, row: &StoreRow) {
+    pub(super) fn apply_row(&mut self, row: &StoreRow) {
         match self.table {
             StoreTable::Declared => self.apply_declared(row),
             StoreTable::Upstreams => {
                 let event = match self.shared.adapter.parse_upstream(row) {
                     Some(entry) => GatewayEvent::UpstreamWritten(entry),
                     None => {
-                        self.note_unreadable(row);
+                        self.log_unreadable(row);
                         GatewayEvent::UpstreamRemoved(UpstreamLabel::from(row.key.as_str()))
                     }
                 };
@@ -84,7 +84,7 @@
             DeclaredRow::Rollout(order) => {
                 self.shared.step(GatewayEvent::RolloutOrdered(order));
             }
-            DeclaredRow::Unknown => self.note_unreadable(row),
+            DeclaredRow::Unknown => self.log_unreadable(row),
         }
     }
 }
--- a/crates/savorywood-front/src/feeds/table_reads.rs
+++ b/crates/savorywood-front/src/feeds/table_reads.rs
@@ -15,7 +15,7 @@
 
 impl TableReader {
     /// Reads the whole table and passes on what differs from what was known.
-    pub(super) async fn read_all(&mut self) -> Result<(), String> {
+    pub(super) async fn read_table(&mut self) -> Result<(), String> {
         let mut rows = Vec::new();
         let mut first: Option<(StorePage, StoreResponse)> = None;
         let mut after: Option<String> = None;
@@ -25,8 +25,8 @@
                 .adapter
                 .read_rows_call(self.table, after.as_deref());
             let answer = self.link.call(&call, CALL_TIMEOUT).await;
-            let answer = self.accept(answer)?;
-            let mut page = self.page(&answer)?;
+            let answer = self.check_status(answer)?;
+            let mut page = self.parse_page(&answer)?;
             let began = first
                 .as_ref()
                 .map_or(page.revision, |(page, _)| page.revision);
@@ -44,8 +44,8 @@
         let Some((page, answer)) = first else {
             return Err("no page was read".to_owned());
         };
-        self.read_at = BootClock.now();
-        self.apply_all(&rows, page.revision);
+        self.full_read_at = BootClock.now();
+        self.apply_table(&rows, page.revision);
         let before = self.revision.unwrap_or_default();
         let changed = self.changed;
         let differences = self.row_cache.replace(rows, page.revision);
@@ -55,9 +55,9 @@
             // A row that is missing was removed at a version that this answer does not report.
             self.changed = page.revision;
         }
-        self.know(&[], page.revision, None);
-        self.confirm(&page, &answer);
-        if std::mem::replace(&mut self.was_read, true) && is_changed {
+        self.record_position(&[], page.revision, None);
+        self.record_freshness(&page, &answer);
+        if std::mem::replace(&mut self.has_full_read, true) && is_changed {
             let push = RowsPush {
                 table: self.shared_table(),
                 after: changed,
@@ -71,7 +71,7 @@
     }
 
     /// Reads what has changed after a position, and passes it on.
-    pub(super) async fn follow(
+    pub(super) async fn poll_changes(
         &mut self,
         after: StorePosition,
         wait: Duration,
@@ -86,11 +86,11 @@
             self.has_gap = true;
             return Ok(());
         }
-        let page = self.accept(answer).and_then(|answer| {
-            let page = self.page(&answer)?;
+        let page = self.check_status(answer).and_then(|answer| {
+            let page = self.parse_page(&answer)?;
             Ok((page, answer))
         });
-        let (page, answer) = page.inspect_err(|_| self.note_failure())?;
+        let (page, answer) = page.inspect_err(|_| self.record_failure())?;
         if page.revision.era != after.era {
             // The same version may stand for other changes there.
             let (table, revision) = (self.table, page.revision);
@@ -99,12 +99,12 @@
             return Ok(());
         }
         for row in &page.rows {
-            self.apply(row);
+            self.apply_row(row);
         }
         let through = page.revision.max(after);
         let changed = self.changed;
-        self.know(&page.rows, through, None);
-        self.confirm(&page, &answer);
+        self.record_position(&page.rows, through, None);
+        self.record_freshness(&page, &answer);
         if !page.rows.is_empty() {
             let push = RowsPush {
                 table: self.shared_table(),
@@ -125,7 +125,10 @@
         Ok(())
     }
 
-    fn accept(&self, answer: Result<StoreResponse, StoreError>) -> Result<StoreResponse, String> {
+    fn check_status(
+        &self,
+        answer: Result<StoreResponse, StoreError>,
+    ) -> Result<StoreResponse, String> {
         let outcome = match &answer {
             Ok(answer) if answer.status == 200 => "ok",
             Ok(_) => "refused",
@@ -140,7 +143,7 @@
         }
     }
 
-    fn page(&self, answer: &StoreResponse) -> Result<StorePage, String> {
+    fn parse_page(&self, answer: &StoreResponse) -> Result<StorePage, String> {
         let era = self.shared.observe_store_era(answer);
         if era < self.shared.gateway.borrow().store_era() {
             return Err("an answer from before the store was restored".to_owned());
@@ -150,12 +153,12 @@
     }
 
     /// Only the table with keys and routes proves that these are up to date.
-    fn confirm(&mut self, page: &StorePage, answer: &StoreResponse) {
+    fn record_freshness(&mut self, page: &StorePage, answer: &StoreResponse) {
         let at = self
             .freshness
             .earliest_response_time(answer.exchange(page.store_micros));
         if let Some(through) = self.revision {
-            self.know(&[], through, Some(at));
+            self.record_position(&[], through, Some(at));
         }
         if self.table == StoreTable::Declared {
             self.shared.step(GatewayEvent::ConfigConfirmed { at });
--- a/crates/savorywood-front/src/peers.rs
+++ b/crates/savorywood-front/src/peers.rs
@@ -50,7 +50,7 @@
 impl RowsPush {
     /// These rows are all that is missing where all changes up to a position are known.
     #[must_use]
-    pub fn completes(&self, known: StorePosition) -> bool {
+    pub fn is_complete_for(&self, known: StorePosition) -> bool {
         let is_restored = self.before.era < self.through.era;
         let holds_lost = is_restored && known > self.before;
         self.after <= known && known < self.through && !holds_lost
@@ -72,7 +72,7 @@
     socket: UdpSocket,
     clock: BootClock,
     /// Senders of datagrams that could not be read, so that each is logged once.
-    unread: RefCell<BTreeSet<SocketAddr>>,
+    unreadable_senders: RefCell<BTreeSet<SocketAddr>>,
 }
 
 impl PeerSocket {
@@ -85,7 +85,7 @@
         Ok(Rc::new(Self {
             socket: UdpSocket::bind(own).await?,
             clock: BootClock,
-            unread: RefCell::default(),
+            unreadable_senders: RefCell::default(),
         }))
     }
 
@@ -180,7 +180,7 @@
                     // The receiver lives as long as the daemon; a full queue drops the rows, which
                     // are then read.
                     Ok(PeerDatagram::Rows(push)) => shared.queue_rows(push),
-                    Err(fault) => self.note_unread(&shared, sender, fault),
+                    Err(fault) => self.report_unreadable(&shared, sender, fault),
                 },
                 Err(error) => {
                     log::debug!("event=datagrams-stopped error={error:?}");
@@ -191,9 +191,9 @@
     }
 
     /// A datagram of another build, or of no daemon.
-    fn note_unread(&self, shared: &FrontShared, sender: SocketAddr, fault: DatagramError) {
+    fn report_unreadable(&self, shared: &FrontShared, sender: SocketAddr, fault: DatagramError) {
         shared.metrics.unreadable_datagrams.inc();
-        let mut unread = self.unread.borrow_mut();
+        let mut unread = self.unreadable_senders.borrow_mut();
         if unread.len() < MAX_LOGGED_SENDERS && unread.insert(sender) {
             let cause = fault.to_string();
             log::warn!("event=datagram-unread sender={sender} cause={cause:?}");
@@ -201,7 +201,7 @@
     }
 
     /// Gossips for as long as the process lives.
-    pub async fn keep_gossiping(self: Rc<Self>, shared: Rc<FrontShared>) {
+    pub async fn run_gossip(self: Rc<Self>, shared: Rc<FrontShared>) {
         loop {
             self.gossip(&shared).await;
             let pause = shared.gateway.borrow().gossip_interval(self.clock.now());
@@ -235,7 +235,7 @@
     }
 
     /// Sends heartbeats while this daemon is a member of the entry set.
-    pub async fn keep_heartbeats(self: Rc<Self>, shared: Rc<FrontShared>) {
+    pub async fn run_heartbeats(self: Rc<Self>, shared: Rc<FrontShared>) {
         loop {
             let pause = shared.gateway.borrow().heartbeat_interval();
             Timer::after(pause.mul_f64(0.9 + fastrand::f64() * 0.2)).await;
--- a/crates/savorywood-front/src/peers/format.rs
+++ b/crates/savorywood-front/src/peers/format.rs
@@ -16,7 +16,7 @@
 pub enum DatagramError {
     /// No daemon's, or one of a build before formats had versions.
     #[snafu(display("it names no format"))]
-    Unmarked,
+    UnknownFormat,
     /// A daemon's of another build.
     #[snafu(display("its format has version {version}, read is {FORMAT_VERSION}"))]
     OtherVersion {
@@ -44,7 +44,7 @@
             postcard::from_bytes(message).map_err(|_| DatagramError::Malformed)
         }
         [MAGIC_BYTE, version, ..] => Err(DatagramError::OtherVersion { version: *version }),
-        _ => Err(DatagramError::Unmarked),
+        _ => Err(DatagramError::UnknownFormat),
     }
 }
 
--- a/crates/savorywood-front/src/peers/format/tests.rs
+++ b/crates/savorywood-front/src/peers/format/tests.rs
@@ -33,7 +33,7 @@
     assert_eq!(decode::<RowsPush>(&other), Err(fault));
     assert_eq!(
         decode::<RowsPush>(&bytes[2..]),
-        Err(DatagramError::Unmarked)
+        Err(DatagramError::UnknownFormat)
     );
 }
 
@@ -43,7 +43,7 @@
         let mut marked = encode(&()).unwrap_or_default();
         marked.extend(&bytes);
         let _ = decode::<PeerDatagram>(&marked);
-        let is_unmarked = decode::<PeerDatagram>(&bytes).err() == Some(DatagramError::Unmarked);
+        let is_unmarked = decode::<PeerDatagram>(&bytes).err() == Some(DatagramError::UnknownFormat);
         let is_marked = bytes.len() > 1 && bytes[0] == 0xd5;
         is_marked != is_unmarked
     }
--- a/crates/savorywood-front/src/run.rs
+++ b/crates/savorywood-front/src/run.rs
@@ -3,7 +3,7 @@
 use crate::{
     adapter::{FrontAdapter, StoreTable},
     admin, caller,
-    feeds::{TableReader, TableSources, keep_members, keep_quarantine, keep_rollouts},
+    feeds::{TableReader, TableSources, maintain_membership, sync_quarantine, sync_rollouts},
     load::measure_load,
     logging::LogQueue,
     peers::PeerSocket,
@@ -87,8 +87,8 @@
     let executor = Rc::clone(&shared.executor);
     let served = async_io::block_on(executor.run(async {
         let peers = start(&shared).await?;
-        shared.spawn(keep_rollouts(Rc::clone(&shared), rollout_writes));
-        shared.spawn(keep_quarantine(Rc::clone(&shared), quarantine_writes));
+        shared.spawn(sync_rollouts(Rc::clone(&shared), rollout_writes));
+        shared.spawn(sync_quarantine(Rc::clone(&shared), quarantine_writes));
         let watched = settings_path.to_owned();
         shared.spawn(stop::watch_settings(Rc::clone(&shared), watched));
         stop::wait_for_stop(&shared, &mut signals, settings_path)
@@ -160,10 +160,10 @@
     shared.spawn(TableReader::new(Rc::clone(shared), StoreTable::Declared, from).run());
     let from = sources(SharedTable::Upstreams);
     shared.spawn(TableReader::new(Rc::clone(shared), StoreTable::Upstreams, from).run());
-    shared.spawn(keep_members(Rc::clone(shared), Rc::clone(&peers)));
+    shared.spawn(maintain_membership(Rc::clone(shared), Rc::clone(&peers)));
     shared.spawn(Rc::clone(&peers).receive(Rc::clone(shared)));
-    shared.spawn(Rc::clone(&peers).keep_gossiping(Rc::clone(shared)));
-    shared.spawn(Rc::clone(&peers).keep_heartbeats(Rc::clone(shared)));
+    shared.spawn(Rc::clone(&peers).run_gossip(Rc::clone(shared)));
+    shared.spawn(Rc::clone(&peers).run_heartbeats(Rc::clone(shared)));
     shared.spawn(measure_load(Rc::clone(shared)));
     shared.spawn(tick(Rc::clone(shared)));
     shared.spawn(flush(Rc::clone(shared)));
--- a/crates/savorywood-front/src/stop.rs
+++ b/crates/savorywood-front/src/stop.rs
@@ -94,7 +94,7 @@
         Timer::after(Duration::from_millis(8)).await;
     }
     let leaver = Rc::clone(shared);
-    shared.spawn(async move { feeds::leave_members(&leaver).await });
+    shared.spawn(async move { feeds::deregister_member(&leaver).await });
     loop {
         let elapsed = shared.clock.now().since(began);
         let idle = shared.busy.get() == 0;
