--- a/crates/savorywood-front/src/store.rs
+++ b/crates/savorywood-front/src/store.rs
@@ -31,7 +31,7 @@
         source: io::Error,
     },
     /// No answer came in time. The call may still be carried out.
-    #[snafu(display("no answer of the store {address} with_timeout {} ms", after.as_millis()))]
+    #[snafu(display("no answer of the store {address} within {} ms", after.as_millis()))]
     TimedOut {
         /// The store.
         address: SocketAddr,
--- a/crates/savorywood-front/src/wire/body.rs
+++ b/crates/savorywood-front/src/wire/body.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Snafu)]
 pub enum BodyError {
     /// The connection broke.
-    #[snafu(display("the connection broke with_timeout a body: {source}"))]
+    #[snafu(display("the connection broke within a body: {source}"))]
     Broken {
         /// How.
         source: io::Error,
