--- a/crates/savorywood-front/src/caller.rs
+++ b/crates/savorywood-front/src/caller.rs
@@ -146,12 +146,14 @@
     let head = match with_timeout(limits.header_timeout, read_head(reader, &limits)).await {
         Some(Ok(Some(head))) => head,
         Some(Ok(None)) => return RequestRead::Closed,
-        Some(Err(HeadError::TooLarge)) => return RequestRead::Rejected(431, "head too large"),
+        Some(Err(HeadError::TooLarge)) => {
+            return RequestRead::Rejected(431, "the request head exceeds the size limit");
+        }
         Some(Err(HeadError::Malformed { reason })) => return RequestRead::Rejected(400, reason),
-        None => return RequestRead::Rejected(408, "the head did not come in time"),
+        None => return RequestRead::Rejected(408, "the request head was not received in time"),
     };
     if matches!(head.framing, BodyFraming::Length(length) if length > limits.body_bytes as u64) {
-        return RequestRead::Rejected(413, "body too large");
+        return RequestRead::Rejected(413, "the request body exceeds the size limit");
     }
     if head.expects_continue {
         let mut stream = reader.stream().clone();
@@ -162,10 +164,14 @@
     let body = read_body(reader, head.framing, limits.body_bytes);
     match with_timeout(BODY_TIMEOUT, body).await {
         Some(Ok(body)) => RequestRead::Request(Box::new(CompleteRequest { head, body })),
-        Some(Err(BodyError::TooLarge)) => RequestRead::Rejected(413, "body too large"),
-        Some(Err(BodyError::BadChunk)) => RequestRead::Rejected(400, "the chunks can't be read"),
+        Some(Err(BodyError::TooLarge)) => {
+            RequestRead::Rejected(413, "the request body exceeds the size limit")
+        }
+        Some(Err(BodyError::BadChunk)) => {
+            RequestRead::Rejected(400, "the chunked coding of the body is malformed")
+        }
         Some(Err(BodyError::CutOff | BodyError::Broken { .. })) => RequestRead::Closed,
-        None => RequestRead::Rejected(408, "the body did not come in time"),
+        None => RequestRead::Rejected(408, "the request body was not received in time"),
     }
 }
 
--- a/crates/savorywood-front/src/feeds/row_cache/tests.rs
+++ b/crates/savorywood-front/src/feeds/row_cache/tests.rs
@@ -60,15 +60,15 @@
     assert!(push.is_complete_for(StorePosition::new(1, 20)));
     assert!(
         !push.is_complete_for(StorePosition::new(1, 9)),
-        "it lacks rows"
+        "it lacks earlier rows"
     );
     assert!(
         !push.is_complete_for(StorePosition::new(1, 21)),
-        "it holds more"
+        "it holds rows that the restore lost"
     );
     assert!(
         !push.is_complete_for(StorePosition::new(2, 12)),
-        "it knows all"
+        "it has applied all changes"
     );
     let same_era = RowsPush {
         through: StorePosition::new(1, 30),
--- a/crates/savorywood-front/src/feeds/table_reads.rs
+++ b/crates/savorywood-front/src/feeds/table_reads.rs
@@ -140,7 +140,7 @@
         calls.with_label_values(&[outcome]).inc();
         match answer {
             Ok(answer) if answer.status == 200 => Ok(answer),
-            Ok(answer) => Err(format!("status {}", answer.status)),
+            Ok(answer) => Err(format!("the store responded with status {}", answer.status)),
             Err(fault) => Err(fault.to_string()),
         }
     }
@@ -148,10 +148,10 @@
     fn parse_page(&self, answer: &StoreResponse) -> Result<StorePage, String> {
         let era = self.shared.observe_store_era(answer);
         if era < self.shared.gateway.borrow().store_era() {
-            return Err("an answer from before the store was restored".to_owned());
+            return Err("the response is from before the store was restored".to_owned());
         }
         let page = self.shared.adapter.parse_page(era, &answer.body);
-        page.ok_or_else(|| "an answer that can't be read".to_owned())
+        page.ok_or_else(|| "the response body is malformed".to_owned())
     }
 
     /// Records the time as of which the table is current. For the declared table this also confirms
--- a/crates/savorywood-front/src/logging/tests.rs
+++ b/crates/savorywood-front/src/logging/tests.rs
@@ -20,7 +20,7 @@
         queue.write_line(&line("request-refused"));
     }
     let after = queue.omitted().over_budget.load(Ordering::Relaxed);
-    assert_eq!(after, omitted, "refusals were left out");
+    assert_eq!(after, omitted, "refusals were dropped");
     let ended = line("request-ended").with("end", "broken-answer");
     assert!(is_failure(&ended));
     assert!(!is_failure(&line("request-ended").with("end", "served")));
--- a/crates/savorywood-front/src/metrics.rs
+++ b/crates/savorywood-front/src/metrics.rs
@@ -64,10 +64,10 @@
     fn default() -> Self {
         let registry = Registry::new();
         let metrics = Self {
-            arrived: counter("requests_arrived_total", "Requests that arrived whole"),
+            arrived: counter("requests_arrived_total", "Requests received completely"),
             ended: counter_vec(
                 "requests_ended_total",
-                "Final answers by how they came about",
+                "Final responses by how the request ended",
                 "end",
             ),
             attempts: counter_vec(
@@ -78,7 +78,7 @@
             store_calls: counter_vec("store_calls_total", "Calls to the store", "outcome"),
             waiting_duration: histogram_vec(
                 "waiting_seconds",
-                "Time from a request's arrival to its first send",
+                "Time from a request's arrival to its first dispatch",
             ),
             first_event: histogram_vec(
                 "first_event_seconds",
@@ -86,43 +86,52 @@
             ),
             complete_response: histogram_vec(
                 "whole_answer_seconds",
-                "Time from a request's arrival to the end of its whole answer",
+                "Time from a request's arrival to the end of its complete response",
             ),
             connecting: histogram("connecting_seconds", "Time to connect to an upstream"),
-            waiting: gauge("requests_waiting", "Requests that wait for a place"),
-            running: gauge("requests_running", "Requests at upstreams"),
-            confirmation_age: float_gauge("config_proof_age_seconds", "Age of the newest proof"),
+            waiting: gauge("requests_waiting", "Requests that wait for a free slot"),
+            running: gauge("requests_running", "Requests that upstreams are executing"),
+            confirmation_age: float_gauge(
+                "config_proof_age_seconds",
+                "Time since the configuration was confirmed",
+            ),
             config_version: gauge("config_version", "Configuration version in force"),
-            peers: gauge("peers_alive", "Peers received lately"),
+            peers: gauge("peers_alive", "Live peers"),
             ready: gauge("ready", "1 when ready for callers"),
             connections: gauge("caller_connections", "Open connections of callers"),
-            entry_member: gauge("entry_member", "1 when the directory names this daemon"),
+            entry_member: gauge(
+                "entry_member",
+                "1 when this daemon is a member of the entry set",
+            ),
             evacuated_zones: gauge(
                 "evacuated_zones",
-                "Zones whose upstreams get nothing new by order of operators",
+                "Availability zones that operators ordered to evacuate",
+            ),
+            store_era: gauge(
+                "store_era",
+                "Era of the store; it increases when the store is restored",
             ),
-            store_era: gauge("store_era", "Era that the store names; a rise is a restore"),
             limited_upstreams: gauge(
                 "limited_upstreams",
-                "Upstreams that name a rate which they take from all daemons together",
+                "Upstreams that report a rate limit for all daemons together",
             ),
             quarantined: gauge(
                 "quarantined_requests",
-                "Requests that are refused as upstreams crashed under their like",
+                "Request fingerprints that are refused because upstreams crashed while executing them",
             ),
             cold_upstreams: gauge(
                 "cold_upstreams",
-                "Upstreams that are cold and get work at the pace of their start",
+                "Upstreams that are warming up and receive requests at a limited rate",
             ),
             unreadable_datagrams: counter(
                 "unread_datagrams_total",
-                "Datagrams of daemons of other builds, or of nobody's",
+                "Datagrams that could not be decoded",
             ),
             entry_members: gauge(
                 "entry_members",
-                "Daemons of this zone that the directory names",
+                "Members of the entry set of this availability zone",
             ),
-            log_omitted: counter_vec("log_lines_omitted_total", "Log lines left out", "cause"),
+            log_omitted: counter_vec("log_lines_omitted_total", "Log lines dropped", "cause"),
             registry,
         };
         metrics.register();
--- a/crates/savorywood-front/src/peers/format.rs
+++ b/crates/savorywood-front/src/peers/format.rs
@@ -16,16 +16,16 @@
 pub enum DatagramError {
     /// The datagram does not start with the magic byte: it does not come from a daemon, or from one
     /// of a build without format versions.
-    #[snafu(display("it names no format"))]
+    #[snafu(display("it does not start with the magic byte of a daemon"))]
     UnknownFormat,
     /// The datagram comes from a daemon of another build.
-    #[snafu(display("its format has version {version}, read is {FORMAT_VERSION}"))]
+    #[snafu(display("its format has version {version}, supported is {FORMAT_VERSION}"))]
     OtherVersion {
         /// Version in the datagram.
         version: u8,
     },
     /// The datagram is truncated or its content is invalid.
-    #[snafu(display("it holds no message"))]
+    #[snafu(display("its content is truncated or invalid"))]
     Malformed,
 }
 
--- a/crates/savorywood-front/src/run.rs
+++ b/crates/savorywood-front/src/run.rs
@@ -58,7 +58,7 @@
         source: io::Error,
     },
     /// Signals could not be registered or read.
-    #[snafu(display("waiting for signals: {source}"))]
+    #[snafu(display("handling signals: {source}"))]
     Signals {
         /// Error of the operating system.
         source: io::Error,
--- a/crates/savorywood-front/src/store.rs
+++ b/crates/savorywood-front/src/store.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, Snafu)]
 pub enum StoreError {
     /// The connection could not be opened, or failed.
-    #[snafu(display("{step} at the store {address}: {source}"))]
+    #[snafu(display("store {address}: {step} failed: {source}"))]
     Broken {
         /// Phase of the call that failed.
         step: &'static str,
@@ -29,7 +29,7 @@
         source: io::Error,
     },
     /// No response arrived in time. The store may still execute the call.
-    #[snafu(display("no answer of the store {address} within {} ms", after.as_millis()))]
+    #[snafu(display("store {address}: no response within {} ms", after.as_millis()))]
     TimedOut {
         address: SocketAddr,
         /// Time for which the daemon waited.
@@ -121,12 +121,12 @@
         let sent = self.clock.now();
         let bytes = self.call_bytes(call);
         let mut writer = reader.stream().clone();
-        let step = "sending";
+        let step = "sending the call";
         writer
             .write_all(&bytes)
             .await
             .context(BrokenSnafu { step, address })?;
-        let step = "reading";
+        let step = "reading the response";
         let head = read_response_head(&mut reader).await;
         let head = head.context(BrokenSnafu { step, address })?;
         let body = read_body(&mut reader, head.framing, MAX_RESPONSE_BYTES).await;
--- a/crates/savorywood-front/src/wire/body.rs
+++ b/crates/savorywood-front/src/wire/body.rs
@@ -13,16 +13,16 @@
 #[derive(Debug, Snafu)]
 pub enum BodyError {
     /// The connection failed.
-    #[snafu(display("the connection broke within a body: {source}"))]
+    #[snafu(display("the connection failed within a body: {source}"))]
     Broken { source: io::Error },
     /// The connection was closed before the end of the body.
-    #[snafu(display("the connection ended before the body did"))]
+    #[snafu(display("the connection was closed before the end of the body"))]
     CutOff,
     /// The chunked coding is malformed.
-    #[snafu(display("the chunks of a body can't be read"))]
+    #[snafu(display("the chunked coding of the body is malformed"))]
     BadChunk,
     /// The body exceeds the size limit.
-    #[snafu(display("the body has more bytes than allowed"))]
+    #[snafu(display("the body exceeds the size limit"))]
     TooLarge,
 }
 
--- a/crates/savorywood-front/src/wire/head.rs
+++ b/crates/savorywood-front/src/wire/head.rs
@@ -79,7 +79,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum HeadError {
     /// The head exceeds the size limit.
-    #[snafu(display("the head has more bytes than allowed"))]
+    #[snafu(display("the head exceeds the size limit"))]
     TooLarge,
     /// The head is not HTTP/1.1, or is ambiguous.
     #[snafu(display("{reason}"))]
@@ -155,18 +155,18 @@
         let mut parsed = httparse::Request::new(&mut lines);
         let status = parsed.parse(bytes);
         if !matches!(status, Ok(httparse::Status::Complete(_))) {
-            return Err(malformed("the head is no HTTP"));
+            return Err(malformed("the head is not valid HTTP"));
         }
         if parsed.version != Some(1) {
-            return Err(malformed("only HTTP/1.1 is spoken here"));
+            return Err(malformed("only HTTP/1.1 is supported"));
         }
         let target = parsed.path.unwrap_or_default();
         if !target.starts_with('/') {
-            return Err(malformed("the target must be a path"));
+            return Err(malformed("the request target must start with a slash"));
         }
         let headers = collect(parsed.headers)?;
         if headers.all("host").count() != 1 {
-            return Err(malformed("exactly one Host header is needed"));
+            return Err(malformed("exactly one Host header is required"));
         }
         let framing = request_framing(&headers)?;
         Ok(Self {
@@ -208,7 +208,7 @@
         let mut parsed = httparse::Response::new(&mut lines);
         let status = parsed.parse(bytes);
         if !matches!(status, Ok(httparse::Status::Complete(_))) {
-            return Err(malformed("the head is no HTTP"));
+            return Err(malformed("the head is not valid HTTP"));
         }
         let headers = collect(parsed.headers)?;
         let status = parsed.code.unwrap_or_default();
@@ -245,7 +245,7 @@
     let mut list = Vec::with_capacity(lines.len());
     for line in lines {
         let value = std::str::from_utf8(line.value);
-        let value = value.map_err(|_| malformed("a header value is no text"))?;
+        let value = value.map_err(|_| malformed("a header value is not valid UTF-8"))?;
         list.push(HeaderLine::new(line.name, value.trim()));
     }
     Ok(HeaderList(list))
@@ -256,12 +256,14 @@
     let mut lengths = headers.all("content-length");
     match (codings.next(), lengths.next()) {
         (None, None) => Ok(BodyFraming::Empty),
-        (Some(_), Some(_)) => Err(malformed("length and chunks exclude each other")),
+        (Some(_), Some(_)) => Err(malformed(
+            "Content-Length and Transfer-Encoding exclude each other",
+        )),
         (Some(coding), None) => {
             let chunked = coding.eq_ignore_ascii_case("chunked") && codings.next().is_none();
             chunked
                 .then_some(BodyFraming::Chunked)
-                .ok_or(malformed("the only transfer coding is chunked"))
+                .ok_or(malformed("the only supported transfer coding is chunked"))
         }
         (None, Some(length)) => {
             if lengths.next().is_some() {
--- a/crates/savorywood-front/src/wire/reader.rs
+++ b/crates/savorywood-front/src/wire/reader.rs
@@ -134,7 +134,7 @@
             .all(|(got, want)| got == want);
         if !begins {
             return Err(invalid(HeadError::Malformed {
-                reason: "what came is no answer",
+                reason: "the bytes received are not an HTTP response",
             }));
         }
         if reader.bytes().len() > MAX_RESPONSE_HEAD_BYTES {
