--- a/crates/savorywood-front/src/caller.rs
+++ b/crates/savorywood-front/src/caller.rs
@@ -147,10 +147,10 @@
         Some(Ok(Some(head))) => head,
         Some(Ok(None)) => return RequestRead::Closed,
         Some(Err(HeadError::TooLarge)) => {
-            return RequestRead::Rejected(431, "the request head exceeds the size limit");
+            return RequestRead::Rejected(431, "the head is too large");
         }
         Some(Err(HeadError::Malformed { reason })) => return RequestRead::Rejected(400, reason),
-        None => return RequestRead::Rejected(408, "the request head was not received in time"),
+        None => return RequestRead::Rejected(408, "the head did not arrive in time"),
     };
     if matches!(head.framing, BodyFraming::Length(length) if length > limits.body_bytes as u64) {
         return RequestRead::Rejected(413, "the request body exceeds the size limit");
@@ -171,7 +171,7 @@
             RequestRead::Rejected(400, "the chunked coding of the body is malformed")
         }
         Some(Err(BodyError::CutOff | BodyError::Broken { .. })) => RequestRead::Closed,
-        None => RequestRead::Rejected(408, "the request body was not received in time"),
+        None => RequestRead::Rejected(408, "the body did not arrive in time"),
     }
 }
 
--- a/crates/savorywood-front/src/store.rs
+++ b/crates/savorywood-front/src/store.rs
@@ -121,12 +121,12 @@
         let sent = self.clock.now();
         let bytes = self.call_bytes(call);
         let mut writer = reader.stream().clone();
-        let step = "sending the call";
+        let step = "sending";
         writer
             .write_all(&bytes)
             .await
             .context(BrokenSnafu { step, address })?;
-        let step = "reading the response";
+        let step = "reading";
         let head = read_response_head(&mut reader).await;
         let head = head.context(BrokenSnafu { step, address })?;
         let body = read_body(&mut reader, head.framing, MAX_RESPONSE_BYTES).await;
