--- a/crates/savorywood-front/src/attempt/events/tests.rs
+++ b/crates/savorywood-front/src/attempt/events/tests.rs
@@ -9,7 +9,7 @@
 }
 
 quickcheck! {
-    fn events_come_out_whole_and_in_order(count: u8, cuts: Vec<u8>, carriage: bool) -> bool {
+    fn split_events_are_complete_and_in_order(count: u8, cuts: Vec<u8>, carriage: bool) -> bool {
         let text = stream(count, if carriage { "\r\n" } else { "\n" });
         let mut buffer = EventBuffer::default();
         let mut rest = text.as_bytes();
@@ -30,7 +30,7 @@
 
 /// Guards against forwarding the first half of an event when an upstream fails within it.
 #[test]
-fn half_an_event_is_not_passed_on() {
+fn incomplete_event_is_not_forwarded() {
     let mut buffer = EventBuffer::default();
     buffer
         .input_mut()
--- a/crates/savorywood-front/src/content/tests.rs
+++ b/crates/savorywood-front/src/content/tests.rs
@@ -9,14 +9,14 @@
 }
 
 #[test]
-fn a_repeat_under_another_identity_has_the_same_digest() {
+fn repeat_with_another_request_id_has_the_same_digest() {
     let first = digest("/a/1", "X-Number: 1\r\n", b"body");
     assert_eq!(first, digest("/a/1", "X-Number: 2\r\n", b"body"));
     assert_eq!(first, digest("/a/1?try=2", "", b"body"));
 }
 
 #[test]
-fn other_paths_bodies_and_queries_without_body_have_other_digests() {
+fn different_paths_bodies_and_queries_have_different_digests() {
     let first = digest("/a/1", "", b"body");
     assert_ne!(first, digest("/a/2", "", b"body"));
     assert_ne!(first, digest("/a/1", "", b"bodies"));
--- a/crates/savorywood-front/src/feeds/row_cache/tests.rs
+++ b/crates/savorywood-front/src/feeds/row_cache/tests.rs
@@ -16,7 +16,7 @@
 
 /// Guards against a restore after which every row counts as changed because all positions differ.
 #[test]
-fn a_restored_table_differs_by_what_the_backup_lacks() {
+fn restored_table_differs_only_in_changed_rows() {
     let mut known = RowCache::default();
     let before = vec![
         row("kept", "a", 1, 10),
@@ -37,7 +37,7 @@
 /// Guards against an order that is withdrawn and written again with the same content, but is not
 /// pushed.
 #[test]
-fn a_row_that_is_written_again_within_an_era_differs() {
+fn row_rewritten_within_an_era_is_a_difference() {
     let mut known = RowCache::default();
     known.replace(vec![row("order", "a", 1, 10)], StorePosition::new(1, 10));
     let again = vec![row("order", "a", 1, 14)];
@@ -48,7 +48,7 @@
 /// Guards against a push after a restore that is taken as complete by a daemon that still holds
 /// rows the restore lost.
 #[test]
-fn a_daemon_that_holds_what_a_restore_lost_is_not_completed() {
+fn push_after_restore_is_incomplete_for_daemon_with_lost_rows() {
     let push = RowsPush {
         table: SharedTable::Upstreams,
         after: StorePosition::new(1, 10),
--- a/crates/savorywood-front/src/logging/tests.rs
+++ b/crates/savorywood-front/src/logging/tests.rs
@@ -9,7 +9,7 @@
 /// Guards against a burst of requests that uses up the rate limit: lines about successes are
 /// dropped first, so that lines about failures are still written.
 #[test]
-fn successes_are_left_out_before_failures() {
+fn lines_about_successes_are_dropped_first() {
     let queue = LogQueue::start(log::LevelFilter::Info);
     for _ in 0..5_000 {
         queue.write_line(&line("request-dispatched"));
--- a/crates/savorywood-front/src/metrics/tests.rs
+++ b/crates/savorywood-front/src/metrics/tests.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn the_page_lists_all_metrics() {
+fn operators_page_lists_all_metrics() {
     let metrics = FrontMetrics::default();
     assert_eq!(names_on_page(), names_in_code(&metrics));
 }
--- a/crates/savorywood-front/src/peers/format/tests.rs
+++ b/crates/savorywood-front/src/peers/format/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_message_is_read_as_it_was_sent() {
+fn message_decodes_to_what_was_encoded() {
     let bytes = encode(&push()).expect("bytes");
     assert_eq!(decode::<RowsPush>(&bytes), Ok(push()));
     assert_eq!(
@@ -25,7 +25,7 @@
 
 /// Guards against a datagram of another build that decodes to wrong values.
 #[test]
-fn a_message_of_another_build_is_not_read() {
+fn message_of_another_format_version_is_rejected() {
     let bytes = encode(&push()).expect("bytes");
     let mut other = bytes.clone();
     other[1] += 1;
@@ -39,7 +39,7 @@
 
 quickcheck! {
     /// Guards against arbitrary input that makes the process panic.
-    fn any_bytes_are_read_or_refused(bytes: Vec<u8>) -> bool {
+    fn arbitrary_bytes_are_decoded_or_rejected(bytes: Vec<u8>) -> bool {
         let mut marked = encode(&()).unwrap_or_default();
         marked.extend(&bytes);
         let _ = decode::<PeerDatagram>(&marked);
--- a/crates/savorywood-front/src/wire/body/tests.rs
+++ b/crates/savorywood-front/src/wire/body/tests.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn chunks_give_the_same_body_however_they_are_split() {
+fn chunked_body_is_independent_of_read_boundaries() {
     let property = |pieces: Vec<Vec<u8>>, cuts: Vec<u8>| {
         let read = read_split(&chunked(&pieces), &cuts, BodyFraming::Chunked);
         read.is_ok_and(|body| body == pieces.concat())
@@ -55,7 +55,7 @@
 /// Guards against a body that is cut off by the end of the connection and taken as complete, so
 /// that a caller would receive a truncated response.
 #[test]
-fn a_body_that_ends_early_is_never_whole() {
+fn truncated_body_is_an_error() {
     let property = |pieces: Vec<Vec<u8>>, cut: usize| {
         let bytes = chunked(&pieces);
         let cut = cut % bytes.len();
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn chunks_that_two_programs_may_read_differently_are_refused() {
+fn ambiguous_chunked_coding_is_rejected() {
     let texts: [&[u8]; 7] = [
         b"0x5\r\nhello\r\n0\r\n\r\n",
         b"+5\r\nhello\r\n0\r\n\r\n",
