--- a/crates/savorywood-front/src/attempt.rs
+++ b/crates/savorywood-front/src/attempt.rs
@@ -99,11 +99,11 @@
         };
         // Upstreams may respond before they have read a long body, so writing and reading run
         // concurrently.
-        let answer = self.read_response(&mut reader);
+        let response = self.read_response(&mut reader);
         let (outcome, reusable) = {
-            let answer = pin!(answer);
+            let response = pin!(response);
             let never = async { (write_rest.await, None) };
-            future::or(answer, never).await
+            future::or(response, never).await
         };
         // If part of the body is still unsent, the upstream would take the next request for it.
         if let Some(head) = reusable
@@ -118,10 +118,10 @@
     }
 
     async fn connect(&self) -> Option<ByteReader> {
-        let began = self.shared.clock.now();
+        let started_at = self.shared.clock.now();
         let connecting = TcpStream::connect(self.order.address);
         let stream = with_timeout(CONNECT_TIMEOUT, connecting).await?.ok()?;
-        let elapsed = self.shared.clock.now().since(began);
+        let elapsed = self.shared.clock.now().since(started_at);
         self.shared
             .metrics
             .connecting
@@ -271,15 +271,15 @@
     ) -> (AttemptOutcome, Option<ResponseHead>) {
         let mut decoder = BodyDecoder::new(head.framing);
         let mut buffer = EventBuffer::default();
-        let mut began = false;
+        let mut started = false;
         loop {
             if decoder.decode(reader, buffer.input_mut()).is_err() {
                 return (self.stream_broken(), None);
             }
             match self.forward_events(&mut buffer, &head).await {
                 Ok(0) => {}
-                Ok(_) if !began => {
-                    began = true;
+                Ok(_) if !started => {
+                    started = true;
                     self.report_started(parsed);
                 }
                 Ok(events) => self.shared.step(GatewayEvent::ResponseProgressed {
--- a/crates/savorywood-front/src/caller.rs
+++ b/crates/savorywood-front/src/caller.rs
@@ -89,7 +89,7 @@
     loop {
         match read_request(&shared, &mut reader).await {
             RequestRead::Request(request) => {
-                let _busy = CountGuard::new(&shared.busy);
+                let _active = CountGuard::new(&shared.active_requests);
                 match handle_request(&shared, &mut reader, &request).await {
                     NextStep::KeepAlive => {}
                     NextStep::Close => return linger(reader).await,
@@ -98,7 +98,7 @@
             }
             RequestRead::Closed => return,
             RequestRead::Rejected(status, reason) => {
-                let _busy = CountGuard::new(&shared.busy);
+                let _active = CountGuard::new(&shared.active_requests);
                 let mut sink = ResponseSink::new(reader.stream().clone(), true);
                 log::info!("event=request-malformed status={status} reason={reason:?}");
                 let written = sink
@@ -147,7 +147,7 @@
         Some(Ok(Some(head))) => head,
         Some(Ok(None)) => return RequestRead::Closed,
         Some(Err(HeadError::TooLarge)) => {
-            return RequestRead::Rejected(431, "the head is too large");
+            return RequestRead::Rejected(431, "head too large");
         }
         Some(Err(HeadError::Malformed { reason })) => return RequestRead::Rejected(400, reason),
         None => return RequestRead::Rejected(408, "the head did not arrive in time"),
@@ -227,10 +227,10 @@
             content_digest: content_digest(&request.head, &request.body),
             ..arrival
         },
-        Err(fault) => {
+        Err(error) => {
             log::info!(
                 "event=request-malformed status=400 reason={:?}",
-                fault.reason
+                error.reason
             );
             let lines = shared.adapter.local_response_headers(&request.head);
             let written = sink
@@ -286,11 +286,11 @@
         let mut saved_failure = None;
         loop {
             let decision = async { decisions.recv().await.ok() };
-            let gone = async {
+            let disconnected = async {
                 caller_disconnected(reader).await;
                 None
             };
-            let Some(decision) = future::or(decision, gone).await else {
+            let Some(decision) = future::or(decision, disconnected).await else {
                 self.count_end("caller-left");
                 return NextStep::Abort;
             };
@@ -351,7 +351,7 @@
             sink: &mut *sink,
             saved_failure,
         };
-        let gone = async {
+        let disconnected = async {
             caller_disconnected(reader).await;
             Some(AttemptOutcome::CallerDisconnected)
         };
@@ -360,7 +360,7 @@
             None
         };
         let ran = async { Some(attempt.run().await) };
-        let outcome = future::or(ran, future::or(gone, ended)).await;
+        let outcome = future::or(ran, future::or(disconnected, ended)).await;
         outcome.unwrap_or_else(|| broken_outcome(sink, true))
     }
 
--- a/crates/savorywood-front/src/feeds.rs
+++ b/crates/savorywood-front/src/feeds.rs
@@ -292,14 +292,14 @@
             .gateway
             .borrow()
             .is_initial_reader(BootClock.now());
-        let (first, longest) = if is_initial_reader {
+        let (min, max) = if is_initial_reader {
             (MIN_BACKOFF, MAX_BACKOFF)
         } else {
             (MIN_STANDBY_BACKOFF, MAX_STANDBY_BACKOFF)
         };
-        self.sleep_until_attested(self.backoff.max(first).mul_f64(jitter))
+        self.sleep_until_attested(self.backoff.max(min).mul_f64(jitter))
             .await;
-        self.backoff = (self.backoff.max(first) * 2).min(longest);
+        self.backoff = (self.backoff.max(min) * 2).min(max);
     }
 
     /// Sleeps for `pause`, or until another daemon attests that the applied rows are current.
--- a/crates/savorywood-front/src/feeds/members.rs
+++ b/crates/savorywood-front/src/feeds/members.rs
@@ -66,9 +66,9 @@
     };
     let call = shared.adapter.write_row_call(&write);
     match link.call(&call, CALL_TIMEOUT).await {
-        Ok(answer) => answer.status == 200,
-        Err(fault) => {
-            log::warn!("event=member-unregistered cause={:?}", fault.to_string());
+        Ok(response) => response.status == 200,
+        Err(error) => {
+            log::warn!("event=member-unregistered cause={:?}", error.to_string());
             false
         }
     }
@@ -86,13 +86,13 @@
         let call = shared
             .adapter
             .read_rows_call(StoreTable::Members, after.as_deref());
-        let answer = link.call(&call, CALL_TIMEOUT).await.ok()?;
-        if answer.status != 200 {
+        let response = link.call(&call, CALL_TIMEOUT).await.ok()?;
+        if response.status != 200 {
             return None;
         }
         let page = shared
             .adapter
-            .parse_page(shared.observe_store_era(&answer), &answer.body)?;
+            .parse_page(shared.observe_store_era(&response), &response.body)?;
         after = page.rows.last().map(|row| row.key.clone());
         for row in page.rows {
             let Some(value) = row.value else { continue };
@@ -129,7 +129,7 @@
         expected_version: None,
     };
     let call = shared.adapter.write_row_call(&write);
-    if let Err(fault) = link.call(&call, CALL_TIMEOUT).await {
-        log::warn!("event=member-unremoved cause={:?}", fault.to_string());
+    if let Err(error) = link.call(&call, CALL_TIMEOUT).await {
+        log::warn!("event=member-unremoved cause={:?}", error.to_string());
     }
 }
--- a/crates/savorywood-front/src/feeds/quarantine.rs
+++ b/crates/savorywood-front/src/feeds/quarantine.rs
@@ -33,11 +33,11 @@
     loop {
         let table = StoreTable::Quarantine;
         let call = shared.adapter.read_rows_call(table, after.as_deref());
-        let answer = link.call(&call, CALL_TIMEOUT).await.ok()?;
-        let page = Some(answer).filter(|answer| answer.status == 200);
-        let page = page.and_then(|answer| {
-            let era = shared.observe_store_era(&answer);
-            shared.adapter.parse_page(era, &answer.body)
+        let response = link.call(&call, CALL_TIMEOUT).await.ok()?;
+        let page = Some(response).filter(|response| response.status == 200);
+        let page = page.and_then(|response| {
+            let era = shared.observe_store_era(&response);
+            shared.adapter.parse_page(era, &response.body)
         })?;
         after = page.rows.last().map(|row| row.key.clone());
         rows.extend(page.rows.iter().filter_map(read_row));
@@ -61,11 +61,11 @@
         expected_version: None,
     };
     let call = shared.adapter.write_row_call(&table_write);
-    let answer = link.call(&call, CALL_TIMEOUT).await;
-    let accepted = matches!(&answer, Ok(answer) if answer.status == 200);
-    let era = answer
+    let response = link.call(&call, CALL_TIMEOUT).await;
+    let accepted = matches!(&response, Ok(response) if response.status == 200);
+    let era = response
         .as_ref()
-        .map_or(0, |answer| shared.observe_store_era(answer));
+        .map_or(0, |response| shared.observe_store_era(response));
     log::info!(
         "event=quarantine-written fingerprint={} crashes={} accepted={accepted}",
         write.fingerprint,
--- a/crates/savorywood-front/src/feeds/rollouts.rs
+++ b/crates/savorywood-front/src/feeds/rollouts.rs
@@ -67,11 +67,11 @@
         expected_version: Some(write.expected_position.version),
     };
     let call = shared.adapter.write_row_call(&table_write);
-    let answer = link.call(&call, CALL_TIMEOUT).await;
-    let accepted = matches!(&answer, Ok(answer) if answer.status == 200);
-    let era = answer
+    let response = link.call(&call, CALL_TIMEOUT).await;
+    let accepted = matches!(&response, Ok(response) if response.status == 200);
+    let era = response
         .as_ref()
-        .map_or(0, |answer| shared.observe_store_era(answer));
+        .map_or(0, |response| shared.observe_store_era(response));
     log::info!(
         "event=rollout-status-written service={} state={} expected={} accepted={accepted}",
         write.service,
@@ -89,11 +89,11 @@
 
 async fn read_statuses(shared: &FrontShared, link: &mut StoreConnection) {
     let call = shared.adapter.read_rows_call(StoreTable::Status, None);
-    let answer = link.call(&call, CALL_TIMEOUT).await;
-    let page = answer.ok().filter(|answer| answer.status == 200);
-    let page = page.and_then(|answer| {
-        let era = shared.observe_store_era(&answer);
-        shared.adapter.parse_page(era, &answer.body)
+    let response = link.call(&call, CALL_TIMEOUT).await;
+    let page = response.ok().filter(|response| response.status == 200);
+    let page = page.and_then(|response| {
+        let era = shared.observe_store_era(&response);
+        shared.adapter.parse_page(era, &response.body)
     });
     for row in page.into_iter().flat_map(|page| page.rows) {
         if let Some(status) = shared.adapter.parse_rollout_status(&row) {
--- a/crates/savorywood-front/src/feeds/table_reads.rs
+++ b/crates/savorywood-front/src/feeds/table_reads.rs
@@ -24,24 +24,24 @@
                 .shared
                 .adapter
                 .read_rows_call(self.table, after.as_deref());
-            let answer = self.link.call(&call, CALL_TIMEOUT).await;
-            let answer = self.check_status(answer)?;
-            let mut page = self.parse_page(&answer)?;
-            let began = first
+            let response = self.link.call(&call, CALL_TIMEOUT).await;
+            let response = self.check_status(response)?;
+            let mut page = self.parse_page(&response)?;
+            let first_revision = first
                 .as_ref()
                 .map_or(page.revision, |(page, _)| page.revision);
-            if page.revision.era != began.era {
+            if page.revision.era != first_revision.era {
                 return Err("the store was restored while a table was read".to_owned());
             }
             rows.append(&mut page.rows);
             after = rows.last().map(|row: &StoreRow| row.key.clone());
             let truncated = page.truncated;
-            first.get_or_insert((page, answer));
+            first.get_or_insert((page, response));
             if !truncated || after.is_none() {
                 break;
             }
         }
-        let Some((page, answer)) = first else {
+        let Some((page, response)) = first else {
             return Err("no page was read".to_owned());
         };
         self.full_read_at = BootClock.now();
@@ -57,7 +57,7 @@
             self.changed = page.revision;
         }
         self.record_position(&[], page.revision, None);
-        self.record_freshness(&page, &answer);
+        self.record_freshness(&page, &response);
         if std::mem::replace(&mut self.has_full_read, true) && is_changed {
             let push = RowsPush {
                 table: self.shared_table(),
@@ -82,17 +82,17 @@
             .shared
             .adapter
             .feed_rows_call(self.table, after.version, wait);
-        let answer = self.link.call(&call, wait + FEED_TIMEOUT_MARGIN).await;
-        if matches!(&answer, Ok(answer) if answer.status == 410) {
+        let response = self.link.call(&call, wait + FEED_TIMEOUT_MARGIN).await;
+        if matches!(&response, Ok(response) if response.status == 410) {
             log::info!("event=feed-gap table={} after={after}", self.table);
             self.has_gap = true;
             return Ok(());
         }
-        let page = self.check_status(answer).and_then(|answer| {
-            let page = self.parse_page(&answer)?;
-            Ok((page, answer))
+        let page = self.check_status(response).and_then(|response| {
+            let page = self.parse_page(&response)?;
+            Ok((page, response))
         });
-        let (page, answer) = page.inspect_err(|_| self.record_failure())?;
+        let (page, response) = page.inspect_err(|_| self.record_failure())?;
         if page.revision.era != after.era {
             // After a restore the same version may stand for other changes.
             let (table, revision) = (self.table, page.revision);
@@ -106,7 +106,7 @@
         let through = page.revision.max(after);
         let changed = self.changed;
         self.record_position(&page.rows, through, None);
-        self.record_freshness(&page, &answer);
+        self.record_freshness(&page, &response);
         if !page.rows.is_empty() {
             let push = RowsPush {
                 table: self.shared_table(),
@@ -129,37 +129,40 @@
 
     fn check_status(
         &self,
-        answer: Result<StoreResponse, StoreError>,
+        response: Result<StoreResponse, StoreError>,
     ) -> Result<StoreResponse, String> {
-        let outcome = match &answer {
-            Ok(answer) if answer.status == 200 => "ok",
+        let outcome = match &response {
+            Ok(response) if response.status == 200 => "ok",
             Ok(_) => "refused",
             Err(_) => "failed",
         };
         let calls = &self.shared.metrics.store_calls;
         calls.with_label_values(&[outcome]).inc();
-        match answer {
-            Ok(answer) if answer.status == 200 => Ok(answer),
-            Ok(answer) => Err(format!("the store responded with status {}", answer.status)),
-            Err(fault) => Err(fault.to_string()),
+        match response {
+            Ok(response) if response.status == 200 => Ok(response),
+            Ok(response) => Err(format!(
+                "the store responded with status {}",
+                response.status
+            )),
+            Err(error) => Err(error.to_string()),
         }
     }
 
-    fn parse_page(&self, answer: &StoreResponse) -> Result<StorePage, String> {
-        let era = self.shared.observe_store_era(answer);
+    fn parse_page(&self, response: &StoreResponse) -> Result<StorePage, String> {
+        let era = self.shared.observe_store_era(response);
         if era < self.shared.gateway.borrow().store_era() {
             return Err("the response is from before the store was restored".to_owned());
         }
-        let page = self.shared.adapter.parse_page(era, &answer.body);
+        let page = self.shared.adapter.parse_page(era, &response.body);
         page.ok_or_else(|| "the response body is malformed".to_owned())
     }
 
     /// Records the time as of which the table is current. For the declared table this also confirms
     /// the configuration with its keys and routes.
-    fn record_freshness(&mut self, page: &StorePage, answer: &StoreResponse) {
+    fn record_freshness(&mut self, page: &StorePage, response: &StoreResponse) {
         let at = self
             .freshness
-            .earliest_response_time(answer.exchange(page.store_micros));
+            .earliest_response_time(response.exchange(page.store_micros));
         if let Some(through) = self.revision {
             self.record_position(&[], through, Some(at));
         }
--- a/crates/savorywood-front/src/peers.rs
+++ b/crates/savorywood-front/src/peers.rs
@@ -179,7 +179,7 @@
                     // When the queue is full the rows are dropped, and the reader of the table
                     // fetches them from the store.
                     Ok(PeerDatagram::Rows(push)) => shared.queue_rows(push),
-                    Err(fault) => self.report_unreadable(&shared, sender, fault),
+                    Err(error) => self.report_unreadable(&shared, sender, error),
                 },
                 Err(error) => {
                     log::debug!("event=datagrams-stopped error={error:?}");
@@ -191,11 +191,11 @@
 
     /// Counts a datagram that could not be decoded: it comes from a daemon of another build, or is
     /// not one of ours.
-    fn report_unreadable(&self, shared: &FrontShared, sender: SocketAddr, fault: DatagramError) {
+    fn report_unreadable(&self, shared: &FrontShared, sender: SocketAddr, error: DatagramError) {
         shared.metrics.unreadable_datagrams.inc();
         let mut unread = self.unreadable_senders.borrow_mut();
         if unread.len() < MAX_LOGGED_SENDERS && unread.insert(sender) {
-            let cause = fault.to_string();
+            let cause = error.to_string();
             log::warn!("event=datagram-unread sender={sender} cause={cause:?}");
         }
     }
--- a/crates/savorywood-front/src/peers/format/tests.rs
+++ b/crates/savorywood-front/src/peers/format/tests.rs
@@ -29,8 +29,8 @@
     let bytes = encode(&push()).expect("bytes");
     let mut other = bytes.clone();
     other[1] += 1;
-    let fault = DatagramError::OtherVersion { version: other[1] };
-    assert_eq!(decode::<RowsPush>(&other), Err(fault));
+    let error = DatagramError::OtherVersion { version: other[1] };
+    assert_eq!(decode::<RowsPush>(&other), Err(error));
     assert_eq!(
         decode::<RowsPush>(&bytes[2..]),
         Err(DatagramError::UnknownFormat)
--- a/crates/savorywood-front/src/run.rs
+++ b/crates/savorywood-front/src/run.rs
@@ -177,9 +177,9 @@
 /// milliseconds. Callers accepted before them would be refused, although the daemon could serve
 /// them a moment later. The wait is bounded because the store may be unavailable.
 async fn wait_for_first_reads(shared: &FrontShared) {
-    let began = shared.clock.now();
+    let started_at = shared.clock.now();
     while !shared.gateway.borrow().is_ready(shared.clock.now()) {
-        if shared.clock.now().since(began) >= FIRST_READS_TIMEOUT {
+        if shared.clock.now().since(started_at) >= FIRST_READS_TIMEOUT {
             return;
         }
         Timer::after(FIRST_READS_POLL_INTERVAL).await;
--- a/crates/savorywood-front/src/settings.rs
+++ b/crates/savorywood-front/src/settings.rs
@@ -184,12 +184,12 @@
     /// Returns all errors of the text, each with its location and a remedy.
     pub fn parse(source: &SourceText) -> Result<Self, FaultReport> {
         let parsed = SourceNode::parse(source);
-        let (node, faults) = parsed.map_err(|fault| FaultReport::locate(source, vec![fault]))?;
-        if !faults.is_empty() {
-            return Err(FaultReport::locate(source, faults));
+        let (node, errors) = parsed.map_err(|error| FaultReport::locate(source, vec![error]))?;
+        if !errors.is_empty() {
+            return Err(FaultReport::locate(source, errors));
         }
         decode::decode(&node, &MemberPath::default())
-            .map_err(|faults| FaultReport::locate(source, faults))
+            .map_err(|errors| FaultReport::locate(source, errors))
     }
 
     /// Returns the bounds as options of the gateway.
--- a/crates/savorywood-front/src/shared.rs
+++ b/crates/savorywood-front/src/shared.rs
@@ -85,7 +85,7 @@
     /// Set once the process was ordered to stop.
     pub stopping: Cell<bool>,
     /// Number of requests that are being answered.
-    pub busy: Cell<usize>,
+    pub active_requests: Cell<usize>,
     /// Number of open connections of callers.
     pub connections: Cell<usize>,
     decision_senders: RefCell<HashMap<LocalRequest, Sender<RequestDecision>>>,
@@ -117,7 +117,7 @@
             era: Cell::new(0),
             era_observed: Cell::new(false),
             stopping: Cell::new(false),
-            busy: Cell::new(0),
+            active_requests: Cell::new(0),
             connections: Cell::new(0),
             decision_senders: RefCell::default(),
             next_request: Cell::new(1),
@@ -133,8 +133,8 @@
 
     /// Records the era that a response of the store names and returns it. Returns the current era
     /// when the response names none.
-    pub fn observe_store_era(&self, answer: &StoreResponse) -> u64 {
-        let named = self.adapter.store_era(&answer.headers);
+    pub fn observe_store_era(&self, response: &StoreResponse) -> u64 {
+        let named = self.adapter.store_era(&response.headers);
         let known = self.gateway.borrow().store_era();
         let era = named.unwrap_or(known);
         let is_known = self.era.get() >= era && known >= era;
--- a/crates/savorywood-front/src/stop.rs
+++ b/crates/savorywood-front/src/stop.rs
@@ -88,7 +88,7 @@
 /// answered.
 pub async fn drain(shared: &Rc<FrontShared>, peers: &PeerSocket) {
     let grace = shared.settings.grace();
-    let began = shared.clock.now();
+    let started_at = shared.clock.now();
     shared.stopping.set(true);
     shared.step(GatewayEvent::StopRequested { grace });
     // The announcement is sent three times: if it were lost, the directories of other daemons would
@@ -100,13 +100,13 @@
     let leaver = Rc::clone(shared);
     shared.spawn(async move { feeds::deregister_member(&leaver).await });
     loop {
-        let elapsed = shared.clock.now().since(began);
-        let idle = shared.busy.get() == 0;
+        let elapsed = shared.clock.now().since(started_at);
+        let idle = shared.active_requests.get() == 0;
         if idle && elapsed >= MIN_DRAIN_PERIOD {
             break;
         }
         if elapsed + KILL_MARGIN >= grace {
-            log::warn!("event=stop-forced open={}", shared.busy.get());
+            log::warn!("event=stop-forced open={}", shared.active_requests.get());
             break;
         }
         Timer::after(DRAIN_POLL_INTERVAL).await;
--- a/crates/savorywood-front/src/store.rs
+++ b/crates/savorywood-front/src/store.rs
@@ -96,8 +96,8 @@
         let reader = self.reader.take();
         let address = self.address;
         let exchange = self.exchange(reader, call);
-        let answered = with_timeout(time, exchange).await;
-        let (answer, reader) = answered.unwrap_or(
+        let result = with_timeout(time, exchange).await;
+        let (response, reader) = result.unwrap_or(
             TimedOutSnafu {
                 address,
                 after: time,
@@ -105,7 +105,7 @@
             .fail(),
         )?;
         self.reader = reader;
-        Ok(answer)
+        Ok(response)
     }
 
     async fn exchange(
@@ -132,14 +132,14 @@
         let body = read_body(&mut reader, head.framing, MAX_RESPONSE_BYTES).await;
         let body = body.map_err(io::Error::other);
         let body = body.context(BrokenSnafu { step, address })?;
-        let answer = StoreResponse {
+        let response = StoreResponse {
             status: head.status,
             headers: head.headers,
             body,
             sent,
             received: self.clock.now(),
         };
-        Ok((answer, (!head.closes_connection).then_some(reader)))
+        Ok((response, (!head.closes_connection).then_some(reader)))
     }
 
     async fn connect(&self) -> Result<ByteReader, StoreError> {
--- a/crates/savorywood-front/src/wire/body.rs
+++ b/crates/savorywood-front/src/wire/body.rs
@@ -93,12 +93,12 @@
         }
         match self.state {
             DecodeState::Done => return Ok(false),
-            DecodeState::Remaining(rest) => {
-                let rest = move_bytes(reader, out, rest);
-                self.state = if rest == 0 {
+            DecodeState::Remaining(remaining) => {
+                let remaining = move_bytes(reader, out, remaining);
+                self.state = if remaining == 0 {
                     DecodeState::Done
                 } else {
-                    DecodeState::Remaining(rest)
+                    DecodeState::Remaining(remaining)
                 };
             }
             DecodeState::UntilClose => {
@@ -113,12 +113,12 @@
                     size => DecodeState::ChunkData(size),
                 };
             }
-            DecodeState::ChunkData(rest) => {
-                let rest = move_bytes(reader, out, rest);
-                self.state = if rest == 0 {
+            DecodeState::ChunkData(remaining) => {
+                let remaining = move_bytes(reader, out, remaining);
+                self.state = if remaining == 0 {
                     DecodeState::ChunkEnd
                 } else {
-                    DecodeState::ChunkData(rest)
+                    DecodeState::ChunkData(remaining)
                 };
             }
             DecodeState::ChunkEnd => {
@@ -143,23 +143,25 @@
     }
 }
 
-fn move_bytes(reader: &mut ByteReader, out: &mut Vec<u8>, rest: u64) -> u64 {
+fn move_bytes(reader: &mut ByteReader, out: &mut Vec<u8>, remaining: u64) -> u64 {
     let available = reader.bytes().len();
-    let count = usize::try_from(rest).unwrap_or(usize::MAX).min(available);
+    let count = usize::try_from(remaining)
+        .unwrap_or(usize::MAX)
+        .min(available);
     out.extend_from_slice(&reader.bytes()[..count]);
     reader.consume(count);
-    rest - count as u64
+    remaining - count as u64
 }
 
-fn take_line(reader: &mut ByteReader, most: usize) -> Result<Option<Vec<u8>>, BodyError> {
+fn take_line(reader: &mut ByteReader, max_length: usize) -> Result<Option<Vec<u8>>, BodyError> {
     let end = reader.bytes().windows(2).position(|pair| pair == b"\r\n");
     match end {
-        Some(end) if end <= most => {
+        Some(end) if end <= max_length => {
             let line = reader.bytes()[..end].to_vec();
             reader.consume(end + 2);
             Ok(Some(line))
         }
-        None if reader.bytes().len() <= most => Ok(None),
+        None if reader.bytes().len() <= max_length => Ok(None),
         _ => Err(BodyError::BadChunk),
     }
 }
--- a/crates/savorywood-front/src/wire/reader.rs
+++ b/crates/savorywood-front/src/wire/reader.rs
@@ -146,6 +146,6 @@
     }
 }
 
-fn invalid(fault: HeadError) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, fault)
+fn invalid(error: HeadError) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, error)
 }
