--- a/crates/savorywood-front/src/feeds.rs
+++ b/crates/savorywood-front/src/feeds.rs
@@ -63,15 +63,15 @@
     shared: Rc<FrontShared>,
     sources: TableSources,
     table: StoreTable,
-    link: StoreConnection,
+    connection: StoreConnection,
     freshness: FreshnessClock,
     /// Position up to which all changes are applied; `None` before the first complete read.
-    revision: Option<StorePosition>,
+    read_through: Option<StorePosition>,
     /// Position of the last change that is applied.
-    changed: StorePosition,
+    last_change: StorePosition,
     /// The table was read completely at least once.
     has_full_read: bool,
-    /// The feed can't provide the changes after `revision`.
+    /// The feed can't provide the changes after `read_through`.
     has_gap: bool,
     /// A complete read was deferred once since rows were last received.
     has_deferred: bool,
@@ -96,15 +96,15 @@
 impl TableReader {
     /// Creates a reader that starts with a complete read.
     pub fn new(shared: Rc<FrontShared>, table: StoreTable, sources: TableSources) -> Self {
-        let link = StoreConnection::new(shared.settings.store.address);
+        let connection = StoreConnection::new(shared.settings.store.address);
         Self {
             shared,
             sources,
             table,
-            link,
+            connection,
             freshness: FreshnessClock::default(),
-            revision: None,
-            changed: StorePosition::default(),
+            read_through: None,
+            last_change: StorePosition::default(),
             has_full_read: false,
             has_gap: false,
             has_deferred: false,
@@ -128,7 +128,7 @@
                 .borrow()
                 .read_plan(now, self.shared_table());
             self.update_plan(plan);
-            let result = match (self.revision, plan) {
+            let result = match (self.read_through, plan) {
                 (Some(after), ReadPlan::FollowAttestation) => {
                     self.follow_attestation(after).await;
                     continue;
@@ -190,7 +190,7 @@
     fn update_plan(&mut self, plan: ReadPlan) {
         if self.plan != plan {
             self.plan = plan;
-            let known = self.revision.unwrap_or_default();
+            let known = self.read_through.unwrap_or_default();
             log::info!(
                 "event=reading-changed table={} plan={plan} known={known}",
                 self.table
@@ -266,15 +266,15 @@
         confirmed_at: Option<MonotonicTime>,
     ) {
         for row in rows {
-            self.changed = self.changed.max(row.position);
+            self.last_change = self.last_change.max(row.position);
             self.row_cache.insert(row);
         }
-        self.revision = Some(read_through);
+        self.read_through = Some(read_through);
         self.has_gap = false;
         self.has_deferred = false;
         let position = TablePosition {
             read_through,
-            last_change: self.changed,
+            last_change: self.last_change,
         };
         self.shared.step(GatewayEvent::TableRead {
             table: self.shared_table(),
--- a/crates/savorywood-front/src/feeds/members.rs
+++ b/crates/savorywood-front/src/feeds/members.rs
@@ -20,15 +20,15 @@
 
 /// Registers this daemon in the members table and reads the table periodically.
 pub async fn maintain_membership(shared: Rc<FrontShared>, peers: Rc<PeerSocket>) {
-    let mut link = StoreConnection::new(shared.settings.store.address);
+    let mut connection = StoreConnection::new(shared.settings.store.address);
     let mut announced = false;
     loop {
-        let mut members = read_members(&shared, &mut link).await;
+        let mut members = read_members(&shared, &mut connection).await;
         let listed = members.as_ref().is_some_and(|members| members.lists_self);
         // A row of a previous incarnation may differ. After writing the own row, the table is read
         // again to include rows written meanwhile.
-        if members.is_some() && !listed && register(&shared, &mut link).await {
-            members = read_members(&shared, &mut link).await;
+        if members.is_some() && !listed && register(&shared, &mut connection).await {
+            members = read_members(&shared, &mut connection).await;
         }
         let done = members.as_ref().is_some_and(|members| members.lists_self);
         if let Some(members) = members {
@@ -57,7 +57,7 @@
 }
 
 /// Writes the row of this daemon; returns whether the store accepted it.
-async fn register(shared: &FrontShared, link: &mut StoreConnection) -> bool {
+async fn register(shared: &FrontShared, connection: &mut StoreConnection) -> bool {
     let write = TableWrite {
         table: StoreTable::Members,
         key: shared.settings.host.clone(),
@@ -65,7 +65,7 @@
         expected_version: None,
     };
     let call = shared.adapter.write_row_call(&write);
-    match link.call(&call, CALL_TIMEOUT).await {
+    match connection.call(&call, CALL_TIMEOUT).await {
         Ok(response) => response.status == 200,
         Err(error) => {
             log::warn!("event=member-unregistered cause={:?}", error.to_string());
@@ -75,7 +75,10 @@
 }
 
 /// Reads all members; returns `None` when a page could not be read.
-async fn read_members(shared: &FrontShared, link: &mut StoreConnection) -> Option<MemberList> {
+async fn read_members(
+    shared: &FrontShared,
+    connection: &mut StoreConnection,
+) -> Option<MemberList> {
     let own = member_text(&shared.settings).into_bytes();
     let mut members = MemberList {
         contacts: Vec::new(),
@@ -86,7 +89,7 @@
         let call = shared
             .adapter
             .read_rows_call(StoreTable::Members, after.as_deref());
-        let response = link.call(&call, CALL_TIMEOUT).await.ok()?;
+        let response = connection.call(&call, CALL_TIMEOUT).await.ok()?;
         if response.status != 200 {
             return None;
         }
@@ -121,7 +124,7 @@
 
 /// Removes the row of this daemon from the members table.
 pub async fn deregister_member(shared: &FrontShared) {
-    let mut link = StoreConnection::new(shared.settings.store.address);
+    let mut connection = StoreConnection::new(shared.settings.store.address);
     let write = TableWrite {
         table: StoreTable::Members,
         key: shared.settings.host.clone(),
@@ -129,7 +132,7 @@
         expected_version: None,
     };
     let call = shared.adapter.write_row_call(&write);
-    if let Err(error) = link.call(&call, CALL_TIMEOUT).await {
+    if let Err(error) = connection.call(&call, CALL_TIMEOUT).await {
         log::warn!("event=member-unremoved cause={:?}", error.to_string());
     }
 }
--- a/crates/savorywood-front/src/feeds/quarantine.rs
+++ b/crates/savorywood-front/src/feeds/quarantine.rs
@@ -13,27 +13,30 @@
 
 /// Reads all rows once, then writes the rows that the gateway orders to write.
 pub async fn sync_quarantine(shared: Rc<FrontShared>, writes: Receiver<QuarantineWrite>) {
-    let mut link = StoreConnection::new(shared.settings.store.address);
+    let mut connection = StoreConnection::new(shared.settings.store.address);
     loop {
-        if let Some(rows) = read_rows(&shared, &mut link).await {
+        if let Some(rows) = read_rows(&shared, &mut connection).await {
             shared.step(GatewayEvent::QuarantineRead(rows));
             break;
         }
         Timer::after(MAX_BACKOFF.mul_f64(0.8 + fastrand::f64() * 0.4)).await;
     }
     while let Ok(write) = writes.recv().await {
-        write_row(&shared, &mut link, write).await;
+        write_row(&shared, &mut connection, write).await;
     }
 }
 
 /// Reads all rows; returns `None` when a page could not be read.
-async fn read_rows(shared: &FrontShared, link: &mut StoreConnection) -> Option<Vec<QuarantineRow>> {
+async fn read_rows(
+    shared: &FrontShared,
+    connection: &mut StoreConnection,
+) -> Option<Vec<QuarantineRow>> {
     let mut rows = Vec::new();
     let mut after: Option<String> = None;
     loop {
         let table = StoreTable::Quarantine;
         let call = shared.adapter.read_rows_call(table, after.as_deref());
-        let response = link.call(&call, CALL_TIMEOUT).await.ok()?;
+        let response = connection.call(&call, CALL_TIMEOUT).await.ok()?;
         let page = Some(response).filter(|response| response.status == 200);
         let page = page.and_then(|response| {
             let era = shared.observe_store_era(&response);
@@ -52,7 +55,7 @@
     QuarantineRow::parse(&row.key, value)
 }
 
-async fn write_row(shared: &FrontShared, link: &mut StoreConnection, write: QuarantineWrite) {
+async fn write_row(shared: &FrontShared, connection: &mut StoreConnection, write: QuarantineWrite) {
     let value = write.value().map(String::into_bytes);
     let table_write = TableWrite {
         table: StoreTable::Quarantine,
@@ -61,7 +64,7 @@
         expected_version: None,
     };
     let call = shared.adapter.write_row_call(&table_write);
-    let response = link.call(&call, CALL_TIMEOUT).await;
+    let response = connection.call(&call, CALL_TIMEOUT).await;
     let accepted = matches!(&response, Ok(response) if response.status == 200);
     let era = response
         .as_ref()
--- a/crates/savorywood-front/src/feeds/rollouts.rs
+++ b/crates/savorywood-front/src/feeds/rollouts.rs
@@ -20,7 +20,7 @@
 
 /// Writes roll-out states, and reads those of other daemons while a roll-out is in progress.
 pub async fn sync_rollouts(shared: Rc<FrontShared>, writes: Receiver<RolloutWrite>) {
-    let mut link = StoreConnection::new(shared.settings.store.address);
+    let mut connection = StoreConnection::new(shared.settings.store.address);
     let mut rounds = 0;
     loop {
         let next = async { writes.recv().await.ok() };
@@ -29,12 +29,12 @@
             None
         };
         if let Some(write) = future::or(next, pause).await {
-            write_status(&shared, &mut link, write).await;
+            write_status(&shared, &mut connection, write).await;
         }
         rounds += 1;
         let due = is_status_due(&shared, rounds);
         if due && shared.gateway.borrow().has_active_rollouts() {
-            read_statuses(&shared, &mut link).await;
+            read_statuses(&shared, &mut connection).await;
         }
     }
 }
@@ -49,10 +49,10 @@
     is_initial_reader || rounds.is_multiple_of(STANDBY_ROUNDS)
 }
 
-async fn write_status(shared: &FrontShared, link: &mut StoreConnection, write: RolloutWrite) {
+async fn write_status(shared: &FrontShared, connection: &mut StoreConnection, write: RolloutWrite) {
     if write.expected_position.version != 0 && write.expected_position.era != shared.era.get() {
         // After a restore the expected version may belong to other content.
-        read_statuses(shared, link).await;
+        read_statuses(shared, connection).await;
         return shared.step(GatewayEvent::RolloutWriteFinished {
             service: write.service,
             accepted: false,
@@ -67,7 +67,7 @@
         expected_version: Some(write.expected_position.version),
     };
     let call = shared.adapter.write_row_call(&table_write);
-    let response = link.call(&call, CALL_TIMEOUT).await;
+    let response = connection.call(&call, CALL_TIMEOUT).await;
     let accepted = matches!(&response, Ok(response) if response.status == 200);
     let era = response
         .as_ref()
@@ -79,7 +79,7 @@
         write.expected_position
     );
     // The row is read back in any case: the response to a successful write may be lost.
-    read_statuses(shared, link).await;
+    read_statuses(shared, connection).await;
     shared.step(GatewayEvent::RolloutWriteFinished {
         service: write.service,
         accepted,
@@ -87,9 +87,9 @@
     });
 }
 
-async fn read_statuses(shared: &FrontShared, link: &mut StoreConnection) {
+async fn read_statuses(shared: &FrontShared, connection: &mut StoreConnection) {
     let call = shared.adapter.read_rows_call(StoreTable::Status, None);
-    let response = link.call(&call, CALL_TIMEOUT).await;
+    let response = connection.call(&call, CALL_TIMEOUT).await;
     let page = response.ok().filter(|response| response.status == 200);
     let page = page.and_then(|response| {
         let era = shared.observe_store_era(&response);
--- a/crates/savorywood-front/src/feeds/table_reads.rs
+++ b/crates/savorywood-front/src/feeds/table_reads.rs
@@ -24,7 +24,7 @@
                 .shared
                 .adapter
                 .read_rows_call(self.table, after.as_deref());
-            let response = self.link.call(&call, CALL_TIMEOUT).await;
+            let response = self.connection.call(&call, CALL_TIMEOUT).await;
             let response = self.check_status(response)?;
             let mut page = self.parse_page(&response)?;
             let first_revision = first
@@ -46,15 +46,15 @@
         };
         self.full_read_at = BootClock.now();
         self.apply_table(&rows, page.revision);
-        let before = self.revision.unwrap_or_default();
-        let changed = self.changed;
+        let before = self.read_through.unwrap_or_default();
+        let changed = self.last_change;
         let differences = self.row_cache.replace(rows, page.revision);
         // After a restore other daemons may hold rows that the store has lost.
         let is_changed = before.era < page.revision.era || !differences.is_empty();
         if is_changed {
             // A missing row was removed at a version that the response does not report, so the
             // position of the whole read is used.
-            self.changed = page.revision;
+            self.last_change = page.revision;
         }
         self.record_position(&[], page.revision, None);
         self.record_freshness(&page, &response);
@@ -82,7 +82,10 @@
             .shared
             .adapter
             .feed_rows_call(self.table, after.version, wait);
-        let response = self.link.call(&call, wait + FEED_TIMEOUT_MARGIN).await;
+        let response = self
+            .connection
+            .call(&call, wait + FEED_TIMEOUT_MARGIN)
+            .await;
         if matches!(&response, Ok(response) if response.status == 410) {
             log::info!("event=feed-gap table={} after={after}", self.table);
             self.has_gap = true;
@@ -104,7 +107,7 @@
             self.apply_row(row);
         }
         let through = page.revision.max(after);
-        let changed = self.changed;
+        let changed = self.last_change;
         self.record_position(&page.rows, through, None);
         self.record_freshness(&page, &response);
         if !page.rows.is_empty() {
@@ -163,7 +166,7 @@
         let at = self
             .freshness
             .earliest_response_time(response.exchange(page.store_micros));
-        if let Some(through) = self.revision {
+        if let Some(through) = self.read_through {
             self.record_position(&[], through, Some(at));
         }
         if self.table == StoreTable::Declared {
