--- a/crates/savorywood-front/src/adapter.rs
+++ b/crates/savorywood-front/src/adapter.rs
@@ -130,7 +130,7 @@
     pub zone: Option<String>,
     /// Region of the caller; `None` when it did not report one.
     pub region: Option<String>,
-    /// Host of the service that it wants to call, in lower case; `None` for any.
+    /// Host of the service that the caller addresses, in lower case; `None` when not reported.
     pub host: Option<String>,
 }
 
--- a/crates/savorywood-front/src/caller.rs
+++ b/crates/savorywood-front/src/caller.rs
@@ -146,9 +146,7 @@
     let head = match with_timeout(limits.header_timeout, read_head(reader, &limits)).await {
         Some(Ok(Some(head))) => head,
         Some(Ok(None)) => return RequestRead::Closed,
-        Some(Err(HeadError::TooLarge)) => {
-            return RequestRead::Rejected(431, "head too large");
-        }
+        Some(Err(HeadError::TooLarge)) => return RequestRead::Rejected(431, "head too large"),
         Some(Err(HeadError::Malformed { reason })) => return RequestRead::Rejected(400, reason),
         None => return RequestRead::Rejected(408, "the head did not arrive in time"),
     };
@@ -424,8 +422,8 @@
         written.await.is_ok()
     }
 
-    /// Forwards the saved failure of the upstream. A status that tells the caller that the request
-    /// was not executed is replaced by 502.
+    /// Forwards the saved failure of the upstream. A status that states that the request was
+    /// not executed is replaced by 502.
     async fn forward_failure(
         &self,
         sink: &mut ResponseSink,
--- a/crates/savorywood-front/src/feeds.rs
+++ b/crates/savorywood-front/src/feeds.rs
@@ -246,8 +246,8 @@
         let Some(push) = push.filter(|push| push.is_complete_for(known)) else {
             return;
         };
-        // Rows that a restore lost were not withdrawn, so the gateway must know of the restore
-        // before it receives rows.
+        // Rows that a restore lost were not withdrawn, so the gateway must receive the restore
+        // before the rows.
         self.shared.observe_peer_era(push.through);
         for row in &push.rows {
             // Rows without a version can't be compared and are always applied.
--- a/crates/savorywood-front/src/feeds/table_reads.rs
+++ b/crates/savorywood-front/src/feeds/table_reads.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 impl TableReader {
-    /// Reads the whole table and pushes the differences to the daemons that rely on this one.
+    /// Reads the complete table and pushes the differences to the daemons that rely on this one.
     pub(super) async fn read_table(&mut self) -> Result<(), String> {
         let mut rows = Vec::new();
         let mut first: Option<(StorePage, StoreResponse)> = None;
@@ -53,7 +53,7 @@
         let is_changed = before.era < page.revision.era || !differences.is_empty();
         if is_changed {
             // A missing row was removed at a version that the response does not report, so the
-            // position of the whole read is used.
+            // position of the complete read is used.
             self.last_change = page.revision;
         }
         self.record_position(&[], page.revision, None);
--- a/crates/savorywood-front/src/peers.rs
+++ b/crates/savorywood-front/src/peers.rs
@@ -76,6 +76,7 @@
 }
 
 impl PeerSocket {
+    /// Binds the socket to the peer address of this daemon.
     ///
     /// # Errors
     ///
--- a/crates/savorywood-front/src/shared.rs
+++ b/crates/savorywood-front/src/shared.rs
@@ -214,10 +214,10 @@
                 self.send(request, RequestDecision::ForwardFailure);
             }
             GatewayEffect::AbandonAttempt { request } => {
-                self.send(request, RequestDecision::AbandonAttempt)
+                self.send(request, RequestDecision::AbandonAttempt);
             }
             GatewayEffect::AbortResponse { request } => {
-                self.send(request, RequestDecision::AbortResponse)
+                self.send(request, RequestDecision::AbortResponse);
             }
             GatewayEffect::WriteRollout(write) => {
                 // The receiver exists as long as the daemon runs, so the send can't fail.
--- a/crates/savorywood-front/src/wire.rs
+++ b/crates/savorywood-front/src/wire.rs
@@ -1,8 +1,8 @@
 //! HTTP/1.1 messages, parsed strictly and forwarded unchanged.
 //!
-//! `async-h1` normalises targets, accepts only a fixed set of methods and reads a response that
-//! ends with its connection as an empty body. Each of these would change a message between a caller
-//! and an upstream, so heads are parsed by `httparse`, on which `async-h1` is built, and body
+//! The usual HTTP/1.1 servers for this async runtime normalise targets, accept only a fixed set of
+//! methods and read a response that ends with its connection as an empty body. Each of these would
+//! change a message between a caller and an upstream, so heads are parsed by `httparse` and body
 //! framing is implemented here.
 
 mod body;
