--- a/crates/savorywood-front/src/caller.rs
+++ b/crates/savorywood-front/src/caller.rs
@@ -318,8 +318,8 @@
                     return next_step(written, sink);
                 }
                 // The attempt that was to be abandoned has already ended.
-                RequestDecision::AbandonAttempt => {}
-                RequestDecision::AbortResponse => {
+                RequestDecision::Abandon => {}
+                RequestDecision::Abort => {
                     self.count_end("broken-off");
                     return NextStep::Abort;
                 }
@@ -450,7 +450,7 @@
 /// written, because the caller would receive a truncated chunk.
 async fn attempt_abandoned(decisions: &Receiver<RequestDecision>, writing: &Cell<bool>) {
     while let Ok(decision) = decisions.recv().await {
-        if matches!(decision, RequestDecision::AbandonAttempt) && !writing.get() {
+        if matches!(decision, RequestDecision::Abandon) && !writing.get() {
             return;
         }
     }
--- a/crates/savorywood-front/src/shared.rs
+++ b/crates/savorywood-front/src/shared.rs
@@ -34,9 +34,9 @@
     /// Forward the saved failure response of the upstream.
     ForwardFailure,
     /// End the attempt in progress.
-    AbandonAttempt,
+    Abandon,
     /// Close the caller's connection so that the response is seen as incomplete.
-    AbortResponse,
+    Abort,
 }
 
 /// Queue of pushed rows from the peer socket to the reader of a table.
@@ -214,11 +214,9 @@
                 self.send(request, RequestDecision::ForwardFailure);
             }
             GatewayEffect::AbandonAttempt { request } => {
-                self.send(request, RequestDecision::AbandonAttempt);
-            }
-            GatewayEffect::AbortResponse { request } => {
-                self.send(request, RequestDecision::AbortResponse);
+                self.send(request, RequestDecision::Abandon)
             }
+            GatewayEffect::AbortResponse { request } => self.send(request, RequestDecision::Abort),
             GatewayEffect::WriteRollout(write) => {
                 // The receiver exists as long as the daemon runs, so the send can't fail.
                 let _ = self.rollout_writes.try_send(write);
