--- a/crates/savorywood-front/src/content/tests.rs
+++ b/crates/savorywood-front/src/content/tests.rs
@@ -1,3 +1,5 @@
+//! Which requests share a content digest, and which do not.
+
 use super::content_digest;
 use crate::wire::RequestHead;
 use savorywood_gateway::ContentDigest;
--- a/crates/savorywood-front/src/feeds/row_cache/tests.rs
+++ b/crates/savorywood-front/src/feeds/row_cache/tests.rs
@@ -1,3 +1,5 @@
+//! Differences between complete reads, also across a restore, and completeness of pushed rows.
+
 use super::RowCache;
 use crate::{adapter::StoreRow, peers::RowsPush};
 use savorywood_gateway::{SharedTable, StorePosition};
--- a/crates/savorywood-front/src/peers/format/tests.rs
+++ b/crates/savorywood-front/src/peers/format/tests.rs
@@ -1,3 +1,5 @@
+//! Encoding of datagrams, and rejection of those of other formats.
+
 use super::{DatagramError, decode, encode};
 use crate::peers::{PeerDatagram, RowsPush};
 use quickcheck::quickcheck;
--- a/crates/savorywood-front/src/shared.rs
+++ b/crates/savorywood-front/src/shared.rs
@@ -214,7 +214,7 @@
                 self.send(request, RequestDecision::ForwardFailure);
             }
             GatewayEffect::AbandonAttempt { request } => {
-                self.send(request, RequestDecision::Abandon)
+                self.send(request, RequestDecision::Abandon);
             }
             GatewayEffect::AbortResponse { request } => self.send(request, RequestDecision::Abort),
             GatewayEffect::WriteRollout(write) => {
