--- a/crates/savorywood-front/src/attempt/events.rs
+++ b/crates/savorywood-front/src/attempt/events.rs
@@ -1,39 +1,38 @@
-//! Whole events of a stream.
+//! Splits a `text/event-stream` body into events.
 
-/// Bytes of a stream that are not a whole event yet.
+/// Bytes of a stream that do not yet form a complete event.
 #[derive(Debug, Default)]
 pub struct EventBuffer {
     bytes: Vec<u8>,
 }
 
-/// One whole event with its closing empty line.
+/// One complete event, including its closing empty line.
 #[derive(Debug, PartialEq, Eq)]
 pub struct StreamEvent {
-    /// Its bytes.
     pub bytes: Vec<u8>,
-    /// Its identity.
-    pub identity: Option<String>,
+    /// Value of its last `id` field, if it has one.
+    pub id: Option<String>,
 }
 
 impl EventBuffer {
-    /// Where bytes that came are put.
-    pub fn space(&mut self) -> &mut Vec<u8> {
+    /// Returns the buffer to which received bytes are appended.
+    pub fn input_mut(&mut self) -> &mut Vec<u8> {
         &mut self.bytes
     }
 
-    /// Takes the next whole event.
+    /// Removes and returns the next complete event.
     ///
-    /// An upstream may stop within an event. Passed on as it came, the half of it would be joined
-    /// with the first bytes of the upstream at which the stream is read on.
+    /// Only complete events are forwarded: the first half of an event from an upstream that failed
+    /// would otherwise be joined with the first bytes of the upstream that resumes the stream.
     pub fn take_event(&mut self) -> Option<StreamEvent> {
         let end = event_end(&self.bytes)?;
         let rest = self.bytes.split_off(end);
         let bytes = std::mem::replace(&mut self.bytes, rest);
-        let identity = identity(&bytes);
-        Some(StreamEvent { bytes, identity })
+        let id = event_id(&bytes);
+        Some(StreamEvent { bytes, id })
     }
 
-    /// Nothing is left over.
+    /// Reports whether no incomplete event is left.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
@@ -55,7 +54,7 @@
     None
 }
 
-fn identity(event: &[u8]) -> Option<String> {
+fn event_id(event: &[u8]) -> Option<String> {
     let lines = event.split(|byte| *byte == b'\n');
     let mut values = lines.filter_map(|line| line.strip_prefix(b"id:"));
     let value = values.next_back()?;
--- a/crates/savorywood-front/src/attempt/events/tests.rs
+++ b/crates/savorywood-front/src/attempt/events/tests.rs
@@ -1,4 +1,4 @@
-//! Events split in any way.
+//! Event streams split at arbitrary positions.
 
 use super::*;
 use quickcheck::quickcheck;
@@ -9,7 +9,7 @@
 }
 
 quickcheck! {
-    fn events_come_out_whole_and_in_order(count: u8, cuts: Vec<u8>, carriage: bool) -> bool {
+    fn split_events_are_complete_and_in_order(count: u8, cuts: Vec<u8>, carriage: bool) -> bool {
         let text = stream(count, if carriage { "\r\n" } else { "\n" });
         let mut buffer = EventBuffer::default();
         let mut rest = text.as_bytes();
@@ -17,10 +17,10 @@
         let mut bytes = Vec::new();
         for cut in cuts.iter().copied().map(usize::from).chain([usize::MAX]) {
             let (piece, after) = rest.split_at(cut.min(rest.len()));
-            buffer.space().extend_from_slice(piece);
+            buffer.input_mut().extend_from_slice(piece);
             rest = after;
             while let Some(event) = buffer.take_event() {
-                ids.extend(event.identity.and_then(|id| id.parse::<u8>().ok()));
+                ids.extend(event.id.and_then(|id| id.parse::<u8>().ok()));
                 bytes.extend(event.bytes);
             }
         }
@@ -28,12 +28,12 @@
     }
 }
 
-/// An upstream stops within an event: the half of it stays here.
+/// Guards against forwarding the first half of an event when an upstream fails within it.
 #[test]
-fn half_an_event_is_not_passed_on() {
+fn incomplete_event_is_not_forwarded() {
     let mut buffer = EventBuffer::default();
     buffer
-        .space()
+        .input_mut()
         .extend_from_slice(b"id: 1\ndata: a\n\nid: 2\ndata: hal");
     assert!(buffer.take_event().is_some());
     assert_eq!(buffer.take_event(), None);
--- a/crates/savorywood-front/src/caller.rs
+++ b/crates/savorywood-front/src/caller.rs
@@ -1,12 +1,12 @@
-//! One caller's connection: heads in, answers out.
+//! Serves a caller's connection: reads requests and writes responses.
 
 use crate::{
-    attempt::{KeptFailure, UpstreamAttempt, broken_outcome, prepare},
-    clock::within,
+    attempt::{SavedFailure, UpstreamAttempt, broken_outcome, configure_socket},
+    clock::with_timeout,
     content::content_digest,
     metrics,
     shared::{FrontShared, RequestDecision},
-    sink::AnswerSink,
+    sink::ResponseSink,
     wire::{BodyError, BodyFraming, ByteReader, HeadError, HeaderLine, RequestHead, read_body},
 };
 use async_channel::Receiver;
@@ -19,40 +19,41 @@
 use savorywood_protocol::MonotonicTime;
 use std::{cell::Cell, net::Shutdown, rc::Rc, time::Duration};
 
-/// Interim answer that lets a caller send its body.
+/// Interim response after which a caller sends its body.
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
-/// Time for which bytes of a refused request are still read: closing a connection with unread
-/// bytes resets it, and the reset can overtake the refusal.
-const LINGER_TIME: Duration = Duration::from_millis(300);
-/// Bytes of a next request that are read while one is answered.
-const MAX_AHEAD: usize = 65_536;
-/// Longest time for a body.
-const BODY_TIME: Duration = Duration::from_secs(20);
-/// Time beyond the limit for which idle connections are kept: a request may be on its way.
+/// Time for which input is still read after a connection's last response. Closing a connection with
+/// unread input resets it, and the reset can discard the response before the caller reads it.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
+/// Maximum size of pipelined requests that are buffered while a request is in progress, in bytes.
+const MAX_PIPELINED_BYTES: usize = 65_536;
+/// Maximum time to receive a request body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time beyond the configured idle timeout for which idle connections stay open: a request may
+/// already be on its way.
 const IDLE_MARGIN: Duration = Duration::from_secs(2);
 
-/// What becomes of the connection after an answer.
+/// Handling of the connection after a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum NextStep {
     KeepAlive,
     Close,
-    /// Close so that the answer can't look whole.
+    /// Close without the end of the response, so that the caller sees it as incomplete.
     Abort,
 }
 
-/// A request read whole.
-struct WholeRequest {
+/// A request with its complete body.
+struct CompleteRequest {
     head: RequestHead,
     body: Vec<u8>,
 }
 
 enum RequestRead {
-    Request(Box<WholeRequest>),
+    Request(Box<CompleteRequest>),
     Closed,
-    Fault(u16, &'static str),
+    Rejected(u16, &'static str),
 }
 
-/// Keeps a request open; dropped, the request counts as left by its caller.
+/// Removes the request when dropped, also when its caller disconnects.
 struct OpenRequest<'a> {
     shared: &'a FrontShared,
     request: LocalRequest,
@@ -64,7 +65,7 @@
     }
 }
 
-/// Counts a connection or a request while it lives.
+/// Increments a counter; decrements it when dropped.
 struct CountGuard<'a>(&'a Cell<usize>);
 
 impl<'a> CountGuard<'a> {
@@ -80,28 +81,28 @@
     }
 }
 
-/// Serves one connection until one side closes it.
+/// Serves a connection until one side closes it.
 pub async fn serve(shared: Rc<FrontShared>, stream: TcpStream) {
-    prepare(&stream);
+    configure_socket(&stream);
     let _open = CountGuard::new(&shared.connections);
     let mut reader = ByteReader::new(stream);
     loop {
         match read_request(&shared, &mut reader).await {
             RequestRead::Request(request) => {
-                let _busy = CountGuard::new(&shared.busy);
-                match answer(&shared, &mut reader, &request).await {
+                let _active = CountGuard::new(&shared.active_requests);
+                match handle_request(&shared, &mut reader, &request).await {
                     NextStep::KeepAlive => {}
                     NextStep::Close => return linger(reader).await,
                     NextStep::Abort => return,
                 }
             }
             RequestRead::Closed => return,
-            RequestRead::Fault(status, reason) => {
-                let _busy = CountGuard::new(&shared.busy);
-                let mut sink = AnswerSink::new(reader.stream().clone(), true);
+            RequestRead::Rejected(status, reason) => {
+                let _active = CountGuard::new(&shared.active_requests);
+                let mut sink = ResponseSink::new(reader.stream().clone(), true);
                 log::info!("event=request-malformed status={status} reason={reason:?}");
                 let written = sink
-                    .write_whole(status, status_text(status), &[], &[])
+                    .write_response(status, status_text(status), &[], &[])
                     .await;
                 if written.is_ok() {
                     linger(reader).await;
@@ -122,7 +123,7 @@
             reader.consume(count);
         }
     };
-    within(LINGER_TIME, read_on).await;
+    with_timeout(LINGER_TIMEOUT, read_on).await;
 }
 
 fn limits(shared: &FrontShared) -> CallerLimits {
@@ -137,20 +138,20 @@
     let limits = limits(shared);
     skip_empty_lines(reader);
     if reader.bytes().is_empty() {
-        let first = within(limits.idle_timeout + IDLE_MARGIN, reader.fill()).await;
+        let first = with_timeout(limits.idle_timeout + IDLE_MARGIN, reader.fill()).await;
         if !matches!(first, Some(Ok(1..))) {
             return RequestRead::Closed;
         }
     }
-    let head = match within(limits.header_timeout, read_head(reader, &limits)).await {
+    let head = match with_timeout(limits.header_timeout, read_head(reader, &limits)).await {
         Some(Ok(Some(head))) => head,
         Some(Ok(None)) => return RequestRead::Closed,
-        Some(Err(HeadError::TooLarge)) => return RequestRead::Fault(431, "head too large"),
-        Some(Err(HeadError::Malformed { reason })) => return RequestRead::Fault(400, reason),
-        None => return RequestRead::Fault(408, "the head did not come in time"),
+        Some(Err(HeadError::TooLarge)) => return RequestRead::Rejected(431, "head too large"),
+        Some(Err(HeadError::Malformed { reason })) => return RequestRead::Rejected(400, reason),
+        None => return RequestRead::Rejected(408, "the head did not arrive in time"),
     };
     if matches!(head.framing, BodyFraming::Length(length) if length > limits.body_bytes as u64) {
-        return RequestRead::Fault(413, "body too large");
+        return RequestRead::Rejected(413, "the request body exceeds the size limit");
     }
     if head.expects_continue {
         let mut stream = reader.stream().clone();
@@ -159,12 +160,16 @@
         }
     }
     let body = read_body(reader, head.framing, limits.body_bytes);
-    match within(BODY_TIME, body).await {
-        Some(Ok(body)) => RequestRead::Request(Box::new(WholeRequest { head, body })),
-        Some(Err(BodyError::TooLarge)) => RequestRead::Fault(413, "body too large"),
-        Some(Err(BodyError::BadChunk)) => RequestRead::Fault(400, "the chunks can't be read"),
+    match with_timeout(BODY_TIMEOUT, body).await {
+        Some(Ok(body)) => RequestRead::Request(Box::new(CompleteRequest { head, body })),
+        Some(Err(BodyError::TooLarge)) => {
+            RequestRead::Rejected(413, "the request body exceeds the size limit")
+        }
+        Some(Err(BodyError::BadChunk)) => {
+            RequestRead::Rejected(400, "the chunked coding of the body is malformed")
+        }
         Some(Err(BodyError::CutOff | BodyError::Broken { .. })) => RequestRead::Closed,
-        None => RequestRead::Fault(408, "the body did not come in time"),
+        None => RequestRead::Rejected(408, "the body did not arrive in time"),
     }
 }
 
@@ -195,10 +200,10 @@
     }
 }
 
-/// Waits until the caller has gone. What it sends meanwhile is the next request.
-async fn caller_gone(reader: &mut ByteReader) {
+/// Waits until the caller disconnects. Input received meanwhile is buffered as the next request.
+async fn caller_disconnected(reader: &mut ByteReader) {
     loop {
-        if reader.bytes().len() > MAX_AHEAD {
+        if reader.bytes().len() > MAX_PIPELINED_BYTES {
             return future::pending().await;
         }
         if !matches!(reader.fill().await, Ok(1..)) {
@@ -207,23 +212,29 @@
     }
 }
 
-async fn answer(shared: &FrontShared, reader: &mut ByteReader, request: &WholeRequest) -> NextStep {
+async fn handle_request(
+    shared: &FrontShared,
+    reader: &mut ByteReader,
+    request: &CompleteRequest,
+) -> NextStep {
     shared.metrics.arrived.inc();
-    let closes = request.head.closes || shared.stopping.get();
-    let mut sink = AnswerSink::new(reader.stream().clone(), closes);
+    let closes = request.head.closes_connection || shared.stopping.get();
+    let mut sink = ResponseSink::new(reader.stream().clone(), closes);
     let arrival = match shared.adapter.parse_arrival(&request.head) {
         Ok(arrival) => RequestArrival {
             content_digest: content_digest(&request.head, &request.body),
             ..arrival
         },
-        Err(fault) => {
+        Err(error) => {
             log::info!(
                 "event=request-malformed status=400 reason={:?}",
-                fault.reason
+                error.reason
             );
             let lines = shared.adapter.local_response_headers(&request.head);
-            let written = sink.write_whole(400, status_text(400), &lines, &[]).await;
-            return after(written.is_ok(), &sink);
+            let written = sink
+                .write_response(400, status_text(400), &lines, &[])
+                .await;
+            return next_step(written.is_ok(), &sink);
         }
     };
     let arrived_at = shared.clock.now();
@@ -242,50 +253,50 @@
         arrived_at,
         id,
     };
-    let next = exchange.decide(reader, &mut sink, &decisions).await;
+    let next = exchange.run(reader, &mut sink, &decisions).await;
     drop(open);
     next
 }
 
-fn after(written: bool, sink: &AnswerSink) -> NextStep {
-    match (written, sink.closes) {
+fn next_step(written: bool, sink: &ResponseSink) -> NextStep {
+    match (written, sink.closes_connection) {
         (false, _) => NextStep::Abort,
         (true, true) => NextStep::Close,
         (true, false) => NextStep::KeepAlive,
     }
 }
 
-/// One request between its arrival and its final answer.
+/// One request from its arrival to its final response.
 struct CallerExchange<'a> {
     shared: &'a FrontShared,
-    request: &'a WholeRequest,
+    request: &'a CompleteRequest,
     arrived_at: MonotonicTime,
     id: LocalRequest,
 }
 
 impl CallerExchange<'_> {
-    async fn decide(
+    async fn run(
         &self,
         reader: &mut ByteReader,
-        sink: &mut AnswerSink,
+        sink: &mut ResponseSink,
         decisions: &Receiver<RequestDecision>,
     ) -> NextStep {
-        let mut kept = None;
+        let mut saved_failure = None;
         loop {
             let decision = async { decisions.recv().await.ok() };
-            let gone = async {
-                caller_gone(reader).await;
+            let disconnected = async {
+                caller_disconnected(reader).await;
                 None
             };
-            let Some(decision) = future::or(decision, gone).await else {
+            let Some(decision) = future::or(decision, disconnected).await else {
                 self.count_end("caller-left");
                 return NextStep::Abort;
             };
-            sink.closes |= self.shared.stopping.get();
+            sink.closes_connection |= self.shared.stopping.get();
             match decision {
                 RequestDecision::Dispatch(order) => {
                     let outcome = self
-                        .attempt(reader, sink, &mut kept, &order, decisions)
+                        .attempt(reader, sink, &mut saved_failure, &order, decisions)
                         .await;
                     let end = self.after_attempt(&order, &outcome, sink);
                     self.report(outcome);
@@ -299,16 +310,16 @@
                 } => {
                     self.count_end(reason.into());
                     let written = self.refuse(sink, reason, retry_after).await;
-                    return after(written, sink);
+                    return next_step(written, sink);
                 }
-                RequestDecision::PassFailure => {
+                RequestDecision::ForwardFailure => {
                     self.count_end("failure-passed");
-                    let written = self.pass_failure(sink, kept).await;
-                    return after(written, sink);
+                    let written = self.forward_failure(sink, saved_failure).await;
+                    return next_step(written, sink);
                 }
-                // The attempt that it was meant for has ended by itself.
+                // The attempt that was to be abandoned has already ended.
                 RequestDecision::Abandon => {}
-                RequestDecision::BreakOff => {
+                RequestDecision::Abort => {
                     self.count_end("broken-off");
                     return NextStep::Abort;
                 }
@@ -319,14 +330,14 @@
     async fn attempt(
         &self,
         reader: &mut ByteReader,
-        sink: &mut AnswerSink,
-        kept: &mut Option<KeptFailure>,
+        sink: &mut ResponseSink,
+        saved_failure: &mut Option<SavedFailure>,
         order: &DispatchOrder,
         decisions: &Receiver<RequestDecision>,
     ) -> AttemptOutcome {
         if order.attempt == 1 {
             let waited = self.shared.clock.now().since(self.arrived_at);
-            metrics::observe(&self.shared.metrics.waiting_time, order, waited);
+            metrics::observe(&self.shared.metrics.waiting_duration, order, waited);
         }
         let writing = sink.writing();
         let attempt = UpstreamAttempt {
@@ -336,34 +347,34 @@
             head: &self.request.head,
             body: &self.request.body,
             sink: &mut *sink,
-            kept,
+            saved_failure,
         };
-        let gone = async {
-            caller_gone(reader).await;
+        let disconnected = async {
+            caller_disconnected(reader).await;
             Some(AttemptOutcome::CallerDisconnected)
         };
         let ended = async {
-            abandoned(decisions, &writing).await;
+            attempt_abandoned(decisions, &writing).await;
             None
         };
         let ran = async { Some(attempt.run().await) };
-        let outcome = future::or(ran, future::or(gone, ended)).await;
+        let outcome = future::or(ran, future::or(disconnected, ended)).await;
         outcome.unwrap_or_else(|| broken_outcome(sink, true))
     }
 
-    /// The connection's next step, when the outcome ends the request.
+    /// Returns the handling of the connection when the outcome ends the request.
     fn after_attempt(
         &self,
         order: &DispatchOrder,
         outcome: &AttemptOutcome,
-        sink: &AnswerSink,
+        sink: &ResponseSink,
     ) -> Option<NextStep> {
         match outcome {
             AttemptOutcome::Delivered { .. } => {
                 self.count_end("served");
                 let elapsed = self.shared.clock.now().since(self.arrived_at);
-                metrics::observe(&self.shared.metrics.whole_answer, order, elapsed);
-                Some(after(true, sink))
+                metrics::observe(&self.shared.metrics.complete_response, order, elapsed);
+                Some(next_step(true, sink))
             }
             AttemptOutcome::CallerDisconnected => {
                 self.count_end("caller-left");
@@ -392,7 +403,7 @@
 
     async fn refuse(
         &self,
-        sink: &mut AnswerSink,
+        sink: &mut ResponseSink,
         reason: RefusalReason,
         retry_after: Option<Duration>,
     ) -> bool {
@@ -407,27 +418,37 @@
         }
         lines.push(HeaderLine::new("Content-Type", "application/json"));
         let body = format!("{{\"error\":\"{reason}\"}}");
-        let written = sink.write_whole(status, status_text(status), &lines, body.as_bytes());
+        let written = sink.write_response(status, status_text(status), &lines, body.as_bytes());
         written.await.is_ok()
     }
 
-    /// Gives the caller the upstream's failure, unless its status would promise that the request
-    /// has not run.
-    async fn pass_failure(&self, sink: &mut AnswerSink, kept: Option<KeptFailure>) -> bool {
-        let kept = kept.filter(|kept| !matches!(kept.status, 408 | 421 | 429 | 503));
-        let Some(kept) = kept else {
+    /// Forwards the saved failure of the upstream. A status that states that the request was
+    /// not executed is replaced by 502.
+    async fn forward_failure(
+        &self,
+        sink: &mut ResponseSink,
+        saved_failure: Option<SavedFailure>,
+    ) -> bool {
+        let saved_failure = saved_failure
+            .filter(|saved_failure| !matches!(saved_failure.status, 408 | 421 | 429 | 503));
+        let Some(saved_failure) = saved_failure else {
             return self
                 .refuse(sink, RefusalReason::IncompleteResponse, None)
                 .await;
         };
-        let written = sink.write_whole(kept.status, &kept.reason, &kept.lines, &kept.body);
+        let written = sink.write_response(
+            saved_failure.status,
+            &saved_failure.reason,
+            &saved_failure.lines,
+            &saved_failure.body,
+        );
         written.await.is_ok()
     }
 }
 
-/// Waits until the attempt under way is to be ended. Not while bytes are written: the rest of a
-/// piece that the caller has half of would be missing from its answer.
-async fn abandoned(decisions: &Receiver<RequestDecision>, writing: &Cell<bool>) {
+/// Waits for the decision to abandon the attempt. The decision is ignored while bytes are being
+/// written, because the caller would receive a truncated chunk.
+async fn attempt_abandoned(decisions: &Receiver<RequestDecision>, writing: &Cell<bool>) {
     while let Ok(decision) = decisions.recv().await {
         if matches!(decision, RequestDecision::Abandon) && !writing.get() {
             return;
--- a/crates/savorywood-front/src/feeds.rs
+++ b/crates/savorywood-front/src/feeds.rs
@@ -1,24 +1,24 @@
-//! What lies in the store reaches the decisions: a full read, then a feed, then a full read again
-//! after any gap.
+//! Readers of the store's tables. Each reads its table completely, then follows the table's change
+//! feed, and reads it completely again after a gap in the feed.
 
-mod applying;
-mod known;
 mod members;
 mod quarantine;
-mod reading;
 mod rollouts;
+mod row_cache;
+mod row_updates;
+mod table_reads;
 
-pub use members::{keep_members, leave_members};
-pub use quarantine::keep_quarantine;
-pub use rollouts::keep_rollouts;
+pub use members::{deregister_member, maintain_membership};
+pub use quarantine::sync_quarantine;
+pub use rollouts::sync_rollouts;
 
-use self::known::KnownRows;
+use self::row_cache::RowCache;
 use crate::{
+    adapter::{StoreRow, StoreTable},
     clock::BootClock,
-    edge::{StoreRow, StoreTable},
     peers::{PeerSocket, RowsPush},
     shared::FrontShared,
-    store::StoreLink,
+    store::StoreConnection,
 };
 use async_channel::Receiver;
 use async_io::Timer;
@@ -29,164 +29,168 @@
 use savorywood_protocol::MonotonicTime;
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
-/// Wait of one call for registrations; changes are answered at once.
-const UPSTREAMS_WAIT: Duration = Duration::from_millis(2_400);
-/// Time beyond the wait within which the answer must come: a connection that fell silent must
-/// not hide a drain or a revoked key.
-const FEED_MARGIN: Duration = Duration::from_millis(700);
-/// Time for any other call.
-const CALL_TIME: Duration = Duration::from_millis(1_500);
-/// First pause after a failed call.
-const FIRST_PAUSE: Duration = Duration::from_millis(60);
-/// Longest pause after failed calls.
-const LONGEST_PAUSE: Duration = Duration::from_millis(400);
-/// First pause after a failed call of a daemon that others of its zone go before.
-const FIRST_STANDBY_PAUSE: Duration = Duration::from_millis(500);
-/// Longest pause after failed calls of such a daemon.
-const LONGEST_STANDBY_PAUSE: Duration = Duration::from_secs(2);
-/// Pause between two answers of a feed that reported changes, for each daemon that reads it: changes
-/// gather meanwhile. Every change is an answer to every daemon, so without a pause that grows with
-/// them the calls grow with daemons times upstreams.
-const CHANGE_PAUSE: Duration = Duration::from_millis(8);
-/// Longest such pause: an upstream that leaves must be learned of well before its bound.
-const LONGEST_CHANGE_PAUSE: Duration = Duration::from_millis(400);
-/// The feed alone may miss a change: the whole table is read again so often.
-const REREAD_TIME: Duration = Duration::from_secs(10);
+/// Long-poll timeout for changes of registrations; the store responds to changes at once.
+const UPSTREAMS_POLL_TIMEOUT: Duration = Duration::from_millis(2_400);
+/// Time beyond the long-poll timeout after which a call fails. Without it a connection that fails
+/// unnoticed would hide a drain or a revoked key.
+const FEED_TIMEOUT_MARGIN: Duration = Duration::from_millis(700);
+/// Timeout of all other calls.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// First delay after a failed call.
+const MIN_BACKOFF: Duration = Duration::from_millis(60);
+/// Maximum delay after failed calls.
+const MAX_BACKOFF: Duration = Duration::from_millis(400);
+/// First delay after a failed call when other daemons of the zone are to read the store first.
+const MIN_STANDBY_BACKOFF: Duration = Duration::from_millis(500);
+/// Maximum delay after failed calls when other daemons of the zone are to read the store first.
+const MAX_STANDBY_BACKOFF: Duration = Duration::from_secs(2);
+/// Delay after a feed response that reported changes, for each daemon that reads the store; further
+/// changes are collected meanwhile. Every change is a response to every reader, so with a fixed
+/// delay the number of calls would grow with daemons times upstreams.
+const CHANGE_BATCH_DELAY: Duration = Duration::from_millis(8);
+/// Maximum of that delay: the removal of an upstream must be received well before its bound.
+const MAX_CHANGE_BATCH_DELAY: Duration = Duration::from_millis(400);
+/// Interval of complete reads, since the feed alone may miss a change.
+const FULL_READ_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Rows that can't be read that are remembered at most.
-const MOST_UNREADABLE: usize = 256;
-/// Time between two looks whether another daemon still attests to a table.
-const REST_TIME: Duration = Duration::from_millis(40);
+/// Maximum number of unreadable rows that are tracked to log each only once.
+const MAX_UNREADABLE_ROWS: usize = 256;
+/// Interval at which the gateway is asked again whether another daemon attests to a table.
+const ATTESTATION_POLL_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Reads one table for as long as the process lives.
+/// Reads one table and reports its changes to the gateway.
 pub struct TableReader {
     shared: Rc<FrontShared>,
     sources: TableSources,
     table: StoreTable,
-    link: StoreLink,
+    connection: StoreConnection,
     freshness: FreshnessClock,
-    /// All changes up to this position are known.
-    revision: Option<StorePosition>,
-    /// Position of the last change that is known.
-    changed: StorePosition,
-    /// The whole table was read once.
-    was_read: bool,
-    /// The changes after `revision` can't be had one by one.
+    /// Position up to which all changes are applied; `None` before the first complete read.
+    read_through: Option<StorePosition>,
+    /// Position of the last change that is applied.
+    last_change: StorePosition,
+    /// The table was read completely at least once.
+    has_full_read: bool,
+    /// The feed can't provide the changes after `read_through`.
     has_gap: bool,
-    /// A whole read was left to other daemons of the zone once, and nothing was learned since.
-    has_yielded: bool,
-    known: KnownRows,
-    /// Positions of rows that could not be read, so that each is logged once.
+    /// A complete read was deferred once since rows were last received.
+    has_deferred: bool,
+    row_cache: RowCache,
+    /// Positions of rows that could not be parsed, so that each is logged once.
     unreadable: BTreeMap<String, StorePosition>,
-    /// How the table was learned of last.
+    /// How the table was last read.
     plan: ReadPlan,
-    read_at: MonotonicTime,
-    pause: Duration,
+    full_read_at: MonotonicTime,
+    backoff: Duration,
     reachable: bool,
 }
 
-/// Where a reader of a table has rows from beside the store, and to whom it sends them.
+/// Connections of a table reader to other daemons.
 pub struct TableSources {
-    /// Other daemons.
+    /// Socket through which changed rows are pushed to other daemons.
     pub peers: Rc<PeerSocket>,
-    /// Rows that other daemons hand on.
+    /// Rows that other daemons push.
     pub pushes: Receiver<RowsPush>,
 }
 
 impl TableReader {
-    /// A reader that begins with a full read.
+    /// Creates a reader that starts with a complete read.
     pub fn new(shared: Rc<FrontShared>, table: StoreTable, sources: TableSources) -> Self {
-        let link = StoreLink::new(shared.settings.store.address);
+        let connection = StoreConnection::new(shared.settings.store.address);
         Self {
             shared,
             sources,
             table,
-            link,
+            connection,
             freshness: FreshnessClock::default(),
-            revision: None,
-            changed: StorePosition::default(),
-            was_read: false,
+            read_through: None,
+            last_change: StorePosition::default(),
+            has_full_read: false,
             has_gap: false,
-            has_yielded: false,
-            known: KnownRows::default(),
+            has_deferred: false,
+            row_cache: RowCache::default(),
             unreadable: BTreeMap::new(),
             plan: ReadPlan::Direct,
-            read_at: MonotonicTime::default(),
-            pause: FIRST_PAUSE,
+            full_read_at: MonotonicTime::default(),
+            backoff: MIN_BACKOFF,
             reachable: true,
         }
     }
 
-    /// Reads on and on.
+    /// Reads the table until the process ends.
     pub async fn run(mut self) {
         loop {
             let now = BootClock.now();
-            let due = now.since(self.read_at) >= REREAD_TIME;
+            let due = now.since(self.full_read_at) >= FULL_READ_INTERVAL;
             let plan = self
                 .shared
                 .gateway
                 .borrow()
                 .read_plan(now, self.shared_table());
-            self.note_plan(plan);
-            let result = match (self.revision, plan) {
+            self.update_plan(plan);
+            let result = match (self.read_through, plan) {
                 (Some(after), ReadPlan::FollowAttestation) => {
-                    self.rest_on_attestation(after).await;
+                    self.follow_attestation(after).await;
                     continue;
                 }
                 (Some(_), ReadPlan::AwaitReader) => {
-                    Timer::after(REST_TIME).await;
+                    Timer::after(ATTESTATION_POLL_INTERVAL).await;
                     continue;
                 }
-                (Some(after), ReadPlan::Direct) if self.yields(after) => {
-                    self.yield_read().await;
+                (Some(after), ReadPlan::Direct) if self.should_defer(after) => {
+                    self.defer_full_read().await;
                     continue;
                 }
-                (Some(after), _) if self.needs_whole_read(after) => self.read_all().await,
-                (Some(after), ReadPlan::CatchUp) => self.follow(after, Duration::ZERO).await,
-                (Some(after), ReadPlan::Direct) if !due => self.follow(after, self.wait()).await,
-                _ => self.read_all().await,
+                (Some(after), _) if self.needs_full_read(after) => self.read_table().await,
+                (Some(after), ReadPlan::CatchUp) => self.poll_changes(after, Duration::ZERO).await,
+                (Some(after), ReadPlan::Direct) if !due => {
+                    self.poll_changes(after, self.poll_timeout()).await
+                }
+                _ => self.read_table().await,
             };
             match result {
                 Ok(()) => {
-                    self.pause = FIRST_PAUSE;
-                    self.note_reachable(true, "");
+                    self.backoff = MIN_BACKOFF;
+                    self.update_reachable(true, "");
                 }
-                Err(cause) => self.rest(&cause).await,
+                Err(cause) => self.back_off(&cause).await,
             }
         }
     }
 
-    /// What changed since a position can't be had one by one.
-    fn needs_whole_read(&self, after: StorePosition) -> bool {
+    /// Reports whether the feed can't provide the changes after a position.
+    fn needs_full_read(&self, after: StorePosition) -> bool {
         self.has_gap || after.era < self.shared.gateway.borrow().store_era()
     }
 
-    /// A whole read is first left to the daemons of the zone that go first; they pass on what changed.
-    fn yields(&self, after: StorePosition) -> bool {
+    /// Reports whether to defer a complete read to the daemons of the zone that read first. They
+    /// push what changed.
+    fn should_defer(&self, after: StorePosition) -> bool {
         let is_first = self
             .shared
             .gateway
             .borrow()
             .is_initial_reader(BootClock.now());
-        !self.has_yielded && !is_first && self.needs_whole_read(after)
+        !self.has_deferred && !is_first && self.needs_full_read(after)
     }
 
-    /// A call failed; the pause after it is all that a whole read waits for.
-    fn note_failure(&mut self) {
+    /// Records a failed call. Its delay is the only one before the next complete read.
+    fn record_failure(&mut self) {
         self.has_gap = true;
-        self.has_yielded = true;
+        self.has_deferred = true;
     }
 
-    async fn yield_read(&mut self) {
-        self.has_yielded = true;
+    async fn defer_full_read(&mut self) {
+        self.has_deferred = true;
         let jitter = 0.5 + fastrand::f64();
-        self.rest_for(FIRST_STANDBY_PAUSE.mul_f64(jitter)).await;
+        self.sleep_until_attested(MIN_STANDBY_BACKOFF.mul_f64(jitter))
+            .await;
     }
 
-    fn note_plan(&mut self, plan: ReadPlan) {
+    fn update_plan(&mut self, plan: ReadPlan) {
         if self.plan != plan {
             self.plan = plan;
-            let known = self.revision.unwrap_or_default();
+            let known = self.read_through.unwrap_or_default();
             log::info!(
                 "event=reading-changed table={} plan={plan} known={known}",
                 self.table
@@ -194,13 +198,14 @@
         }
     }
 
-    /// A row by another writer; it is logged once, however often it is read.
-    fn note_unreadable(&mut self, row: &StoreRow) {
+    /// Logs a row that can't be parsed, such as one of another writer, once for each of its
+    /// positions.
+    fn log_unreadable(&mut self, row: &StoreRow) {
         let known = self.unreadable.get(&row.key);
         if row.value.is_none() || known == Some(&row.position) {
             return;
         }
-        if self.unreadable.len() >= MOST_UNREADABLE {
+        if self.unreadable.len() >= MAX_UNREADABLE_ROWS {
             self.unreadable.clear();
         }
         self.unreadable.insert(row.key.clone(), row.position);
@@ -222,53 +227,54 @@
         }
     }
 
-    fn wait(&self) -> Duration {
+    fn poll_timeout(&self) -> Duration {
         match self.table {
             StoreTable::Declared => self.shared.gateway.borrow().config_poll_timeout(),
-            _ => UPSTREAMS_WAIT,
+            _ => UPSTREAMS_POLL_TIMEOUT,
         }
     }
 
-    /// Another daemon attests to what is known; it hands on what changes.
-    async fn rest_on_attestation(&mut self, known: StorePosition) {
+    /// Waits for pushed rows while another daemon attests that the applied rows are current.
+    async fn follow_attestation(&mut self, known: StorePosition) {
         let pushed = async { self.sources.pushes.recv().await.ok() };
         let pause = async {
-            Timer::after(REST_TIME).await;
+            Timer::after(ATTESTATION_POLL_INTERVAL).await;
             None
         };
         let push = future::or(pushed, pause).await;
-        // Rows after a gap are not enough: what lies in it is read.
-        let Some(push) = push.filter(|push| push.completes(known)) else {
+        // Rows after a gap are not applied; the changes in the gap are read from the store.
+        let Some(push) = push.filter(|push| push.is_complete_for(known)) else {
             return;
         };
-        // What a restore has lost is not what was withdrawn: the decisions learn of the restore first.
-        self.shared.note_era_of(push.through);
+        // Rows that a restore lost were not withdrawn, so the gateway must receive the restore
+        // before the rows.
+        self.shared.observe_peer_era(push.through);
         for row in &push.rows {
-            // A version that is not reported can't be known.
+            // Rows without a version can't be compared and are always applied.
             if row.position > known || row.position.version == 0 {
-                self.apply(row);
+                self.apply_row(row);
             }
         }
-        self.know(&push.rows, push.through, None);
+        self.record_position(&push.rows, push.through, None);
     }
 
-    /// Notes what is known now.
-    fn know(
+    /// Records that all changes up to `through` are applied, and reports it to the gateway.
+    fn record_position(
         &mut self,
         rows: &[StoreRow],
         read_through: StorePosition,
         confirmed_at: Option<MonotonicTime>,
     ) {
         for row in rows {
-            self.changed = self.changed.max(row.position);
-            self.known.note(row);
+            self.last_change = self.last_change.max(row.position);
+            self.row_cache.insert(row);
         }
-        self.revision = Some(read_through);
+        self.read_through = Some(read_through);
         self.has_gap = false;
-        self.has_yielded = false;
+        self.has_deferred = false;
         let position = TablePosition {
             read_through,
-            last_change: self.changed,
+            last_change: self.last_change,
         };
         self.shared.step(GatewayEvent::TableRead {
             table: self.shared_table(),
@@ -277,8 +283,8 @@
         });
     }
 
-    async fn rest(&mut self, cause: &str) {
-        self.note_reachable(false, cause);
+    async fn back_off(&mut self, cause: &str) {
+        self.update_reachable(false, cause);
         self.shared.step(GatewayEvent::StoreFailed);
         let jitter = 0.5 + fastrand::f64();
         let is_initial_reader = self
@@ -286,21 +292,22 @@
             .gateway
             .borrow()
             .is_initial_reader(BootClock.now());
-        let (first, longest) = if is_initial_reader {
-            (FIRST_PAUSE, LONGEST_PAUSE)
+        let (min, max) = if is_initial_reader {
+            (MIN_BACKOFF, MAX_BACKOFF)
         } else {
-            (FIRST_STANDBY_PAUSE, LONGEST_STANDBY_PAUSE)
+            (MIN_STANDBY_BACKOFF, MAX_STANDBY_BACKOFF)
         };
-        self.rest_for(self.pause.max(first).mul_f64(jitter)).await;
-        self.pause = (self.pause.max(first) * 2).min(longest);
+        self.sleep_until_attested(self.backoff.max(min).mul_f64(jitter))
+            .await;
+        self.backoff = (self.backoff.max(min) * 2).min(max);
     }
 
-    /// Pauses, until another daemon attests to what is known at the longest.
-    async fn rest_for(&self, pause: Duration) {
+    /// Sleeps for `pause`, or until another daemon attests that the applied rows are current.
+    async fn sleep_until_attested(&self, pause: Duration) {
         let until = BootClock.now() + pause;
         while BootClock.now() < until {
             let left = until.since(BootClock.now());
-            Timer::after(left.min(REST_TIME)).await;
+            Timer::after(left.min(ATTESTATION_POLL_INTERVAL)).await;
             let gateway = self.shared.gateway.borrow();
             if gateway.read_plan(BootClock.now(), self.shared_table()) != ReadPlan::Direct {
                 return;
@@ -308,7 +315,7 @@
         }
     }
 
-    fn note_reachable(&mut self, reachable: bool, cause: &str) {
+    fn update_reachable(&mut self, reachable: bool, cause: &str) {
         if self.reachable == reachable {
             return;
         }
--- a/crates/savorywood-front/src/feeds/members.rs
+++ b/crates/savorywood-front/src/feeds/members.rs
@@ -1,61 +1,63 @@
-//! The list of daemons in the store: where they find each other.
+//! The table of members, in which daemons find each other at the start.
 
-use super::{CALL_TIME, LONGEST_PAUSE};
+use super::{CALL_TIMEOUT, MAX_BACKOFF};
 use crate::{
-    edge::{StoreTable, TableWrite},
+    adapter::{StoreTable, TableWrite},
     peers::PeerSocket,
     settings::FrontSettings,
     shared::FrontShared,
-    store::StoreLink,
+    store::StoreConnection,
 };
 use async_io::Timer;
 use savorywood_gateway::{GatewayEvent, PeerContact, ZoneLabel};
 use std::{rc::Rc, time::Duration};
 
-/// Members are read so often.
-const MEMBERS_TIME: Duration = Duration::from_secs(8);
-/// The same where daemons learn of most others from their peers.
-const ZONED_MEMBERS_TIME: Duration = Duration::from_secs(30);
+/// Interval between reads of the members.
+const MEMBERS_READ_INTERVAL: Duration = Duration::from_secs(8);
+/// Interval between reads of the members in a cluster with zone digests, where peers report most
+/// other daemons.
+const ZONED_MEMBERS_READ_INTERVAL: Duration = Duration::from_secs(30);
 
-/// Keeps the list of members in the store and reads it.
-pub async fn keep_members(shared: Rc<FrontShared>, peers: Rc<PeerSocket>) {
-    let mut link = StoreLink::new(shared.settings.store.address);
+/// Registers this daemon in the members table and reads the table periodically.
+pub async fn maintain_membership(shared: Rc<FrontShared>, peers: Rc<PeerSocket>) {
+    let mut connection = StoreConnection::new(shared.settings.store.address);
     let mut announced = false;
     loop {
-        let mut members = read_members(&shared, &mut link).await;
+        let mut members = read_members(&shared, &mut connection).await;
         let listed = members.as_ref().is_some_and(|members| members.lists_self);
-        // The row of an earlier life stands; a new one is read back with those written meanwhile.
-        if members.is_some() && !listed && register(&shared, &mut link).await {
-            members = read_members(&shared, &mut link).await;
+        // A row of a previous incarnation may differ. After writing the own row, the table is read
+        // again to include rows written meanwhile.
+        if members.is_some() && !listed && register(&shared, &mut connection).await {
+            members = read_members(&shared, &mut connection).await;
         }
         let done = members.as_ref().is_some_and(|members| members.lists_self);
         if let Some(members) = members {
             shared.step(GatewayEvent::ContactsRead(members.contacts));
             if !announced {
-                // The others learn of this daemon, and this one of its zone, a round sooner.
+                // Gossip at once, so that daemons learn of each other one round sooner.
                 peers.gossip(&shared).await;
                 announced = true;
             }
         }
         let zoned = shared.gateway.borrow().uses_zone_digests();
         let pause = match (done, zoned) {
-            (false, _) => LONGEST_PAUSE,
-            (true, false) => MEMBERS_TIME,
-            (true, true) => ZONED_MEMBERS_TIME,
+            (false, _) => MAX_BACKOFF,
+            (true, false) => MEMBERS_READ_INTERVAL,
+            (true, true) => ZONED_MEMBERS_READ_INTERVAL,
         };
         Timer::after(pause.mul_f64(0.8 + fastrand::f64() * 0.4)).await;
     }
 }
 
-/// Members as the store lists them.
+/// Content of the members table.
 struct MemberList {
     contacts: Vec<PeerContact>,
-    /// This daemon is among them, with its address and zone of now.
+    /// The table holds this daemon with its current address and zone.
     lists_self: bool,
 }
 
-/// Writes this daemon into the list; whether that was accepted.
-async fn register(shared: &FrontShared, link: &mut StoreLink) -> bool {
+/// Writes the row of this daemon; returns whether the store accepted it.
+async fn register(shared: &FrontShared, connection: &mut StoreConnection) -> bool {
     let write = TableWrite {
         table: StoreTable::Members,
         key: shared.settings.host.clone(),
@@ -63,17 +65,20 @@
         expected_version: None,
     };
     let call = shared.adapter.write_row_call(&write);
-    match link.call(&call, CALL_TIME).await {
-        Ok(answer) => answer.status == 200,
-        Err(fault) => {
-            log::warn!("event=member-unregistered cause={:?}", fault.to_string());
+    match connection.call(&call, CALL_TIMEOUT).await {
+        Ok(response) => response.status == 200,
+        Err(error) => {
+            log::warn!("event=member-unregistered cause={:?}", error.to_string());
             false
         }
     }
 }
 
-/// All members, or nothing where a page of them could not be read.
-async fn read_members(shared: &FrontShared, link: &mut StoreLink) -> Option<MemberList> {
+/// Reads all members; returns `None` when a page could not be read.
+async fn read_members(
+    shared: &FrontShared,
+    connection: &mut StoreConnection,
+) -> Option<MemberList> {
     let own = member_text(&shared.settings).into_bytes();
     let mut members = MemberList {
         contacts: Vec::new(),
@@ -84,13 +89,13 @@
         let call = shared
             .adapter
             .read_rows_call(StoreTable::Members, after.as_deref());
-        let answer = link.call(&call, CALL_TIME).await.ok()?;
-        if answer.status != 200 {
+        let response = connection.call(&call, CALL_TIMEOUT).await.ok()?;
+        if response.status != 200 {
             return None;
         }
         let page = shared
             .adapter
-            .parse_page(shared.note_era(&answer), &answer.body)?;
+            .parse_page(shared.observe_store_era(&response), &response.body)?;
         after = page.rows.last().map(|row| row.key.clone());
         for row in page.rows {
             let Some(value) = row.value else { continue };
@@ -107,7 +112,7 @@
     format!("{} {}", settings.listen.peers, settings.zone)
 }
 
-/// Reads a row of the members: an address and, after a space, a zone.
+/// Parses the value of a member's row: an address and, after a space, an availability zone.
 fn read_member(value: &[u8]) -> Option<PeerContact> {
     let text = std::str::from_utf8(value).ok()?;
     let (address, zone) = text.split_once(' ').unwrap_or((text, ""));
@@ -117,9 +122,9 @@
     })
 }
 
-/// Takes this daemon out of the list of members.
-pub async fn leave_members(shared: &FrontShared) {
-    let mut link = StoreLink::new(shared.settings.store.address);
+/// Removes the row of this daemon from the members table.
+pub async fn deregister_member(shared: &FrontShared) {
+    let mut connection = StoreConnection::new(shared.settings.store.address);
     let write = TableWrite {
         table: StoreTable::Members,
         key: shared.settings.host.clone(),
@@ -127,7 +132,7 @@
         expected_version: None,
     };
     let call = shared.adapter.write_row_call(&write);
-    if let Err(fault) = link.call(&call, CALL_TIME).await {
-        log::warn!("event=member-unremoved cause={:?}", fault.to_string());
+    if let Err(error) = connection.call(&call, CALL_TIMEOUT).await {
+        log::warn!("event=member-unremoved cause={:?}", error.to_string());
     }
 }
--- a/crates/savorywood-front/src/feeds/quarantine.rs
+++ b/crates/savorywood-front/src/feeds/quarantine.rs
@@ -1,43 +1,46 @@
-//! Requests under which upstreams crashed, in the store: what a start of all daemons must not forget.
+//! Quarantined requests in the store, which survive a restart of all daemons.
 
-use super::{CALL_TIME, LONGEST_PAUSE};
+use super::{CALL_TIMEOUT, MAX_BACKOFF};
 use crate::{
-    edge::{StoreRow, StoreTable, TableWrite},
+    adapter::{StoreRow, StoreTable, TableWrite},
     shared::FrontShared,
-    store::StoreLink,
+    store::StoreConnection,
 };
 use async_channel::Receiver;
 use async_io::Timer;
 use savorywood_gateway::{GatewayEvent, QuarantineRow, QuarantineWrite};
 use std::rc::Rc;
 
-/// Reads all rows once, then writes those that this daemon is to write.
-pub async fn keep_quarantine(shared: Rc<FrontShared>, writes: Receiver<QuarantineWrite>) {
-    let mut link = StoreLink::new(shared.settings.store.address);
+/// Reads all rows once, then writes the rows that the gateway orders to write.
+pub async fn sync_quarantine(shared: Rc<FrontShared>, writes: Receiver<QuarantineWrite>) {
+    let mut connection = StoreConnection::new(shared.settings.store.address);
     loop {
-        if let Some(rows) = read_rows(&shared, &mut link).await {
+        if let Some(rows) = read_rows(&shared, &mut connection).await {
             shared.step(GatewayEvent::QuarantineRead(rows));
             break;
         }
-        Timer::after(LONGEST_PAUSE.mul_f64(0.8 + fastrand::f64() * 0.4)).await;
+        Timer::after(MAX_BACKOFF.mul_f64(0.8 + fastrand::f64() * 0.4)).await;
     }
     while let Ok(write) = writes.recv().await {
-        write_row(&shared, &mut link, write).await;
+        write_row(&shared, &mut connection, write).await;
     }
 }
 
-/// All rows, or nothing where a page of them could not be read.
-async fn read_rows(shared: &FrontShared, link: &mut StoreLink) -> Option<Vec<QuarantineRow>> {
+/// Reads all rows; returns `None` when a page could not be read.
+async fn read_rows(
+    shared: &FrontShared,
+    connection: &mut StoreConnection,
+) -> Option<Vec<QuarantineRow>> {
     let mut rows = Vec::new();
     let mut after: Option<String> = None;
     loop {
         let table = StoreTable::Quarantine;
         let call = shared.adapter.read_rows_call(table, after.as_deref());
-        let answer = link.call(&call, CALL_TIME).await.ok()?;
-        let page = Some(answer).filter(|answer| answer.status == 200);
-        let page = page.and_then(|answer| {
-            let era = shared.note_era(&answer);
-            shared.adapter.parse_page(era, &answer.body)
+        let response = connection.call(&call, CALL_TIMEOUT).await.ok()?;
+        let page = Some(response).filter(|response| response.status == 200);
+        let page = page.and_then(|response| {
+            let era = shared.observe_store_era(&response);
+            shared.adapter.parse_page(era, &response.body)
         })?;
         after = page.rows.last().map(|row| row.key.clone());
         rows.extend(page.rows.iter().filter_map(read_row));
@@ -52,7 +55,7 @@
     QuarantineRow::parse(&row.key, value)
 }
 
-async fn write_row(shared: &FrontShared, link: &mut StoreLink, write: QuarantineWrite) {
+async fn write_row(shared: &FrontShared, connection: &mut StoreConnection, write: QuarantineWrite) {
     let value = write.value().map(String::into_bytes);
     let table_write = TableWrite {
         table: StoreTable::Quarantine,
@@ -61,9 +64,11 @@
         expected_version: None,
     };
     let call = shared.adapter.write_row_call(&table_write);
-    let answer = link.call(&call, CALL_TIME).await;
-    let accepted = matches!(&answer, Ok(answer) if answer.status == 200);
-    let era = answer.as_ref().map_or(0, |answer| shared.note_era(answer));
+    let response = connection.call(&call, CALL_TIMEOUT).await;
+    let accepted = matches!(&response, Ok(response) if response.status == 200);
+    let era = response
+        .as_ref()
+        .map_or(0, |response| shared.observe_store_era(response));
     log::info!(
         "event=quarantine-written fingerprint={} crashes={} accepted={accepted}",
         write.fingerprint,
--- a/crates/savorywood-front/src/feeds/rollouts.rs
+++ b/crates/savorywood-front/src/feeds/rollouts.rs
@@ -1,10 +1,10 @@
-//! States of roll-outs in the store.
+//! Roll-out states in the store.
 
-use super::CALL_TIME;
+use super::CALL_TIMEOUT;
 use crate::{
-    edge::{StoreTable, TableWrite},
+    adapter::{StoreTable, TableWrite},
     shared::FrontShared,
-    store::StoreLink,
+    store::StoreConnection,
 };
 use async_channel::Receiver;
 use async_io::Timer;
@@ -12,35 +12,35 @@
 use savorywood_gateway::{GatewayEvent, RolloutWrite};
 use std::{rc::Rc, time::Duration};
 
-/// Status rows are read so often while a roll-out is under way.
-const STATUS_TIME: Duration = Duration::from_millis(1_000);
+/// Interval at which the status table is read while a roll-out is in progress.
+const STATUS_READ_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// The other daemons of a zone read them each so many times more rarely.
+/// Number of intervals between reads for the daemons of a zone that do not read first.
 const STANDBY_ROUNDS: u32 = 5;
 
-/// Writes states of roll-outs, and reads what others wrote while one is under way.
-pub async fn keep_rollouts(shared: Rc<FrontShared>, writes: Receiver<RolloutWrite>) {
-    let mut link = StoreLink::new(shared.settings.store.address);
+/// Writes roll-out states, and reads those of other daemons while a roll-out is in progress.
+pub async fn sync_rollouts(shared: Rc<FrontShared>, writes: Receiver<RolloutWrite>) {
+    let mut connection = StoreConnection::new(shared.settings.store.address);
     let mut rounds = 0;
     loop {
         let next = async { writes.recv().await.ok() };
         let pause = async {
-            Timer::after(STATUS_TIME).await;
+            Timer::after(STATUS_READ_INTERVAL).await;
             None
         };
         if let Some(write) = future::or(next, pause).await {
-            write_status(&shared, &mut link, write).await;
+            write_status(&shared, &mut connection, write).await;
         }
         rounds += 1;
         let due = is_status_due(&shared, rounds);
         if due && shared.gateway.borrow().has_active_rollouts() {
-            read_statuses(&shared, &mut link).await;
+            read_statuses(&shared, &mut connection).await;
         }
     }
 }
 
-/// Every daemon learns by gossip how a new version does; only those that may write the status need
-/// the row at once.
+/// Reports whether the status table is to be read in this interval. All daemons receive the results
+/// of a new version by gossip; only those that may write the state need the row at once.
 fn is_status_due(shared: &FrontShared, rounds: u32) -> bool {
     let is_initial_reader = shared
         .gateway
@@ -49,10 +49,10 @@
     is_initial_reader || rounds.is_multiple_of(STANDBY_ROUNDS)
 }
 
-async fn write_status(shared: &FrontShared, link: &mut StoreLink, write: RolloutWrite) {
+async fn write_status(shared: &FrontShared, connection: &mut StoreConnection, write: RolloutWrite) {
     if write.expected_position.version != 0 && write.expected_position.era != shared.era.get() {
-        // The version that it expects may stand for another content by now.
-        read_statuses(shared, link).await;
+        // After a restore the expected version may belong to other content.
+        read_statuses(shared, connection).await;
         return shared.step(GatewayEvent::RolloutWriteFinished {
             service: write.service,
             accepted: false,
@@ -67,17 +67,19 @@
         expected_version: Some(write.expected_position.version),
     };
     let call = shared.adapter.write_row_call(&table_write);
-    let answer = link.call(&call, CALL_TIME).await;
-    let accepted = matches!(&answer, Ok(answer) if answer.status == 200);
-    let era = answer.as_ref().map_or(0, |answer| shared.note_era(answer));
+    let response = connection.call(&call, CALL_TIMEOUT).await;
+    let accepted = matches!(&response, Ok(response) if response.status == 200);
+    let era = response
+        .as_ref()
+        .map_or(0, |response| shared.observe_store_era(response));
     log::info!(
         "event=rollout-status-written service={} state={} expected={} accepted={accepted}",
         write.service,
         write.phase,
         write.expected_position
     );
-    // Whatever became of it, the row is read back: an answer may be lost after the write.
-    read_statuses(shared, link).await;
+    // The row is read back in any case: the response to a successful write may be lost.
+    read_statuses(shared, connection).await;
     shared.step(GatewayEvent::RolloutWriteFinished {
         service: write.service,
         accepted,
@@ -85,13 +87,13 @@
     });
 }
 
-async fn read_statuses(shared: &FrontShared, link: &mut StoreLink) {
+async fn read_statuses(shared: &FrontShared, connection: &mut StoreConnection) {
     let call = shared.adapter.read_rows_call(StoreTable::Status, None);
-    let answer = link.call(&call, CALL_TIME).await;
-    let page = answer.ok().filter(|answer| answer.status == 200);
-    let page = page.and_then(|answer| {
-        let era = shared.note_era(&answer);
-        shared.adapter.parse_page(era, &answer.body)
+    let response = connection.call(&call, CALL_TIMEOUT).await;
+    let page = response.ok().filter(|response| response.status == 200);
+    let page = page.and_then(|response| {
+        let era = shared.observe_store_era(&response);
+        shared.adapter.parse_page(era, &response.body)
     });
     for row in page.into_iter().flat_map(|page| page.rows) {
         if let Some(status) = shared.adapter.parse_rollout_status(&row) {
--- a/crates/savorywood-front/src/feeds/known.rs
+++ b/crates/savorywood-front/src/feeds/row_cache.rs
@@ -1,29 +1,28 @@
-//! Rows of a table as they were read last.
+//! The rows of a table as last read, to find the differences between two complete reads.
 
-use crate::edge::StoreRow;
+use crate::adapter::StoreRow;
 use savorywood_gateway::StorePosition;
 use std::collections::BTreeMap;
 
-/// What a row is compared by.
+/// The properties by which two versions of a row are compared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct KnownRow {
+struct CachedRow {
     position: StorePosition,
-    /// Digest of its value.
+    /// Digest of the value.
     content: u64,
 }
 
-/// Rows of a table by key.
 #[derive(Debug, Clone, Default)]
-pub(super) struct KnownRows {
-    rows: BTreeMap<String, KnownRow>,
+pub(super) struct RowCache {
+    rows: BTreeMap<String, CachedRow>,
 }
 
-impl KnownRows {
-    /// Takes a row that was written or removed.
-    pub fn note(&mut self, row: &StoreRow) {
+impl RowCache {
+    /// Applies a written or removed row.
+    pub fn insert(&mut self, row: &StoreRow) {
         match &row.value {
             Some(value) => {
-                let known = KnownRow {
+                let known = CachedRow {
                     position: row.position,
                     content: content_digest(value),
                 };
@@ -35,11 +34,12 @@
         }
     }
 
-    /// Takes the whole table; returns its rows that are new, and removals of known rows that it lacks.
+    /// Replaces all rows. Returns rows that are new or changed, and removals of cached rows that
+    /// are missing.
     pub fn replace(&mut self, rows: Vec<StoreRow>, revision: StorePosition) -> Vec<StoreRow> {
         let before = std::mem::take(&mut self.rows);
         for row in &rows {
-            self.note(row);
+            self.insert(row);
         }
         let missing = before.keys().filter(|key| !self.rows.contains_key(*key));
         let removed: Vec<StoreRow> = missing
@@ -57,8 +57,9 @@
     }
 }
 
-impl KnownRow {
-    /// The row was written since. After a restore every row has another position.
+impl CachedRow {
+    /// Reports whether the row was written again. After a restore all positions differ, so only the
+    /// content is compared.
     fn differs(self, read: Self) -> bool {
         let is_restored = self.position.era < read.position.era;
         self.position != read.position && !(is_restored && self.content == read.content)
--- a/crates/savorywood-front/src/feeds/known/tests.rs
+++ b/crates/savorywood-front/src/feeds/row_cache/tests.rs
@@ -1,5 +1,7 @@
-use super::KnownRows;
-use crate::{edge::StoreRow, peers::RowsPush};
+//! Differences between complete reads, also across a restore, and completeness of pushed rows.
+
+use super::RowCache;
+use crate::{adapter::StoreRow, peers::RowsPush};
 use savorywood_gateway::{SharedTable, StorePosition};
 
 fn row(key: &str, value: &str, era: u64, version: u64) -> StoreRow {
@@ -14,10 +16,10 @@
     rows.iter().map(|row| row.key.as_str()).collect()
 }
 
-/// Guards against a restore after which every row counts as changed.
+/// Guards against a restore after which every row counts as changed because all positions differ.
 #[test]
-fn a_restored_table_differs_by_what_the_backup_lacks() {
-    let mut known = KnownRows::default();
+fn restored_table_differs_only_in_changed_rows() {
+    let mut known = RowCache::default();
     let before = vec![
         row("kept", "a", 1, 10),
         row("rewritten", "new", 1, 20),
@@ -34,19 +36,21 @@
     assert_eq!(differences[2].value, None);
 }
 
-/// Guards against an order that is withdrawn and given again with the same text, and is not passed on.
+/// Guards against an order that is withdrawn and written again with the same content, but is not
+/// pushed.
 #[test]
-fn a_row_that_is_written_again_within_an_era_differs() {
-    let mut known = KnownRows::default();
+fn row_rewritten_within_an_era_is_a_difference() {
+    let mut known = RowCache::default();
     known.replace(vec![row("order", "a", 1, 10)], StorePosition::new(1, 10));
     let again = vec![row("order", "a", 1, 14)];
     let differences = known.replace(again, StorePosition::new(1, 14));
     assert_eq!(keys(&differences), ["order"]);
 }
 
-/// Guards against rows after a restore that are taken for all there is by a daemon that holds what was lost.
+/// Guards against a push after a restore that is taken as complete by a daemon that still holds
+/// rows the restore lost.
 #[test]
-fn a_daemon_that_holds_what_a_restore_lost_is_not_completed() {
+fn push_after_restore_is_incomplete_for_daemon_with_lost_rows() {
     let push = RowsPush {
         table: SharedTable::Upstreams,
         after: StorePosition::new(1, 10),
@@ -54,14 +58,23 @@
         through: StorePosition::new(2, 12),
         rows: Vec::new(),
     };
-    assert!(push.completes(StorePosition::new(1, 10)));
-    assert!(push.completes(StorePosition::new(1, 20)));
-    assert!(!push.completes(StorePosition::new(1, 9)), "it lacks rows");
-    assert!(!push.completes(StorePosition::new(1, 21)), "it holds more");
-    assert!(!push.completes(StorePosition::new(2, 12)), "it knows all");
+    assert!(push.is_complete_for(StorePosition::new(1, 10)));
+    assert!(push.is_complete_for(StorePosition::new(1, 20)));
+    assert!(
+        !push.is_complete_for(StorePosition::new(1, 9)),
+        "it lacks earlier rows"
+    );
+    assert!(
+        !push.is_complete_for(StorePosition::new(1, 21)),
+        "it holds rows that the restore lost"
+    );
+    assert!(
+        !push.is_complete_for(StorePosition::new(2, 12)),
+        "it has applied all changes"
+    );
     let same_era = RowsPush {
         through: StorePosition::new(1, 30),
         ..push
     };
-    assert!(same_era.completes(StorePosition::new(1, 25)));
+    assert!(same_era.is_complete_for(StorePosition::new(1, 25)));
 }
--- a/crates/savorywood-front/src/lib.rs
+++ b/crates/savorywood-front/src/lib.rs
@@ -1,14 +1,15 @@
-//! The shell of a gateway: callers, upstreams, store, peers, logs and metrics around its
-//! decisions.
+//! The I/O layer of a front daemon: connections of callers, upstreams, store and peers, logs and
+//! metrics around the decisions of `savorywood-gateway`.
 //!
-//! What other programs call things, and how they write them, comes in through [`FrontAdapter`].
+//! Header names, row formats and store calls of a platform are provided by an implementation of
+//! [`FrontAdapter`].
 
+mod adapter;
 mod admin;
 mod attempt;
 mod caller;
 mod clock;
 mod content;
-mod edge;
 mod feeds;
 mod load;
 mod logging;
@@ -23,7 +24,7 @@
 mod store;
 mod wire;
 
-pub use edge::{
+pub use adapter::{
     ArrivalError, DeclaredRow, DirectoryQuery, DispatchContext, FrontAdapter, ParsedResponseHead,
     RolloutRow, StorePage, StoreRow, StoreTable, TableWrite,
 };
@@ -31,5 +32,5 @@
 pub use settings::{BoundSettings, FrontSettings, LimitSettings, ListenSettings, StoreSettings};
 pub use wire::{
     BodyFraming, HeadError, HeaderLine, HeaderList, RequestHead, ResponseHead, StoreCall,
-    is_hop_header,
+    is_hop_by_hop_header,
 };
--- a/crates/savorywood-front/src/logging/tests.rs
+++ b/crates/savorywood-front/src/logging/tests.rs
@@ -1,4 +1,4 @@
-//! The log's budget.
+//! The rate limit of the log.
 
 use super::*;
 
@@ -6,10 +6,10 @@
     LogLine::new(LogLevel::Info, event)
 }
 
-/// A burst of requests fills the log's budget. Successes are left out first and failures still
-/// find room, so the requests that somebody will ask about can be followed.
+/// Guards against a burst of requests that uses up the rate limit: lines about successes are
+/// dropped first, so that lines about failures are still written.
 #[test]
-fn successes_are_left_out_before_failures() {
+fn lines_about_successes_are_dropped_first() {
     let queue = LogQueue::start(log::LevelFilter::Info);
     for _ in 0..5_000 {
         queue.write_line(&line("request-dispatched"));
@@ -20,10 +20,8 @@
         queue.write_line(&line("request-refused"));
     }
     let after = queue.omitted().over_budget.load(Ordering::Relaxed);
-    assert_eq!(after, omitted, "refusals were left out");
+    assert_eq!(after, omitted, "refusals were dropped");
     let ended = line("request-ended").with("end", "broken-answer");
-    assert!(tells_of_failure(&ended));
-    assert!(!tells_of_failure(
-        &line("request-ended").with("end", "served")
-    ));
+    assert!(is_failure(&ended));
+    assert!(!is_failure(&line("request-ended").with("end", "served")));
 }
--- a/crates/savorywood-front/src/metrics.rs
+++ b/crates/savorywood-front/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms, served as text.
+//! Prometheus metrics of a front daemon.
 
 use crate::logging::OmittedLines;
 use prometheus::{
@@ -8,61 +8,55 @@
 use savorywood_gateway::DispatchOrder;
 use std::{sync::atomic::Ordering, time::Duration};
 
-/// Bounds of latency buckets in seconds.
+/// Upper bounds of the latency buckets in seconds.
 const LATENCY_BUCKETS: [f64; 12] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 4.0, 8.0, 16.0,
 ];
 
-/// Metrics of a front daemon.
 #[derive(Debug)]
 pub struct FrontMetrics {
     registry: Registry,
-    /// Requests that arrived whole.
+    /// Requests received completely.
     pub arrived: IntCounter,
-    /// Final answers by how they came about.
+    /// Final responses, by how the request ended.
     pub ended: IntCounterVec,
-    /// Attempts by outcome.
+    /// Attempts at upstreams, by outcome.
     pub attempts: IntCounterVec,
-    /// Calls to the store by table and outcome.
+    /// Calls to the store, by outcome.
     pub store_calls: IntCounterVec,
-    /// Time from arrival to the first send, by service and priority.
-    pub waiting_time: HistogramVec,
+    /// Time from arrival to the first dispatch, by service and priority.
+    pub waiting_duration: HistogramVec,
     /// Time from arrival to the first event of a stream, by service and priority.
     pub first_event: HistogramVec,
-    /// Time from arrival to the end of a whole answer, by service and priority.
-    pub whole_answer: HistogramVec,
-    /// Time to connect to an upstream.
+    /// Time from arrival to the end of a complete response, by service and priority.
+    pub complete_response: HistogramVec,
     pub connecting: Histogram,
-    /// Requests that wait for a place.
+    /// Requests that wait for a free slot.
     pub waiting: IntGauge,
-    /// Requests at upstreams.
+    /// Requests that are executing at upstreams.
     pub running: IntGauge,
-    /// Age of the newest proof of the configuration.
-    pub proof_age: Gauge,
-    /// Configuration version in force.
+    /// Seconds since the configuration was last confirmed as current.
+    pub confirmation_age: Gauge,
     pub config_version: IntGauge,
-    /// Peers seen lately.
+    /// Peers that are live.
     pub peers: IntGauge,
-    /// Ready for callers.
+    /// 1 when the daemon is ready for callers, otherwise 0.
     pub ready: IntGauge,
-    /// Open connections of callers.
     pub connections: IntGauge,
-    /// Member of the entry set.
+    /// 1 when the daemon is a member of its zone's entry set, otherwise 0.
     pub entry_member: IntGauge,
-    /// Members of the own zone.
+    /// Members of the entry set of this zone.
     pub entry_members: IntGauge,
-    /// Zones under evacuation.
+    /// Availability zones that operators ordered to evacuate.
     pub evacuated_zones: IntGauge,
-    /// Era of the store.
     pub store_era: IntGauge,
-    /// Upstreams that name a limit.
+    /// Upstreams that report a rate limit.
     pub limited_upstreams: IntGauge,
-    /// Requests in quarantine.
     pub quarantined: IntGauge,
-    /// Upstreams that are cold.
+    /// Upstreams that are warming up.
     pub cold_upstreams: IntGauge,
-    /// Datagrams that could not be read.
-    pub unread_datagrams: IntCounter,
+    /// Datagrams that could not be decoded.
+    pub unreadable_datagrams: IntCounter,
     log_omitted: IntCounterVec,
 }
 
@@ -70,65 +64,74 @@
     fn default() -> Self {
         let registry = Registry::new();
         let metrics = Self {
-            arrived: counter("requests_arrived_total", "Requests that arrived whole"),
-            ended: counters(
+            arrived: counter("requests_arrived_total", "Requests received completely"),
+            ended: counter_vec(
                 "requests_ended_total",
-                "Final answers by how they came about",
+                "Final responses by how the request ended",
                 "end",
             ),
-            attempts: counters(
+            attempts: counter_vec(
                 "attempts_total",
                 "Attempts at upstreams by outcome",
                 "outcome",
             ),
-            store_calls: counters("store_calls_total", "Calls to the store", "outcome"),
-            waiting_time: histograms(
+            store_calls: counter_vec("store_calls_total", "Calls to the store", "outcome"),
+            waiting_duration: histogram_vec(
                 "waiting_seconds",
-                "Time from a request's arrival to its first send",
+                "Time from a request's arrival to its first dispatch",
             ),
-            first_event: histograms(
+            first_event: histogram_vec(
                 "first_event_seconds",
                 "Time from a request's arrival to the first event of its stream",
             ),
-            whole_answer: histograms(
+            complete_response: histogram_vec(
                 "whole_answer_seconds",
-                "Time from a request's arrival to the end of its whole answer",
+                "Time from a request's arrival to the end of its complete response",
             ),
             connecting: histogram("connecting_seconds", "Time to connect to an upstream"),
-            waiting: gauge("requests_waiting", "Requests that wait for a place"),
-            running: gauge("requests_running", "Requests at upstreams"),
-            proof_age: real_gauge("config_proof_age_seconds", "Age of the newest proof"),
+            waiting: gauge("requests_waiting", "Requests that wait for a free slot"),
+            running: gauge("requests_running", "Requests that upstreams are executing"),
+            confirmation_age: float_gauge(
+                "config_proof_age_seconds",
+                "Time since the configuration was confirmed",
+            ),
             config_version: gauge("config_version", "Configuration version in force"),
-            peers: gauge("peers_alive", "Peers received lately"),
+            peers: gauge("peers_alive", "Live peers"),
             ready: gauge("ready", "1 when ready for callers"),
             connections: gauge("caller_connections", "Open connections of callers"),
-            entry_member: gauge("entry_member", "1 when the directory names this daemon"),
+            entry_member: gauge(
+                "entry_member",
+                "1 when this daemon is a member of the entry set",
+            ),
             evacuated_zones: gauge(
                 "evacuated_zones",
-                "Zones whose upstreams get nothing new by order of operators",
+                "Availability zones that operators ordered to evacuate",
+            ),
+            store_era: gauge(
+                "store_era",
+                "Era of the store; it increases when the store is restored",
             ),
-            store_era: gauge("store_era", "Era that the store names; a rise is a restore"),
             limited_upstreams: gauge(
                 "limited_upstreams",
-                "Upstreams that name a rate which they take from all daemons together",
+                "Upstreams that report a rate limit for all daemons together",
             ),
             quarantined: gauge(
                 "quarantined_requests",
-                "Requests that are refused as upstreams crashed under their like",
+                "Request fingerprints that are refused because upstreams crashed while executing them",
             ),
             cold_upstreams: gauge(
                 "cold_upstreams",
-                "Upstreams that are cold and get work at the pace of their start",
+                "Upstreams that are warming up and receive requests at a limited rate",
             ),
-            unread_datagrams: counter(
+            unreadable_datagrams: counter(
                 "unread_datagrams_total",
-                "Datagrams of daemons of other builds, or of nobody's",
+                "Datagrams that could not be decoded",
             ),
             entry_members: gauge(
                 "entry_members",
-                "Daemons of this zone that the directory names",
+                "Members of the entry set of this availability zone",
             ),
-            log_omitted: counters("log_lines_omitted_total", "Log lines left out", "cause"),
+            log_omitted: counter_vec("log_lines_omitted_total", "Log lines dropped", "cause"),
             registry,
         };
         metrics.register();
@@ -136,42 +139,42 @@
     }
 }
 
-fn name_of(name: &str) -> String {
+fn metric_name(name: &str) -> String {
     format!("savorywood_{name}")
 }
 
 fn counter(name: &str, help: &str) -> IntCounter {
-    IntCounter::new(name_of(name), help).expect("the name is a constant and valid")
+    IntCounter::new(metric_name(name), help).expect("the name is a constant and valid")
 }
 
-fn counters(name: &str, help: &str, label: &str) -> IntCounterVec {
-    let opts = Opts::new(name_of(name), help);
+fn counter_vec(name: &str, help: &str, label: &str) -> IntCounterVec {
+    let opts = Opts::new(metric_name(name), help);
     IntCounterVec::new(opts, &[label]).expect("the name is a constant and valid")
 }
 
 fn gauge(name: &str, help: &str) -> IntGauge {
-    IntGauge::new(name_of(name), help).expect("the name is a constant and valid")
+    IntGauge::new(metric_name(name), help).expect("the name is a constant and valid")
 }
 
-fn real_gauge(name: &str, help: &str) -> Gauge {
-    Gauge::new(name_of(name), help).expect("the name is a constant and valid")
+fn float_gauge(name: &str, help: &str) -> Gauge {
+    Gauge::new(metric_name(name), help).expect("the name is a constant and valid")
 }
 
 fn histogram(name: &str, help: &str) -> Histogram {
-    let opts = HistogramOpts::new(name_of(name), help).buckets(LATENCY_BUCKETS.to_vec());
+    let opts = HistogramOpts::new(metric_name(name), help).buckets(LATENCY_BUCKETS.to_vec());
     Histogram::with_opts(opts).expect("the name is a constant and valid")
 }
 
-/// Histograms by service and priority.
-fn histograms(name: &str, help: &str) -> HistogramVec {
-    let opts = HistogramOpts::new(name_of(name), help).buckets(LATENCY_BUCKETS.to_vec());
+/// Creates a histogram with labels for service and priority.
+fn histogram_vec(name: &str, help: &str) -> HistogramVec {
+    let opts = HistogramOpts::new(metric_name(name), help).buckets(LATENCY_BUCKETS.to_vec());
     HistogramVec::new(opts, &["service", "priority"]).expect("the name is a constant and valid")
 }
 
-/// Notes a time in the histogram of the order's service and priority.
-pub fn observe(histograms: &HistogramVec, order: &DispatchOrder, elapsed: Duration) {
+/// Records a duration in the histogram for the order's service and priority.
+pub fn observe(histogram_vec: &HistogramVec, order: &DispatchOrder, elapsed: Duration) {
     let labels = [order.service.as_str(), &order.priority.to_string()];
-    histograms
+    histogram_vec
         .with_label_values(&labels)
         .observe(elapsed.as_secs_f64());
 }
@@ -183,13 +186,13 @@
             Box::new(self.ended.clone()),
             Box::new(self.attempts.clone()),
             Box::new(self.store_calls.clone()),
-            Box::new(self.waiting_time.clone()),
+            Box::new(self.waiting_duration.clone()),
             Box::new(self.first_event.clone()),
-            Box::new(self.whole_answer.clone()),
+            Box::new(self.complete_response.clone()),
             Box::new(self.connecting.clone()),
             Box::new(self.waiting.clone()),
             Box::new(self.running.clone()),
-            Box::new(self.proof_age.clone()),
+            Box::new(self.confirmation_age.clone()),
             Box::new(self.config_version.clone()),
             Box::new(self.peers.clone()),
             Box::new(self.ready.clone()),
@@ -201,7 +204,7 @@
             Box::new(self.limited_upstreams.clone()),
             Box::new(self.quarantined.clone()),
             Box::new(self.cold_upstreams.clone()),
-            Box::new(self.unread_datagrams.clone()),
+            Box::new(self.unreadable_datagrams.clone()),
             Box::new(self.log_omitted.clone()),
         ];
         for collector in collectors {
@@ -211,11 +214,12 @@
         }
     }
 
-    /// All metrics as text; `omitted` reports the log.
+    /// Returns all metrics in the Prometheus text format, including the numbers of dropped log
+    /// lines.
     pub fn text(&self, omitted: &OmittedLines) -> Vec<u8> {
         for (cause, count) in [
             ("budget", &omitted.over_budget),
-            ("unread", &omitted.unread),
+            ("unread", &omitted.buffer_full),
         ] {
             let metric = self.log_omitted.with_label_values(&[cause]);
             let reported = metric.get();
--- a/crates/savorywood-front/src/metrics/tests.rs
+++ b/crates/savorywood-front/src/metrics/tests.rs
@@ -1,9 +1,9 @@
-//! The page and the code name the same metrics.
+//! Checks that the operators' page lists the metrics that the code exports.
 
 use super::*;
 use std::collections::BTreeSet;
 
-/// The operators' page, in which a table row begins with the metrics that it explains.
+/// The operators' page. The rows of its metrics table begin with metric names.
 const PAGE: &str = include_str!("../../../../docs/OPERATIONS.md");
 
 fn names_on_page() -> BTreeSet<String> {
@@ -22,9 +22,9 @@
         family.with_label_values(&["x"]).inc();
     }
     let timed = [
-        &metrics.waiting_time,
+        &metrics.waiting_duration,
         &metrics.first_event,
-        &metrics.whole_answer,
+        &metrics.complete_response,
     ];
     for family in timed {
         family.with_label_values(&["x", "0"]).observe(1.0);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn the_page_lists_all_metrics() {
+fn operators_page_lists_all_metrics() {
     let metrics = FrontMetrics::default();
     assert_eq!(names_on_page(), names_in_code(&metrics));
 }
--- a/crates/savorywood-front/src/peers.rs
+++ b/crates/savorywood-front/src/peers.rs
@@ -1,9 +1,9 @@
-//! Datagrams between daemons.
+//! UDP datagrams between daemons: gossip, heartbeats and pushed rows.
 
 mod format;
 
 use self::format::DatagramError;
-use crate::{clock::BootClock, edge::StoreRow, shared::FrontShared};
+use crate::{adapter::StoreRow, clock::BootClock, shared::FrontShared};
 use async_io::Timer;
 use async_net::UdpSocket;
 use futures_lite::future;
@@ -18,78 +18,78 @@
     time::{Duration, Instant},
 };
 
-/// Largest datagram that passes usual links in one piece.
-const MAX_DATAGRAM: usize = 1_400;
+/// Size in bytes up to which a datagram passes common links without fragmentation.
+const MAX_UNFRAGMENTED_BYTES: usize = 1_400;
 
-/// Senders of unreadable datagrams that are logged at most.
-const MOST_UNREAD_SENDERS: usize = 64;
+/// Maximum number of senders of undecodable datagrams that are logged.
+const MAX_LOGGED_SENDERS: usize = 64;
 
-/// Bytes of rows that are handed on at most; larger changes are read by each daemon.
-const MAX_PUSH: usize = 32_768;
+/// Maximum size in bytes of the rows in one push. Daemons read larger changes from the store.
+const MAX_PUSH_BYTES: usize = 32_768;
 
 fn row_bytes(row: &StoreRow) -> usize {
     row.key.len() + row.value.as_ref().map_or(0, Vec::len)
 }
 
-/// Rows that changed, handed on by a daemon that reads the store.
+/// Changed rows of a table, pushed by a daemon that reads the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowsPush {
-    /// Their table.
     pub table: SharedTable,
-    /// The last change that was known before. Whoever knows it lacks nothing but these rows.
+    /// Position of the last change before these rows. A daemon that has applied it lacks only these
+    /// rows.
     pub after: StorePosition,
-    /// All changes up to this position were known before. Where the store was restored since, whoever
-    /// knows more holds what it lost.
+    /// Position up to which the sender had applied all changes before. After a restore of the
+    /// store, a daemon beyond this position holds rows that the store lost.
     pub before: StorePosition,
-    /// All changes up to this one are known with these rows.
+    /// Position up to which all changes are applied together with these rows.
     pub through: StorePosition,
-    /// The rows, in order.
+    /// Changed rows, in the order in which they are applied.
     pub rows: Vec<StoreRow>,
 }
 
 impl RowsPush {
-    /// These rows are all that is missing where all changes up to a position are known.
+    /// Reports whether a daemon that has applied all changes up to `known` lacks only these rows.
     #[must_use]
-    pub fn completes(&self, known: StorePosition) -> bool {
+    pub fn is_complete_for(&self, known: StorePosition) -> bool {
         let is_restored = self.before.era < self.through.era;
         let holds_lost = is_restored && known > self.before;
         self.after <= known && known < self.through && !holds_lost
     }
 }
 
-/// What travels between daemons.
+/// Content of a datagram.
 #[derive(Debug, Serialize, Deserialize)]
 enum PeerDatagram {
-    /// Of decisions to decisions.
+    /// A message between the gateways of two daemons.
     Message(Box<PeerMessage>),
-    /// Rows of registrations.
+    /// Rows pushed to daemons that rely on the sender.
     Rows(RowsPush),
 }
 
-/// The socket on which daemons gossip.
+/// UDP socket for datagrams of other daemons.
 #[derive(Debug)]
 pub struct PeerSocket {
     socket: UdpSocket,
     clock: BootClock,
-    /// Senders of datagrams that could not be read, so that each is logged once.
-    unread: RefCell<BTreeSet<SocketAddr>>,
+    /// Senders of datagrams that could not be decoded, so that each is logged once.
+    unreadable_senders: RefCell<BTreeSet<SocketAddr>>,
 }
 
 impl PeerSocket {
-    /// Opens the socket.
+    /// Binds the socket to the peer address of this daemon.
     ///
     /// # Errors
     ///
-    /// When the address can't be had.
+    /// Returns an error when the address can't be used.
     pub async fn open(own: SocketAddr) -> io::Result<Rc<Self>> {
         Ok(Rc::new(Self {
             socket: UdpSocket::bind(own).await?,
             clock: BootClock,
-            unread: RefCell::default(),
+            unreadable_senders: RefCell::default(),
         }))
     }
 
-    /// Sends state of this daemon and its zone to others now.
+    /// Sends the state of this daemon and its zone to the current gossip targets.
     pub async fn gossip(&self, shared: &FrontShared) {
         let now = self.clock.now();
         let plan = shared.gateway.borrow_mut().plan_gossip(now);
@@ -117,8 +117,7 @@
         }
     }
 
-    /// Sends what is new of requests under which upstreams crashed, and of limits that upstreams
-    /// name.
+    /// Sends new crash records and the rate limits that upstreams report.
     async fn send_reports(
         &self,
         shared: &FrontShared,
@@ -138,12 +137,12 @@
         }
     }
 
-    /// Hands changed rows on to the neighbours that rely on this daemon. Those that miss them see
-    /// by its next message that they lack something, and read it.
+    /// Pushes changed rows to the daemons that rely on this one. A daemon that misses a push
+    /// detects the gap with the next message and reads the rows from the store.
     pub async fn push(&self, shared: &FrontShared, push: RowsPush) {
         let bytes: usize = push.rows.iter().map(row_bytes).sum();
         let followers = shared.gateway.borrow().row_update_targets(self.clock.now());
-        if !followers.is_empty() && bytes <= MAX_PUSH {
+        if !followers.is_empty() && bytes <= MAX_PUSH_BYTES {
             self.send(&PeerDatagram::Rows(push), &followers).await;
         }
     }
@@ -152,16 +151,17 @@
         let Some(bytes) = format::encode(datagram) else {
             return;
         };
-        if bytes.len() > MAX_DATAGRAM {
+        if bytes.len() > MAX_UNFRAGMENTED_BYTES {
             log::debug!("event=datagram-large bytes={}", bytes.len());
         }
         for address in addresses {
-            // A peer that can't be reached gets the next message; a full buffer drops the message.
+            // Sending is best effort: a datagram that can't be sent is dropped, and the next
+            // message replaces it.
             let _ = future::poll_once(self.socket.send_to(&bytes, *address)).await;
         }
     }
 
-    /// Receives messages of peers for as long as the process lives.
+    /// Receives datagrams until the process ends.
     pub async fn receive(self: Rc<Self>, shared: Rc<FrontShared>) {
         let mut buffer = vec![0; 65_536];
         loop {
@@ -177,10 +177,10 @@
                         PeerMessage::Crashes(gossip) => GatewayEvent::CrashesReported(gossip),
                         PeerMessage::Limits(gossip) => GatewayEvent::LimitsReported(gossip),
                     }),
-                    // The receiver lives as long as the daemon; a full queue drops the rows, which
-                    // are then read.
-                    Ok(PeerDatagram::Rows(push)) => shared.take_rows(push),
-                    Err(fault) => self.note_unread(&shared, sender, fault),
+                    // When the queue is full the rows are dropped, and the reader of the table
+                    // fetches them from the store.
+                    Ok(PeerDatagram::Rows(push)) => shared.queue_rows(push),
+                    Err(error) => self.report_unreadable(&shared, sender, error),
                 },
                 Err(error) => {
                     log::debug!("event=datagrams-stopped error={error:?}");
@@ -190,18 +190,19 @@
         }
     }
 
-    /// A datagram of another build, or of no daemon.
-    fn note_unread(&self, shared: &FrontShared, sender: SocketAddr, fault: DatagramError) {
-        shared.metrics.unread_datagrams.inc();
-        let mut unread = self.unread.borrow_mut();
-        if unread.len() < MOST_UNREAD_SENDERS && unread.insert(sender) {
-            let cause = fault.to_string();
+    /// Counts a datagram that could not be decoded: it comes from a daemon of another build, or is
+    /// not one of ours.
+    fn report_unreadable(&self, shared: &FrontShared, sender: SocketAddr, error: DatagramError) {
+        shared.metrics.unreadable_datagrams.inc();
+        let mut unread = self.unreadable_senders.borrow_mut();
+        if unread.len() < MAX_LOGGED_SENDERS && unread.insert(sender) {
+            let cause = error.to_string();
             log::warn!("event=datagram-unread sender={sender} cause={cause:?}");
         }
     }
 
-    /// Gossips for as long as the process lives.
-    pub async fn keep_gossiping(self: Rc<Self>, shared: Rc<FrontShared>) {
+    /// Sends gossip periodically until the process ends.
+    pub async fn run_gossip(self: Rc<Self>, shared: Rc<FrontShared>) {
         loop {
             self.gossip(&shared).await;
             let pause = shared.gateway.borrow().gossip_interval(self.clock.now());
@@ -219,7 +220,7 @@
         }
     }
 
-    /// Sends this daemon's slots alone, while these are scarce.
+    /// Sends only the slots of this daemon, while free slots are scarce.
     async fn send_slots(&self, shared: &FrontShared) {
         let now = self.clock.now();
         let update = shared.gateway.borrow_mut().slot_update(now);
@@ -235,7 +236,7 @@
     }
 
     /// Sends heartbeats while this daemon is a member of the entry set.
-    pub async fn keep_heartbeats(self: Rc<Self>, shared: Rc<FrontShared>) {
+    pub async fn run_heartbeats(self: Rc<Self>, shared: Rc<FrontShared>) {
         loop {
             let pause = shared.gateway.borrow().heartbeat_interval();
             Timer::after(pause.mul_f64(0.9 + fastrand::f64() * 0.2)).await;
--- a/crates/savorywood-front/src/peers/format/tests.rs
+++ b/crates/savorywood-front/src/peers/format/tests.rs
@@ -1,3 +1,5 @@
+//! Encoding of datagrams, and rejection of those of other formats.
+
 use super::{DatagramError, decode, encode};
 use crate::peers::{PeerDatagram, RowsPush};
 use quickcheck::quickcheck;
@@ -14,7 +16,7 @@
 }
 
 #[test]
-fn a_message_is_read_as_it_was_sent() {
+fn message_decodes_to_what_was_encoded() {
     let bytes = encode(&push()).expect("bytes");
     assert_eq!(decode::<RowsPush>(&bytes), Ok(push()));
     assert_eq!(
@@ -23,27 +25,27 @@
     );
 }
 
-/// Guards against figures of a daemon of another build that are read as something else.
+/// Guards against a datagram of another build that decodes to wrong values.
 #[test]
-fn a_message_of_another_build_is_not_read() {
+fn message_of_another_format_version_is_rejected() {
     let bytes = encode(&push()).expect("bytes");
     let mut other = bytes.clone();
     other[1] += 1;
-    let fault = DatagramError::OtherVersion { version: other[1] };
-    assert_eq!(decode::<RowsPush>(&other), Err(fault));
+    let error = DatagramError::OtherVersion { version: other[1] };
+    assert_eq!(decode::<RowsPush>(&other), Err(error));
     assert_eq!(
         decode::<RowsPush>(&bytes[2..]),
-        Err(DatagramError::Unmarked)
+        Err(DatagramError::UnknownFormat)
     );
 }
 
 quickcheck! {
-    /// Guards against datagrams of anybody that end the process.
-    fn any_bytes_are_read_or_refused(bytes: Vec<u8>) -> bool {
+    /// Guards against arbitrary input that makes the process panic.
+    fn arbitrary_bytes_are_decoded_or_rejected(bytes: Vec<u8>) -> bool {
         let mut marked = encode(&()).unwrap_or_default();
         marked.extend(&bytes);
         let _ = decode::<PeerDatagram>(&marked);
-        let is_unmarked = decode::<PeerDatagram>(&bytes).err() == Some(DatagramError::Unmarked);
+        let is_unmarked = decode::<PeerDatagram>(&bytes).err() == Some(DatagramError::UnknownFormat);
         let is_marked = bytes.len() > 1 && bytes[0] == 0xd5;
         is_marked != is_unmarked
     }
--- a/crates/savorywood-front/src/run.rs
+++ b/crates/savorywood-front/src/run.rs
@@ -1,10 +1,10 @@
-//! A front daemon's whole life.
+//! Start, main tasks and end of a front daemon.
 
 use crate::{
+    adapter::{FrontAdapter, StoreTable},
     admin, caller,
-    edge::{FrontAdapter, StoreTable},
-    feeds::{TableReader, TableSources, keep_members, keep_quarantine, keep_rollouts},
-    load::keep_load,
+    feeds::{TableReader, TableSources, maintain_membership, sync_quarantine, sync_rollouts},
+    load::measure_load,
     logging::LogQueue,
     peers::PeerSocket,
     settings::FrontSettings,
@@ -27,51 +27,52 @@
     time::{Duration, SystemTime},
 };
 
-/// Time between two ticks while requests wait.
-const BUSY_TICK: Duration = Duration::from_millis(10);
-/// Time between two ticks otherwise.
-const IDLE_TICK: Duration = Duration::from_millis(100);
-/// Longest time for which callers wait for the first reads of the store.
-const FIRST_READS_TIME: Duration = Duration::from_millis(500);
-/// How often these are looked for.
-const FIRST_READS_LOOK: Duration = Duration::from_millis(2);
-/// Time between two hand-overs of log lines.
-const FLUSH_TIME: Duration = Duration::from_millis(200);
+/// Time between two ticks while requests wait for a slot.
+const BUSY_TICK_INTERVAL: Duration = Duration::from_millis(10);
+/// Time between two ticks while no request waits.
+const IDLE_TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum time for which new connections wait for the first reads of the store.
+const FIRST_READS_TIMEOUT: Duration = Duration::from_millis(500);
+/// Interval at which the readiness of the gateway is polled during that time.
+const FIRST_READS_POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// Interval at which log lines are flushed and idle connections are closed.
+const LOG_FLUSH_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Why a front daemon did not run.
+/// A front daemon could not start, or failed.
 #[derive(Debug, Snafu)]
 pub enum FrontError {
-    /// The settings have faults.
+    /// The settings file can't be read or is invalid.
     #[snafu(display("{report}"))]
     Settings {
-        /// All of them.
+        /// All errors of the file.
         report: FaultReport,
     },
-    /// An address can't be had.
+    /// A listening socket could not be opened.
     #[snafu(display("{step} at {address}: {source}; choose an address of this host that is free"))]
     Listen {
-        /// What was being done.
+        /// Purpose of the socket.
         step: &'static str,
-        /// Where.
+        /// Address from the settings.
         address: SocketAddr,
-        /// Why not.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// Signals can't be had.
-    #[snafu(display("waiting for signals: {source}"))]
+    /// Signals could not be registered or read.
+    #[snafu(display("handling signals: {source}"))]
     Signals {
-        /// Why not.
+        /// Error of the operating system.
         source: io::Error,
     },
 }
 
-/// Runs a front daemon with settings from a file until it is ordered to stop.
+/// Runs a front daemon with the settings of a file until it is ordered to stop.
 ///
 /// # Errors
 ///
-/// When the settings have faults or an address can't be had.
+/// Returns an error when the settings are invalid, an address can't be used or signals can't be
+/// handled.
 pub fn run(settings_path: &Path, adapter: Box<dyn FrontAdapter>) -> Result<(), FrontError> {
-    let mut signals = stop::take_signals().context(SignalsSnafu)?;
+    let mut signals = stop::register_signals().context(SignalsSnafu)?;
     let settings = FrontSettings::read(settings_path);
     let settings = settings.map_err(|report| SettingsSnafu { report }.build())?;
     let level = settings.log_level.parse().unwrap_or(log::LevelFilter::Info);
@@ -87,8 +88,8 @@
     let executor = Rc::clone(&shared.executor);
     let served = async_io::block_on(executor.run(async {
         let peers = start(&shared).await?;
-        shared.spawn(keep_rollouts(Rc::clone(&shared), rollout_writes));
-        shared.spawn(keep_quarantine(Rc::clone(&shared), quarantine_writes));
+        shared.spawn(sync_rollouts(Rc::clone(&shared), rollout_writes));
+        shared.spawn(sync_quarantine(Rc::clone(&shared), quarantine_writes));
         let watched = settings_path.to_owned();
         shared.spawn(stop::watch_settings(Rc::clone(&shared), watched));
         stop::wait_for_stop(&shared, &mut signals, settings_path)
@@ -160,28 +161,28 @@
     shared.spawn(TableReader::new(Rc::clone(shared), StoreTable::Declared, from).run());
     let from = sources(SharedTable::Upstreams);
     shared.spawn(TableReader::new(Rc::clone(shared), StoreTable::Upstreams, from).run());
-    shared.spawn(keep_members(Rc::clone(shared), Rc::clone(&peers)));
+    shared.spawn(maintain_membership(Rc::clone(shared), Rc::clone(&peers)));
     shared.spawn(Rc::clone(&peers).receive(Rc::clone(shared)));
-    shared.spawn(Rc::clone(&peers).keep_gossiping(Rc::clone(shared)));
-    shared.spawn(Rc::clone(&peers).keep_heartbeats(Rc::clone(shared)));
-    shared.spawn(keep_load(Rc::clone(shared)));
+    shared.spawn(Rc::clone(&peers).run_gossip(Rc::clone(shared)));
+    shared.spawn(Rc::clone(&peers).run_heartbeats(Rc::clone(shared)));
+    shared.spawn(measure_load(Rc::clone(shared)));
     shared.spawn(tick(Rc::clone(shared)));
     shared.spawn(flush(Rc::clone(shared)));
     Ok(peers)
 }
 
-/// Callers that come while a process starts wait for its first reads of the store.
+/// Delays the first accepted connection until the store was read.
 ///
-/// After a kill of all daemons every caller comes back at once, and the first reads take some
-/// milliseconds. Taken on before these, all of those callers would be refused, though the daemon
-/// could serve them a moment later. A store that does not answer must not keep them for long.
+/// After all daemons were killed, every caller reconnects at once, and the first reads take some
+/// milliseconds. Callers accepted before them would be refused, although the daemon could serve
+/// them a moment later. The wait is bounded because the store may be unavailable.
 async fn wait_for_first_reads(shared: &FrontShared) {
-    let began = shared.clock.now();
+    let started_at = shared.clock.now();
     while !shared.gateway.borrow().is_ready(shared.clock.now()) {
-        if shared.clock.now().since(began) >= FIRST_READS_TIME {
+        if shared.clock.now().since(started_at) >= FIRST_READS_TIMEOUT {
             return;
         }
-        Timer::after(FIRST_READS_LOOK).await;
+        Timer::after(FIRST_READS_POLL_INTERVAL).await;
     }
 }
 
@@ -202,14 +203,18 @@
     loop {
         shared.step(GatewayEvent::Tick);
         let waiting = shared.gateway.borrow().waiting_requests();
-        let pause = if waiting > 0 { BUSY_TICK } else { IDLE_TICK };
+        let pause = if waiting > 0 {
+            BUSY_TICK_INTERVAL
+        } else {
+            IDLE_TICK_INTERVAL
+        };
         Timer::after(pause).await;
     }
 }
 
 async fn flush(shared: Rc<FrontShared>) {
     loop {
-        Timer::after(FLUSH_TIME).await;
+        Timer::after(LOG_FLUSH_INTERVAL).await;
         shared.log.flush();
         shared.pool.sweep();
     }
--- a/crates/savorywood-front/src/sink.rs
+++ b/crates/savorywood-front/src/sink.rs
@@ -1,38 +1,37 @@
-//! The answer on its way to the caller.
+//! Writes a response to the caller's connection.
 
 use crate::wire::HeaderLine;
 use async_net::TcpStream;
 use futures_lite::AsyncWriteExt;
 use std::{cell::Cell, fmt::Write, io, rc::Rc};
 
-/// What reaches one caller for one request.
+/// The response to one request of a caller.
 #[derive(Debug)]
-pub struct AnswerSink {
+pub struct ResponseSink {
     stream: TcpStream,
-    /// The connection ends after this answer.
-    pub closes: bool,
-    begun: bool,
+    /// The connection is closed after this response.
+    pub closes_connection: bool,
+    started: bool,
     last_event_id: Option<String>,
     events: u32,
-    /// Bytes are on their way: an attempt that ended now would leave half a piece behind.
+    /// A write is in progress: ending the attempt now would leave a truncated chunk.
     writing: Rc<Cell<bool>>,
 }
 
-impl AnswerSink {
-    /// A sink for one answer.
+impl ResponseSink {
     #[must_use]
-    pub fn new(stream: TcpStream, closes: bool) -> Self {
+    pub fn new(stream: TcpStream, closes_connection: bool) -> Self {
         Self {
             stream,
-            closes,
-            begun: false,
+            closes_connection,
+            started: false,
             last_event_id: None,
             events: 0,
             writing: Rc::default(),
         }
     }
 
-    /// Says at any time whether bytes are just being written.
+    /// Returns a flag that is set while bytes are being written.
     #[must_use]
     pub fn writing(&self) -> Rc<Cell<bool>> {
         Rc::clone(&self.writing)
@@ -45,19 +44,19 @@
         written
     }
 
-    /// Something of the answer has reached the caller.
+    /// Reports whether any byte of the response was written.
     #[must_use]
-    pub fn has_begun(&self) -> bool {
-        self.begun
+    pub fn has_started(&self) -> bool {
+        self.started
     }
 
-    /// Identity of the last event that was passed on.
+    /// Returns the id of the last event forwarded to the caller.
     #[must_use]
     pub fn last_event_id(&self) -> Option<&str> {
         self.last_event_id.as_deref()
     }
 
-    /// Events passed on.
+    /// Returns the number of events forwarded to the caller.
     #[must_use]
     pub fn events(&self) -> u32 {
         self.events
@@ -69,18 +68,18 @@
             let written = write!(head, "{}: {}\r\n", line.name, line.value);
             debug_assert!(written.is_ok());
         }
-        if self.closes {
+        if self.closes_connection {
             head.push_str("Connection: close\r\n");
         }
         head
     }
 
-    /// Writes a whole answer.
+    /// Writes a complete response.
     ///
     /// # Errors
     ///
-    /// When the caller's connection is broken.
-    pub async fn write_whole(
+    /// Returns an error when the caller's connection fails.
+    pub async fn write_response(
         &mut self,
         status: u16,
         reason: &str,
@@ -95,7 +94,7 @@
         head.push_str("\r\n");
         let mut bytes = head.into_bytes();
         bytes.extend_from_slice(body);
-        self.begun = true;
+        self.started = true;
         self.write(&bytes).await
     }
 
@@ -103,8 +102,8 @@
     ///
     /// # Errors
     ///
-    /// When the caller's connection is broken.
-    pub async fn begin_stream(
+    /// Returns an error when the caller's connection fails.
+    pub async fn start_stream(
         &mut self,
         status: u16,
         reason: &str,
@@ -115,35 +114,35 @@
         head.push_str("Transfer-Encoding: chunked\r\n\r\n");
         let mut bytes = head.into_bytes();
         push_chunk(&mut bytes, events);
-        self.begun = true;
+        self.started = true;
         self.write(&bytes).await
     }
 
-    /// Writes more events.
+    /// Writes further events of the stream as one chunk.
     ///
     /// # Errors
     ///
-    /// When the caller's connection is broken.
+    /// Returns an error when the caller's connection fails.
     pub async fn write_events(&mut self, events: &[u8]) -> io::Result<()> {
         let mut bytes = Vec::with_capacity(events.len() + 16);
         push_chunk(&mut bytes, events);
         self.write(&bytes).await
     }
 
-    /// Ends a stream as whole.
+    /// Ends the stream with the final chunk, which marks it as complete.
     ///
     /// # Errors
     ///
-    /// When the caller's connection is broken.
+    /// Returns an error when the caller's connection fails.
     pub async fn end_stream(&mut self) -> io::Result<()> {
         self.write(b"0\r\n\r\n").await
     }
 
-    /// Notes an event that was passed on.
-    pub fn note_event(&mut self, identity: Option<String>) {
+    /// Records an event that is forwarded to the caller.
+    pub fn record_event(&mut self, id: Option<String>) {
         self.events += 1;
-        if identity.is_some() {
-            self.last_event_id = identity;
+        if id.is_some() {
+            self.last_event_id = id;
         }
     }
 }
--- a/crates/savorywood-front/src/store.rs
+++ b/crates/savorywood-front/src/store.rs
@@ -1,9 +1,9 @@
-//! Calls to the store.
+//! HTTP client for calls to the store.
 
 use crate::{
-    attempt::prepare,
-    clock::{BootClock, within},
-    wire::{ByteReader, HeaderList, StoreCall, read_answer_head, read_body},
+    attempt::configure_socket,
+    clock::{BootClock, with_timeout},
+    wire::{ByteReader, HeaderList, StoreCall, read_body, read_response_head},
 };
 use async_net::TcpStream;
 use futures_lite::AsyncWriteExt;
@@ -12,51 +12,45 @@
 use snafu::{ResultExt, Snafu};
 use std::{io, net::SocketAddr, time::Duration};
 
-/// Longest time to connect.
-const CONNECT_TIME: Duration = Duration::from_millis(400);
-/// Largest answer.
-const MAX_ANSWER: usize = 8 << 20;
+/// Maximum time to connect.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// Maximum size of a response in bytes.
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
-/// Why a call has no answer.
+/// A call got no response.
 #[derive(Debug, Snafu)]
 pub enum StoreError {
-    /// The connection could not be made, or broke.
-    #[snafu(display("{step} at the store {address}: {source}"))]
+    /// The connection could not be opened, or failed.
+    #[snafu(display("store {address}: {step} failed: {source}"))]
     Broken {
-        /// What was being done.
+        /// Phase of the call that failed.
         step: &'static str,
-        /// The store.
         address: SocketAddr,
-        /// How.
         source: io::Error,
     },
-    /// No answer came in time. The call may still be carried out.
-    #[snafu(display("no answer of the store {address} within {} ms", after.as_millis()))]
-    Silent {
-        /// The store.
+    /// No response arrived in time. The store may still execute the call.
+    #[snafu(display("store {address}: no response within {} ms", after.as_millis()))]
+    TimedOut {
         address: SocketAddr,
-        /// Time waited.
+        /// Time for which the daemon waited.
         after: Duration,
     },
 }
 
-/// An answer of the store.
+/// A response of the store.
 #[derive(Debug)]
-pub struct StoreAnswer {
-    /// Status.
+pub struct StoreResponse {
     pub status: u16,
-    /// Header lines.
     pub headers: HeaderList,
-    /// Body.
     pub body: Vec<u8>,
-    /// When the call was sent.
+    /// Time at which the call was sent, after connecting.
     pub sent: MonotonicTime,
-    /// When the answer came.
+    /// Time at which the response was complete.
     pub received: MonotonicTime,
 }
 
-impl StoreAnswer {
-    /// The exchange, for judging how fresh the answer is.
+impl StoreResponse {
+    /// Returns the times of the exchange, from which the freshness of the response is computed.
     #[must_use]
     pub fn exchange(&self, store_micros: Option<u64>) -> StoreExchange {
         StoreExchange {
@@ -67,17 +61,17 @@
     }
 }
 
-/// One connection to the store, made anew when it breaks.
+/// A connection to the store that is reopened after it failed.
 #[derive(Debug)]
-pub struct StoreLink {
+pub struct StoreConnection {
     address: SocketAddr,
     host: String,
     reader: Option<ByteReader>,
     clock: BootClock,
 }
 
-impl StoreLink {
-    /// A link that connects at its first call.
+impl StoreConnection {
+    /// Creates a client that connects on its first call.
     #[must_use]
     pub fn new(address: SocketAddr) -> Self {
         Self {
@@ -88,37 +82,37 @@
         }
     }
 
-    /// Makes a call and waits for its answer for some time. After a fault the connection is
-    /// closed: an answer that came late would be taken for that of the next call.
+    /// Sends a call and waits up to `time` for its response. After an error the connection is
+    /// closed: a late response would be taken for that of the next call.
     ///
     /// # Errors
     ///
-    /// When there is no answer.
+    /// Returns an error when there is no response.
     pub async fn call(
         &mut self,
         call: &StoreCall,
         time: Duration,
-    ) -> Result<StoreAnswer, StoreError> {
+    ) -> Result<StoreResponse, StoreError> {
         let reader = self.reader.take();
         let address = self.address;
         let exchange = self.exchange(reader, call);
-        let answered = within(time, exchange).await;
-        let (answer, reader) = answered.unwrap_or(
-            SilentSnafu {
+        let result = with_timeout(time, exchange).await;
+        let (response, reader) = result.unwrap_or(
+            TimedOutSnafu {
                 address,
                 after: time,
             }
             .fail(),
         )?;
         self.reader = reader;
-        Ok(answer)
+        Ok(response)
     }
 
     async fn exchange(
         &self,
         reader: Option<ByteReader>,
         call: &StoreCall,
-    ) -> Result<(StoreAnswer, Option<ByteReader>), StoreError> {
+    ) -> Result<(StoreResponse, Option<ByteReader>), StoreError> {
         let address = self.address;
         let mut reader = match reader {
             Some(reader) => reader,
@@ -133,29 +127,29 @@
             .await
             .context(BrokenSnafu { step, address })?;
         let step = "reading";
-        let head = read_answer_head(&mut reader).await;
+        let head = read_response_head(&mut reader).await;
         let head = head.context(BrokenSnafu { step, address })?;
-        let body = read_body(&mut reader, head.framing, MAX_ANSWER).await;
+        let body = read_body(&mut reader, head.framing, MAX_RESPONSE_BYTES).await;
         let body = body.map_err(io::Error::other);
         let body = body.context(BrokenSnafu { step, address })?;
-        let answer = StoreAnswer {
+        let response = StoreResponse {
             status: head.status,
             headers: head.headers,
             body,
             sent,
             received: self.clock.now(),
         };
-        Ok((answer, (!head.closes).then_some(reader)))
+        Ok((response, (!head.closes_connection).then_some(reader)))
     }
 
     async fn connect(&self) -> Result<ByteReader, StoreError> {
         let address = self.address;
-        let connected = within(CONNECT_TIME, TcpStream::connect(address)).await;
+        let connected = with_timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         let connected = connected.unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()));
         let step = "connecting";
         let stream = connected.context(BrokenSnafu { step, address })?;
-        prepare(&stream);
-        Ok(ByteReader::beside_load(stream))
+        configure_socket(&stream);
+        Ok(ByteReader::new_uncounted(stream))
     }
 
     fn call_bytes(&self, call: &StoreCall) -> Vec<u8> {
