--- a/crates/savorywood-gateway/tests/admission.rs
+++ b/crates/savorywood-gateway/tests/admission.rs
@@ -1,6 +1,6 @@
 //! Admission: readiness, routes, keys and team limits.
 
-#[path = "common/scene.rs"]
+#[path = "common/harness.rs"]
 mod harness;
 
 use harness::{GatewayHarness, REVOCATION_BOUND, arrival, config, options, route};
--- a/crates/savorywood-gateway/tests/evacuation.rs
+++ b/crates/savorywood-gateway/tests/evacuation.rs
@@ -1,6 +1,6 @@
 //! Evacuation of zones.
 
-#[path = "common/scene.rs"]
+#[path = "common/harness.rs"]
 mod harness;
 
 use harness::{GatewayHarness, arrival, config, options, upstream};
--- a/crates/savorywood-gateway/tests/together.rs
+++ b/crates/savorywood-gateway/tests/fleet_limits.rs
@@ -1,7 +1,7 @@
 //! Bounds that hold for all daemons together (team limits, retry budgets), and freshness of the
 //! configuration by the store's clock.
 
-#[path = "common/scene.rs"]
+#[path = "common/harness.rs"]
 mod harness;
 
 use harness::{GatewayHarness, arrival, config, options, upstream};
--- a/crates/savorywood-gateway/tests/quarantine.rs
+++ b/crates/savorywood-gateway/tests/quarantine.rs
@@ -2,13 +2,13 @@
 
 #[path = "common/callers.rs"]
 mod callers;
-#[path = "common/field.rs"]
+#[path = "common/cluster.rs"]
 mod cluster;
-#[path = "common/bystanders.rs"]
+#[path = "common/concurrent_requests.rs"]
 mod concurrent_requests;
 #[path = "common/crashes.rs"]
 mod crashes;
-#[path = "common/scene.rs"]
+#[path = "common/harness.rs"]
 mod harness;
 
 use callers::SeededRandom;
--- a/crates/savorywood-gateway/tests/regions.rs
+++ b/crates/savorywood-gateway/tests/regions.rs
@@ -1,6 +1,6 @@
 //! Home regions of routes and teams, in a deployment with two regions.
 
-#[path = "common/scene.rs"]
+#[path = "common/harness.rs"]
 mod harness;
 
 use harness::{GatewayHarness, arrival, config, options, route, upstream};
--- a/crates/savorywood-gateway/tests/truth.rs
+++ b/crates/savorywood-gateway/tests/response_invariants.rs
@@ -1,6 +1,6 @@
 //! Invariants of the responses to callers under random sequences of upstream faults.
 
-#[path = "common/scene.rs"]
+#[path = "common/harness.rs"]
 mod harness;
 
 use harness::{GatewayHarness, arrival, upstream};
--- a/crates/savorywood-gateway/tests/rollouts.rs
+++ b/crates/savorywood-gateway/tests/rollouts.rs
@@ -1,6 +1,6 @@
 //! Roll-outs of a new version by several daemons.
 
-#[path = "common/scene.rs"]
+#[path = "common/harness.rs"]
 mod harness;
 
 use harness::{GatewayHarness, arrival, config, options, upstream};
--- a/crates/savorywood-gateway/tests/deciding.rs
+++ b/crates/savorywood-gateway/tests/scheduling.rs
@@ -1,6 +1,6 @@
 //! Scheduling under load on several daemons and engines of different speeds: results by rank.
 
-#[path = "common/scene.rs"]
+#[path = "common/harness.rs"]
 mod harness;
 #[path = "common/load.rs"]
 mod load;
--- a/crates/savorywood-gateway/tests/restoring.rs
+++ b/crates/savorywood-gateway/tests/store_restore.rs
@@ -1,6 +1,6 @@
 //! Restores of the store from a backup that is some seconds old.
 
-#[path = "common/scene.rs"]
+#[path = "common/harness.rs"]
 mod harness;
 
 use harness::{GatewayHarness, arrival, upstream};
--- a/crates/savorywood-gateway/tests/waiting.rs
+++ b/crates/savorywood-gateway/tests/upstream_selection.rs
@@ -1,6 +1,6 @@
 //! Queueing by priority, and selection of upstreams.
 
-#[path = "common/scene.rs"]
+#[path = "common/harness.rs"]
 mod harness;
 
 use harness::{GatewayHarness, arrival, config, options, upstream};
--- a/crates/savorywood-gateway/tests/zones.rs
+++ b/crates/savorywood-gateway/tests/zones.rs
@@ -2,9 +2,9 @@
 
 #[path = "common/callers.rs"]
 mod callers;
-#[path = "common/field.rs"]
+#[path = "common/cluster.rs"]
 mod cluster;
-#[path = "common/scene.rs"]
+#[path = "common/harness.rs"]
 mod harness;
 
 use cluster::{DAEMONS, DaemonCluster, TeamLoad, UNITS_PER_REQUEST, WINDOW, ZONES};
