--- a/crates/savorywood-core/examples/core_slopes.rs
+++ b/crates/savorywood-core/examples/core_slopes.rs
@@ -14,7 +14,7 @@
 use savorywood_protocol::{
     ConfigRevision, CoreTime, HostIncarnation, MonotonicTime, RequestId, WallTime,
     resource::ResourceDocument,
-    table::{TableAnswer, TableRow},
+    table::{TableResponse, TableRow},
 };
 use serde_json::{Value, json};
 use std::{
@@ -168,7 +168,7 @@
                 DutyKind::Config => rows.clone(),
                 _ => Vec::new(),
             };
-            let answer = TableAnswer::Rows {
+            let answer = TableResponse::Rows {
                 revision: rows.len() as u64,
                 rows: read,
                 more: false,
@@ -253,7 +253,7 @@
             self.now = self.now.after(wait);
             self.step(DaemonEvent::TimerFired(key));
             for call in std::mem::take(&mut self.calls) {
-                let answer = TableAnswer::Rows {
+                let answer = TableResponse::Rows {
                     rows: Vec::new(),
                     revision: 1,
                     more: false,
--- a/crates/savorywood-core/src/claims.rs
+++ b/crates/savorywood-core/src/claims.rs
@@ -33,7 +33,7 @@
 use savorywood_protocol::{
     CoreTime, MonotonicTime, RefusalCode, RequestId, RequestRefusal,
     resource::ClaimRetention,
-    table::{CommitRevision, RowKey, TableAnswer},
+    table::{CommitRevision, RowKey, TableResponse},
 };
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -89,7 +89,7 @@
         /// Number of the call.
         number: u64,
         /// The answer.
-        answer: TableAnswer,
+        answer: TableResponse,
     },
     /// An upstream did something with a claimed call; handed in before the scheduler sees it.
     Upstream(UpstreamEvent),
--- a/crates/savorywood-core/src/claims/settle.rs
+++ b/crates/savorywood-core/src/claims/settle.rs
@@ -8,7 +8,7 @@
 use crate::effect::{EffectQueue, LogLevel, LogLine};
 use savorywood_protocol::{
     CoreTime, RefusalCode, RequestId, RequestRefusal,
-    table::{CommitRevision, TableAnswer, TableRequest, TableRow},
+    table::{CommitRevision, TableRequest, TableResponse, TableRow},
 };
 use std::{collections::BTreeMap, time::Duration};
 
@@ -20,7 +20,7 @@
         &mut self,
         now: CoreTime,
         number: u64,
-        answer: TableAnswer,
+        answer: TableResponse,
         view: ClaimView<'_>,
         effects: &mut EffectQueue,
     ) {
@@ -37,27 +37,27 @@
         &mut self,
         now: CoreTime,
         items: &[BatchItem],
-        answer: TableAnswer,
+        answer: TableResponse,
         view: ClaimView<'_>,
         effects: &mut EffectQueue,
     ) {
         match answer {
-            TableAnswer::Committed { revision } => {
+            TableResponse::Committed { revision } => {
                 for item in items {
                     self.took_effect(now, *item, revision, view, effects);
                 }
             }
-            TableAnswer::Conflict { rows } => {
+            TableResponse::Conflict { rows } => {
                 self.conflicted(now, items, rows, view, effects);
             }
-            TableAnswer::Unavailable => {
+            TableResponse::Unavailable => {
                 for item in items {
                     self.not_written(now, *item, effects);
                 }
             }
             // The commit may have taken effect. Taking it for failed would let a repeat of the
             // call run elsewhere; taking it for done would run the call under another's claim.
-            TableAnswer::Lost | TableAnswer::Rows { .. } => self.doubt(now, items, effects),
+            TableResponse::Lost | TableResponse::Rows { .. } => self.doubt(now, items, effects),
         }
     }
 
@@ -316,11 +316,11 @@
         &mut self,
         now: CoreTime,
         items: Vec<BatchItem>,
-        answer: TableAnswer,
+        answer: TableResponse,
         view: ClaimView<'_>,
         effects: &mut EffectQueue,
     ) {
-        let TableAnswer::Rows { rows, .. } = answer else {
+        let TableResponse::Rows { rows, .. } = answer else {
             self.doubt(now, &items, effects);
             return;
         };
--- a/crates/savorywood-core/src/claims/sweep.rs
+++ b/crates/savorywood-core/src/claims/sweep.rs
@@ -5,7 +5,7 @@
 use savorywood_protocol::{
     CoreTime, MonotonicTime, WallTime,
     table::{
-        CommitRevision, RowCondition, RowWrite, TableAnswer, TableCommit, TableRequest, TableRow,
+        CommitRevision, RowCondition, RowWrite, TableCommit, TableRequest, TableResponse, TableRow,
     },
 };
 
@@ -49,10 +49,10 @@
     pub(super) fn scanned(
         &mut self,
         now: CoreTime,
-        answer: TableAnswer,
+        answer: TableResponse,
         effects: &mut EffectQueue,
     ) {
-        let TableAnswer::Rows { rows, more, .. } = answer else {
+        let TableResponse::Rows { rows, more, .. } = answer else {
             return;
         };
         let last = rows.last().map(|row| row.revision);
@@ -71,8 +71,8 @@
         self.call_table(TableTask::SweepDelete { rows }, request, effects);
     }
 
-    pub(super) fn swept(&mut self, rows: u64, answer: &TableAnswer) {
-        if matches!(answer, TableAnswer::Committed { .. }) {
+    pub(super) fn swept(&mut self, rows: u64, answer: &TableResponse) {
+        if matches!(answer, TableResponse::Committed { .. }) {
             self.counters.swept += rows;
         }
     }
--- a/crates/savorywood-core/src/config.rs
+++ b/crates/savorywood-core/src/config.rs
@@ -35,7 +35,7 @@
     ConfigRevision, CoreTime, HostName, MonotonicTime, MoveName, WallTime,
     peer::ConfigMessage,
     resource::{MoveState, ResourceKey, ResourceKind, ResourceStatus},
-    table::{TableAnswer, TableRequest},
+    table::{TableRequest, TableResponse},
 };
 use std::{collections::VecDeque, sync::Arc};
 
@@ -54,7 +54,7 @@
         /// Number of the call.
         number: u64,
         /// Its answer.
-        answer: TableAnswer,
+        answer: TableResponse,
     },
     /// An operator wants a change.
     Operator {
@@ -241,7 +241,7 @@
         &mut self,
         now: CoreTime,
         number: u64,
-        answer: TableAnswer,
+        answer: TableResponse,
         members: &MemberView,
         effects: &mut EffectQueue,
     ) {
--- a/crates/savorywood-core/src/config/refreshing.rs
+++ b/crates/savorywood-core/src/config/refreshing.rs
@@ -14,7 +14,7 @@
 use savorywood_protocol::{
     ConfigRevision, CoreTime, HostName,
     peer::{ConfigMessage, PeerMessage},
-    table::TableAnswer,
+    table::TableResponse,
 };
 use std::time::Duration;
 
@@ -69,12 +69,12 @@
     pub(super) fn scan_answered(
         &mut self,
         now: CoreTime,
-        answer: TableAnswer,
+        answer: TableResponse,
         members: &MemberView,
         effects: &mut EffectQueue,
     ) {
         match answer {
-            TableAnswer::Rows { rows, more, .. } => {
+            TableResponse::Rows { rows, more, .. } => {
                 let number = self.next_call();
                 match self.poll.take_page(rows, more, number) {
                     Some(PageVerdict::More(after)) => {
@@ -90,10 +90,10 @@
                     None => {}
                 }
             }
-            TableAnswer::Committed { .. }
-            | TableAnswer::Conflict { .. }
-            | TableAnswer::Unavailable
-            | TableAnswer::Lost => {
+            TableResponse::Committed { .. }
+            | TableResponse::Conflict { .. }
+            | TableResponse::Unavailable
+            | TableResponse::Lost => {
                 self.poll.fail();
                 self.refuse_waiting(effects);
                 self.ask_peers(now, members, effects);
--- a/crates/savorywood-core/src/config/writing.rs
+++ b/crates/savorywood-core/src/config/writing.rs
@@ -15,7 +15,7 @@
 use rand::Rng;
 use savorywood_protocol::{
     CoreTime, RefusalCode, RequestRefusal,
-    table::{TableAnswer, TableRequest, TableRow},
+    table::{TableRequest, TableResponse, TableRow},
 };
 use std::time::Duration;
 
@@ -112,7 +112,7 @@
     pub(super) fn write_answered(
         &mut self,
         now: CoreTime,
-        answer: TableAnswer,
+        answer: TableResponse,
         effects: &mut EffectQueue,
     ) {
         let stage = self.writes.front().map(|write| write.stage.clone());
@@ -123,20 +123,20 @@
         }
     }
 
-    fn commit_answered(&mut self, now: CoreTime, answer: TableAnswer, effects: &mut EffectQueue) {
+    fn commit_answered(&mut self, now: CoreTime, answer: TableResponse, effects: &mut EffectQueue) {
         let Some(write) = self.writes.front_mut() else {
             return;
         };
         match answer {
-            TableAnswer::Committed { revision } => self.landed(now, Some(revision), effects),
-            TableAnswer::Unavailable if !write.is_uncertain() => {
+            TableResponse::Committed { revision } => self.landed(now, Some(revision), effects),
+            TableResponse::Unavailable if !write.is_uncertain() => {
                 self.finish_write(store_refusal(false), effects);
             }
-            TableAnswer::Conflict { .. } => self.read_back(effects),
+            TableResponse::Conflict { .. } => self.read_back(effects),
             // The change may have taken effect although nobody was told. Saying "refused" now
             // would make the operator send it again on top of itself; "accepted" may be untrue.
             // The operator would see a refused change in force. The head row settles it.
-            TableAnswer::Lost | TableAnswer::Unavailable | TableAnswer::Rows { .. } => {
+            TableResponse::Lost | TableResponse::Unavailable | TableResponse::Rows { .. } => {
                 if let Some(tried) = &mut write.tried {
                     tried.uncertain = true;
                 }
@@ -153,8 +153,8 @@
         }
     }
 
-    fn head_answered(&mut self, now: CoreTime, answer: TableAnswer, effects: &mut EffectQueue) {
-        let TableAnswer::Rows { rows, .. } = answer else {
+    fn head_answered(&mut self, now: CoreTime, answer: TableResponse, effects: &mut EffectQueue) {
+        let TableResponse::Rows { rows, .. } = answer else {
             self.wait_for_table(now, effects);
             return;
         };
--- a/crates/savorywood-core/src/daemon.rs
+++ b/crates/savorywood-core/src/daemon.rs
@@ -37,7 +37,7 @@
     TierRank, UpstreamName, ZoneName,
     peer::{PeerMessage, membership::MemberPlace},
     resume_token::ResumeKey,
-    table::TableAnswer,
+    table::TableResponse,
 };
 use sharing::{DemandCount, HeldRequests};
 use std::{
@@ -296,7 +296,7 @@
         now: CoreTime,
         duty: DutyKind,
         number: u64,
-        answer: TableAnswer,
+        answer: TableResponse,
         effects: &mut EffectQueue,
     ) {
         match duty {
--- a/crates/savorywood-core/src/event.rs
+++ b/crates/savorywood-core/src/event.rs
@@ -8,7 +8,7 @@
 };
 use savorywood_protocol::{
     AttemptNumber, HostName, RegionName, RequestId, UpstreamName, ZoneName, peer::PeerMessage,
-    table::TableAnswer,
+    table::TableResponse,
 };
 use std::{net::SocketAddr, time::Duration};
 use strum::{Display, EnumIter, IntoStaticStr};
@@ -233,7 +233,7 @@
         /// Which call.
         call: TableCall,
         /// Its answer.
-        answer: TableAnswer,
+        answer: TableResponse,
     },
     /// An operator wants to change a resource.
     Operator {
--- a/crates/savorywood-core/src/leases.rs
+++ b/crates/savorywood-core/src/leases.rs
@@ -26,7 +26,7 @@
 use row::LeaseRow;
 use savorywood_protocol::{
     CoreTime, FencingNumber, MonotonicTime,
-    table::{CommitRevision, TableAnswer, TableRequest},
+    table::{CommitRevision, TableRequest, TableResponse},
 };
 use std::collections::BTreeMap;
 use strum::{Display, EnumIter, EnumString, IntoStaticStr};
@@ -74,7 +74,7 @@
         /// Number of the call.
         number: u64,
         /// Its answer.
-        answer: TableAnswer,
+        answer: TableResponse,
     },
     /// This daemon leaves: all its leases are given back.
     Leaving,
@@ -217,7 +217,7 @@
         &mut self,
         now: CoreTime,
         number: u64,
-        answer: TableAnswer,
+        answer: TableResponse,
         effects: &mut EffectQueue,
     ) {
         let mut records = self.records.iter_mut();
@@ -235,18 +235,18 @@
             return;
         };
         match (answer, &call.purpose) {
-            (TableAnswer::Committed { revision }, _) => {
+            (TableResponse::Committed { revision }, _) => {
                 self.committed(now, name, &call, revision, effects);
             }
-            (TableAnswer::Rows { rows, .. }, CallPurpose::Read) => {
+            (TableResponse::Rows { rows, .. }, CallPurpose::Read) => {
                 let row = rows.first();
                 self.read(now, name, row, effects);
             }
             // The write may have taken effect: the next read tells by the nonce of the row.
-            (TableAnswer::Lost, CallPurpose::Take { .. } | CallPurpose::Renew { .. }) => {
+            (TableResponse::Lost, CallPurpose::Take { .. } | CallPurpose::Renew { .. }) => {
                 record.lost = Some(call);
             }
-            (TableAnswer::Conflict { .. }, _) => self.send_read(now, name, effects),
+            (TableResponse::Conflict { .. }, _) => self.send_read(now, name, effects),
             _ => {}
         }
     }
--- a/crates/savorywood-core/src/moves.rs
+++ b/crates/savorywood-core/src/moves.rs
@@ -33,7 +33,7 @@
     ConfigRevision, CoreTime, HostName, MonotonicTime, MoveName, ServiceName,
     peer::MoveMessage,
     resource::{ResourceKey, ResourceKind, TrafficMoveSpec},
-    table::{CommitRevision, TableAnswer, TableRequest},
+    table::{CommitRevision, TableRequest, TableResponse},
 };
 use std::{collections::BTreeMap, time::Duration};
 use watching::LocalWatch;
@@ -58,7 +58,7 @@
         /// Number of the call.
         number: u64,
         /// Its answer.
-        answer: TableAnswer,
+        answer: TableResponse,
     },
     /// A peer tells something.
     Peer {
--- a/crates/savorywood-core/src/moves/reading.rs
+++ b/crates/savorywood-core/src/moves/reading.rs
@@ -12,7 +12,7 @@
 use rand::Rng;
 use savorywood_protocol::{
     CoreTime, MoveName,
-    table::{TableAnswer, TableRequest, TableRow},
+    table::{TableRequest, TableResponse, TableRow},
 };
 use std::time::Duration;
 
@@ -54,14 +54,19 @@
         self.reading = Some(RowReading { number, asked_at });
     }
 
-    pub(super) fn answered(&mut self, number: u64, answer: TableAnswer, effects: &mut EffectQueue) {
+    pub(super) fn answered(
+        &mut self,
+        number: u64,
+        answer: TableResponse,
+        effects: &mut EffectQueue,
+    ) {
         if self
             .reading
             .as_ref()
             .is_some_and(|reading| reading.number == number)
         {
             self.reading = None;
-            if let TableAnswer::Rows { rows, .. } = answer {
+            if let TableResponse::Rows { rows, .. } = answer {
                 for row in &rows {
                     // Only a scan moves this on: a row that came with a conflict may be newer than
                     // rows of other moves that were not read yet.
@@ -80,21 +85,21 @@
     }
 
     /// A commit took effect, or did not, or nobody knows: then the next read tells.
-    fn written(&mut self, name: &MoveName, answer: TableAnswer, effects: &mut EffectQueue) {
+    fn written(&mut self, name: &MoveName, answer: TableResponse, effects: &mut EffectQueue) {
         let Some(writing) = self.writing.remove(name) else {
             return;
         };
         match answer {
-            TableAnswer::Committed { revision } => {
+            TableResponse::Committed { revision } => {
                 let row = writing.row;
                 self.note_row(name.clone(), MoveRecord { row, revision }, effects);
             }
-            TableAnswer::Conflict { rows } => {
+            TableResponse::Conflict { rows } => {
                 for row in &rows {
                     self.take_row(row, effects);
                 }
             }
-            TableAnswer::Rows { .. } | TableAnswer::Unavailable | TableAnswer::Lost => {}
+            TableResponse::Rows { .. } | TableResponse::Unavailable | TableResponse::Lost => {}
         }
     }
 
--- a/crates/savorywood-core/tests/claim/store.rs
+++ b/crates/savorywood-core/tests/claim/store.rs
@@ -11,7 +11,7 @@
     AttemptNumber, CoreTime, HostIncarnation, HostName, MonotonicTime, OutcomeKind, RequestId,
     RequestRefusal, TierRank, WallTime,
     resource::ClaimRetention,
-    table::{CommitRevision, RowKey, TableAnswer, TableCommit, TableRequest, TableRow},
+    table::{CommitRevision, RowKey, TableCommit, TableRequest, TableResponse, TableRow},
 };
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -56,7 +56,7 @@
 }
 
 impl FakeTable {
-    pub fn answer(&mut self, request: &TableRequest) -> TableAnswer {
+    pub fn answer(&mut self, request: &TableRequest) -> TableResponse {
         match request {
             TableRequest::Get { keys } => {
                 let rows = keys.iter().filter_map(|key| self.rows.get(key));
@@ -77,15 +77,15 @@
         }
     }
 
-    fn rows_answer(&self, rows: Vec<TableRow>) -> TableAnswer {
-        TableAnswer::Rows {
+    fn rows_answer(&self, rows: Vec<TableRow>) -> TableResponse {
+        TableResponse::Rows {
             rows,
             revision: self.revision,
             more: false,
         }
     }
 
-    fn commit(&mut self, commit: &TableCommit) -> TableAnswer {
+    fn commit(&mut self, commit: &TableCommit) -> TableResponse {
         let failed: Vec<_> = commit
             .conditions
             .iter()
@@ -93,7 +93,7 @@
             .collect();
         if !failed.is_empty() {
             let rows = failed.iter().filter_map(|c| self.rows.get(&c.key));
-            return TableAnswer::Conflict {
+            return TableResponse::Conflict {
                 rows: rows.cloned().collect(),
             };
         }
@@ -106,7 +106,7 @@
             };
             self.rows.insert(write.key.clone(), row);
         }
-        TableAnswer::Committed {
+        TableResponse::Committed {
             revision: self.revision,
         }
     }
@@ -252,14 +252,14 @@
         let place = self.rng.random_range(0..self.flights.len());
         let flight = self.flights.swap_remove(place);
         let answer = if self.rng.random_bool(self.faults.unavailable) {
-            TableAnswer::Unavailable
+            TableResponse::Unavailable
         } else if self.rng.random_bool(self.faults.lost) {
             match self.rng.random_range(0..3) {
                 0 => drop(self.table.answer(&flight.request)),
                 1 => self.late.push(flight.request.clone()),
                 _ => {}
             }
-            TableAnswer::Lost
+            TableResponse::Lost
         } else {
             self.table.answer(&flight.request)
         };
--- a/crates/savorywood-core/tests/claim_keys.rs
+++ b/crates/savorywood-core/tests/claim_keys.rs
@@ -13,7 +13,7 @@
     RefusalCode, RequestId, RequestRefusal, TeamName, WallTime,
     peer::membership::MemberState,
     resource::ClaimRetention,
-    table::{TableAnswer, TableRequest},
+    table::{TableRequest, TableResponse},
 };
 use std::{net::SocketAddr, time::Duration};
 use store::{FakeTable, call};
@@ -312,7 +312,7 @@
     desk.claims.step(later, event, view, &mut effects);
     let event = ClaimEvent::Table {
         number: 1,
-        answer: TableAnswer::Unavailable,
+        answer: TableResponse::Unavailable,
     };
     desk.claims.step(later, event, view, &mut effects);
     let refusals = effects.drain().filter_map(|effect| match effect {
--- a/crates/savorywood-core/tests/support/config_cluster.rs
+++ b/crates/savorywood-core/tests/support/config_cluster.rs
@@ -15,7 +15,7 @@
         ClaimRetention, ResourceDocument, ResourceSpec, ServiceObjectives, ServiceProtocol,
         ServiceSpec,
     },
-    table::{TableAnswer, TableRequest},
+    table::{TableRequest, TableResponse},
 };
 use std::{collections::BTreeMap, time::Duration};
 
@@ -256,18 +256,18 @@
         let late = before + chances.lands_late;
         let refused = late + chances.unavailable;
         let answer = if self.outage || self.cut_off.contains(&node) {
-            TableAnswer::Unavailable
+            TableResponse::Unavailable
         } else if dice < after {
             self.table.execute(&request);
-            TableAnswer::Lost
+            TableResponse::Lost
         } else if dice < before {
-            TableAnswer::Lost
+            TableResponse::Lost
         } else if dice < late {
             let landing = self.rng.random_range(0..3_000_000);
             self.later(landing, Pending::Land(request));
-            TableAnswer::Lost
+            TableResponse::Lost
         } else if dice < refused {
-            TableAnswer::Unavailable
+            TableResponse::Unavailable
         } else {
             self.table.execute(&request)
         };
--- a/crates/savorywood-core/tests/support/fake_table.rs
+++ b/crates/savorywood-core/tests/support/fake_table.rs
@@ -1,7 +1,7 @@
 //! A transactional table in memory with the semantics that `savorywood_protocol::table` states.
 
 use savorywood_protocol::table::{
-    CommitRevision, TableAnswer, TableCommit, TableRequest, TableRow,
+    CommitRevision, TableCommit, TableRequest, TableResponse, TableRow,
 };
 use std::collections::BTreeMap;
 
@@ -16,7 +16,7 @@
 
 impl FakeTable {
     /// Executes one request to its end.
-    pub fn execute(&mut self, request: &TableRequest) -> TableAnswer {
+    pub fn execute(&mut self, request: &TableRequest) -> TableResponse {
         match request {
             TableRequest::Get { keys } => {
                 let rows = keys.iter().filter_map(|key| self.rows.get(key).cloned());
@@ -41,16 +41,16 @@
         }
     }
 
-    fn rows_answer(&self, rows: Vec<TableRow>, more: bool) -> TableAnswer {
+    fn rows_answer(&self, rows: Vec<TableRow>, more: bool) -> TableResponse {
         let revision = self.revision;
-        TableAnswer::Rows {
+        TableResponse::Rows {
             rows,
             revision,
             more,
         }
     }
 
-    fn commit(&mut self, commit: &TableCommit) -> TableAnswer {
+    fn commit(&mut self, commit: &TableCommit) -> TableResponse {
         let live = |row: &&TableRow| row.value.is_some();
         let broken = commit.conditions.iter().filter(|condition| {
             let row = self.rows.get(&condition.key).filter(live);
@@ -59,7 +59,7 @@
         let broken: Vec<_> = broken.map(|condition| condition.key.clone()).collect();
         if !broken.is_empty() {
             let rows = broken.iter().filter_map(|key| self.rows.get(key).cloned());
-            return TableAnswer::Conflict {
+            return TableResponse::Conflict {
                 rows: rows.collect(),
             };
         }
@@ -73,7 +73,7 @@
             self.rows.insert(write.key.clone(), row);
         }
         self.history.push(commit.clone());
-        TableAnswer::Committed {
+        TableResponse::Committed {
             revision: self.revision,
         }
     }
--- a/crates/savorywood-core/tests/support/lease_cluster.rs
+++ b/crates/savorywood-core/tests/support/lease_cluster.rs
@@ -10,7 +10,7 @@
 use savorywood_protocol::{
     ConfigRevision, CoreTime, HostIncarnation, HostName, MonotonicTime, WallTime,
     peer::membership::MemberState,
-    table::{TableAnswer, TableRequest},
+    table::{TableRequest, TableResponse},
 };
 use std::{collections::BTreeMap, time::Duration};
 
@@ -185,15 +185,15 @@
             match dice % 4 {
                 0 => {
                     self.table.execute(&request);
-                    TableAnswer::Lost
+                    TableResponse::Lost
                 }
-                1 => TableAnswer::Lost,
+                1 => TableResponse::Lost,
                 2 => {
                     let landing = self.rng.random_range(0..8_000_000);
                     self.later(landing, Pending::Land(request));
-                    TableAnswer::Lost
+                    TableResponse::Lost
                 }
-                _ => TableAnswer::Unavailable,
+                _ => TableResponse::Unavailable,
             }
         };
         let slow = self.rng.random_range(0..100) < self.faults;
--- a/crates/savorywood-core/tests/support/move_lab.rs
+++ b/crates/savorywood-core/tests/support/move_lab.rs
@@ -12,7 +12,7 @@
     ConfigRevision, CoreTime, FencingNumber, HostIncarnation, HostName, MonotonicTime, WallTime,
     peer::{PeerMessage, membership::MemberState},
     resource::{MoveState, ResourceDocument},
-    table::{TableAnswer, TableRequest},
+    table::{TableRequest, TableResponse},
 };
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -226,7 +226,7 @@
     fn check_told(&mut self) {
         let keys = vec!["move/m".to_owned()];
         let answer = self.table.execute(&TableRequest::Get { keys });
-        let TableAnswer::Rows { rows, .. } = answer else {
+        let TableResponse::Rows { rows, .. } = answer else {
             return;
         };
         let text = rows.first().and_then(|row| row.value.as_deref());
@@ -319,11 +319,11 @@
                 Pending::Execute(node, number, request) => {
                     let out = self.outage || self.cut_off.contains(&node);
                     let answer = if out {
-                        TableAnswer::Unavailable
+                        TableResponse::Unavailable
                     } else {
                         let answer = self.table.execute(&request);
                         let lost = self.lost > 0 && self.rng.random_range(0..100) < self.lost;
-                        if lost { TableAnswer::Lost } else { answer }
+                        if lost { TableResponse::Lost } else { answer }
                     };
                     let event = Box::new(MoveEvent::Table { number, answer });
                     self.later(4_000, Pending::Node(node, event));
--- a/crates/savorywood-core/tests/whole/links.rs
+++ b/crates/savorywood-core/tests/whole/links.rs
@@ -15,7 +15,7 @@
         PeerMessage,
         datagram::{PeerDatagram, ReplayVerdict},
     },
-    table::{TableAnswer, TableRequest},
+    table::{TableRequest, TableResponse},
 };
 use std::net::SocketAddr;
 
@@ -51,7 +51,7 @@
         let windows = &self.windows;
         let cut = windows.cut_table[from.node] > self.now;
         let answer = if windows.outage > self.now || cut {
-            TableAnswer::Unavailable
+            TableResponse::Unavailable
         } else if windows.lossy_table > self.now && self.rng.random_bool(0.4) {
             delay = TABLE_TIMEOUT;
             self.lose_answer(request)
@@ -60,7 +60,7 @@
             let answer = self.sabotaged_table(from.life, call, &request);
             if delay > TABLE_TIMEOUT {
                 delay = TABLE_TIMEOUT;
-                TableAnswer::Lost
+                TableResponse::Lost
             } else {
                 answer
             }
@@ -71,7 +71,7 @@
         self.later(delay, Pending::Deliver { to: from, event });
     }
 
-    fn lose_answer(&mut self, request: TableRequest) -> TableAnswer {
+    fn lose_answer(&mut self, request: TableRequest) -> TableResponse {
         match self.rng.random_range(0..3) {
             0 => {
                 self.table.execute(&request);
@@ -82,7 +82,7 @@
             }
             _ => {}
         }
-        TableAnswer::Lost
+        TableResponse::Lost
     }
 
     fn sabotaged_table(
@@ -90,7 +90,7 @@
         life: u64,
         call: TableCall,
         request: &TableRequest,
-    ) -> TableAnswer {
+    ) -> TableResponse {
         let is_commit = matches!(request, TableRequest::Commit(_));
         let pretend = match self.sabotage {
             Some(WorldSabotage::ForgetClaims) => call.duty == DutyKind::Claims && is_commit,
@@ -100,13 +100,13 @@
             _ => false,
         };
         if pretend {
-            return TableAnswer::Committed { revision: 1 << 40 };
+            return TableResponse::Committed { revision: 1 << 40 };
         }
         let empty = self.sabotage == Some(WorldSabotage::EmptyTable) && life > 1;
         if (empty || self.hides_config()) && call.duty == DutyKind::Config && !is_commit {
             let revision = 0;
             let (rows, more) = (Vec::new(), false);
-            return TableAnswer::Rows {
+            return TableResponse::Rows {
                 rows,
                 revision,
                 more,
--- a/crates/savorywood-platform/src/client/calls.rs
+++ b/crates/savorywood-platform/src/client/calls.rs
@@ -9,7 +9,7 @@
 use savorywood_http::{CallAnswer, CallRequest, SendError};
 use savorywood_protocol::{
     host_list::HostDocument,
-    table::{TableAnswer, TableRequest},
+    table::{TableRequest, TableResponse},
 };
 use snafu::ResultExt;
 use std::net::SocketAddr;
@@ -19,8 +19,8 @@
 
 impl PlatformClient {
     /// Calls the table service for a duty. What went wrong is logged and told as
-    /// [`TableAnswer::Unavailable`] when the call took no effect, else as [`TableAnswer::Lost`].
-    pub async fn execute(&self, duty: PlatformDuty, request: &TableRequest) -> TableAnswer {
+    /// [`TableResponse::Unavailable`] when the call took no effect, else as [`TableResponse::Lost`].
+    pub async fn execute(&self, duty: PlatformDuty, request: &TableRequest) -> TableResponse {
         match self.call_table(duty, request).await {
             Ok(answer) => answer,
             Err(error) => {
@@ -30,9 +30,9 @@
                 );
                 let harmless = error.had_no_effect();
                 if harmless {
-                    TableAnswer::Unavailable
+                    TableResponse::Unavailable
                 } else {
-                    TableAnswer::Lost
+                    TableResponse::Lost
                 }
             }
         }
@@ -42,7 +42,7 @@
         &self,
         duty: PlatformDuty,
         request: &TableRequest,
-    ) -> Result<TableAnswer, PlatformError> {
+    ) -> Result<TableResponse, PlatformError> {
         let step = PlatformStep::CallTable;
         let peer = self.options.address;
         let kind = match request {
--- a/crates/savorywood-platform/tests/platform_faults.rs
+++ b/crates/savorywood-platform/tests/platform_faults.rs
@@ -11,7 +11,7 @@
 };
 use savorywood_protocol::{
     host_list::HostDocument,
-    table::{RowWrite, TableAnswer, TableCommit, TableRequest},
+    table::{RowWrite, TableCommit, TableRequest, TableResponse},
 };
 use savorywood_standin::{OutageKind, PlatformFaults, PlatformOptions, PlatformServer};
 use std::{
@@ -58,9 +58,9 @@
     TableRequest::Get { keys }
 }
 
-fn row_count(answer: &TableAnswer) -> usize {
+fn row_count(answer: &TableResponse) -> usize {
     match answer {
-        TableAnswer::Rows { rows, .. } => rows.len(),
+        TableResponse::Rows { rows, .. } => rows.len(),
         other => panic!("expected rows, got {other:?}"),
     }
 }
@@ -78,9 +78,9 @@
         let server = platform(&executor, faults).await;
         let client = client(server.address());
         let answer = client.execute(PlatformDuty::Config, &write("a/1")).await;
-        assert_eq!(answer, TableAnswer::Lost);
+        assert_eq!(answer, TableResponse::Lost);
         let answer = client.execute(PlatformDuty::Config, &read("a/1")).await;
-        let TableAnswer::Rows { rows, revision, .. } = answer else {
+        let TableResponse::Rows { rows, revision, .. } = answer else {
             panic!("expected rows, got {answer:?}");
         };
         assert_eq!(rows.len(), 1);
@@ -101,7 +101,7 @@
         let client = client(server.address());
         let began = Instant::now();
         let answer = client.execute(PlatformDuty::Config, &write("a/1")).await;
-        assert_eq!(answer, TableAnswer::Lost);
+        assert_eq!(answer, TableResponse::Lost);
         assert!(began.elapsed() < Duration::from_secs(2));
     });
 }
@@ -118,7 +118,7 @@
         let server = platform(&executor, faults).await;
         let refused = client(server.address());
         let answer = refused.execute(PlatformDuty::Config, &write("a/1")).await;
-        assert_eq!(answer, TableAnswer::Unavailable);
+        assert_eq!(answer, TableResponse::Unavailable);
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port");
         let address = listener.local_addr().expect("an address");
         drop(listener);
@@ -126,7 +126,7 @@
         let answer = unreachable
             .execute(PlatformDuty::Config, &write("a/1"))
             .await;
-        assert_eq!(answer, TableAnswer::Unavailable);
+        assert_eq!(answer, TableResponse::Unavailable);
     });
 }
 
@@ -151,7 +151,8 @@
         );
         server.set_faults(PlatformFaults::default());
         let began = Instant::now();
-        while client.execute(PlatformDuty::Config, &read("a/1")).await == TableAnswer::Unavailable {
+        while client.execute(PlatformDuty::Config, &read("a/1")).await == TableResponse::Unavailable
+        {
             assert!(began.elapsed() < Duration::from_secs(4), "still open");
             async_io::Timer::after(Duration::from_millis(20)).await;
         }
@@ -192,7 +193,8 @@
         assert_eq!(dropped, None);
         server.set_faults(PlatformFaults::default());
         let began = Instant::now();
-        while client.execute(PlatformDuty::Config, &read("a/1")).await == TableAnswer::Unavailable {
+        while client.execute(PlatformDuty::Config, &read("a/1")).await == TableResponse::Unavailable
+        {
             assert!(began.elapsed() < Duration::from_secs(4), "still open");
             async_io::Timer::after(Duration::from_millis(20)).await;
         }
@@ -200,7 +202,10 @@
 }
 
 /// Runs a call for so long and drops it then.
-async fn poll_for(call: impl Future<Output = TableAnswer>, limit: Duration) -> Option<TableAnswer> {
+async fn poll_for(
+    call: impl Future<Output = TableResponse>,
+    limit: Duration,
+) -> Option<TableResponse> {
     let call = async { Some(call.await) };
     let timer = async {
         async_io::Timer::after(limit).await;
--- a/crates/savorywood-protocol/src/table.rs
+++ b/crates/savorywood-protocol/src/table.rs
@@ -73,7 +73,7 @@
 /// Answer of the table service, or what the client knows without one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum TableAnswer {
+pub enum TableResponse {
     /// Rows that were read, ordered by key for `Get` and by revision for `Scan`.
     Rows {
         /// The rows.
--- a/crates/savorywood-standin/src/platform/routes/storage.rs
+++ b/crates/savorywood-standin/src/platform/routes/storage.rs
@@ -9,7 +9,7 @@
 use http_types::{Method, Request, Response, StatusCode};
 use savorywood_protocol::{
     host_list::HostDocument,
-    table::{TableAnswer, TableRequest},
+    table::{TableRequest, TableResponse},
 };
 use serde::Serialize;
 use std::time::{Duration, Instant};
@@ -39,7 +39,7 @@
         return Ok(*reply);
     }
     let answer = state.table.execute(&request);
-    let committed = matches!(answer, TableAnswer::Committed { .. });
+    let committed = matches!(answer, TableResponse::Committed { .. });
     if committed && state.faults.lose_answers > 0 {
         state.faults.lose_answers -= 1;
         return Err(http_types::format_err!("answer lost on purpose"));
--- a/crates/savorywood-standin/src/platform/server.rs
+++ b/crates/savorywood-standin/src/platform/server.rs
@@ -11,7 +11,7 @@
 use async_executor::Executor;
 use savorywood_protocol::{
     host_list::HostDocument,
-    table::{TableAnswer, TableRequest},
+    table::{TableRequest, TableResponse},
 };
 use serde::{Deserialize, Serialize};
 use std::{
@@ -104,7 +104,7 @@
 
     /// Executes a table request without the network and without faults.
     #[must_use]
-    pub fn execute(&self, request: &TableRequest) -> TableAnswer {
+    pub fn execute(&self, request: &TableRequest) -> TableResponse {
         lock(&self.shared.state).table.execute(request)
     }
 
--- a/crates/savorywood-standin/src/platform/table.rs
+++ b/crates/savorywood-standin/src/platform/table.rs
@@ -1,7 +1,7 @@
 //! Transactional table service in memory (`docs/PLATFORM.md`).
 
 use savorywood_protocol::table::{
-    CommitRevision, RowCondition, RowKey, TableAnswer, TableCommit, TableRequest, TableRow,
+    CommitRevision, RowCondition, RowKey, TableCommit, TableRequest, TableResponse, TableRow,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -29,7 +29,7 @@
     }
 
     /// Executes one request.
-    pub fn execute(&mut self, request: &TableRequest) -> TableAnswer {
+    pub fn execute(&mut self, request: &TableRequest) -> TableResponse {
         match request {
             TableRequest::Get { keys } => self.get(keys),
             TableRequest::Scan {
@@ -41,10 +41,10 @@
         }
     }
 
-    fn get(&self, keys: &[RowKey]) -> TableAnswer {
+    fn get(&self, keys: &[RowKey]) -> TableResponse {
         let keys: BTreeSet<&RowKey> = keys.iter().collect();
         let rows = keys.into_iter().filter_map(|key| self.live(key));
-        TableAnswer::Rows {
+        TableResponse::Rows {
             rows: rows.cloned().collect(),
             revision: self.revision,
             more: false,
@@ -53,7 +53,7 @@
 
     /// Rows come in the order of commits. A page never ends within a commit: the next page asks
     /// for what came after the last revision, and would skip the commit's other rows.
-    fn scan(&self, prefix: &str, after: CommitRevision, limit: u32) -> TableAnswer {
+    fn scan(&self, prefix: &str, after: CommitRevision, limit: u32) -> TableResponse {
         let start = ChangePlace {
             revision: after.saturating_add(1),
             key: RowKey::new(),
@@ -70,18 +70,18 @@
             }
             rows.extend(self.rows.get(&place.key).cloned());
         }
-        TableAnswer::Rows {
+        TableResponse::Rows {
             rows,
             revision: self.revision,
             more,
         }
     }
 
-    fn commit(&mut self, commit: &TableCommit) -> TableAnswer {
+    fn commit(&mut self, commit: &TableCommit) -> TableResponse {
         let broken = commit.conditions.iter().filter(|c| !self.holds(c));
         let broken: Vec<TableRow> = broken.map(|c| self.as_it_stands(&c.key)).collect();
         if !broken.is_empty() {
-            return TableAnswer::Conflict { rows: broken };
+            return TableResponse::Conflict { rows: broken };
         }
         self.revision += 1;
         for write in &commit.writes {
@@ -91,7 +91,7 @@
                 revision: self.revision,
             });
         }
-        TableAnswer::Committed {
+        TableResponse::Committed {
             revision: self.revision,
         }
     }
--- a/crates/savorywood-standin/tests/platform.rs
+++ b/crates/savorywood-standin/tests/platform.rs
@@ -1,7 +1,7 @@
 //! The platform stand-in over HTTP: its faults, its lag and its rates.
 
 use async_io::block_on;
-use savorywood_protocol::table::{RowWrite, TableAnswer, TableCommit, TableRequest};
+use savorywood_protocol::table::{RowWrite, TableCommit, TableRequest, TableResponse};
 use savorywood_standin::{OutageKind, PlatformFaults, PlatformOptions, PlatformServer};
 use savorywood_testing::{TestCall, TestReply, background_executor, wait_until};
 use serde_json::json;
@@ -35,7 +35,7 @@
 fn holds(platform: &PlatformServer, key: &str) -> bool {
     let keys = vec![key.to_owned()];
     match platform.execute(&TableRequest::Get { keys }) {
-        TableAnswer::Rows { rows, .. } => !rows.is_empty(),
+        TableResponse::Rows { rows, .. } => !rows.is_empty(),
         other => panic!("no rows: {other:?}"),
     }
 }
--- a/crates/savorywood-standin/tests/table.rs
+++ b/crates/savorywood-standin/tests/table.rs
@@ -2,7 +2,7 @@
 
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use savorywood_protocol::table::{
-    RowCondition, RowWrite, TableAnswer, TableCommit, TableRequest, TableRow,
+    RowCondition, RowWrite, TableCommit, TableRequest, TableResponse, TableRow,
 };
 use savorywood_standin::TableStore;
 use std::collections::BTreeMap;
@@ -44,9 +44,9 @@
     }
 }
 
-fn rows(answer: TableAnswer) -> (Vec<TableRow>, bool) {
+fn rows(answer: TableResponse) -> (Vec<TableRow>, bool) {
     match answer {
-        TableAnswer::Rows { rows, more, .. } => (rows, more),
+        TableResponse::Rows { rows, more, .. } => (rows, more),
         other => panic!("no rows: {other:?}"),
     }
 }
@@ -65,10 +65,10 @@
                 let value = plan.value.map(|value| value.to_string());
                 expected.insert(KEYS[plan.key], (value.clone(), revision));
                 expected.insert(KEYS[plan.second], (value, revision));
-                if answer != (TableAnswer::Committed { revision }) {
+                if answer != (TableResponse::Committed { revision }) {
                     return false;
                 }
-            } else if !matches!(answer, TableAnswer::Conflict { .. }) {
+            } else if !matches!(answer, TableResponse::Conflict { .. }) {
                 return false;
             }
         }
@@ -117,7 +117,7 @@
             }],
         })
     };
-    let committed = |revision| TableAnswer::Committed { revision };
+    let committed = |revision| TableResponse::Committed { revision };
     assert_eq!(store.execute(&commit(Some("x"), None)), committed(1));
     assert_eq!(store.execute(&commit(None, Some(1))), committed(2));
     let scan = TableRequest::Scan {
