--- a/crates/savorywood-daemon/src/peers/snapshots.rs
+++ b/crates/savorywood-daemon/src/peers/snapshots.rs
@@ -13,7 +13,7 @@
     peer::{
         DatagramKey,
         snapshot::{
-            MAX_FRAME_BYTES, SnapshotContent, SnapshotReply, SnapshotRequest, open_frame,
+            MAX_FRAME_BYTES, SnapshotContent, SnapshotRequest, SnapshotResponse, open_frame,
             seal_frame,
         },
     },
@@ -106,7 +106,7 @@
             open_frame(&bytes, &self.host, &self.key).context(FrameSnafu { step: "request" })?;
         let snapshot = driver.with_core(|core, _, _| core.snapshot());
         let content = snapshot.map(encode).transpose()?;
-        let reply = SnapshotReply {
+        let reply = SnapshotResponse {
             nonce: request.nonce,
             content,
         };
@@ -143,7 +143,7 @@
             seal_frame(&request, from, &self.key).context(FrameSnafu { step: "request" })?;
         write_frame(&mut stream, &bytes).await?;
         let bytes = read_frame(&mut stream, MAX_FRAME_BYTES).await?;
-        let reply: SnapshotReply =
+        let reply: SnapshotResponse =
             open_frame(&bytes, &self.host, &self.key).context(FrameSnafu { step: "reply" })?;
         if reply.nonce != request.nonce {
             return WrongNonceSnafu.fail();
--- a/crates/savorywood-protocol/src/peer/snapshot.rs
+++ b/crates/savorywood-protocol/src/peer/snapshot.rs
@@ -22,7 +22,7 @@
 
 /// A configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SnapshotReply {
+pub struct SnapshotResponse {
     /// Of the request.
     pub nonce: u128,
     /// What the daemon has in force; `None` while it has read none.
--- a/crates/savorywood-protocol/tests/fuzz_peer.rs
+++ b/crates/savorywood-protocol/tests/fuzz_peer.rs
@@ -13,7 +13,7 @@
         datagram::MAX_DATAGRAM_BYTES,
         membership::{MemberPlace, MemberState, MemberUpdate, TableDigest},
         moves::{ArmEvidence, RouteEvidence},
-        snapshot::{SnapshotContent, SnapshotReply, SnapshotRequest, open_frame, seal_frame},
+        snapshot::{SnapshotContent, SnapshotRequest, SnapshotResponse, open_frame, seal_frame},
     },
     resource::ResourceDocument,
     resume_token::{ResumeKey, ResumeToken},
@@ -278,7 +278,7 @@
             table_revision: 80_000,
             documents: RESOURCES.to_owned(),
         };
-        let reply = SnapshotReply {
+        let reply = SnapshotResponse {
             nonce,
             content: Some(content),
         };
