--- a/crates/savorywood-core/src/moves/evidence.rs
+++ b/crates/savorywood-core/src/moves/evidence.rs
@@ -2,7 +2,7 @@
 
 use savorywood_protocol::{
     ServiceName, VersionName,
-    peer::moves::{ArmEvidence, RouteEvidence},
+    peer::moves::{RouteStatistics, VersionStatistics},
 };
 use std::collections::BTreeMap;
 
@@ -39,7 +39,7 @@
 /// Evidence of one move since it was sent last.
 #[derive(Debug, Clone, Default)]
 pub struct EvidenceBuffer {
-    routes: BTreeMap<String, RouteEvidence>,
+    routes: BTreeMap<String, RouteStatistics>,
 }
 
 impl EvidenceBuffer {
@@ -51,10 +51,10 @@
         let evidence = self
             .routes
             .entry(route.to_owned())
-            .or_insert_with(|| RouteEvidence {
+            .or_insert_with(|| RouteStatistics {
                 route: route.to_owned(),
-                old: ArmEvidence::default(),
-                new: ArmEvidence::default(),
+                old: VersionStatistics::default(),
+                new: VersionStatistics::default(),
             });
         let side = match arm {
             VersionArm::Old => &mut evidence.old,
@@ -71,7 +71,7 @@
     }
 
     /// Takes out what was gathered.
-    pub fn take(&mut self) -> Vec<RouteEvidence> {
+    pub fn take(&mut self) -> Vec<RouteStatistics> {
         std::mem::take(&mut self.routes).into_values().collect()
     }
 
--- a/crates/savorywood-core/src/moves/judge.rs
+++ b/crates/savorywood-core/src/moves/judge.rs
@@ -13,7 +13,7 @@
 };
 use savorywood_protocol::{
     MonotonicTime,
-    peer::moves::{ArmEvidence, RouteEvidence},
+    peer::moves::{RouteStatistics, VersionStatistics},
 };
 use std::{collections::BTreeMap, time::Duration};
 
@@ -83,8 +83,8 @@
 struct RouteRecord {
     baseline: OldBaseline,
     sums: RouteSums,
-    old: ArmEvidence,
-    new: ArmEvidence,
+    old: VersionStatistics,
+    new: VersionStatistics,
 }
 
 /// Log-likelihood ratios of one slot.
@@ -140,7 +140,7 @@
     }
 
     /// Adds what one daemon saw in one period to the slot.
-    pub fn add(&mut self, now: MonotonicTime, evidence: &RouteEvidence) {
+    pub fn add(&mut self, now: MonotonicTime, evidence: &RouteStatistics) {
         self.slot_at.get_or_insert(now);
         self.old_requests += u64::from(evidence.old.finished);
         let record = self.routes.entry(evidence.route.clone()).or_default();
@@ -155,13 +155,13 @@
             return;
         }
         self.slot_at = None;
-        let mut old = ArmEvidence::default();
+        let mut old = VersionStatistics::default();
         for record in self.routes.values() {
             merge(&mut old, &record.old);
         }
         let trouble = trouble_rate(&old);
         let mut total = SlotRatios::default();
-        let mut requests = ArmEvidence::default();
+        let mut requests = VersionStatistics::default();
         for (route, record) in &mut self.routes {
             let Some(ratios) = record.close(trouble) else {
                 continue;
@@ -254,7 +254,7 @@
 }
 
 impl RouteSums {
-    fn add(&mut self, new: &ArmEvidence, ratios: &SlotRatios) {
+    fn add(&mut self, new: &VersionStatistics, ratios: &SlotRatios) {
         self.finished += new.finished;
         self.timed += new.timed;
         self.good_speed += ratios.speeds[0];
@@ -295,7 +295,7 @@
     }
 }
 
-fn merge(total: &mut ArmEvidence, part: &ArmEvidence) {
+fn merge(total: &mut VersionStatistics, part: &VersionStatistics) {
     total.finished = total.finished.saturating_add(part.finished);
     total.failed = total.failed.saturating_add(part.failed);
     total.timed = total.timed.saturating_add(part.timed);
--- a/crates/savorywood-core/src/moves/judge/likelihood.rs
+++ b/crates/savorywood-core/src/moves/judge/likelihood.rs
@@ -1,6 +1,6 @@
 //! Log-likelihood ratios of one period's evidence.
 
-use savorywood_protocol::peer::moves::ArmEvidence;
+use savorywood_protocol::peer::moves::VersionStatistics;
 
 /// Requests over which the old version's record is kept, about.
 const BASELINE_REQUESTS: f64 = 2_000.0;
@@ -38,7 +38,7 @@
 }
 
 impl OldBaseline {
-    pub(super) fn add(&mut self, old: &ArmEvidence) {
+    pub(super) fn add(&mut self, old: &VersionStatistics) {
         let keep = 1.0 - (f64::from(old.finished) / BASELINE_REQUESTS).min(1.0);
         self.finished = self.finished * keep + f64::from(old.finished);
         self.failed = self.failed * keep + f64::from(old.failed);
@@ -71,7 +71,7 @@
 }
 
 /// Whether the old version had enough requests in the slot to compare with.
-pub(super) fn has_control(old: &ArmEvidence, new: &ArmEvidence) -> bool {
+pub(super) fn has_control(old: &VersionStatistics, new: &VersionStatistics) -> bool {
     old.finished >= LEAST_CONTROLS.max(new.finished / 20)
 }
 
@@ -79,7 +79,11 @@
 /// given how many requests failed in the slot over both versions. Under the second the failures
 /// fall on the versions like balls drawn from one urn, at whatever rate both fail, so that
 /// trouble which both share is no evidence at all.
-pub(super) fn paired_error_ratio(old: &ArmEvidence, new: &ArmEvidence, odds: f64) -> f64 {
+pub(super) fn paired_error_ratio(
+    old: &VersionStatistics,
+    new: &VersionStatistics,
+    odds: f64,
+) -> f64 {
     let failed = old.failed + new.failed;
     let least = failed.saturating_sub(old.finished);
     let most = failed.min(new.finished);
@@ -106,7 +110,7 @@
 }
 
 /// Failure rate of the old version in a slot in which it fails more than now and then, else zero.
-pub(super) fn trouble_rate(old: &ArmEvidence) -> f64 {
+pub(super) fn trouble_rate(old: &VersionStatistics) -> f64 {
     let now = f64::from(old.failed) / f64::from(old.finished.max(1));
     if old.failed >= SHARED_FAILURES {
         now
@@ -122,7 +126,7 @@
 pub(super) fn error_ratio(
     baseline: &OldBaseline,
     trouble: f64,
-    new: &ArmEvidence,
+    new: &VersionStatistics,
     excess: f64,
 ) -> f64 {
     let like_old = baseline.failure_rate().max(trouble).max(LEAST_RATE);
@@ -138,8 +142,8 @@
 /// For "slower than the old one by `factor`" against "as fast".
 pub(super) fn speed_ratio(
     baseline: &OldBaseline,
-    old: &ArmEvidence,
-    new: &ArmEvidence,
+    old: &VersionStatistics,
+    new: &VersionStatistics,
     factor: f64,
 ) -> f64 {
     if new.timed == 0 {
--- a/crates/savorywood-core/src/moves/watching.rs
+++ b/crates/savorywood-core/src/moves/watching.rs
@@ -12,7 +12,7 @@
 };
 use savorywood_protocol::{
     ConfigRevision, CoreTime, HostName, MonotonicTime, MoveName,
-    peer::{MoveMessage, PeerMessage, moves::RouteEvidence},
+    peer::{MoveMessage, PeerMessage, moves::RouteStatistics},
 };
 use std::time::Duration;
 
@@ -54,7 +54,7 @@
     pub(super) name: MoveName,
     pub(super) revision: ConfigRevision,
     pub(super) sequence: u64,
-    pub(super) routes: Vec<RouteEvidence>,
+    pub(super) routes: Vec<RouteStatistics>,
 }
 
 impl MovesState {
--- a/crates/savorywood-core/tests/move_faults.rs
+++ b/crates/savorywood-core/tests/move_faults.rs
@@ -10,7 +10,7 @@
 use savorywood_core::moves::judge::{JudgeVerdict, VersionJudge};
 use savorywood_protocol::{
     MonotonicTime,
-    peer::moves::{ArmEvidence, RouteEvidence},
+    peer::moves::{RouteStatistics, VersionStatistics},
     resource::MoveState,
 };
 use std::time::Duration;
@@ -214,13 +214,13 @@
     );
 }
 
-fn evidence(old: [u32; 2], new: [u32; 2]) -> RouteEvidence {
-    let arm = |[finished, failed]: [u32; 2]| ArmEvidence {
+fn evidence(old: [u32; 2], new: [u32; 2]) -> RouteStatistics {
+    let arm = |[finished, failed]: [u32; 2]| VersionStatistics {
         finished,
         failed,
-        ..ArmEvidence::default()
+        ..VersionStatistics::default()
     };
-    RouteEvidence {
+    RouteStatistics {
         route: "/a".into(),
         old: arm(old),
         new: arm(new),
--- a/crates/savorywood-protocol/src/peer/moves.rs
+++ b/crates/savorywood-protocol/src/peer/moves.rs
@@ -5,7 +5,7 @@
 
 /// What one daemon saw of one version on one route in one period.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
-pub struct ArmEvidence {
+pub struct VersionStatistics {
     /// Requests that ended, failed ones included.
     pub finished: u32,
     /// Requests that failed.
@@ -20,13 +20,13 @@
 
 /// What one daemon saw of both versions on one route in the same period.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct RouteEvidence {
+pub struct RouteStatistics {
     /// Route within the service.
     pub route: String,
     /// Version that had the traffic.
-    pub old: ArmEvidence,
+    pub old: VersionStatistics,
     /// Version that gets it.
-    pub new: ArmEvidence,
+    pub new: VersionStatistics,
 }
 
 /// Message of the move duty. A move is named together with the configuration revision of its
@@ -54,6 +54,6 @@
         /// Counted up by the sender; older ones are dropped.
         sequence: u64,
         /// By route.
-        routes: Vec<RouteEvidence>,
+        routes: Vec<RouteStatistics>,
     },
 }
--- a/crates/savorywood-protocol/tests/fuzz_peer.rs
+++ b/crates/savorywood-protocol/tests/fuzz_peer.rs
@@ -12,7 +12,7 @@
         credits::{TierDemand, UpstreamDemand, UpstreamGrant},
         datagram::MAX_DATAGRAM_BYTES,
         membership::{MemberPlace, MemberState, MemberUpdate, TableDigest},
-        moves::{ArmEvidence, RouteEvidence},
+        moves::{RouteStatistics, VersionStatistics},
         snapshot::{SnapshotContent, SnapshotRequest, SnapshotResponse, open_frame, seal_frame},
     },
     resource::ResourceDocument,
@@ -158,17 +158,17 @@
 fn move_messages() -> Vec<MoveMessage> {
     let name: MoveName = "notes-to-v2".parse().unwrap();
     let revision = ConfigRevision(12);
-    let arm = ArmEvidence {
+    let arm = VersionStatistics {
         finished: 300,
         failed: 2,
         timed: 290,
         log_sum: 2_900.5,
         log_square: 29_000.25,
     };
-    let route = RouteEvidence {
+    let route = RouteStatistics {
         route: "/v1/completions".to_owned(),
         old: arm,
-        new: ArmEvidence::default(),
+        new: VersionStatistics::default(),
     };
     vec![
         MoveMessage::Stop {
