--- a/crates/savorywood-cli/src/commands/check.rs
+++ b/crates/savorywood-cli/src/commands/check.rs
@@ -4,7 +4,7 @@
 use bpaf::Bpaf;
 use savorywood_protocol::{
     WallTime,
-    resource::{ResourceFault, ResourceSet, validate},
+    resource::{ResourceSet, ValidationError, validate},
 };
 use savorywood_settings::{
     DaemonSettings, FaultReport, FileKind, ResourceFile, SettingsFault, SourceText,
@@ -99,7 +99,7 @@
         for (index, document) in file.documents.iter().enumerate() {
             let place = DocumentPlace { file, index };
             if places.insert(document.key(), place).is_some() {
-                let fault = ResourceFault {
+                let fault = ValidationError {
                     path: "name".to_owned(),
                     message: "there are two resources of this kind and name".to_owned(),
                     remedy: "rename or delete one of the two".to_owned(),
--- a/crates/savorywood-core/src/operator.rs
+++ b/crates/savorywood-core/src/operator.rs
@@ -2,7 +2,7 @@
 
 use savorywood_protocol::{
     ConfigRevision, RequestRefusal,
-    resource::{ResourceDocument, ResourceFault, ResourceKey},
+    resource::{ResourceDocument, ResourceKey, ValidationError},
 };
 
 /// Names one operator's call within a daemon.
@@ -49,7 +49,7 @@
     /// The resource can't be accepted.
     Invalid {
         /// All that is wrong.
-        faults: Vec<ResourceFault>,
+        faults: Vec<ValidationError>,
     },
     /// There is no such resource to delete.
     NotFound,
--- a/crates/savorywood-protocol/src/api.rs
+++ b/crates/savorywood-protocol/src/api.rs
@@ -3,7 +3,7 @@
 use crate::{
     ConfigRevision, HostName, OutcomeKind, RegionName, ZoneName,
     peer::membership::MemberState,
-    resource::{ResourceDocument, ResourceFault},
+    resource::{ResourceDocument, ValidationError},
 };
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -94,5 +94,5 @@
     pub current: Option<Box<ResourceDocument>>,
     /// With status 422: all that is wrong with the resource.
     #[serde(default)]
-    pub faults: Vec<ResourceFault>,
+    pub faults: Vec<ValidationError>,
 }
--- a/crates/savorywood-protocol/src/resource.rs
+++ b/crates/savorywood-protocol/src/resource.rs
@@ -17,5 +17,5 @@
 pub use tier::TierSpec;
 pub use traffic_move::{MoveState, MoveStep, TrafficMoveSpec};
 pub use upstream::{UpstreamExtension, UpstreamSpec};
-pub use validate::{ResourceFault, ResourceSet};
+pub use validate::{ResourceSet, ValidationError};
 pub use version::VersionSpec;
--- a/crates/savorywood-protocol/src/resource/validate.rs
+++ b/crates/savorywood-protocol/src/resource/validate.rs
@@ -19,7 +19,7 @@
 
 /// One thing wrong with a resource.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ResourceFault {
+pub struct ValidationError {
     /// Where in the document, as member names and indices joined by dots: `spec.tiers.0`.
     pub path: String,
     /// What is wrong, the allowed values named.
@@ -28,7 +28,7 @@
     pub remedy: String,
 }
 
-impl ResourceFault {
+impl ValidationError {
     fn new(path: impl Into<String>, message: impl Into<String>, remedy: impl Into<String>) -> Self {
         Self {
             path: path.into(),
@@ -48,28 +48,28 @@
     document: &ResourceDocument,
     others: &ResourceSet,
     now: WallTime,
-) -> Vec<ResourceFault> {
+) -> Vec<ValidationError> {
     check_with(&ResourceLookup::new(document, others), document, now)
 }
 
 /// One thing wrong with one resource of a set.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SetFault {
+pub struct SetValidationError {
     /// Which resource.
     pub key: ResourceKey,
     /// What is wrong with it.
-    pub fault: ResourceFault,
+    pub fault: ValidationError,
 }
 
 /// Faults of all resources of a set that is to be written anew, in the order of their keys.
 #[must_use]
-pub fn check_set(set: &ResourceSet, now: WallTime) -> Vec<SetFault> {
+pub fn check_set(set: &ResourceSet, now: WallTime) -> Vec<SetValidationError> {
     let index = TokenIndex::new(set);
     let mut faults = Vec::new();
     for (key, document) in set {
         let lookup = ResourceLookup::new(document, set).indexed(&index);
         let found = check_with(&lookup, document, now).into_iter();
-        faults.extend(found.map(|fault| SetFault {
+        faults.extend(found.map(|fault| SetValidationError {
             key: key.clone(),
             fault,
         }));
@@ -81,11 +81,11 @@
     lookup: &ResourceLookup<'_>,
     document: &ResourceDocument,
     now: WallTime,
-) -> Vec<ResourceFault> {
+) -> Vec<ValidationError> {
     let mut faults = Vec::new();
     if let Err(error) = name::check_name(&document.name) {
         let remedy = "rename the resource";
-        faults.push(ResourceFault::new("name", error.to_string(), remedy));
+        faults.push(ValidationError::new("name", error.to_string(), remedy));
     }
     match &document.spec {
         ResourceSpec::Service(spec) => service::check(spec, lookup, &mut faults),
@@ -100,17 +100,17 @@
 
 /// Faults of deleting the resource `key` from `others`, such as resources that still name it.
 #[must_use]
-pub fn check_deletion(key: &ResourceKey, others: &ResourceSet) -> Vec<ResourceFault> {
+pub fn check_deletion(key: &ResourceKey, others: &ResourceSet) -> Vec<ValidationError> {
     deletion::check(key, others)
 }
 
 /// Two tiers of one rank would leave open which of them is shed first.
-fn check_tier(spec: &TierSpec, lookup: &ResourceLookup<'_>, faults: &mut Vec<ResourceFault>) {
+fn check_tier(spec: &TierSpec, lookup: &ResourceLookup<'_>, faults: &mut Vec<ValidationError>) {
     let twin = lookup.tiers().find(|(_, other)| other.rank == spec.rank);
     if let Some((name, _)) = twin {
         let taken: Vec<_> = lookup.tiers().map(|(_, other)| other.rank.0).collect();
         let free = (0..=u8::MAX).find(|rank| !taken.contains(rank));
-        faults.push(ResourceFault::new(
+        faults.push(ValidationError::new(
             "spec.rank",
             format!(
                 "tier `{name}` has rank {} too; each rank is allowed once",
@@ -124,10 +124,14 @@
     }
 }
 
-fn check_version(spec: &VersionSpec, lookup: &ResourceLookup<'_>, faults: &mut Vec<ResourceFault>) {
+fn check_version(
+    spec: &VersionSpec,
+    lookup: &ResourceLookup<'_>,
+    faults: &mut Vec<ValidationError>,
+) {
     lookup.check_service("spec.service", &spec.service, faults);
     if spec.weights.as_deref() == Some("") {
-        faults.push(ResourceFault::new(
+        faults.push(ValidationError::new(
             "spec.weights",
             "the key of the weights is empty; a key of the weight store is allowed, or none",
             "write the key, or leave the member out",
@@ -137,7 +141,7 @@
     // its version doesn't belong to, and get requests that it can't run.
     let strangers = lookup.users_of_version_outside(&spec.service);
     if !strangers.is_empty() {
-        faults.push(ResourceFault::new(
+        faults.push(ValidationError::new(
             "spec.service",
             format!(
                 "still named under its former service by {}",
--- a/crates/savorywood-protocol/src/resource/validate/deletion.rs
+++ b/crates/savorywood-protocol/src/resource/validate/deletion.rs
@@ -1,11 +1,11 @@
 //! Checks of deletions.
 
-use super::{ResourceFault, ResourceSet, lookup};
+use super::{ResourceSet, ValidationError, lookup};
 use crate::resource::{ResourceDocument, ResourceKey, ResourceKind, ResourceSpec};
 
 /// Faults of deleting a resource: a name that leads nowhere would be refused in a new document,
 /// so a deletion may not make one.
-pub(super) fn check(key: &ResourceKey, others: &ResourceSet) -> Vec<ResourceFault> {
+pub(super) fn check(key: &ResourceKey, others: &ResourceSet) -> Vec<ValidationError> {
     let users = match key.kind {
         ResourceKind::Service => users_of_service(key, others),
         ResourceKind::Tier => users_of_tier(key, others),
@@ -15,7 +15,7 @@
     if users.is_empty() {
         return Vec::new();
     }
-    let fault = ResourceFault::new(
+    let fault = ValidationError::new(
         "name",
         format!("still named by {}", lookup::listed(&users)),
         "delete or change these first",
--- a/crates/savorywood-protocol/src/resource/validate/lookup.rs
+++ b/crates/savorywood-protocol/src/resource/validate/lookup.rs
@@ -1,6 +1,6 @@
 //! Looking up resources by the names that others give.
 
-use super::{ResourceFault, ResourceSet};
+use super::{ResourceSet, ValidationError};
 use crate::{
     ServiceName, VersionName,
     resource::{
@@ -145,12 +145,12 @@
         path: &str,
         kind: ResourceKind,
         name: &str,
-        faults: &mut Vec<ResourceFault>,
+        faults: &mut Vec<ValidationError>,
     ) -> bool {
         let found = self.get(kind, name).is_some();
         if !found {
             let known: Vec<_> = of_kind(self.set, kind).map(|d| d.name.clone()).collect();
-            faults.push(ResourceFault::new(
+            faults.push(ValidationError::new(
                 path,
                 format!("there is no {kind} `{name}`; allowed: {}", listed(&known)),
                 format!("create the {kind} first, or name another"),
@@ -163,7 +163,7 @@
         &self,
         path: &str,
         service: &ServiceName,
-        faults: &mut Vec<ResourceFault>,
+        faults: &mut Vec<ValidationError>,
     ) {
         self.check_named(path, ResourceKind::Service, service.as_str(), faults);
     }
@@ -174,7 +174,7 @@
         path: &str,
         version: &VersionName,
         service: &str,
-        faults: &mut Vec<ResourceFault>,
+        faults: &mut Vec<ValidationError>,
     ) {
         let kind = ResourceKind::Version;
         if !self.check_named(path, kind, version.as_str(), faults) {
@@ -188,7 +188,7 @@
                 .filter(|d| matches!(&d.spec, ResourceSpec::Version(v) if v.service.as_str() == service))
                 .map(|d| d.name.clone())
                 .collect();
-            faults.push(ResourceFault::new(
+            faults.push(ValidationError::new(
                 path,
                 format!(
                     "version `{version}` is one of service `{}`, not of `{service}`; allowed: {}",
--- a/crates/savorywood-protocol/src/resource/validate/team.rs
+++ b/crates/savorywood-protocol/src/resource/validate/team.rs
@@ -1,6 +1,6 @@
 //! Checks of teams.
 
-use super::{ResourceFault, lookup::ResourceLookup};
+use super::{ValidationError, lookup::ResourceLookup};
 use crate::resource::{ResourceKind, TeamSpec};
 
 /// Hexadecimal digits of a SHA-256.
@@ -9,11 +9,15 @@
 /// Largest weight. Shares of one in a million starve a team for all that can be seen.
 const MAX_WEIGHT: u32 = 1_000_000;
 
-pub(super) fn check(spec: &TeamSpec, lookup: &ResourceLookup<'_>, faults: &mut Vec<ResourceFault>) {
+pub(super) fn check(
+    spec: &TeamSpec,
+    lookup: &ResourceLookup<'_>,
+    faults: &mut Vec<ValidationError>,
+) {
     check_token(spec, lookup, faults);
     check_tiers(spec, lookup, faults);
     if !(1..=MAX_WEIGHT).contains(&spec.weight) {
-        faults.push(ResourceFault::new(
+        faults.push(ValidationError::new(
             "spec.weight",
             format!(
                 "{} is out of range; allowed: 1 to {MAX_WEIGHT}",
@@ -24,13 +28,13 @@
     }
 }
 
-fn check_token(spec: &TeamSpec, lookup: &ResourceLookup<'_>, faults: &mut Vec<ResourceFault>) {
+fn check_token(spec: &TeamSpec, lookup: &ResourceLookup<'_>, faults: &mut Vec<ValidationError>) {
     let digest = &spec.token_sha256;
     let path = "spec.token_sha256";
     let hexadecimal = digest.chars().all(|c| c.is_ascii_hexdigit());
     if digest.len() != DIGEST_DIGITS || !hexadecimal {
         // The text is left out of the message: it may be the token itself.
-        faults.push(ResourceFault::new(
+        faults.push(ValidationError::new(
             path,
             format!("not a SHA-256; allowed: {DIGEST_DIGITS} hexadecimal digits"),
             "write the digest, as from `printf %s TOKEN | sha256sum`",
@@ -39,7 +43,7 @@
     }
     // Whoever sends the token would be taken for one team or the other by chance.
     if let Some(holder) = lookup.holder_of(digest) {
-        faults.push(ResourceFault::new(
+        faults.push(ValidationError::new(
             path,
             format!("team `{holder}` holds this token; each token is allowed once"),
             "give the team a token of its own",
@@ -47,9 +51,9 @@
     }
 }
 
-fn check_tiers(spec: &TeamSpec, lookup: &ResourceLookup<'_>, faults: &mut Vec<ResourceFault>) {
+fn check_tiers(spec: &TeamSpec, lookup: &ResourceLookup<'_>, faults: &mut Vec<ValidationError>) {
     if spec.tiers.is_empty() {
-        faults.push(ResourceFault::new(
+        faults.push(ValidationError::new(
             "spec.tiers",
             "a team without tiers can ask for nothing; allowed: one tier or more",
             "name the tier that its requests get",
@@ -58,7 +62,7 @@
     for (index, tier) in spec.tiers.iter().enumerate() {
         let path = format!("spec.tiers.{index}");
         if spec.tiers[..index].contains(tier) {
-            faults.push(ResourceFault::new(
+            faults.push(ValidationError::new(
                 path,
                 format!("tier `{tier}` is named twice; each is allowed once"),
                 "delete one of the two",
--- a/crates/savorywood-protocol/src/resource/validate/traffic_move.rs
+++ b/crates/savorywood-protocol/src/resource/validate/traffic_move.rs
@@ -1,6 +1,6 @@
 //! Checks of moves.
 
-use super::{ResourceFault, lookup::ResourceLookup};
+use super::{ValidationError, lookup::ResourceLookup};
 use crate::{
     WallTime,
     resource::{MoveState, ResourceDocument, ResourceSpec, TrafficMoveSpec},
@@ -14,13 +14,13 @@
     spec: &TrafficMoveSpec,
     lookup: &ResourceLookup<'_>,
     now: WallTime,
-    faults: &mut Vec<ResourceFault>,
+    faults: &mut Vec<ValidationError>,
 ) {
     lookup.check_service("spec.service", &spec.service, faults);
     let service = spec.service.as_str();
     lookup.check_version("spec.from", &spec.from, service, faults);
     if spec.from == spec.to {
-        faults.push(ResourceFault::new(
+        faults.push(ValidationError::new(
             "spec.to",
             format!("the move goes from `{}` to itself", spec.to),
             "name the version that gets the traffic",
@@ -42,13 +42,13 @@
     }
 }
 
-fn check_steps(spec: &TrafficMoveSpec, faults: &mut Vec<ResourceFault>) {
+fn check_steps(spec: &TrafficMoveSpec, faults: &mut Vec<ValidationError>) {
     let mut reached = 0;
     for (index, step) in spec.steps.iter().enumerate() {
         let share = step.share_per_mille;
         if share <= reached || share > WHOLE_PER_MILLE {
             let least = (reached + 1).min(WHOLE_PER_MILLE);
-            faults.push(ResourceFault::new(
+            faults.push(ValidationError::new(
                 format!("spec.steps.{index}.share_per_mille"),
                 format!(
                     "{share} is out of range; allowed: {least} to {WHOLE_PER_MILLE}, each step \
@@ -61,10 +61,10 @@
     }
 }
 
-fn check_deadline(spec: &TrafficMoveSpec, now: WallTime, faults: &mut Vec<ResourceFault>) {
+fn check_deadline(spec: &TrafficMoveSpec, now: WallTime, faults: &mut Vec<ValidationError>) {
     let soak = Duration::from_secs(spec.soak_seconds.into());
     if spec.finish_by <= now {
-        faults.push(ResourceFault::new(
+        faults.push(ValidationError::new(
             "spec.finish_by",
             format!(
                 "the deadline {} has passed; allowed: later than {now}",
@@ -74,7 +74,7 @@
         ));
     } else if spec.finish_by <= now + soak {
         // Such a move could only ever be taken back.
-        faults.push(ResourceFault::new(
+        faults.push(ValidationError::new(
             "spec.finish_by",
             format!(
                 "the deadline {} leaves no time besides the soak; allowed: later than {}",
@@ -91,13 +91,13 @@
     spec: &TrafficMoveSpec,
     lookup: &ResourceLookup<'_>,
     now: WallTime,
-    faults: &mut Vec<ResourceFault>,
+    faults: &mut Vec<ValidationError>,
 ) {
     let rival = lookup
         .moves()
         .find(|(document, other)| other.service == spec.service && is_live(document, other, now));
     if let Some((rival, other)) = rival {
-        faults.push(ResourceFault::new(
+        faults.push(ValidationError::new(
             "spec.service",
             format!(
                 "move `{}` of service `{}` is under way until {}; one at a time is allowed",
@@ -126,7 +126,11 @@
 
 /// What may change of a move depends on how far it is: evidence gathered for one pair of
 /// versions says nothing of another.
-fn check_edit(spec: &TrafficMoveSpec, former: &ResourceDocument, faults: &mut Vec<ResourceFault>) {
+fn check_edit(
+    spec: &TrafficMoveSpec,
+    former: &ResourceDocument,
+    faults: &mut Vec<ValidationError>,
+) {
     let ResourceSpec::Move(old) = &former.spec else {
         return;
     };
@@ -135,7 +139,7 @@
         Some(MoveState::Moving | MoveState::Soaking) => {
             let same = old.service == spec.service && old.from == spec.from && old.to == spec.to;
             if !same {
-                faults.push(ResourceFault::new(
+                faults.push(ValidationError::new(
                     "spec",
                     format!(
                         "the move from `{}` to `{}` has begun; its deadline, steps and soak may \
@@ -147,7 +151,7 @@
             }
         }
         Some(state @ (MoveState::Completed | MoveState::TakenBack)) => {
-            faults.push(ResourceFault::new(
+            faults.push(ValidationError::new(
                 "spec",
                 format!("the move is over ({state}); nothing of it may change"),
                 "create a move of another name",
--- a/crates/savorywood-protocol/src/resource/validate/upstream.rs
+++ b/crates/savorywood-protocol/src/resource/validate/upstream.rs
@@ -1,12 +1,12 @@
 //! Checks of upstreams.
 
-use super::{ResourceFault, lookup::ResourceLookup};
+use super::{ValidationError, lookup::ResourceLookup};
 use crate::resource::UpstreamSpec;
 
 pub(super) fn check(
     spec: &UpstreamSpec,
     lookup: &ResourceLookup<'_>,
-    faults: &mut Vec<ResourceFault>,
+    faults: &mut Vec<ValidationError>,
 ) {
     lookup.check_service("spec.service", &spec.service, faults);
     let service = spec.service.as_str();
@@ -17,7 +17,7 @@
         ("spec.batch_tokens", spec.batch_tokens),
     ];
     for (path, _) in sizes.into_iter().filter(|(_, size)| *size == 0) {
-        faults.push(ResourceFault::new(
+        faults.push(ValidationError::new(
             path,
             "zero would keep all work away; allowed: 1 or more",
             "write a number, or set `draining` to take the upstream out",
@@ -28,11 +28,11 @@
 fn check_address(
     spec: &UpstreamSpec,
     lookup: &ResourceLookup<'_>,
-    faults: &mut Vec<ResourceFault>,
+    faults: &mut Vec<ValidationError>,
 ) {
     let address = spec.address;
     if address.ip().is_unspecified() || address.port() == 0 {
-        faults.push(ResourceFault::new(
+        faults.push(ValidationError::new(
             "spec.address",
             format!("no daemon can connect to {address}; allowed: a host's IP address and port"),
             "write the address at which the upstream listens",
@@ -44,7 +44,7 @@
         .upstreams()
         .find(|(_, other)| other.address == address);
     if let Some((twin, _)) = twin {
-        faults.push(ResourceFault::new(
+        faults.push(ValidationError::new(
             "spec.address",
             format!("upstream `{twin}` has the address {address} too; each is allowed once"),
             format!("correct the address, or delete upstream `{twin}` first"),
--- a/crates/savorywood-protocol/tests/validate.rs
+++ b/crates/savorywood-protocol/tests/validate.rs
@@ -6,8 +6,8 @@
 use savorywood_protocol::{
     WallTime,
     resource::{
-        MoveState, ResourceDocument, ResourceFault, ResourceKey, ResourceKind, ResourceSet,
-        ResourceStatus,
+        MoveState, ResourceDocument, ResourceKey, ResourceKind, ResourceSet, ResourceStatus,
+        ValidationError,
         validate::{check_deletion, check_document, check_set},
     },
 };
@@ -63,7 +63,7 @@
     ])
 }
 
-fn faults_of(document: &ResourceDocument) -> Vec<ResourceFault> {
+fn faults_of(document: &ResourceDocument) -> Vec<ValidationError> {
     check_document(document, &sound_set(), NOW)
 }
 
--- a/crates/savorywood-settings/src/resources.rs
+++ b/crates/savorywood-settings/src/resources.rs
@@ -10,8 +10,8 @@
 use savorywood_protocol::{
     name,
     resource::{
-        ResourceDocument, ResourceFault, ResourceKind, ResourceSpec, ResourceStatus, ServiceSpec,
-        TeamSpec, TierSpec, TrafficMoveSpec, UpstreamSpec, VersionSpec,
+        ResourceDocument, ResourceKind, ResourceSpec, ResourceStatus, ServiceSpec, TeamSpec,
+        TierSpec, TrafficMoveSpec, UpstreamSpec, ValidationError, VersionSpec,
     },
 };
 use serde::de::DeserializeOwned;
@@ -87,7 +87,7 @@
 
     /// Shows a fault of the document with this index at its place in the file.
     #[must_use]
-    pub fn locate(&self, index: usize, fault: &ResourceFault) -> SettingsFault {
+    pub fn locate(&self, index: usize, fault: &ValidationError) -> SettingsFault {
         let path = MemberPath::parse(&fault.path);
         let span = self.nodes.get(index).map(|node| {
             let found = node.find(&path, false);
--- a/crates/savorywood-settings/tests/resources.rs
+++ b/crates/savorywood-settings/tests/resources.rs
@@ -1,6 +1,6 @@
 //! Resource files: what is read and how faults are told.
 
-use savorywood_protocol::resource::{ResourceFault, ResourceKind};
+use savorywood_protocol::resource::{ResourceKind, ValidationError};
 use savorywood_settings::{
     FaultReport, ResourceFile, SettingsFault, SourceText, resources::required_members,
 };
@@ -112,14 +112,14 @@
 #[test]
 fn faults_found_later_are_located() {
     let file = parse(&format!("[{UPSTREAM}, {UPSTREAM}]")).unwrap();
-    let fault = ResourceFault {
+    let fault = ValidationError {
         path: "spec.extensions.1".to_owned(),
         message: "is wrong".to_owned(),
         remedy: "mend it".to_owned(),
     };
     let located = file.locate(1, &fault);
     assert_eq!((located.position.line, located.position.column), (19, 30));
-    let elsewhere = ResourceFault {
+    let elsewhere = ValidationError {
         path: "spec.seats".to_owned(),
         ..fault
     };
