--- a/crates/savorywood-core/src/daemon.rs
+++ b/crates/savorywood-core/src/daemon.rs
@@ -204,7 +204,7 @@
             let DaemonEffect::Refuse { request, refusal } = effect else {
                 continue;
             };
-            if refusal.code.is_caller_fault() {
+            if refusal.code.is_caller_error() {
                 self.objectives.forget(*request);
             } else {
                 self.objectives
--- a/crates/savorywood-core/src/daemon/deciding.rs
+++ b/crates/savorywood-core/src/daemon/deciding.rs
@@ -104,7 +104,7 @@
             if !self.may_shed(now, &queued, &refusal, effects) {
                 return;
             }
-            if refusal.is_for_load() {
+            if refusal.is_overload() {
                 self.shed_lower_held(now, &queued, effects);
             }
         }
--- a/crates/savorywood-core/src/daemon/sharing.rs
+++ b/crates/savorywood-core/src/daemon/sharing.rs
@@ -176,7 +176,7 @@
     ) -> bool {
         let in_time = request.deadline_at > now.monotonic;
         let full = self.held.by_request.len() >= MAX_HELD;
-        if !refusal.is_for_load() || !in_time || full || self.stop.is_stopping() {
+        if !refusal.is_overload() || !in_time || full || self.stop.is_stopping() {
             return true;
         }
         self.count_demands(now.monotonic);
--- a/crates/savorywood-protocol/src/outcome.rs
+++ b/crates/savorywood-protocol/src/outcome.rs
@@ -97,7 +97,7 @@
 impl RefusalCode {
     /// Whether the caller brought it about: then it says nothing of the service.
     #[must_use]
-    pub fn is_caller_fault(self) -> bool {
+    pub fn is_caller_error(self) -> bool {
         match self {
             Self::BadRequest
             | Self::Unauthorized
@@ -181,7 +181,7 @@
 
     /// Whether it is given for want of room, so that tiers are refused in order.
     #[must_use]
-    pub fn is_for_load(&self) -> bool {
+    pub fn is_overload(&self) -> bool {
         matches!(self.code, RefusalCode::Overloaded | RefusalCode::TierShed)
     }
 
