--- a/crates/savorywood-daemon/src/problem.rs
+++ b/crates/savorywood-daemon/src/problem.rs
@@ -10,7 +10,7 @@
 pub const OUTCOME_HEADER: &str = "x-savorywood-outcome";
 
 /// Header that names the request in logs.
-pub const REQUEST_HEADER: &str = "x-request-id";
+pub const REQUEST_ID_HEADER: &str = "x-request-id";
 
 /// Header that carries a resume token, both ways.
 pub const RESUME_HEADER: &str = "x-savorywood-resume-token";
@@ -95,7 +95,7 @@
         response.insert_header("retry-after", whole_seconds(time).to_string());
     }
     if let Some(request) = request {
-        response.insert_header(REQUEST_HEADER, request.to_string());
+        response.insert_header(REQUEST_ID_HEADER, request.to_string());
     }
     response
 }
--- a/crates/savorywood-daemon/src/relay/attempt.rs
+++ b/crates/savorywood-daemon/src/relay/attempt.rs
@@ -5,7 +5,7 @@
     task::{OutgoingCall, RequestTask},
     usage_filter::UsageFilter,
 };
-use crate::problem::{OUTCOME_HEADER, REQUEST_HEADER, RESUME_HEADER};
+use crate::problem::{OUTCOME_HEADER, REQUEST_ID_HEADER, RESUME_HEADER};
 use async_io::Timer;
 use futures_lite::future;
 use http_types::{Body, Method, Request, Response, Url};
@@ -308,7 +308,7 @@
         };
         let outcome: &'static str = outcome.into();
         response.insert_header(OUTCOME_HEADER, outcome);
-        response.insert_header(REQUEST_HEADER, self.task.request.to_string());
+        response.insert_header(REQUEST_ID_HEADER, self.task.request.to_string());
         response.insert_header("x-savorywood-upstream", self.order.upstream.as_str());
         if let Some(token) = self.resume_token() {
             response.insert_header(RESUME_HEADER, token);
@@ -364,7 +364,7 @@
     for header in &call.headers {
         request.append_header(header.name.as_str(), header.value.as_str());
     }
-    request.insert_header(REQUEST_HEADER, order.request.to_string());
+    request.insert_header(REQUEST_ID_HEADER, order.request.to_string());
     if call.protocol == ServiceProtocol::Model {
         request.insert_header(STREAM_HEADER, stream);
     }
@@ -373,7 +373,7 @@
 
 fn pass_headers(answer: &UpstreamAnswer, response: &mut Response) {
     for (name, values) in &answer.head {
-        let ours = name.as_str().starts_with("x-savorywood") || name == REQUEST_HEADER;
+        let ours = name.as_str().starts_with("x-savorywood") || name == REQUEST_ID_HEADER;
         if is_hop_header(name.as_str()) || ours {
             continue;
         }
--- a/crates/savorywood-daemon/src/relay/resume.rs
+++ b/crates/savorywood-daemon/src/relay/resume.rs
@@ -1,7 +1,7 @@
 //! Reads on a stream that another daemon dispatched.
 
 use super::{attempt::is_hop_header, task::RequestTask};
-use crate::problem::{self, OUTCOME_HEADER, REQUEST_HEADER};
+use crate::problem::{self, OUTCOME_HEADER, REQUEST_ID_HEADER};
 use async_io::Timer;
 use futures_lite::future;
 use http_types::{Body, Method, Response};
@@ -69,7 +69,7 @@
         }
         let outcome: &'static str = OutcomeKind::Ran.into();
         response.insert_header(OUTCOME_HEADER, outcome);
-        response.insert_header(REQUEST_HEADER, self.request.to_string());
+        response.insert_header(REQUEST_ID_HEADER, self.request.to_string());
         let is_events = answer
             .header("content-type")
             .is_some_and(|kind| kind.starts_with("text/event-stream"));
--- a/crates/savorywood-daemon/src/relay/task.rs
+++ b/crates/savorywood-daemon/src/relay/task.rs
@@ -3,7 +3,7 @@
 use super::attempt::{AttemptEnd, RequestAttempt};
 use crate::{
     daemon::DaemonShared,
-    problem::{self, OUTCOME_HEADER, REQUEST_HEADER},
+    problem::{self, OUTCOME_HEADER, REQUEST_ID_HEADER},
     registry::RequestCommand,
 };
 use async_channel::{Receiver, Sender};
@@ -269,7 +269,7 @@
     let mut response = Response::new(problem::status_code(answer.status));
     let outcome: &'static str = OutcomeKind::Ran.into();
     response.insert_header(OUTCOME_HEADER, outcome);
-    response.insert_header(REQUEST_HEADER, request.to_string());
+    response.insert_header(REQUEST_ID_HEADER, request.to_string());
     response.insert_header("x-savorywood-replayed", "true");
     if let Some(body) = answer.body {
         response.set_body(body);
--- a/crates/savorywood-protocol/src/extension.rs
+++ b/crates/savorywood-protocol/src/extension.rs
@@ -7,13 +7,13 @@
 pub const STREAM_HEADER: &str = "x-savorywood-stream";
 
 /// Header that carries the identity of a request.
-pub const REQUEST_HEADER: &str = "x-request-id";
+pub const REQUEST_ID_HEADER: &str = "x-request-id";
 
 /// Header that carries the key of a call that may not run twice.
-pub const KEY_HEADER: &str = "idempotency-key";
+pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
 /// Prefix of the path of a stream; its name follows.
-pub const STREAM_PATH: &str = "/savorywood/streams/";
+pub const STREAM_PATH_PREFIX: &str = "/savorywood/streams/";
 
 /// Path of the load report.
 pub const LOAD_PATH: &str = "/savorywood/load";
--- a/crates/savorywood-standin/src/engine/routes.rs
+++ b/crates/savorywood-standin/src/engine/routes.rs
@@ -8,14 +8,14 @@
 use crate::http::{self, HandlerResult};
 use http_types::{Method, Request, StatusCode};
 use savorywood_protocol::extension::{
-    CACHE_EVENTS_PATH, KV_EXPORT_PATH, KV_IMPORT_PATH, LOAD_PATH, ORDERS_PATH, STREAM_PATH,
+    CACHE_EVENTS_PATH, KV_EXPORT_PATH, KV_IMPORT_PATH, LOAD_PATH, ORDERS_PATH, STREAM_PATH_PREFIX,
 };
 use std::sync::Arc;
 
 /// Hands a request to what serves its path.
 pub(crate) async fn handle(engine: Arc<EngineShared>, request: Request) -> HandlerResult {
     let path = request.url().path().to_owned();
-    if let Some(name) = path.strip_prefix(STREAM_PATH) {
+    if let Some(name) = path.strip_prefix(STREAM_PATH_PREFIX) {
         return extension::stream(&engine, &request, name).await;
     }
     match (request.method(), path.as_str()) {
--- a/crates/savorywood-standin/src/runs.rs
+++ b/crates/savorywood-standin/src/runs.rs
@@ -2,7 +2,7 @@
 
 use crate::http;
 use http_types::Request;
-use savorywood_protocol::extension::{KEY_HEADER, REQUEST_HEADER, STREAM_HEADER};
+use savorywood_protocol::extension::{IDEMPOTENCY_KEY_HEADER, REQUEST_ID_HEADER, STREAM_HEADER};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 use strum::Display;
@@ -57,9 +57,9 @@
             sequence: 0,
             method: request.method().to_string(),
             path: request.url().path().to_owned(),
-            request: text(REQUEST_HEADER),
+            request: text(REQUEST_ID_HEADER),
             stream: text(STREAM_HEADER),
-            key: text(KEY_HEADER),
+            key: text(IDEMPOTENCY_KEY_HEADER),
             state: RunState::Running,
             output_tokens: 0,
             count: 0,
