--- a/crates/savorywood-daemon/src/outbound/orders.rs
+++ b/crates/savorywood-daemon/src/outbound/orders.rs
@@ -6,7 +6,7 @@
 use savorywood_http::{CallAnswer, CallRequest};
 use savorywood_protocol::{
     VersionName,
-    extension::{FencedDocument, ORDERS_PATH, OrderDocument, OrderStateDocument},
+    extension::{FencingConflictDocument, ORDERS_PATH, OrderDocument, OrderStateDocument},
 };
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -71,7 +71,7 @@
 
 fn read_answer(answer: &CallAnswer) -> OrderAnswer {
     if answer.status == 409 {
-        let fenced: Option<FencedDocument> = serde_json::from_slice(&answer.body).ok();
+        let fenced: Option<FencingConflictDocument> = serde_json::from_slice(&answer.body).ok();
         return fenced.map_or(OrderAnswer::Lost, |fenced| OrderAnswer::Fenced {
             newest: fenced.newest,
         });
--- a/crates/savorywood-protocol/src/extension.rs
+++ b/crates/savorywood-protocol/src/extension.rs
@@ -124,7 +124,7 @@
 
 /// Answer with status 409 to an order that carries an old fencing number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FencedDocument {
+pub struct FencingConflictDocument {
     /// Newest fencing number seen.
     pub newest: FencingNumber,
 }
--- a/crates/savorywood-standin/src/engine/orders.rs
+++ b/crates/savorywood-standin/src/engine/orders.rs
@@ -2,7 +2,7 @@
 
 use savorywood_protocol::{
     FencingNumber,
-    extension::{FencedDocument, OrderDocument, OrderStateDocument},
+    extension::{FencingConflictDocument, OrderDocument, OrderStateDocument},
 };
 use serde::{Deserialize, Serialize};
 
@@ -29,7 +29,7 @@
         weights: Option<String>,
     },
     /// Refused.
-    Fenced(FencedDocument),
+    Fenced(FencingConflictDocument),
 }
 
 /// Orders of one engine.
@@ -74,7 +74,7 @@
             self.newest = Some(newest.max(order.fencing));
             self.apply(&order)
         } else {
-            OrderOutcome::Fenced(FencedDocument { newest })
+            OrderOutcome::Fenced(FencingConflictDocument { newest })
         };
         self.records.push(OrderRecord {
             order,
