--- a/crates/savorywood-cli/src/burn/report.rs
+++ b/crates/savorywood-cli/src/burn/report.rs
@@ -4,7 +4,7 @@
 use crate::table::TextTable;
 use savorywood_protocol::{
     HostName, ServiceName, TierRank,
-    burn::{BurnObjective, BurnWindow, DaemonBurn},
+    burn::{BurnObjective, BurnWindow, DaemonBurnReport},
     resource::{ResourceDocument, ResourceSpec, ServiceObjectives},
 };
 use serde::Serialize;
@@ -17,7 +17,7 @@
     /// Services and tiers, for targets and names.
     pub resources: Vec<ResourceDocument>,
     /// Counts of the members that answered.
-    pub daemons: Vec<DaemonBurn>,
+    pub daemons: Vec<DaemonBurnReport>,
     /// Members that did not.
     pub silent: Vec<SilentMember>,
 }
--- a/crates/savorywood-cli/src/client.rs
+++ b/crates/savorywood-cli/src/client.rs
@@ -9,7 +9,7 @@
 use savorywood_protocol::{
     ConfigRevision,
     api::{AcceptedChange, MemberSummary, ProblemSummary, ResourceList},
-    burn::DaemonBurn,
+    burn::DaemonBurnReport,
     resource::{ResourceDocument, ResourceKey, ResourceKind},
 };
 use serde::de::DeserializeOwned;
@@ -171,7 +171,7 @@
     /// # Errors
     ///
     /// When the daemon does not answer or refuses.
-    pub async fn burn(&self) -> Result<DaemonBurn, CommandError> {
+    pub async fn burn(&self) -> Result<DaemonBurnReport, CommandError> {
         self.read("reading burn counts", "/v1/burn").await
     }
 
--- a/crates/savorywood-cli/src/commands/report.rs
+++ b/crates/savorywood-cli/src/commands/report.rs
@@ -8,7 +8,8 @@
 };
 use bpaf::Bpaf;
 use savorywood_protocol::{
-    api::MemberSummary, burn::DaemonBurn, peer::membership::MemberState, resource::ResourceKind,
+    api::MemberSummary, burn::DaemonBurnReport, peer::membership::MemberState,
+    resource::ResourceKind,
 };
 use std::collections::BTreeMap;
 use strum::{Display, EnumString};
@@ -59,7 +60,7 @@
 
 /// What one member answered.
 enum MemberAnswer {
-    Counted(DaemonBurn),
+    Counted(DaemonBurnReport),
     Silent(SilentMember),
 }
 
--- a/crates/savorywood-cli/tests/burn.rs
+++ b/crates/savorywood-cli/tests/burn.rs
@@ -12,7 +12,7 @@
     client::OperatorClient,
     commands::report,
 };
-use savorywood_protocol::burn::{BurnObjective, BurnSample, BurnWindow, DaemonBurn};
+use savorywood_protocol::burn::{BurnObjective, BurnSample, BurnWindow, DaemonBurnReport};
 use serde_json::json;
 use std::net::{SocketAddr, TcpListener};
 use strum::IntoEnumIterator;
@@ -28,8 +28,8 @@
     }
 }
 
-fn daemon(host: &str, samples: Vec<BurnSample>) -> DaemonBurn {
-    DaemonBurn {
+fn daemon(host: &str, samples: Vec<BurnSample>) -> DaemonBurnReport {
+    DaemonBurnReport {
         host: host.parse().unwrap(),
         observed_ms: 90_000,
         untracked: 2,
--- a/crates/savorywood-cli/tests/support/fake_daemon.rs
+++ b/crates/savorywood-cli/tests/support/fake_daemon.rs
@@ -8,7 +8,7 @@
 };
 use savorywood_protocol::{
     ConfigRevision, WallTime,
-    burn::DaemonBurn,
+    burn::DaemonBurnReport,
     resource::{
         ResourceDocument, ResourceKey, ResourceKind, ResourceSet, ResourceStatus, validate,
     },
@@ -45,7 +45,7 @@
     watches: Vec<String>,
     watch_script: VecDeque<String>,
     members: Vec<Value>,
-    burn: Option<DaemonBurn>,
+    burn: Option<DaemonBurnReport>,
 }
 
 struct FakeHandler {
@@ -75,7 +75,7 @@
             .detach();
         thread::spawn(move || future::block_on(executor.run(future::pending::<()>())));
         let daemon = Self { address, state };
-        daemon.lock().burn = Some(DaemonBurn {
+        daemon.lock().burn = Some(DaemonBurnReport {
             host: host.parse().unwrap(),
             observed_ms: 60_000,
             untracked: 0,
@@ -129,7 +129,7 @@
         self.lock().members = members;
     }
 
-    pub fn put_burn(&self, change: impl FnOnce(&mut DaemonBurn)) {
+    pub fn put_burn(&self, change: impl FnOnce(&mut DaemonBurnReport)) {
         self.lock().burn.as_mut().map(change).unwrap();
     }
 }
--- a/crates/savorywood-core/src/daemon/reads.rs
+++ b/crates/savorywood-core/src/daemon/reads.rs
@@ -10,7 +10,7 @@
 };
 use savorywood_protocol::{
     ConfigRevision, CoreTime, RequestRefusal,
-    burn::DaemonBurn,
+    burn::DaemonBurnReport,
     resource::{ResourceDocument, ResourceSpec},
 };
 use strum::{Display, EnumIter, IntoStaticStr};
@@ -103,9 +103,9 @@
 
     /// Counts of met and missed objectives.
     #[must_use]
-    pub fn burn(&self, now: CoreTime) -> DaemonBurn {
+    pub fn burn(&self, now: CoreTime) -> DaemonBurnReport {
         let observed = now.monotonic.since(self.started_at).as_millis();
-        DaemonBurn {
+        DaemonBurnReport {
             host: self.options.host.clone(),
             observed_ms: u64::try_from(observed).unwrap_or(u64::MAX),
             untracked: self.burn.untracked(),
--- a/crates/savorywood-protocol/src/burn.rs
+++ b/crates/savorywood-protocol/src/burn.rs
@@ -102,7 +102,7 @@
 
 /// Answer of one daemon to `GET /v1/burn`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DaemonBurn {
+pub struct DaemonBurnReport {
     /// Who counted.
     pub host: HostName,
     /// Since when it has counted: a restarted daemon knows nothing of the time before.
