--- a/crates/savorywood-core/src/membership/inbox.rs
+++ b/crates/savorywood-core/src/membership/inbox.rs
@@ -11,7 +11,7 @@
     HostName, MonotonicTime,
     peer::{
         MembershipMessage,
-        membership::{MemberUpdate, TableDigest},
+        membership::{MemberTableDigest, MemberUpdate},
     },
 };
 
@@ -90,7 +90,7 @@
         &mut self,
         from: &HostName,
         sequence: u64,
-        digest: &TableDigest,
+        digest: &MemberTableDigest,
         updates: &[MemberUpdate],
         effects: &mut EffectQueue,
     ) {
--- a/crates/savorywood-core/src/membership/outbox.rs
+++ b/crates/savorywood-core/src/membership/outbox.rs
@@ -11,7 +11,7 @@
     HostName, MonotonicTime, RegionName,
     peer::{
         MembershipMessage, PeerMessage,
-        membership::{MemberState, MemberUpdate, TableDigest},
+        membership::{MemberState, MemberTableDigest, MemberUpdate},
     },
 };
 use std::{net::SocketAddr, time::Duration};
@@ -133,7 +133,7 @@
         send(target, address, message, effects);
     }
 
-    fn next_digest(&mut self) -> TableDigest {
+    fn next_digest(&mut self) -> MemberTableDigest {
         let first = self.next_part;
         self.next_part = (first + DIGEST_PARTS) % super::table::TABLE_PARTS;
         self.table.digest(first, DIGEST_PARTS)
@@ -144,7 +144,7 @@
         &mut self,
         to: &HostName,
         sequence: u64,
-        digest: &TableDigest,
+        digest: &MemberTableDigest,
         introduce: bool,
         effects: &mut EffectQueue,
     ) {
--- a/crates/savorywood-core/src/membership/table.rs
+++ b/crates/savorywood-core/src/membership/table.rs
@@ -6,7 +6,7 @@
 };
 use savorywood_protocol::{
     HostName, MonotonicTime,
-    peer::membership::{MemberPlace, MemberState, MemberUpdate, TableDigest},
+    peer::membership::{MemberPlace, MemberState, MemberTableDigest, MemberUpdate},
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -234,9 +234,9 @@
 
     /// Digests of `count` parts from `first` on.
     #[must_use]
-    pub fn digest(&self, first: u8, count: u8) -> TableDigest {
+    pub fn digest(&self, first: u8, count: u8) -> MemberTableDigest {
         let parts = (0..count).map(|offset| self.part_digest((first + offset) % TABLE_PARTS));
-        TableDigest {
+        MemberTableDigest {
             first,
             parts: parts.collect(),
         }
@@ -249,7 +249,7 @@
 
     /// Members in the parts where the sender's digest differs from ours.
     #[must_use]
-    pub fn differing(&self, digest: &TableDigest) -> Vec<HostName> {
+    pub fn differing(&self, digest: &MemberTableDigest) -> Vec<HostName> {
         let parts = (0..TABLE_PARTS).zip(&digest.parts);
         let differing: BTreeSet<u8> = parts
             .map(|(offset, theirs)| (digest.first.wrapping_add(offset) % TABLE_PARTS, *theirs))
--- a/crates/savorywood-protocol/src/peer/membership.rs
+++ b/crates/savorywood-protocol/src/peer/membership.rs
@@ -107,7 +107,7 @@
 /// The receiver compares them with its own and answers with the parts that differ, so that news
 /// that was lost on all its ways is still learned.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TableDigest {
+pub struct MemberTableDigest {
     /// Number of the first part.
     pub first: u8,
     /// Digest of each part, from the first on.
@@ -124,7 +124,7 @@
         /// Newest configuration revision known to the sender.
         newest_revision: ConfigRevision,
         /// Parts of the sender's table.
-        digest: TableDigest,
+        digest: MemberTableDigest,
         /// News carried along.
         updates: Vec<MemberUpdate>,
     },
--- a/crates/savorywood-protocol/tests/fuzz_peer.rs
+++ b/crates/savorywood-protocol/tests/fuzz_peer.rs
@@ -11,7 +11,7 @@
         PeerDatagram, PeerMessage,
         credits::{TierDemand, UpstreamDemand, UpstreamGrant},
         datagram::MAX_DATAGRAM_BYTES,
-        membership::{MemberPlace, MemberState, MemberUpdate, TableDigest},
+        membership::{MemberPlace, MemberState, MemberTableDigest, MemberUpdate},
         moves::{RouteStatistics, VersionStatistics},
         snapshot::{SnapshotContent, SnapshotRequest, SnapshotResponse, open_frame, seal_frame},
     },
@@ -95,7 +95,7 @@
         MembershipMessage::Ping {
             sequence: 9,
             newest_revision,
-            digest: TableDigest {
+            digest: MemberTableDigest {
                 first: 2,
                 parts: vec![1, 70_000, u32::MAX],
             },
