--- a/crates/savorywood-core/tests/fleet/network.rs
+++ b/crates/savorywood-core/tests/fleet/network.rs
@@ -11,7 +11,7 @@
     CoreTime, HostIncarnation, HostName, MonotonicTime, WallTime,
     peer::{
         PeerMessage,
-        datagram::{MAX_DATAGRAM_BYTES, ReplayGuard, ReplayVerdict},
+        datagram::{MAX_DATAGRAM_BYTES, ReplayDecision, ReplayGuard},
         membership::{MemberPlace, MemberState},
     },
 };
@@ -362,7 +362,9 @@
                     return;
                 };
                 fake.received_bytes += bytes as u64;
-                if fake.guard.judge(&from, incarnation, sequence) != ReplayVerdict::Fresh {
+                if fake.guard.check_and_record(&from, incarnation, sequence)
+                    != ReplayDecision::Fresh
+                {
                     return;
                 }
                 if let PeerMessage::Membership(message) = message {
--- a/crates/savorywood-core/tests/whole/links.rs
+++ b/crates/savorywood-core/tests/whole/links.rs
@@ -13,7 +13,7 @@
     HostName,
     peer::{
         PeerMessage,
-        datagram::{PeerDatagram, ReplayVerdict},
+        datagram::{PeerDatagram, ReplayDecision},
     },
     table::{TableRequest, TableResponse},
 };
@@ -182,8 +182,10 @@
             return;
         };
         let (from, sequence) = (datagram.from, datagram.sequence);
-        let verdict = place.guard.judge(&from, datagram.incarnation, sequence);
-        if verdict == ReplayVerdict::Fresh {
+        let verdict = place
+            .guard
+            .check_and_record(&from, datagram.incarnation, sequence);
+        if verdict == ReplayDecision::Fresh {
             let message = datagram.message;
             self.step(to, DaemonEvent::Peer { from, message });
         }
--- a/crates/savorywood-daemon/src/peers/datagrams.rs
+++ b/crates/savorywood-daemon/src/peers/datagrams.rs
@@ -10,7 +10,7 @@
     HostName,
     peer::{
         DatagramKey, PeerDatagram, PeerMessage,
-        datagram::{MAX_DATAGRAM_BYTES, ReplayGuard, ReplayVerdict},
+        datagram::{MAX_DATAGRAM_BYTES, ReplayDecision, ReplayGuard},
     },
 };
 use std::{
@@ -125,9 +125,10 @@
             }
         };
         let mut guard = self.guard.lock().unwrap_or_else(PoisonError::into_inner);
-        let verdict = guard.judge(&datagram.from, datagram.incarnation, datagram.sequence);
+        let verdict =
+            guard.check_and_record(&datagram.from, datagram.incarnation, datagram.sequence);
         drop(guard);
-        if verdict != ReplayVerdict::Fresh {
+        if verdict != ReplayDecision::Fresh {
             driver.metrics.count_dropped_datagram();
             log::debug!(
                 "event=datagram-dropped peer={address} host={} verdict={verdict:?}",
--- a/crates/savorywood-protocol/src/peer/datagram.rs
+++ b/crates/savorywood-protocol/src/peer/datagram.rs
@@ -2,7 +2,7 @@
 
 mod replay;
 
-pub use replay::{ReplayGuard, ReplayVerdict, ReplayWindow};
+pub use replay::{ReplayDecision, ReplayGuard, ReplayWindow};
 
 use super::PeerMessage;
 use crate::{HostIncarnation, HostName};
--- a/crates/savorywood-protocol/src/peer/datagram/replay.rs
+++ b/crates/savorywood-protocol/src/peer/datagram/replay.rs
@@ -12,7 +12,7 @@
 
 /// What the guard says of a datagram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ReplayVerdict {
+pub enum ReplayDecision {
     /// Not seen before.
     Fresh,
     /// Seen before, or too old to tell.
@@ -67,12 +67,12 @@
 
 impl ReplayGuard {
     /// Judges an authenticated datagram and notes its sequence number.
-    pub fn judge(
+    pub fn check_and_record(
         &mut self,
         from: &HostName,
         incarnation: HostIncarnation,
         sequence: u64,
-    ) -> ReplayVerdict {
+    ) -> ReplayDecision {
         let Some(sender) = self.senders.get_mut(from) else {
             let mut window = ReplayWindow::default();
             window.accept(sequence);
@@ -81,18 +81,18 @@
                 window,
             };
             self.senders.insert(from.clone(), sender);
-            return ReplayVerdict::Fresh;
+            return ReplayDecision::Fresh;
         };
         if incarnation < sender.incarnation {
-            return ReplayVerdict::OldIncarnation;
+            return ReplayDecision::OldIncarnation;
         }
         if incarnation > sender.incarnation {
             sender.incarnation = incarnation;
             sender.window = ReplayWindow::default();
         }
         match sender.window.accept(sequence) {
-            true => ReplayVerdict::Fresh,
-            false => ReplayVerdict::Replayed,
+            true => ReplayDecision::Fresh,
+            false => ReplayDecision::Replayed,
         }
     }
 
--- a/crates/savorywood-protocol/tests/peer_datagram.rs
+++ b/crates/savorywood-protocol/tests/peer_datagram.rs
@@ -5,7 +5,7 @@
     ConfigRevision, HostIncarnation, HostName,
     peer::{
         DatagramError, DatagramKey, MembershipMessage, PeerDatagram, PeerMessage,
-        datagram::{ReplayGuard, ReplayVerdict, ReplayWindow},
+        datagram::{ReplayDecision, ReplayGuard, ReplayWindow},
         membership::{MemberPlace, MemberState, MemberUpdate},
     },
 };
@@ -77,13 +77,25 @@
     let from = host("entry-1");
     let old = HostIncarnation(1);
     let new = HostIncarnation(2);
-    assert_eq!(guard.judge(&from, old, 5), ReplayVerdict::Fresh);
-    assert_eq!(guard.judge(&from, old, 5), ReplayVerdict::Replayed);
-    assert_eq!(guard.judge(&from, old, 4), ReplayVerdict::Fresh);
-    assert_eq!(guard.judge(&from, new, 1), ReplayVerdict::Fresh);
-    assert_eq!(guard.judge(&from, old, 6), ReplayVerdict::OldIncarnation);
-    assert_eq!(guard.judge(&from, new, 500), ReplayVerdict::Fresh);
-    assert_eq!(guard.judge(&from, new, 1), ReplayVerdict::Replayed);
+    assert_eq!(guard.check_and_record(&from, old, 5), ReplayDecision::Fresh);
+    assert_eq!(
+        guard.check_and_record(&from, old, 5),
+        ReplayDecision::Replayed
+    );
+    assert_eq!(guard.check_and_record(&from, old, 4), ReplayDecision::Fresh);
+    assert_eq!(guard.check_and_record(&from, new, 1), ReplayDecision::Fresh);
+    assert_eq!(
+        guard.check_and_record(&from, old, 6),
+        ReplayDecision::OldIncarnation
+    );
+    assert_eq!(
+        guard.check_and_record(&from, new, 500),
+        ReplayDecision::Fresh
+    );
+    assert_eq!(
+        guard.check_and_record(&from, new, 1),
+        ReplayDecision::Replayed
+    );
 }
 
 #[test]
