--- a/crates/savorywood-core/src/moves/stopping.rs
+++ b/crates/savorywood-core/src/moves/stopping.rs
@@ -134,7 +134,7 @@
                 self.stop(&name, stop, view.members, effects);
                 self.drive(now, view, effects);
             }
-            MoveMessage::Evidence {
+            MoveMessage::Statistics {
                 name,
                 revision,
                 sequence,
--- a/crates/savorywood-core/src/moves/watching.rs
+++ b/crates/savorywood-core/src/moves/watching.rs
@@ -157,7 +157,7 @@
         let Some(member) = members.members.get(&holder) else {
             return;
         };
-        let message = MoveMessage::Evidence {
+        let message = MoveMessage::Statistics {
             name: parcel.name,
             revision: parcel.revision,
             sequence: parcel.sequence,
--- a/crates/savorywood-protocol/src/peer/moves.rs
+++ b/crates/savorywood-protocol/src/peer/moves.rs
@@ -46,7 +46,8 @@
     },
     /// What the sender saw since its last message, for the daemon that drives the move. A lost
     /// message costs some evidence, never a wrong count: nothing is sent twice.
-    Evidence {
+    #[serde(rename = "Evidence")]
+    Statistics {
         /// Move that it is about.
         name: MoveName,
         /// Revision of its spec.
--- a/crates/savorywood-protocol/tests/fuzz_peer.rs
+++ b/crates/savorywood-protocol/tests/fuzz_peer.rs
@@ -177,7 +177,7 @@
             reason: "errors on /v1/completions".to_owned(),
             at: WallTime(1_780_000_000_000),
         },
-        MoveMessage::Evidence {
+        MoveMessage::Statistics {
             name,
             revision,
             sequence: 9,
