--- a/crates/savorywood-core/src/membership/budget.rs
+++ b/crates/savorywood-core/src/membership/budget.rs
@@ -58,7 +58,7 @@
             MembershipMessage::Ping { digest, .. } => digest.parts.len() < PROBE_PARTS,
             MembershipMessage::Ack { table, .. } => table.len() >= LONG_TABLE,
             MembershipMessage::PingRequest { .. } | MembershipMessage::Nack { .. } => false,
-            MembershipMessage::News { .. } => return Self::Urgent,
+            MembershipMessage::Updates { .. } => return Self::Urgent,
         };
         match reads_table {
             true => Self::Low,
--- a/crates/savorywood-core/src/membership/inbox.rs
+++ b/crates/savorywood-core/src/membership/inbox.rs
@@ -75,7 +75,7 @@
                 self.ping_for(now, from, sequence, target, effects);
             }
             MembershipMessage::Nack { sequence } => self.nacked(from, sequence),
-            MembershipMessage::News {
+            MembershipMessage::Updates {
                 newest_revision,
                 updates,
             } => {
--- a/crates/savorywood-core/src/membership/outbox.rs
+++ b/crates/savorywood-core/src/membership/outbox.rs
@@ -250,7 +250,7 @@
         }
         for target in self.news_targets() {
             let updates = list.updates.clone();
-            let message = MembershipMessage::News {
+            let message = MembershipMessage::Updates {
                 newest_revision: self.newest_revision,
                 updates,
             };
--- a/crates/savorywood-protocol/src/peer/membership.rs
+++ b/crates/savorywood-protocol/src/peer/membership.rs
@@ -156,7 +156,8 @@
         sequence: u64,
     },
     /// News that can't wait for the next ping: a member leaves, a new configuration.
-    News {
+    #[serde(rename = "News")]
+    Updates {
         /// Newest configuration revision known to the sender.
         newest_revision: ConfigRevision,
         /// The news.
--- a/crates/savorywood-protocol/tests/fuzz_peer.rs
+++ b/crates/savorywood-protocol/tests/fuzz_peer.rs
@@ -114,7 +114,7 @@
             updates: updates(),
         },
         MembershipMessage::Nack { sequence: 9 },
-        MembershipMessage::News {
+        MembershipMessage::Updates {
             newest_revision,
             updates: updates(),
         },
--- a/crates/savorywood-protocol/tests/peer_datagram.rs
+++ b/crates/savorywood-protocol/tests/peer_datagram.rs
@@ -33,7 +33,7 @@
 }
 
 fn datagram() -> PeerDatagram {
-    let message = MembershipMessage::News {
+    let message = MembershipMessage::Updates {
         newest_revision: ConfigRevision(70_000),
         updates: vec![update(true)],
     };
