--- a/crates/savorywood-core/src/membership/inbox.rs
+++ b/crates/savorywood-core/src/membership/inbox.rs
@@ -26,7 +26,7 @@
 struct TablePart<'a> {
     members: &'a [MemberUpdate],
     /// Whether that daemon has read the whole table of others itself.
-    settled: bool,
+    synced: bool,
 }
 
 impl MembershipState {
@@ -55,14 +55,14 @@
                 newest_revision,
                 updates,
                 table,
-                settled,
+                synced,
             } => {
                 self.note_revision(newest_revision);
                 self.learn_all(now, from, &updates, NewsSource::Rumor, effects);
                 self.learn_all(now, from, &table, NewsSource::Table, effects);
                 let part = TablePart {
                     members: &table,
-                    settled,
+                    synced,
                 };
                 self.acked(now, from, sequence, part, effects);
             }
@@ -136,7 +136,7 @@
         if self.pull.parts_read < TABLE_PARTS {
             // When a whole fleet starts at once, all read from one another. At full speed they
             // would use up their byte budgets and miss the probes that show they are alive.
-            if part.settled {
+            if part.synced {
                 self.pull(now, effects);
             }
         } else if !self.joined {
--- a/crates/savorywood-core/src/membership/outbox.rs
+++ b/crates/savorywood-core/src/membership/outbox.rs
@@ -169,7 +169,7 @@
             newest_revision: self.newest_revision,
             updates: news.updates,
             table: table.updates,
-            settled: self.joined,
+            synced: self.joined,
         };
         send(to, address, message, effects);
     }
@@ -191,7 +191,7 @@
             newest_revision: self.newest_revision,
             updates,
             table: Vec::new(),
-            settled: self.joined,
+            synced: self.joined,
         };
         send(to, address, message, effects);
     }
--- a/crates/savorywood-protocol/src/peer/membership.rs
+++ b/crates/savorywood-protocol/src/peer/membership.rs
@@ -139,7 +139,7 @@
         /// Members in the parts whose digests differ, of any age.
         table: Vec<MemberUpdate>,
         /// Whether the sender has read the whole table of others itself.
-        settled: bool,
+        synced: bool,
     },
     /// Asks a third daemon to ping the target.
     PingRequest {
--- a/crates/savorywood-protocol/tests/fuzz_peer.rs
+++ b/crates/savorywood-protocol/tests/fuzz_peer.rs
@@ -106,7 +106,7 @@
             newest_revision,
             updates: updates(),
             table: updates(),
-            settled: true,
+            synced: true,
         },
         MembershipMessage::PingRequest {
             sequence: 9,
