--- a/crates/savorywood-core/src/daemon.rs
+++ b/crates/savorywood-core/src/daemon.rs
@@ -35,7 +35,7 @@
 use savorywood_protocol::{
     CoreTime, HostIncarnation, HostName, MonotonicTime, RegionName, RequestId, ServiceName,
     TierRank, UpstreamName, ZoneName,
-    peer::{PeerMessage, membership::MemberPlace},
+    peer::{PeerMessage, membership::MemberLocation},
     resume_token::ResumeKey,
     table::TableResponse,
 };
@@ -71,8 +71,8 @@
 }
 
 impl CoreOptions {
-    fn place(&self) -> MemberPlace {
-        MemberPlace {
+    fn place(&self) -> MemberLocation {
+        MemberLocation {
             peer_address: self.peer_address,
             caller_address: self.caller_address,
             zone: self.zone.clone(),
--- a/crates/savorywood-core/src/membership.rs
+++ b/crates/savorywood-core/src/membership.rs
@@ -234,7 +234,7 @@
             refutation,
             state,
             config_revision: self.own_revision(),
-            place: Some(self.options.place.clone()),
+            location: Some(self.options.place.clone()),
         }
     }
 
--- a/crates/savorywood-core/src/membership/inbox.rs
+++ b/crates/savorywood-core/src/membership/inbox.rs
@@ -95,7 +95,7 @@
         effects: &mut EffectQueue,
     ) {
         // A sender that introduces itself may not know us either.
-        let introduced = |update: &MemberUpdate| update.host == *from && update.place.is_some();
+        let introduced = |update: &MemberUpdate| update.host == *from && update.location.is_some();
         let introduce = updates.iter().any(introduced);
         self.answer(from, sequence, digest, introduce, effects);
     }
--- a/crates/savorywood-core/src/membership/judge.rs
+++ b/crates/savorywood-core/src/membership/judge.rs
@@ -88,7 +88,7 @@
             state => state,
         };
         let other_place = update
-            .place
+            .location
             .as_ref()
             .is_some_and(|place| *place != own.place);
         let newest = update.incarnation;
--- a/crates/savorywood-core/src/membership/options.rs
+++ b/crates/savorywood-core/src/membership/options.rs
@@ -1,6 +1,8 @@
 //! Settings of the membership duty.
 
-use savorywood_protocol::{HostIncarnation, HostName, RegionName, peer::membership::MemberPlace};
+use savorywood_protocol::{
+    HostIncarnation, HostName, RegionName, peer::membership::MemberLocation,
+};
 use std::time::Duration;
 
 /// Who a daemon is, and the times and limits of its membership duty.
@@ -11,7 +13,7 @@
     /// Its life; larger after a restart.
     pub incarnation: HostIncarnation,
     /// Where it stands.
-    pub place: MemberPlace,
+    pub place: MemberLocation,
     /// Seed of its random numbers.
     pub seed: u64,
     /// Time between two probes.
@@ -46,7 +48,7 @@
 impl MembershipOptions {
     /// Options with the usual times.
     #[must_use]
-    pub fn new(host: HostName, incarnation: HostIncarnation, place: MemberPlace) -> Self {
+    pub fn new(host: HostName, incarnation: HostIncarnation, place: MemberLocation) -> Self {
         Self {
             host,
             incarnation,
--- a/crates/savorywood-core/src/membership/table.rs
+++ b/crates/savorywood-core/src/membership/table.rs
@@ -6,7 +6,7 @@
 };
 use savorywood_protocol::{
     HostName, MonotonicTime,
-    peer::membership::{MemberPlace, MemberState, MemberTableDigest, MemberUpdate},
+    peer::membership::{MemberLocation, MemberState, MemberTableDigest, MemberUpdate},
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,7 +19,7 @@
     /// Newest news of it.
     pub update: MemberUpdate,
     /// Where it stands.
-    pub place: MemberPlace,
+    pub place: MemberLocation,
     /// When its state last changed.
     pub since: MonotonicTime,
     /// Whether it has answered us, so that it knows where we stand.
@@ -143,11 +143,11 @@
     }
 
     fn add(&mut self, now: MonotonicTime, update: &MemberUpdate) -> MergeOutcome {
-        let Some(place) = update.place.clone() else {
+        let Some(place) = update.location.clone() else {
             return MergeOutcome::UnknownPlace;
         };
         let update = MemberUpdate {
-            place: None,
+            location: None,
             ..update.clone()
         };
         let host = update.host.clone();
@@ -225,9 +225,9 @@
     #[must_use]
     pub fn update_of(&self, host: &HostName, with_place: bool) -> Option<MemberUpdate> {
         let entry = self.entries.get(host)?;
-        let place = with_place.then(|| entry.place.clone());
+        let location = with_place.then(|| entry.place.clone());
         Some(MemberUpdate {
-            place,
+            location,
             ..entry.update.clone()
         })
     }
--- a/crates/savorywood-core/tests/fleet/network.rs
+++ b/crates/savorywood-core/tests/fleet/network.rs
@@ -12,7 +12,7 @@
     peer::{
         PeerMessage,
         datagram::{MAX_DATAGRAM_BYTES, ReplayDecision, ReplayGuard},
-        membership::{MemberPlace, MemberState},
+        membership::{MemberLocation, MemberState},
     },
 };
 use std::{
@@ -47,7 +47,7 @@
     pub sent_datagrams: u64,
     pub received_bytes: u64,
     pub paused_until: Option<MonotonicTime>,
-    pub place: MemberPlace,
+    pub place: MemberLocation,
     guard: ReplayGuard,
     timers: BTreeMap<TimerKey, MonotonicTime>,
     sequence: u64,
@@ -93,14 +93,14 @@
 }
 
 /// Zones of the first region are `a0..`, those of the second `b0..`.
-pub fn place_of(number: usize, regions: usize, zones: usize) -> MemberPlace {
+pub fn place_of(number: usize, regions: usize, zones: usize) -> MemberLocation {
     let region = if number.is_multiple_of(regions) {
         "a"
     } else {
         "b"
     };
     let zone = (number / regions) % zones;
-    MemberPlace {
+    MemberLocation {
         peer_address: format!("10.0.{}.{}:7000", number / 250, number % 250 + 1)
             .parse()
             .expect("an address"),
@@ -388,7 +388,7 @@
         }
     }
 
-    pub fn hosts_where(&self, keep: impl Fn(&MemberPlace) -> bool) -> BTreeSet<HostName> {
+    pub fn hosts_where(&self, keep: impl Fn(&MemberLocation) -> bool) -> BTreeSet<HostName> {
         let hosts = self.hosts.iter().filter(|(_, fake)| keep(&fake.place));
         hosts.map(|(host, _)| host.clone()).collect()
     }
--- a/crates/savorywood-core/tests/membership_schedules.rs
+++ b/crates/savorywood-core/tests/membership_schedules.rs
@@ -186,6 +186,6 @@
         refutation,
         state,
         config_revision: ConfigRevision(1),
-        place: None,
+        location: None,
     }
 }
--- a/crates/savorywood-protocol/src/peer/membership.rs
+++ b/crates/savorywood-protocol/src/peer/membership.rs
@@ -36,7 +36,7 @@
 
 /// Where a member stands and is reached. It does not change within an incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MemberPlace {
+pub struct MemberLocation {
     /// Where its peers reach it.
     pub peer_address: SocketAddr,
     /// Where callers reach it.
@@ -64,7 +64,7 @@
     /// Configuration revision in force there, as last heard.
     pub config_revision: ConfigRevision,
     /// Where it stands; given while the receiver may not know.
-    pub place: Option<MemberPlace>,
+    pub location: Option<MemberLocation>,
 }
 
 /// Bytes that a varint of 64 bits takes at most.
@@ -80,13 +80,14 @@
         let numbers = varint_bytes(self.incarnation.0)
             + varint_bytes(self.refutation.into())
             + varint_bytes(self.config_revision.0);
-        let place = self.place.as_ref().map_or(0, |place| {
-            let names = place.zone.as_str().len() + place.region.as_str().len();
-            let addresses = address_bytes(place.peer_address) + address_bytes(place.caller_address);
+        let location = self.location.as_ref().map_or(0, |location| {
+            let names = location.zone.as_str().len() + location.region.as_str().len();
+            let addresses =
+                address_bytes(location.peer_address) + address_bytes(location.caller_address);
             names + addresses + 2
         });
         // One byte each for the length of the name, the state and the presence of the place.
-        self.host.as_str().len() + numbers + place + 3
+        self.host.as_str().len() + numbers + location + 3
     }
 }
 
--- a/crates/savorywood-protocol/tests/fuzz_peer.rs
+++ b/crates/savorywood-protocol/tests/fuzz_peer.rs
@@ -11,7 +11,7 @@
         PeerDatagram, PeerMessage,
         credits::{TierDemand, UpstreamDemand, UpstreamGrant},
         datagram::MAX_DATAGRAM_BYTES,
-        membership::{MemberPlace, MemberState, MemberTableDigest, MemberUpdate},
+        membership::{MemberLocation, MemberState, MemberTableDigest, MemberUpdate},
         moves::{RouteStatistics, VersionStatistics},
         snapshot::{SnapshotContent, SnapshotRequest, SnapshotResponse, open_frame, seal_frame},
     },
@@ -68,7 +68,7 @@
 }
 
 fn updates() -> Vec<MemberUpdate> {
-    let place = MemberPlace {
+    let location = MemberLocation {
         peer_address: "10.12.13.14:7000".parse().unwrap(),
         caller_address: "[2001:db8::1]:8080".parse().unwrap(),
         zone: "north-1a".parse().unwrap(),
@@ -80,10 +80,10 @@
         refutation: 3,
         state: MemberState::Leaving,
         config_revision: ConfigRevision(70_000),
-        place: None,
+        location: None,
     };
     let placed = MemberUpdate {
-        place: Some(place),
+        location: Some(location),
         ..update.clone()
     };
     vec![update, placed]
--- a/crates/savorywood-protocol/tests/peer_datagram.rs
+++ b/crates/savorywood-protocol/tests/peer_datagram.rs
@@ -6,7 +6,7 @@
     peer::{
         DatagramError, DatagramKey, MembershipMessage, PeerDatagram, PeerMessage,
         datagram::{ReplayDecision, ReplayGuard, ReplayWindow},
-        membership::{MemberPlace, MemberState, MemberUpdate},
+        membership::{MemberLocation, MemberState, MemberUpdate},
     },
 };
 use std::collections::BTreeSet;
@@ -15,8 +15,8 @@
     HostName::new(name).expect("a name")
 }
 
-fn update(with_place: bool) -> MemberUpdate {
-    let place = MemberPlace {
+fn update(with_location: bool) -> MemberUpdate {
+    let location = MemberLocation {
         peer_address: "10.12.13.14:7000".parse().expect("an address"),
         caller_address: "10.12.13.14:8080".parse().expect("an address"),
         zone: "north-1a".parse().expect("a name"),
@@ -28,7 +28,7 @@
         refutation: 3,
         state: MemberState::Alive,
         config_revision: ConfigRevision(70_000),
-        place: with_place.then_some(place),
+        location: with_location.then_some(location),
     }
 }
 
@@ -116,12 +116,12 @@
     }
 
     fn the_bound_of_an_update_holds(incarnation: u64, refutation: u32, revision: u64) -> bool {
-        [true, false].into_iter().all(|with_place| {
+        [true, false].into_iter().all(|with_location| {
             let update = MemberUpdate {
                 incarnation: HostIncarnation(incarnation),
                 refutation,
                 config_revision: ConfigRevision(revision),
-                ..update(with_place)
+                ..update(with_location)
             };
             let bytes = postcard::to_stdvec(&update).expect("encoded").len();
             bytes <= update.max_wire_bytes()
