--- a/crates/savorywood-core/src/credits/rounds.rs
+++ b/crates/savorywood-core/src/credits/rounds.rs
@@ -244,9 +244,9 @@
         }
         let mut bytes = 0;
         for (host, grants) in batches {
-            let answers = self.heard.get(&host).map_or(0, |peer| peer.demand);
+            let demand_sequence = self.heard.get(&host).map_or(0, |peer| peer.demand);
             if host == self.options.host {
-                self.take_grants(now, &host, &grants, answers, self.options.term);
+                self.take_grants(now, &host, &grants, demand_sequence, self.options.term);
                 continue;
             }
             for chunk in grants.chunks(MAX_UPSTREAMS) {
@@ -254,7 +254,7 @@
                 self.counters.grants += 1;
                 let message = CreditMessage::Grant {
                     sequence: self.sequence,
-                    answers,
+                    demand_sequence,
                     term_ms: u32::try_from(self.options.term.as_millis()).unwrap_or(u32::MAX),
                     grants: chunk.to_vec(),
                 };
@@ -322,14 +322,14 @@
             }
             CreditMessage::Grant {
                 sequence,
-                answers,
+                demand_sequence,
                 term_ms,
                 grants,
             } => {
                 if self.is_newer(from, sequence, |peer| &mut peer.grant) {
                     // A sender with a fault must not give seats away for ever.
                     let term = Duration::from_millis(term_ms.into()).min(self.options.term);
-                    self.take_grants(now, from, &grants, answers, term);
+                    self.take_grants(now, from, &grants, demand_sequence, term);
                 }
             }
             CreditMessage::Survey { upstreams } => {
@@ -347,7 +347,7 @@
         now: MonotonicTime,
         from: &HostName,
         grants: &[UpstreamGrant],
-        answers: u64,
+        demand_sequence: u64,
         term: Duration,
     ) {
         for grant in grants {
@@ -358,7 +358,7 @@
             }
             let held = self.held.entry(grant.upstream.clone());
             let held = held.or_insert_with(|| HeldUpstream::new(now, now + term));
-            held.answers = answers;
+            held.answers = demand_sequence;
             held.grant(now, from, grant, term);
         }
     }
--- a/crates/savorywood-core/tests/credit_messages.rs
+++ b/crates/savorywood-core/tests/credit_messages.rs
@@ -157,7 +157,7 @@
             from: host(1),
             message: CreditMessage::Grant {
                 sequence,
-                answers: 0,
+                demand_sequence: 0,
                 term_ms: 3_000,
                 grants: vec![grant],
             },
--- a/crates/savorywood-protocol/src/peer/credits.rs
+++ b/crates/savorywood-protocol/src/peer/credits.rs
@@ -62,7 +62,7 @@
         /// Larger than in all earlier messages of the sender; older ones are dropped.
         sequence: u64,
         /// Sequence of the receiver's demand that came last.
-        answers: u64,
+        demand_sequence: u64,
         /// Valid for this long after receipt.
         term_ms: u32,
         /// Upstreams that the sender arbitrates.
--- a/crates/savorywood-protocol/tests/fuzz_peer.rs
+++ b/crates/savorywood-protocol/tests/fuzz_peer.rs
@@ -140,7 +140,7 @@
         },
         CreditMessage::Grant {
             sequence: 300,
-            answers: 299,
+            demand_sequence: 299,
             term_ms: 1_500,
             grants: vec![UpstreamGrant {
                 upstream: upstream.clone(),
