--- a/crates/savorywood-core/src/credits/allocate.rs
+++ b/crates/savorywood-core/src/credits/allocate.rs
@@ -60,11 +60,11 @@
         let mut left = growth;
         let tiers = demand.tiers.iter().map(|tier| {
             // What is in use is taken for the highest tiers, which were served first.
-            let covered = tier.seats.min(skipped);
+            let covered = tier.slots.min(skipped);
             skipped -= covered;
-            let seats = (tier.seats - covered).min(left);
-            left -= seats;
-            TierDemand { seats, ..*tier }
+            let slots = (tier.slots - covered).min(left);
+            left -= slots;
+            TierDemand { slots, ..*tier }
         });
         let tiers = tiers.collect();
         let demand = UpstreamDemand {
@@ -111,12 +111,12 @@
 #[must_use]
 pub fn ranks_of(demands: &BTreeMap<HostName, UpstreamDemand>) -> BTreeSet<TierRank> {
     let tiers = demands.values().flat_map(|demand| &demand.tiers);
-    tiers.filter(|t| t.seats > 0).map(|t| t.rank).collect()
+    tiers.filter(|t| t.slots > 0).map(|t| t.rank).collect()
 }
 
 fn wanted(demand: &UpstreamDemand, rank: TierRank) -> u32 {
     let tiers = demand.tiers.iter().filter(|tier| tier.rank == rank);
-    tiers.map(|tier| tier.seats).sum()
+    tiers.map(|tier| tier.slots).sum()
 }
 
 /// Divides `seats` in proportion to the wants, by largest remainders.
--- a/crates/savorywood-core/src/credits/arbiter.rs
+++ b/crates/savorywood-core/src/credits/arbiter.rs
@@ -151,5 +151,5 @@
 }
 
 fn total_wanted(demand: &UpstreamDemand) -> u32 {
-    demand.tiers.iter().map(|tier| tier.seats).sum()
+    demand.tiers.iter().map(|tier| tier.slots).sum()
 }
--- a/crates/savorywood-core/src/credits/holder.rs
+++ b/crates/savorywood-core/src/credits/holder.rs
@@ -52,7 +52,7 @@
         grant: &UpstreamGrant,
         term: Duration,
     ) {
-        self.seats = Some(grant.seats);
+        self.seats = Some(grant.slots);
         if self.floor != grant.floor {
             self.floor = grant.floor;
             self.floor_since = now;
--- a/crates/savorywood-core/src/credits/rounds.rs
+++ b/crates/savorywood-core/src/credits/rounds.rs
@@ -229,13 +229,13 @@
                 .config
                 .upstreams
                 .get(upstream)
-                .map_or(0, |spec| spec.seats);
+                .map_or(0, |spec| spec.slots);
             let contended = record.is_contended(declared);
-            for (host, seats) in record.shares(declared) {
+            for (host, slots) in record.shares(declared) {
                 let upstream = upstream.clone();
                 let grant = UpstreamGrant {
                     upstream,
-                    seats,
+                    slots,
                     floor,
                     contended,
                 };
@@ -272,7 +272,7 @@
                 .config
                 .upstreams
                 .get(upstream)
-                .map_or(0, |spec| spec.seats);
+                .map_or(0, |spec| spec.slots);
             if record.next_survey > now || !record.is_contended(declared) {
                 continue;
             }
--- a/crates/savorywood-core/src/daemon/sharing.rs
+++ b/crates/savorywood-core/src/daemon/sharing.rs
@@ -100,7 +100,7 @@
         effects: &mut EffectQueue,
     ) {
         let pressure = self.scheduler.service_pressure(now.monotonic, service);
-        let waits = pressure.waiting.iter().any(|tier| tier.seats > 0);
+        let waits = pressure.waiting.iter().any(|tier| tier.slots > 0);
         if !waits {
             self.queued.remove(service);
         } else if self.queued.insert(service.clone()) {
@@ -120,7 +120,7 @@
         for service in config.services.keys() {
             let held = self.held.waiting_by_tier(service);
             let pressure = self.scheduler.service_pressure(now, service);
-            let queued = !held.is_empty() || pressure.waiting.iter().any(|tier| tier.seats > 0);
+            let queued = !held.is_empty() || pressure.waiting.iter().any(|tier| tier.slots > 0);
             if queued {
                 self.queued.insert(service.clone());
             }
@@ -148,17 +148,17 @@
         let members = u32::try_from(members.max(1)).unwrap_or(u32::MAX);
         let mut tiers: BTreeMap<TierRank, u32> = BTreeMap::new();
         for tier in self.scheduler.demand(name) {
-            *tiers.entry(tier.rank).or_default() += tier.seats;
+            *tiers.entry(tier.rank).or_default() += tier.slots;
         }
         for (rank, count) in held {
             *tiers.entry(*rank).or_default() += count.div_ceil(members);
         }
-        let tiers = tiers.into_iter().filter(|(_, seats)| *seats > 0);
+        let tiers = tiers.into_iter().filter(|(_, slots)| *slots > 0);
         LocalDemand {
             limit: self.scheduler.limit(name).unwrap_or_default(),
             in_use: self.scheduler.seats_in_use(name),
             tiers: tiers
-                .map(|(rank, seats)| TierDemand { rank, seats })
+                .map(|(rank, slots)| TierDemand { rank, slots })
                 .collect(),
             queued,
         }
--- a/crates/savorywood-core/src/scheduler/fleet.rs
+++ b/crates/savorywood-core/src/scheduler/fleet.rs
@@ -79,7 +79,7 @@
             local: false,
             closed: false,
             leaving: false,
-            limit: AdaptiveLimit::new(spec.seats, spec.batch_tokens),
+            limit: AdaptiveLimit::new(spec.slots, spec.batch_tokens),
             health: UpstreamHealth::new(now, cold),
             speed: SpeedMeter::default(),
             seats_used: 0,
--- a/crates/savorywood-core/src/scheduler/pressure.rs
+++ b/crates/savorywood-core/src/scheduler/pressure.rs
@@ -47,9 +47,9 @@
         }
         let demands = seats.into_iter();
         demands
-            .map(|(rank, seats)| TierDemand {
+            .map(|(rank, slots)| TierDemand {
                 rank,
-                seats: seats.ceil() as u32,
+                slots: slots.ceil() as u32,
             })
             .collect()
     }
@@ -119,7 +119,7 @@
             .waiting_by_tier()
             .map(|(rank, count)| TierDemand {
                 rank,
-                seats: u32::try_from(count).unwrap_or(u32::MAX),
+                slots: u32::try_from(count).unwrap_or(u32::MAX),
             });
         let mut shed = state.shed_at.iter();
         let shedding = shed.find(|(_, at)| now.since(**at) < SHED_MEMORY);
--- a/crates/savorywood-core/tests/credit/fleet.rs
+++ b/crates/savorywood-core/tests/credit/fleet.rs
@@ -407,7 +407,7 @@
             }
             let tiers = tiers
                 .into_iter()
-                .map(|(rank, seats)| TierDemand { rank, seats });
+                .map(|(rank, slots)| TierDemand { rank, slots });
             let demand = LocalDemand {
                 limit: self.limit,
                 in_use: daemon.in_use(name),
--- a/crates/savorywood-core/tests/credit_messages.rs
+++ b/crates/savorywood-core/tests/credit_messages.rs
@@ -24,9 +24,9 @@
 }
 
 fn demand(tiers: &[(u8, u32)], in_use: u32, shedding: Option<u8>) -> UpstreamDemand {
-    let tiers = tiers.iter().map(|(rank, seats)| TierDemand {
+    let tiers = tiers.iter().map(|(rank, slots)| TierDemand {
         rank: TierRank(*rank),
-        seats: *seats,
+        slots: *slots,
     });
     UpstreamDemand {
         upstream: upstream(),
@@ -142,14 +142,14 @@
         });
     }
 
-    fn grant(&mut self, sequence: u64, seats: u32) {
-        self.grant_with(sequence, seats, NO_FLOOR);
+    fn grant(&mut self, sequence: u64, slots: u32) {
+        self.grant_with(sequence, slots, NO_FLOOR);
     }
 
-    fn grant_with(&mut self, sequence: u64, seats: u32, floor: TierRank) {
+    fn grant_with(&mut self, sequence: u64, slots: u32, floor: TierRank) {
         let grant = UpstreamGrant {
             upstream: upstream(),
-            seats,
+            slots,
             floor,
             contended: true,
         };
@@ -334,7 +334,7 @@
 }
 
 fn wanted(demand: &UpstreamDemand) -> u32 {
-    demand.tiers.iter().map(|tier| tier.seats).sum()
+    demand.tiers.iter().map(|tier| tier.slots).sum()
 }
 
 fn in_use(demands: &BTreeMap<HostName, UpstreamDemand>) -> u32 {
--- a/crates/savorywood-core/tests/whole/resources.rs
+++ b/crates/savorywood-core/tests/whole/resources.rs
@@ -53,7 +53,7 @@
             version: format!("{service}-v1").parse().unwrap(),
             zone: "a".parse().unwrap(),
             generation: mark_text(mark),
-            seats: 2,
+            slots: 2,
             batch_tokens: 65_536,
             host: None,
             checks_fencing: true,
--- a/crates/savorywood-experiment/src/arbiter.rs
+++ b/crates/savorywood-experiment/src/arbiter.rs
@@ -64,7 +64,7 @@
         upstream: upstream.clone(),
         limit: host.scheduler.limit(upstream).unwrap_or_default(),
         in_use: host.scheduler.seats_in_use(upstream),
-        tiers: tiers.filter(|tier| tier.seats > 0).collect(),
+        tiers: tiers.filter(|tier| tier.slots > 0).collect(),
         shedding: None,
     }
 }
--- a/crates/savorywood-experiment/src/names.rs
+++ b/crates/savorywood-experiment/src/names.rs
@@ -87,7 +87,7 @@
                 version: "v1".parse()?,
                 zone: self.zones[engine.zone].clone(),
                 generation: engine.generation.to_string(),
-                seats: DECLARED_SEATS,
+                slots: DECLARED_SEATS,
                 batch_tokens: DECLARED_TOKENS,
                 checks_fencing: false,
                 extensions: BTreeSet::new(),
--- a/crates/savorywood-protocol/src/peer/credits.rs
+++ b/crates/savorywood-protocol/src/peer/credits.rs
@@ -15,7 +15,7 @@
     /// Tier that asks.
     pub rank: TierRank,
     /// Seats in use and wanted.
-    pub seats: u32,
+    pub slots: u32,
 }
 
 /// Demand of one daemon on one upstream.
@@ -39,7 +39,7 @@
     /// Upstream that it is about.
     pub upstream: UpstreamName,
     /// Seats at once.
-    pub seats: u32,
+    pub slots: u32,
     /// Lowest tier still admitted; [`NO_FLOOR`] for all.
     pub floor: TierRank,
     /// Whether all daemons together still want more than there is. While they do not, the
--- a/crates/savorywood-protocol/src/resource/upstream.rs
+++ b/crates/savorywood-protocol/src/resource/upstream.rs
@@ -60,8 +60,8 @@
     #[serde(default)]
     pub generation: String,
     /// Requests at once to begin with, before its speed has been learned.
-    #[serde(default = "default_seats")]
-    pub seats: u32,
+    #[serde(rename = "seats", default = "default_seats")]
+    pub slots: u32,
     /// Tokens in its batch and cache at once to begin with.
     #[serde(default = "default_batch_tokens")]
     pub batch_tokens: u32,
--- a/crates/savorywood-protocol/src/resource/validate/upstream.rs
+++ b/crates/savorywood-protocol/src/resource/validate/upstream.rs
@@ -13,7 +13,7 @@
     lookup.check_version("spec.version", &spec.version, service, faults);
     check_address(spec, lookup, faults);
     let sizes = [
-        ("spec.seats", spec.seats),
+        ("spec.seats", spec.slots),
         ("spec.batch_tokens", spec.batch_tokens),
     ];
     for (path, _) in sizes.into_iter().filter(|(_, size)| *size == 0) {
--- a/crates/savorywood-protocol/tests/fuzz_peer.rs
+++ b/crates/savorywood-protocol/tests/fuzz_peer.rs
@@ -124,7 +124,7 @@
 fn credit_messages() -> Vec<CreditMessage> {
     let demand = |rank| TierDemand {
         rank: TierRank(rank),
-        seats: 300,
+        slots: 300,
     };
     let upstream: UpstreamName = "engine-1".parse().unwrap();
     vec![
@@ -144,7 +144,7 @@
             term_ms: 1_500,
             grants: vec![UpstreamGrant {
                 upstream: upstream.clone(),
-                seats: 8,
+                slots: 8,
                 floor: TierRank(2),
                 contended: true,
             }],
