--- a/crates/savorywood-protocol/src/resume_token.rs
+++ b/crates/savorywood-protocol/src/resume_token.rs
@@ -77,10 +77,10 @@
     Malformed,
     /// The signature does not fit: made with another key, or changed.
     #[snafu(display("the resume token is not signed by these daemons"))]
-    Forged,
+    BadSignature,
     /// It is older than allowed: the upstream has dropped the stream.
     #[snafu(display("the resume token is {age_seconds} s old; {max_seconds} s are allowed"))]
-    Stale {
+    Expired {
         /// Its age.
         age_seconds: u64,
         /// Greatest age.
@@ -88,7 +88,7 @@
     },
     /// It was given to another team.
     #[snafu(display("the resume token was given to another team"))]
-    Foreign,
+    OtherTeam,
 }
 
 impl ResumeToken {
@@ -125,11 +125,11 @@
     ) -> Result<Self, ResumeTokenError> {
         let token = Self::open(text, key)?;
         if token.team != *team {
-            return ForeignSnafu.fail();
+            return OtherTeamSnafu.fail();
         }
         let age = now.since(token.issued_at);
         if age > max_age {
-            return StaleSnafu {
+            return ExpiredSnafu {
                 age_seconds: age.as_secs(),
                 max_seconds: max_age.as_secs(),
             }
@@ -148,7 +148,7 @@
         let split = split.ok_or(ResumeTokenError::Malformed)?;
         let (content, signature) = bytes.split_at(split);
         let checked = key.mac(content).verify_slice(signature);
-        checked.map_err(|_| ResumeTokenError::Forged)?;
+        checked.map_err(|_| ResumeTokenError::BadSignature)?;
         match content.split_first() {
             Some((&TOKEN_VERSION, body)) => {
                 postcard::from_bytes(body).map_err(|_| ResumeTokenError::Malformed)
--- a/crates/savorywood-protocol/tests/resume_token.rs
+++ b/crates/savorywood-protocol/tests/resume_token.rs
@@ -49,11 +49,14 @@
 #[test]
 fn forged_foreign_and_stale_tokens_are_told_apart() {
     let text = token().sign(&key()).expect("signed");
-    assert_eq!(verify(&text, "farm", 60), Err(ResumeTokenError::Foreign));
+    assert_eq!(verify(&text, "farm", 60), Err(ResumeTokenError::OtherTeam));
     let stale = verify(&text, "survey", 601);
-    assert!(matches!(stale, Err(ResumeTokenError::Stale { .. })));
+    assert!(matches!(stale, Err(ResumeTokenError::Expired { .. })));
     let other = token().sign(&ResumeKey::derive(b"other")).expect("signed");
-    assert_eq!(verify(&other, "survey", 60), Err(ResumeTokenError::Forged));
+    assert_eq!(
+        verify(&other, "survey", 60),
+        Err(ResumeTokenError::BadSignature)
+    );
     assert_eq!(verify("", "survey", 60), Err(ResumeTokenError::Malformed));
     assert_eq!(verify("%", "survey", 60), Err(ResumeTokenError::Malformed));
     for place in 0..text.len() {
