--- a/crates/savorywood-protocol/src/api.rs
+++ b/crates/savorywood-protocol/src/api.rs
@@ -1,4 +1,4 @@
-//! JSON bodies of the operators' HTTP interface.
+//! JSON bodies of the HTTP API for operators (`docs/API.md`).
 
 use crate::{
     ConfigRevision, HostName, OutcomeKind, RegionName, ZoneName,
@@ -9,90 +9,90 @@
 use std::net::SocketAddr;
 use strum::{Display, EnumString, IntoStaticStr};
 
-/// Answer to `GET /v1/resources/KIND`.
+/// Response to `GET /v1/resources/KIND`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ResourceList {
-    /// Revision at which the resources were read.
+    /// Configuration revision at which the resources were read.
     pub revision: ConfigRevision,
-    /// Resources of the kind.
+    /// All resources of the kind.
     pub items: Vec<ResourceDocument>,
 }
 
-/// Answer to an accepted `PUT` or `DELETE`.
+/// Response to a `PUT` or `DELETE` that was committed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcceptedChange {
-    /// Revision that holds the change.
+    /// First configuration revision that contains the change.
     pub revision: ConfigRevision,
 }
 
-/// What happened to a resource.
+/// Kind of a watch event.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, Display, EnumString, IntoStaticStr,
 )]
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum WatchKind {
-    /// Created or replaced.
+    /// The resource was created or replaced.
     Put,
-    /// Deleted.
+    /// The resource was deleted.
     Delete,
-    /// The resource is as it was; what the system says of it has changed.
+    /// Only the status of the resource changed; its spec is the same.
     Status,
 }
 
-/// One line of `GET /v1/watch/KIND`.
+/// One event of `GET /v1/watch/KIND`, written as one line of JSON.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WatchEvent {
-    /// Revision that made the change.
+    /// Configuration revision that made the change.
     pub revision: ConfigRevision,
-    /// What happened.
+    /// Kind of the change.
     #[serde(rename = "type")]
     pub kind: WatchKind,
-    /// Name of the resource.
+    /// Name of the resource, unique within its kind.
     pub name: String,
     /// The resource after the change; absent after a deletion.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub document: Option<ResourceDocument>,
 }
 
-/// One element of the answer to `GET /v1/members`.
+/// One element of the response to `GET /v1/members`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberSummary {
-    /// Host of the member.
+    /// Host that the member's daemon runs on.
     pub host: HostName,
-    /// Whether it answers.
+    /// Liveness of the member, as seen by the daemon that responds.
     pub state: MemberState,
-    /// Where callers and operators reach it.
+    /// Address on which the member accepts callers and operators.
     pub caller_address: SocketAddr,
-    /// Where its peers reach it.
+    /// Address on which the member receives messages of its peers.
     pub peer_address: SocketAddr,
-    /// Availability zone.
+    /// Availability zone of the host.
     pub zone: ZoneName,
-    /// Region.
+    /// Region of the host.
     pub region: RegionName,
-    /// Configuration revision in force there, as last heard.
+    /// Configuration revision in force at the member, as of its last report.
     pub config_revision: ConfigRevision,
 }
 
-/// What a client needs of an RFC 9457 problem.
+/// The members of an RFC 9457 problem document that a client reads.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ProblemSummary {
-    /// Sentence for a person.
+    /// Human-readable description of the error.
     #[serde(default)]
     pub detail: String,
-    /// Whether the change or request took effect.
+    /// Whether the change or request took effect; absent when the problem doesn't tell.
     #[serde(default)]
     pub outcome: Option<OutcomeKind>,
-    /// Stable reason, a [`crate::RefusalCode`] of this or a later release.
+    /// Machine-readable reason, a [`crate::RefusalCode`] of this or a later release.
     #[serde(default)]
     pub code: String,
-    /// When coming back makes sense.
+    /// Delay before a retry is useful, in milliseconds; absent when a retry doesn't help.
     #[serde(default)]
     pub retry_after_ms: Option<u64>,
-    /// With status 409: the resource as it stands.
+    /// With status 409: the current version of the resource.
     #[serde(default)]
     pub current: Option<Box<ResourceDocument>>,
-    /// With status 422: all that is wrong with the resource.
+    /// With status 422: all validation errors of the resource.
     #[serde(default)]
     pub faults: Vec<ValidationError>,
 }
--- a/crates/savorywood-protocol/src/burn.rs
+++ b/crates/savorywood-protocol/src/burn.rs
@@ -1,11 +1,13 @@
-//! Counts behind the burn report: how many requests met their objectives in which window.
+//! Counts for the burn report: requests that met their objectives, by time window.
+//!
+//! The burn rate is the rate at which a service uses up the error budget of an objective.
 
 use crate::{HostName, ServiceName, TierRank};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 use strum::{Display, EnumCount, EnumIter, EnumString, IntoStaticStr};
 
-/// What a request is measured by.
+/// Objective of a service that a request either meets or misses.
 #[derive(
     Debug,
     Clone,
@@ -25,15 +27,15 @@
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum BurnObjective {
-    /// The first token (model) or byte (plain) came in time.
+    /// The first token (model service) or byte (plain service) arrives in time.
     FirstToken,
-    /// The mean time between tokens was short enough.
+    /// The mean time between tokens is within its bound.
     TokenGap,
-    /// The whole answer came by the request's deadline.
+    /// The complete response arrives before the deadline of the request.
     Deadline,
 }
 
-/// How far back a count reaches.
+/// Time window, ending now, over which requests are counted.
 #[derive(
     Debug,
     Clone,
@@ -86,29 +88,30 @@
 /// Requests of one service and tier that ended within one window.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BurnSample {
-    /// Service that was asked.
+    /// Service that the requests were sent to.
     pub service: ServiceName,
-    /// Tier of the requests.
+    /// Rank of the tier of the requests.
     pub rank: TierRank,
-    /// What they are measured by.
+    /// Objective that the counts are for.
     pub objective: BurnObjective,
-    /// How far back the counts reach.
+    /// Time window of the counts.
     pub window: BurnWindow,
     /// Requests that met the objective.
     pub good: u64,
-    /// All requests.
+    /// All requests, those that missed the objective included.
     pub total: u64,
 }
 
-/// Answer of one daemon to `GET /v1/burn`.
+/// Response of one daemon to `GET /v1/burn`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DaemonBurnReport {
-    /// Who counted.
+    /// Host of the daemon that counted.
     pub host: HostName,
-    /// Since when it has counted: a restarted daemon knows nothing of the time before.
+    /// Time that the counts cover, in milliseconds. A daemon starts at zero after a restart.
     pub observed_ms: u64,
-    /// Requests left out because too many services and tiers were counted already.
+    /// Requests that were not counted, because the number of tracked services and tiers is
+    /// bounded.
     pub untracked: u64,
-    /// Counts that aren't zero.
+    /// Counts with a `total` above zero.
     pub samples: Vec<BurnSample>,
 }
--- a/crates/savorywood-protocol/src/extension.rs
+++ b/crates/savorywood-protocol/src/extension.rs
@@ -1,49 +1,50 @@
-//! JSON bodies and headers of the extension paths of upstreams (`docs/UPSTREAM.md`).
+//! Headers, paths and JSON bodies of the upstream extension protocol (`docs/UPSTREAM.md`).
 
 use crate::FencingNumber;
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de::Error as _};
 
-/// Request header by which the sender of a request names the stream of its answer.
+/// Request header that gives the response stream a name, under which it can be resumed.
 pub const STREAM_HEADER: &str = "x-savorywood-stream";
 
-/// Header that carries the identity of a request.
+/// Header that carries the request id.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
 
-/// Header that carries the key of a call that may not run twice.
+/// Header that carries the idempotency key of a call that must not be executed twice.
 pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
-/// Prefix of the path of a stream; its name follows.
+/// Path prefix of response streams, followed by the stream name.
 pub const STREAM_PATH_PREFIX: &str = "/savorywood/streams/";
 
-/// Path of the load report.
+/// Path of the load report ([`LoadDocument`]).
 pub const LOAD_PATH: &str = "/savorywood/load";
 
-/// Path of the events of the prefix cache.
+/// Path of the prefix cache events ([`CacheEventsDocument`]).
 pub const CACHE_EVENTS_PATH: &str = "/savorywood/cache-events";
 
-/// Path of orders.
+/// Path that accepts an [`OrderDocument`] and returns an [`OrderStateDocument`].
 pub const ORDERS_PATH: &str = "/savorywood/orders";
 
-/// Path of the export of KV blocks.
+/// Path that exports blocks of the KV cache ([`KvDocument`]).
 pub const KV_EXPORT_PATH: &str = "/savorywood/kv/export";
 
-/// Path of the import of KV blocks.
+/// Path that imports blocks of the KV cache ([`KvDocument`]).
 pub const KV_IMPORT_PATH: &str = "/savorywood/kv/import";
 
-/// Load as an upstream reports it.
+/// Load report of an upstream.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadDocument {
-    /// Requests in the batch.
+    /// Requests in the running batch.
     pub running: u32,
-    /// Requests that wait for a place in the batch.
+    /// Requests queued at the upstream, not yet in the batch.
     pub waiting: u32,
-    /// KV memory in use, in thousandths.
+    /// Fraction of the KV cache memory in use, in thousandths.
     pub kv_used_per_mille: u16,
-    /// Age of the figures when they were given out, in milliseconds.
+    /// Age of the figures when the upstream sent them, in milliseconds.
     pub age_ms: u64,
 }
 
-/// Chained hash of a block, written as 16 hexadecimal digits: JSON numbers lose 64-bit values.
+/// Chained hash of a prompt block. Written as 16 hexadecimal digits, since many JSON parsers round
+/// 64-bit numbers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BlockHash(pub u64);
 
@@ -61,89 +62,91 @@
     }
 }
 
-/// One change of a prefix cache.
+/// One change of the prefix cache of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
 pub enum CacheEventDocument {
-    /// The block is cached.
+    /// A block was added to the cache.
     Stored {
-        /// Which.
+        /// Hash of the added block.
         block: BlockHash,
     },
-    /// The block was evicted.
+    /// A block was evicted.
     Removed {
-        /// Which.
+        /// Hash of the evicted block.
         block: BlockHash,
     },
-    /// The whole cache was emptied.
+    /// All blocks were evicted.
     Cleared,
 }
 
 /// Consecutive events of a prefix cache.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEventsDocument {
-    /// Number of the first event. More than one above the number asked for: events were lost.
+    /// Sequence number of the first event. When it is more than one above the requested number,
+    /// events were lost.
     pub first_sequence: u64,
-    /// The events, numbered without gaps.
+    /// The events, with consecutive sequence numbers from `first_sequence` on.
     pub events: Vec<CacheEventDocument>,
 }
 
-/// What an engine is to be. Giving an order twice does what giving it once does.
+/// Order to an engine: the state that it should have. Orders are idempotent.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct OrderDocument {
-    /// Term of the lease under which the order is given.
+    /// Fencing number of the lease under which the order is given. An upstream that checks
+    /// fencing refuses an order with an older number than it has seen.
     pub fencing: FencingNumber,
-    /// Version that it is to run; absent to keep the one it runs.
+    /// Version to run; absent to keep the current one.
     pub version: Option<String>,
-    /// Key of the version's weights in the weight store.
+    /// Key of the version's weights in the weight store; absent when the version has none there.
     pub weights: Option<String>,
-    /// Adapters that it is to hold; absent to keep those it holds.
+    /// Adapters to have loaded; absent to keep the current ones.
     pub adapters: Option<Vec<String>>,
-    /// Role that it is to have; absent to keep the one it has.
+    /// Role to take; absent to keep the current one.
     pub role: Option<String>,
 }
 
-/// What an engine is, read back or in answer to an order.
+/// Current state of an engine, in the response to an order or to a read.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct OrderStateDocument {
-    /// Version that it runs.
+    /// Version that the engine runs.
     pub version: String,
-    /// Version that it was last told to run.
+    /// Version of the last order; equal to `version` once it is loaded.
     pub wanted: String,
-    /// Whether the wanted version is loaded whole and takes requests.
+    /// Whether the ordered version is completely loaded and accepts requests.
     pub ready: bool,
-    /// Newest fencing number seen; absent at engines that keep none.
+    /// Highest fencing number seen; absent for engines that don't check fencing.
     pub fencing: Option<FencingNumber>,
-    /// Adapters that it holds.
+    /// Loaded adapters.
     pub adapters: Vec<String>,
-    /// Its role.
+    /// Role of the engine; empty when none is set.
     pub role: String,
 }
 
-/// Answer with status 409 to an order that carries an old fencing number.
+/// Response with status 409 to an order whose fencing number is outdated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FencingConflictDocument {
-    /// Newest fencing number seen.
+    /// Highest fencing number seen by the engine.
     pub newest: FencingNumber,
 }
 
-/// State of a stream, in answer to a cancel.
+/// State of a stream, in the response to a cancellation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StreamStateDocument {
     /// `running`, `finished` or `cancelled`.
     pub state: String,
-    /// Bytes of the answer that there are.
+    /// Bytes of the response that exist so far.
     pub bytes: u64,
 }
 
-/// Blocks of KV cache, in the request and the answer of an export and in an import.
+/// Blocks of the KV cache, in the request and the response of an export and in an import.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct KvDocument {
-    /// Version whose cache it is; another version can't use it.
+    /// Version that computed the blocks; no other version can use them.
     pub version: String,
-    /// Blocks in the order of their chain.
+    /// Hashes of the blocks, in prompt order.
     pub blocks: Vec<BlockHash>,
 }
--- a/crates/savorywood-protocol/src/host_list.rs
+++ b/crates/savorywood-protocol/src/host_list.rs
@@ -1,24 +1,24 @@
-//! The platform's list of hosts, as its HTTP protocol writes it (`docs/PLATFORM.md`).
+//! JSON form of the platform's host list (`docs/PLATFORM.md`).
 
 use crate::{HostName, RegionName, ZoneName};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// One host of the list.
+/// One entry of the host list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HostDocument {
-    /// Name of the host.
+    /// Name of the host, unique in the list.
     pub host: HostName,
-    /// Where its daemon's peers reach it.
+    /// Address on which the daemon receives messages of its peers.
     pub peer_address: SocketAddr,
-    /// Where callers reach its daemon.
+    /// Address on which the daemon accepts callers.
     pub caller_address: SocketAddr,
-    /// Availability zone.
+    /// Availability zone of the host.
     pub zone: ZoneName,
-    /// Region.
+    /// Region of the host.
     pub region: RegionName,
-    /// The platform plans to take the host away.
+    /// Whether the platform plans to remove the host.
     #[serde(default)]
     pub leaving: bool,
 }
--- a/crates/savorywood-protocol/src/lib.rs
+++ b/crates/savorywood-protocol/src/lib.rs
@@ -1,7 +1,8 @@
-//! Names, times, resources, peer messages and outcomes shared by every crate.
+//! Types shared by all crates: names, times, resources, messages between daemons and outcomes of
+//! requests.
 //!
-//! This crate does no I/O and reads no clock. Everything here is either a value that crosses a
-//! process boundary or the vocabulary used to talk about one.
+//! This crate does no I/O and reads no clock. Its types are values that cross a process boundary
+//! (JSON documents, `postcard` messages, HTTP headers) and the parts that they are made of.
 
 pub mod api;
 pub mod burn;
--- a/crates/savorywood-protocol/src/name.rs
+++ b/crates/savorywood-protocol/src/name.rs
@@ -9,7 +9,7 @@
 /// Longest accepted name, in bytes. A DNS label has the same bound.
 pub const MAX_NAME_BYTES: usize = 63;
 
-/// Why a text was refused as a name.
+/// Reason why a text is not a valid name.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum NameError {
     /// The text is empty.
@@ -21,19 +21,19 @@
         /// Length of the refused text, in bytes.
         bytes: usize,
     },
-    /// The text holds a character outside `a-z`, `0-9`, `-`, `_` and `.`.
-    #[snafu(display("the name holds {character:?}; allowed are a-z, 0-9, '-', '_' and '.'"))]
+    /// The text contains a character outside `a-z`, `0-9`, `-`, `_` and `.`.
+    #[snafu(display("the name contains {character:?}; allowed are a-z, 0-9, '-', '_' and '.'"))]
     BadCharacter {
         /// First character that is not allowed.
         character: char,
     },
 }
 
-/// Checks that `text` may be used as a name.
+/// Checks that `text` is a valid name.
 ///
 /// # Errors
 ///
-/// Says which rule the text breaks.
+/// Returns the first rule that the text breaks.
 pub fn check_name(text: &str) -> Result<(), NameError> {
     if text.is_empty() {
         return EmptySnafu.fail();
@@ -56,17 +56,17 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Checks and stores a name.
+            /// Validates `text` and creates a name from it.
             ///
             /// # Errors
             ///
-            /// Says which rule the text breaks.
+            /// Returns the first rule that the text breaks.
             pub fn new(text: &str) -> Result<Self, NameError> {
                 check_name(text)?;
                 Ok(Self(Arc::from(text)))
             }
 
-            /// The name as text.
+            /// Returns the name as text.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -120,7 +120,7 @@
     };
 }
 
-/// Reads a name without an intermediate `String`: names are in every peer message.
+/// Deserialises a name without an intermediate `String`, since every peer message contains names.
 struct NameVisitor;
 
 impl Visitor<'_> for NameVisitor {
@@ -145,15 +145,15 @@
     ZoneName
 );
 name_type!(
-    /// Name of a region, which holds availability zones.
+    /// Name of a region, a group of availability zones.
     RegionName
 );
 name_type!(
-    /// Name of a service, model or plain.
+    /// Name of a service that callers address.
     ServiceName
 );
 name_type!(
-    /// Name of a tier of callers.
+    /// Name of a priority tier.
     TierName
 );
 name_type!(
@@ -161,14 +161,14 @@
     TeamName
 );
 name_type!(
-    /// Name of an upstream.
+    /// Name of an upstream, a back end that runs one version of one service.
     UpstreamName
 );
 name_type!(
-    /// Name of a version that upstreams of a service run.
+    /// Name of a version of a service.
     VersionName
 );
 name_type!(
-    /// Name of a planned move of traffic between versions.
+    /// Name of a traffic move from one version of a service to another.
     MoveName
 );
--- a/crates/savorywood-protocol/src/number.rs
+++ b/crates/savorywood-protocol/src/number.rs
@@ -1,4 +1,4 @@
-//! Numbers that identify or order things.
+//! Numbers that identify requests or order events.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -19,7 +19,7 @@
         }
 
         impl $name {
-            /// The number that follows this one.
+            /// Returns the number that follows this one.
             #[must_use]
             pub fn next(self) -> Self {
                 Self(self.0 + 1)
@@ -29,27 +29,28 @@
 }
 
 number_type!(
-    /// Revision of the accepted configuration. It only grows.
+    /// Revision of the committed configuration. Every commit increases it.
     ConfigRevision(u64)
 );
 number_type!(
-    /// Number of a lease term. A later holder always has a larger one.
+    /// Fencing number of a lease term. A later holder always has a larger one, so that orders of an
+    /// earlier holder can be refused.
     FencingNumber(u64)
 );
 number_type!(
-    /// Start of a daemon's life on a host. A restart has a larger one.
+    /// Incarnation of the daemon on a host. It grows with every restart.
     HostIncarnation(u64)
 );
 number_type!(
-    /// Which try to dispatch a request, counted from zero.
+    /// Attempt to dispatch a request to an upstream, counted from zero.
     AttemptNumber(u32)
 );
 number_type!(
-    /// Place of a tier: zero is the most important, larger ones are shed first.
+    /// Rank of a tier: zero is the most important, larger ranks are shed first.
     TierRank(u8)
 );
 
-/// Identity of one request, unique over all daemons (a version 7 UUID).
+/// Identifier of a request, unique across all daemons (a version 7 UUID).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RequestId(pub u128);
--- a/crates/savorywood-protocol/src/outcome.rs
+++ b/crates/savorywood-protocol/src/outcome.rs
@@ -1,10 +1,10 @@
-//! What a caller is told when it does not get an answer.
+//! Outcomes and refusal codes of requests that get no response from an upstream.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 use strum::{Display, EnumIter, EnumString, IntoStaticStr};
 
-/// Whether the work of a request reached an upstream.
+/// Whether an upstream executed a request.
 #[derive(
     Debug,
     Clone,
@@ -22,15 +22,15 @@
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum OutcomeKind {
-    /// No byte of the request can have reached an upstream.
+    /// Not executed: no byte of the request can have reached an upstream.
     NotRun,
-    /// The upstream ran the request.
+    /// An upstream executed the request.
     Ran,
-    /// The request may or may not have run.
+    /// The request may or may not have been executed.
     Unknown,
 }
 
-/// Stable, machine-readable reason of a refusal or failure.
+/// Machine-readable reason of a refusal or failure. Codes stay the same between releases.
 #[derive(
     Debug,
     Clone,
@@ -50,52 +50,53 @@
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum RefusalCode {
-    /// The request itself is malformed.
+    /// The request is malformed.
     BadRequest,
-    /// The token is missing or names no team.
+    /// The bearer token is missing or belongs to no team.
     Unauthorized,
-    /// The team may not do this.
+    /// The team is not allowed to make this request.
     Forbidden,
-    /// No such service, route or resource.
+    /// The service, route or resource does not exist.
     NotFound,
-    /// Head or body is over the limit.
+    /// The head or body exceeds its size limit.
     TooLarge,
-    /// The head or body arrived too slowly.
+    /// The head or body was not received within its time limit.
     TooSlow,
-    /// A call that may not be repeated came without `Idempotency-Key`.
+    /// A call that is not idempotent has no `Idempotency-Key`.
     KeyRequired,
-    /// The key is older than the claims that are kept.
+    /// The idempotency key is older than the claim retention of the service.
     KeyExpired,
-    /// The key was used before; the first call's outcome is reported.
+    /// The idempotency key was used before; the outcome of the first call is reported.
     KeyUsed,
-    /// Queues say that the deadline can't be met.
+    /// The deadline can't be met, by the estimated queue wait.
     Overloaded,
-    /// The deadline passed while the request waited.
+    /// The deadline passed while the request was queued.
     DeadlineExceeded,
-    /// The tier is below the floor that is now admitted.
+    /// The tier is less important than the lowest tier that is admitted now.
     TierShed,
-    /// No upstream of the service can take work.
+    /// No upstream of the service accepts requests.
     NoUpstream,
-    /// This daemon is leaving or not yet ready.
+    /// This daemon is shutting down or not ready yet.
     NotReady,
-    /// This daemon can't confirm that its configuration is current.
+    /// This daemon can't confirm that its configuration is up to date.
     ConfigStale,
-    /// The table service is needed for this call and does not answer.
+    /// The call needs the table service, which does not respond.
     StoreUnavailable,
-    /// The upstream failed or its answer was cut off.
+    /// The upstream failed or its response was truncated.
     UpstreamFailed,
-    /// The caller went away.
+    /// The caller closed the connection.
     CallerLeft,
-    /// The resume token is forged, foreign or stale.
+    /// The resume token is invalid, expired or belongs to another team.
     BadResumeToken,
-    /// Another operator's write came first.
+    /// The resource was changed since the revision that the write was based on.
     RevisionConflict,
-    /// An error inside the daemon.
+    /// Internal error of the daemon.
     Internal,
 }
 
 impl RefusalCode {
-    /// Whether the caller brought it about: then it says nothing of the service.
+    /// Returns whether the caller caused the error. Such errors don't count against the
+    /// objectives of the service.
     #[must_use]
     pub fn is_caller_error(self) -> bool {
         match self {
@@ -123,7 +124,7 @@
         }
     }
 
-    /// HTTP status that carries this code.
+    /// Returns the HTTP status of a response with this code.
     #[must_use]
     pub fn http_status(self) -> u16 {
         match self {
@@ -145,21 +146,21 @@
     }
 }
 
-/// The final answer to a request that gets no upstream's answer.
+/// Final response to a request that gets no response from an upstream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestRefusal {
-    /// Whether the work ran.
+    /// Whether an upstream executed the request.
     pub outcome: OutcomeKind,
-    /// Stable reason.
+    /// Machine-readable reason.
     pub code: RefusalCode,
-    /// Sentence for a person: what is wrong and what to do.
+    /// Human-readable description: what is wrong and what to do.
     pub detail: String,
-    /// When coming back makes sense, if it does.
+    /// Delay before a retry is useful; absent when a retry doesn't help.
     pub retry_after: Option<Duration>,
 }
 
 impl RequestRefusal {
-    /// A refusal of work that no upstream has seen.
+    /// Creates a refusal of a request that no upstream has received.
     #[must_use]
     pub fn not_run(code: RefusalCode, detail: impl Into<String>) -> Self {
         Self {
@@ -170,7 +171,7 @@
         }
     }
 
-    /// A failure after which the work may or may not have run.
+    /// Creates a failure after which the request may or may not have been executed.
     #[must_use]
     pub fn unknown(code: RefusalCode, detail: impl Into<String>) -> Self {
         Self {
@@ -179,13 +180,14 @@
         }
     }
 
-    /// Whether it is given for want of room, so that tiers are refused in order.
+    /// Returns whether the request is refused for lack of capacity. Such refusals follow the
+    /// order of the tiers.
     #[must_use]
     pub fn is_overload(&self) -> bool {
         matches!(self.code, RefusalCode::Overloaded | RefusalCode::TierShed)
     }
 
-    /// The same refusal with the time after which to come back.
+    /// Returns the refusal with a retry-after delay.
     #[must_use]
     pub fn with_retry_after(self, retry_after: Duration) -> Self {
         Self {
--- a/crates/savorywood-protocol/src/prefix.rs
+++ b/crates/savorywood-protocol/src/prefix.rs
@@ -1,13 +1,14 @@
-//! Names of prompt prefixes, agreed between daemons and engines (`docs/UPSTREAM.md`).
+//! Hashes of prompt prefixes, computed alike by daemons and engines (`docs/UPSTREAM.md`).
 
-/// Bytes of prompt text in one block.
+/// Size of a block of prompt text, in bytes.
 pub const PREFIX_BLOCK_BYTES: usize = 256;
 
-/// Blocks that are named at most: a longer shared prefix makes no further difference.
+/// Largest number of blocks of a prompt that are hashed. A longer shared prefix makes no further
+/// difference to routing.
 pub const MAX_PREFIX_BLOCKS: usize = 256;
 
-/// Names each whole block of a prompt by a hash that also covers all blocks before it, so that
-/// equal names mean equal prefixes.
+/// Returns a hash for each complete block of a prompt. A hash also covers all earlier blocks, so
+/// that equal hashes mean equal prefixes.
 #[must_use]
 pub fn prefix_hashes(prompt: &[u8]) -> Vec<u64> {
     let mut previous = 0_u64;
--- a/crates/savorywood-protocol/src/resume_token.rs
+++ b/crates/savorywood-protocol/src/resume_token.rs
@@ -1,7 +1,7 @@
-//! Signed tokens by which any daemon can read on a stream that another one began.
+//! Signed tokens with which any daemon can resume a response stream that another daemon began.
 //!
-//! The token says all that is needed, so no daemon has to keep or look up anything, and the
-//! second daemon reads from the same upstream instead of dispatching anew.
+//! A token is self-contained: daemons store nothing and look nothing up, and the second daemon
+//! reads from the same upstream instead of dispatching the request again.
 
 use crate::{AttemptNumber, ServiceName, TeamName, UpstreamName, WallTime};
 use base64::{Engine, engine::general_purpose::URL_SAFE_NO_PAD};
@@ -11,20 +11,20 @@
 use snafu::Snafu;
 use std::{fmt, time::Duration};
 
-/// Bytes of the signature that ends a token.
+/// Size of the HMAC-SHA-256 signature at the end of a token, in bytes.
 const SIGNATURE_BYTES: usize = 32;
 
-/// Bytes of a block of SHA-256.
+/// Block size of SHA-256, in bytes.
 const BLOCK_BYTES: usize = 64;
 
-/// Longest token that is looked at, in characters. A longer one was not made here.
+/// Longest accepted token, in characters. Signed tokens are never longer.
 const MAX_TOKEN_CHARS: usize = 1_024;
 
-/// Version of the content, its first byte.
+/// Format version, the first byte of the content.
 const TOKEN_VERSION: u8 = 1;
 
-/// Key that signs resume tokens; the same at all daemons, read from a file that the settings
-/// name.
+/// Key that signs resume tokens. All daemons share it; it is read from the file named in the
+/// settings (`keys.resume_key_file`).
 #[derive(Clone)]
 pub struct ResumeKey([u8; 32]);
 
@@ -36,8 +36,8 @@
     }
 
     fn mac(&self, content: &[u8]) -> Hmac<Sha256> {
-        // HMAC fills a shorter key up with zeros to one block, so this is the usual HMAC of the
-        // 32 bytes, by the constructor that can't fail.
+        // HMAC pads a short key with zeros to one block, so this is the HMAC with the 32-byte
+        // key, by the constructor that can't fail.
         let mut block = [0; BLOCK_BYTES];
         block[..self.0.len()].copy_from_slice(&self.0);
         let mut mac = <Hmac<Sha256> as KeyInit>::new(&block.into());
@@ -55,48 +55,48 @@
 /// Content of a resume token.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResumeToken {
-    /// Upstream that holds the stream.
+    /// Upstream that produces the stream.
     pub upstream: UpstreamName,
-    /// Name of the stream there.
+    /// Name of the stream at the upstream.
     pub stream: String,
     /// Service that was called.
     pub service: ServiceName,
-    /// Team that called; no other may read the stream.
+    /// Team that made the call; no other team may read the stream.
     pub team: TeamName,
-    /// Attempt that was dispatched.
+    /// Attempt that produces the stream.
     pub attempt: AttemptNumber,
-    /// When the token was made.
+    /// Time at which the token was signed.
     pub issued_at: WallTime,
 }
 
-/// Why a token was refused.
+/// Reason why a token is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum ResumeTokenError {
-    /// It is no token, or not of this version.
+    /// The text is not a token, or a token of another format version.
     #[snafu(display("the text is not a resume token"))]
     Malformed,
-    /// The signature does not fit: made with another key, or changed.
-    #[snafu(display("the resume token is not signed by these daemons"))]
+    /// The signature is invalid: made with another key, or the token was changed.
+    #[snafu(display("the signature of the resume token is invalid"))]
     BadSignature,
-    /// It is older than allowed: the upstream has dropped the stream.
+    /// The token is older than allowed: the upstream no longer has the stream.
     #[snafu(display("the resume token is {age_seconds} s old; {max_seconds} s are allowed"))]
     Expired {
-        /// Its age.
+        /// Age of the token, in seconds.
         age_seconds: u64,
-        /// Greatest age.
+        /// Maximum age, in seconds.
         max_seconds: u64,
     },
-    /// It was given to another team.
-    #[snafu(display("the resume token was given to another team"))]
+    /// The token was issued to another team.
+    #[snafu(display("the resume token was issued to another team"))]
     OtherTeam,
 }
 
 impl ResumeToken {
-    /// Signs the token.
+    /// Encodes and signs the token as URL-safe text.
     ///
     /// # Errors
     ///
-    /// [`ResumeTokenError::Malformed`] when it can't be encoded or is too long to be read.
+    /// [`ResumeTokenError::Malformed`] when the token can't be encoded or is too long.
     pub fn sign(&self, key: &ResumeKey) -> Result<String, ResumeTokenError> {
         let body = postcard::to_stdvec(self).map_err(|_| ResumeTokenError::Malformed)?;
         let mut content = vec![TOKEN_VERSION];
@@ -110,12 +110,13 @@
         }
     }
 
-    /// Checks signature, team and age. The signature comes first and is compared in constant
-    /// time, so that neither an error nor the time taken tells a forger anything.
+    /// Decodes a token and checks its signature, team and age. The signature is checked first
+    /// and in constant time, so that neither the error nor the duration of the check helps to
+    /// forge a token.
     ///
     /// # Errors
     ///
-    /// Says why the token must be refused.
+    /// Returns why the token is refused.
     pub fn verify(
         text: &str,
         key: &ResumeKey,
--- a/crates/savorywood-protocol/src/table.rs
+++ b/crates/savorywood-protocol/src/table.rs
@@ -1,86 +1,86 @@
-//! Requests to the platform's transactional table service and its answers.
+//! Requests and responses of the platform's transactional table service.
 //!
-//! The same types are the JSON bodies of the service's HTTP protocol (`docs/PLATFORM.md`).
+//! These types are also the JSON bodies of its HTTP protocol (`docs/PLATFORM.md`).
 
 use serde::{Deserialize, Serialize};
 
-/// Key of a row: the table's name, a slash and the key within it.
+/// Key of a row: the table name, a slash and the key within the table.
 pub type RowKey = String;
 
-/// Revision of the whole table service: every commit gets the next one.
+/// Revision of the table service. Every commit, to any table, gets the next one.
 pub type CommitRevision = u64;
 
-/// One row as it stands.
+/// Current state of a row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableRow {
     /// Key of the row.
     pub key: RowKey,
-    /// Content, a JSON text by this project's convention; `None` when the row was deleted.
+    /// Content, JSON text by convention; `None` when the row is deleted.
     pub value: Option<String>,
-    /// Commit that wrote the row last.
+    /// Revision of the last commit that wrote the row.
     pub revision: CommitRevision,
 }
 
-/// What must hold for a commit to take effect.
+/// Precondition of a commit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowCondition {
-    /// Row that is looked at.
+    /// Key of the row that is checked.
     pub key: RowKey,
-    /// Revision that the row must have; `None` when it must not exist.
+    /// Revision that the row must have; `None` when the row must not exist.
     pub revision: Option<CommitRevision>,
 }
 
-/// One row to write, or to delete when `value` is `None`.
+/// One row to write or delete.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowWrite {
-    /// Row to write.
+    /// Key of the row.
     pub key: RowKey,
-    /// New content.
+    /// New content; `None` deletes the row.
     pub value: Option<String>,
 }
 
-/// All rows of one transaction: they take effect together or not at all.
+/// Transaction: all writes take effect together or none does.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableCommit {
-    /// All must hold.
+    /// Preconditions, all of which must hold.
     pub conditions: Vec<RowCondition>,
     /// Rows to write.
     pub writes: Vec<RowWrite>,
 }
 
-/// One call of the table service.
+/// Request to the table service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TableRequest {
-    /// Read these rows.
+    /// Reads rows by key.
     Get {
-        /// Keys of the rows; missing ones are left out of the answer.
+        /// Keys of the rows; rows that don't exist are omitted from the response.
         keys: Vec<RowKey>,
     },
-    /// Read the rows under a prefix that changed after a revision, deletions included.
+    /// Reads the rows under a key prefix that changed after a revision, deletions included.
     Scan {
         /// Prefix of the keys.
         prefix: String,
-        /// Only rows with a larger revision; zero for all.
+        /// Returns only rows with a larger revision; zero for all rows.
         after: CommitRevision,
-        /// Rows at most; the answer says whether more follow.
+        /// Maximum number of rows; the response indicates whether more follow.
         limit: u32,
     },
-    /// Write rows in one transaction.
+    /// Writes rows in one transaction.
     Commit(TableCommit),
 }
 
-/// Answer of the table service, or what the client knows without one.
+/// Response of the table service, or what the client can conclude without one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TableResponse {
     /// Rows that were read, ordered by key for `Get` and by revision for `Scan`.
     Rows {
-        /// The rows.
+        /// Rows found; deleted rows have no value.
         rows: Vec<TableRow>,
-        /// Revision of the table service at the read.
+        /// Revision of the table service at the time of the read.
         revision: CommitRevision,
-        /// More rows follow the last one.
+        /// Whether more rows follow the last one.
         more: bool,
     },
     /// The commit took effect under this revision.
@@ -88,13 +88,14 @@
         /// Revision of the commit.
         revision: CommitRevision,
     },
-    /// A condition did not hold; nothing was written. The rows as they stand are given.
+    /// A precondition did not hold; nothing was written.
     Conflict {
-        /// Rows named by conditions that did not hold.
+        /// Current state of the rows whose preconditions did not hold.
         rows: Vec<TableRow>,
     },
-    /// The request never left or the service refused it: it took no effect.
+    /// The request was not sent or the service refused it: it had no effect.
     Unavailable,
-    /// The answer was lost: a commit may or may not have taken effect. Read back.
+    /// The response was lost: a commit may or may not have taken effect. The caller has to read
+    /// the rows to find out.
     Lost,
 }
--- a/crates/savorywood-protocol/src/time.rs
+++ b/crates/savorywood-protocol/src/time.rs
@@ -1,4 +1,4 @@
-//! Points in time as plain numbers, so that reducers never read a clock.
+//! Points in time as plain numbers, so that the decision logic never reads a clock.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de::Error as _};
 use std::{
@@ -7,7 +7,7 @@
     time::{Duration, SystemTime},
 };
 
-/// Microseconds on the monotonic clock of one process. Never compared between processes.
+/// Microseconds on the monotonic clock of one process. Not comparable between processes.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -15,7 +15,7 @@
 pub struct MonotonicTime(pub u64);
 
 impl MonotonicTime {
-    /// Time from `earlier` to this point; zero if `earlier` is later.
+    /// Returns the time from `earlier` to this point; zero if `earlier` is later.
     #[must_use]
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
@@ -42,18 +42,18 @@
     u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// Milliseconds since 1970 in UTC. Written as RFC 3339 in resources.
+/// Milliseconds since the Unix epoch. Written as RFC 3339 text in JSON.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WallTime(pub u64);
 
 impl WallTime {
-    /// Time from `earlier` to this point; zero if `earlier` is later.
+    /// Returns the time from `earlier` to this point; zero if `earlier` is later.
     #[must_use]
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_millis(self.0.saturating_sub(earlier.0))
     }
 
-    /// Reads the time of a system clock.
+    /// Converts a system time; times before the Unix epoch become zero.
     #[must_use]
     pub fn from_system(time: SystemTime) -> Self {
         let elapsed = time
@@ -82,7 +82,7 @@
     }
 }
 
-/// Latest time that RFC 3339 can write (the end of the year 9999).
+/// Latest time that RFC 3339 can express, the end of the year 9999 in milliseconds.
 const MAX_WALL_MILLIS: u64 = 253_402_300_799_999;
 
 impl Serialize for WallTime {
@@ -106,17 +106,17 @@
     }
 }
 
-/// The two clocks that a reducer may look at, read once per step.
+/// Readings of both clocks, taken once per step and passed to the decision logic.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct CoreTime {
-    /// For timers, leases and deadlines: never jumps.
+    /// For timers, leases and deadlines; never jumps.
     pub monotonic: MonotonicTime,
-    /// For what operators wrote down and for ages of keys: may jump.
+    /// For times in resources and ages of idempotency keys; jumps when the clock is set.
     pub wall: WallTime,
 }
 
 impl CoreTime {
-    /// The same point moved forward on both clocks.
+    /// Returns this point moved forward by `duration` on both clocks.
     #[must_use]
     pub fn after(self, duration: Duration) -> Self {
         Self {
