--- a/crates/savorywood-protocol/src/peer.rs
+++ b/crates/savorywood-protocol/src/peer.rs
@@ -1,4 +1,6 @@
 //! Messages between daemons, encoded with `postcard`.
+//!
+//! The encoding has no names: the order of fields and variants is part of the format.
 
 pub mod config;
 pub mod credits;
@@ -15,15 +17,15 @@
 
 use serde::{Deserialize, Serialize};
 
-/// One message between two daemons, by the duty that reads it.
+/// Message from one daemon to another, by the component that handles it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Who is alive.
+    /// Liveness and addresses of members.
     Membership(MembershipMessage),
-    /// Who may send how much to an upstream.
+    /// Division of the slots of contended upstreams.
     Credits(CreditMessage),
-    /// Which configuration is in force.
+    /// Configuration revision in force.
     Config(ConfigMessage),
-    /// Which moves were stopped.
+    /// Stopped traffic moves, and statistics of the two versions of a move.
     Moves(MoveMessage),
 }
--- a/crates/savorywood-protocol/src/peer/config.rs
+++ b/crates/savorywood-protocol/src/peer/config.rs
@@ -1,12 +1,12 @@
-//! Which configuration is in force.
+//! Messages about the configuration in force.
 
 use crate::ConfigRevision;
 use serde::{Deserialize, Serialize};
 
-/// Message of the configuration duty.
+/// Message of the configuration component.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConfigMessage {
-    /// The sender has this revision in force.
+    /// Announces which configuration the sender applies.
     InForce {
         /// Revision in force at the sender.
         revision: ConfigRevision,
--- a/crates/savorywood-protocol/src/peer/credits.rs
+++ b/crates/savorywood-protocol/src/peer/credits.rs
@@ -1,76 +1,78 @@
-//! Who may send how much to an upstream.
+//! Messages that divide the slots of contended upstreams between daemons.
 //!
-//! Daemons speak only of upstreams that are contended, and gather all that they have to say to
-//! one another in one message.
+//! A slot is the capacity of an upstream for one concurrent request. One daemon is the arbiter of
+//! an upstream: the others report their demand to it, and it grants them slots for a limited time.
+//! Messages cover only contended upstreams, and all entries for one receiver share a message.
 
 use crate::{TierRank, UpstreamName};
 use serde::{Deserialize, Serialize};
 
-/// Floor under which nothing is shed: all tiers are admitted.
+/// Admission floor at which all tiers are admitted and none is shed.
 pub const NO_FLOOR: TierRank = TierRank(u8::MAX);
 
 /// Demand of one daemon in one tier.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TierDemand {
-    /// Tier that asks.
+    /// Rank of the tier.
     pub rank: TierRank,
-    /// Seats in use and wanted.
+    /// Slots that the tier uses or requests.
     pub slots: u32,
 }
 
 /// Demand of one daemon on one upstream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamDemand {
-    /// Upstream that it is about.
+    /// Upstream that this entry is for.
     pub upstream: UpstreamName,
-    /// Seats that the sender's own limit would allow.
+    /// Slots that the sender's own concurrency limit allows.
     pub limit: u32,
-    /// Seats in use at the sender.
+    /// Slots in use by requests of the sender.
     pub in_use: u32,
-    /// By tier, highest first; empty when the sender wants nothing more.
+    /// Demand by tier, most important first; empty when the sender has no further demand.
     pub tiers: Vec<TierDemand>,
-    /// Most important tier that the sender is about to shed, if it is.
+    /// Most important tier that the sender is about to shed; absent when it sheds none.
     pub shedding: Option<TierRank>,
 }
 
-/// What the arbiter of one upstream allows one daemon.
+/// Slots of one upstream that its arbiter grants to one daemon.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamGrant {
-    /// Upstream that it is about.
+    /// Upstream that this entry is for.
     pub upstream: UpstreamName,
-    /// Seats at once.
+    /// Requests that the daemon may have running at the upstream at once.
     pub slots: u32,
-    /// Lowest tier still admitted; [`NO_FLOOR`] for all.
+    /// Admission floor: the least important tier that is still admitted. [`NO_FLOOR`] admits all.
     pub floor: TierRank,
-    /// Whether all daemons together still want more than there is. While they do not, the
-    /// upstream stops being spoken of after a while.
+    /// Whether the demand of all daemons still exceeds the capacity. Some time after it no
+    /// longer does, the daemons stop exchanging messages about the upstream.
     pub contended: bool,
 }
 
-/// Message of the credit duty.
+/// Message of the component that divides slots.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CreditMessage {
-    /// A daemon tells an arbiter what it would use.
+    /// Reports the demand of a daemon to an arbiter.
     Demand {
-        /// Larger than in all earlier messages of the sender; older ones are dropped.
+        /// Larger than in all earlier messages of the sender; the receiver drops older ones.
         sequence: u64,
-        /// Upstreams that the receiver arbitrates.
+        /// Demand on upstreams whose arbiter is the receiver.
         upstreams: Vec<UpstreamDemand>,
     },
-    /// An arbiter tells a daemon what it may use.
+    /// Grants slots to a daemon.
     Grant {
-        /// Larger than in all earlier messages of the sender; older ones are dropped.
+        /// Larger than in all earlier messages of the sender; the receiver drops older ones.
         sequence: u64,
-        /// Sequence of the receiver's demand that came last.
+        /// Sequence number of the last demand that the sender received from the receiver; zero if
+        /// none.
         demand_sequence: u64,
-        /// Valid for this long after receipt.
+        /// Validity of the grants in milliseconds, from receipt on.
         term_ms: u32,
-        /// Upstreams that the sender arbitrates.
+        /// Grants for upstreams whose arbiter is the sender.
         grants: Vec<UpstreamGrant>,
     },
-    /// An arbiter asks who else uses upstreams that are contended.
+    /// Asks which other daemons use contended upstreams; they respond with a demand.
     Survey {
-        /// The contended upstreams.
+        /// Contended upstreams whose arbiter is the sender.
         upstreams: Vec<UpstreamName>,
     },
 }
--- a/crates/savorywood-protocol/src/peer/datagram.rs
+++ b/crates/savorywood-protocol/src/peer/datagram.rs
@@ -1,4 +1,4 @@
-//! One authenticated datagram between two daemons.
+//! Authenticated datagrams between daemons.
 
 mod replay;
 
@@ -10,18 +10,20 @@
 use snafu::Snafu;
 use std::fmt;
 
-/// Longest datagram sent, in bytes: it passes every path without being cut into fragments.
+/// Maximum size of a datagram, in bytes. Datagrams of this size aren't fragmented on common
+/// network paths.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 
-/// Bytes of the authentication tag that ends a datagram.
+/// Size of the authentication tag at the end of a datagram, in bytes.
 const TAG_BYTES: usize = 16;
 
-/// Shared key of all daemons, read from a file that the settings name.
+/// Key that authenticates messages between daemons. All daemons share it; it is read from the
+/// file named in the settings (`keys.peer_key_file`).
 #[derive(Clone)]
 pub struct DatagramKey([u8; 32]);
 
 impl fmt::Debug for DatagramKey {
-    /// Hides the key, so that no log line can show it.
+    /// Hides the key, so that it can't appear in logs.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("DatagramKey(hidden)")
     }
@@ -34,10 +36,10 @@
         Self(blake3::derive_key("savorywood peer datagram v1", secret))
     }
 
-    /// Tag over the content and the receiver's name.
+    /// Computes the tag over the content and the receiver's name.
     ///
-    /// Without the name, a datagram copied off the wire could be played to another daemon: a
-    /// grant of seats would then be used by two. The name is not sent, so it costs no byte.
+    /// The name keeps a captured datagram from being replayed to another daemon, where a grant of
+    /// slots would be used a second time. It is not transmitted.
     pub(super) fn tag(&self, content: &[u8], to: &HostName) -> blake3::Hash {
         let mut hasher = blake3::Hasher::new_keyed(&self.0);
         hasher.update(to.as_str().as_bytes());
@@ -50,40 +52,40 @@
 /// Content of one datagram.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PeerDatagram {
-    /// Sender.
+    /// Host of the sender.
     pub from: HostName,
-    /// Life of the sender.
+    /// Incarnation of the sender.
     pub incarnation: HostIncarnation,
-    /// Counted up by the sender over all its datagrams.
+    /// Sequence number, increased by the sender with each datagram to any receiver.
     pub sequence: u64,
-    /// What is said.
+    /// Payload.
     pub message: PeerMessage,
 }
 
-/// Why a datagram was dropped.
+/// Reason why a datagram can't be sent or is dropped.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum DatagramError {
-    /// Shorter than a tag.
-    #[snafu(display("the datagram has {bytes} bytes, fewer than its tag"))]
+    /// The datagram is shorter than a tag.
+    #[snafu(display("the datagram has {bytes} bytes, fewer than the {TAG_BYTES} of a tag"))]
     TooShort {
-        /// Length received.
+        /// Received size, in bytes.
         bytes: usize,
     },
-    /// Longer than [`MAX_DATAGRAM_BYTES`].
+    /// The encoded datagram is longer than [`MAX_DATAGRAM_BYTES`].
     #[snafu(display("the datagram to {to} has {bytes} bytes; {MAX_DATAGRAM_BYTES} are allowed"))]
     TooLong {
-        /// Length encoded.
+        /// Encoded size, in bytes.
         bytes: usize,
-        /// Who should have had it.
+        /// Intended receiver.
         to: HostName,
     },
-    /// The tag does not fit: another key, another receiver, or changed on the way.
-    #[snafu(display("the datagram's tag does not fit its content"))]
+    /// The tag doesn't match: another key, another receiver, or changed content.
+    #[snafu(display("the datagram's tag does not match its content"))]
     BadTag,
-    /// The content is not a datagram of this version.
-    #[snafu(display("the datagram can't be decoded: {reason}"))]
+    /// The content is not a datagram in this version's format, or can't be encoded.
+    #[snafu(display("the datagram can't be encoded or decoded: {reason}"))]
     Undecodable {
-        /// What the codec said.
+        /// Error of the encoder or decoder.
         reason: String,
     },
 }
@@ -93,7 +95,8 @@
     ///
     /// # Errors
     ///
-    /// When the codec can't encode the message, or it is too long.
+    /// [`DatagramError::Undecodable`] when the message can't be encoded,
+    /// [`DatagramError::TooLong`] when it exceeds [`MAX_DATAGRAM_BYTES`].
     pub fn seal(&self, to: &HostName, key: &DatagramKey) -> Result<Vec<u8>, DatagramError> {
         let mut bytes = postcard::to_stdvec(self).map_err(|error| undecodable(&error))?;
         let tag = key.tag(&bytes, to);
@@ -109,11 +112,11 @@
         Ok(bytes)
     }
 
-    /// Checks the tag for the receiver `to`, which is the caller itself, and decodes the datagram.
+    /// Checks the tag and decodes a datagram. `to` is the host of the receiver, which calls this.
     ///
     /// # Errors
     ///
-    /// Says why the datagram must be dropped.
+    /// Returns why the datagram has to be dropped.
     pub fn open(bytes: &[u8], to: &HostName, key: &DatagramKey) -> Result<Self, DatagramError> {
         let Some(split) = bytes.len().checked_sub(TAG_BYTES) else {
             return TooShortSnafu { bytes: bytes.len() }.fail();
@@ -128,11 +131,13 @@
     }
 }
 
-/// Bytes on the wire beside the message: IPv4 and UDP heads, tag, sender, life and sequence.
+/// Bytes on the wire besides the message and the sender's name: the IPv4 (20) and UDP (8) headers,
+/// the tag, and the encoded length of the name (1), incarnation (6) and sequence number (5).
 const OVERHEAD_BYTES: usize = 20 + 8 + TAG_BYTES + 1 + 6 + 5;
 
 impl PeerMessage {
-    /// Bytes that this message takes on the wire when `from` sends it, heads included.
+    /// Returns the bytes that this message takes on the wire when `from` sends it, including the
+    /// IP and UDP headers.
     #[must_use]
     pub fn wire_bytes(&self, from: &HostName) -> usize {
         let size = postcard::ser_flavors::Size::default();
--- a/crates/savorywood-protocol/src/peer/datagram/replay.rs
+++ b/crates/savorywood-protocol/src/peer/datagram/replay.rs
@@ -1,27 +1,28 @@
-//! Drops datagrams that come a second time.
+//! Protection against replayed datagrams.
 //!
-//! A datagram that is copied off the wire and sent again carries a right tag. Played back later,
-//! an old demand or grant would count anew; one would notice it as seats that nobody uses. The
-//! receiver therefore keeps, for each sender, which of its latest sequence numbers it has seen.
+//! A captured datagram that is sent again has a valid tag. An old demand or grant would take effect
+//! again and leave slots unused. The receiver therefore records, for each sender, which of the
+//! latest sequence numbers it has received.
 
 use crate::{HostIncarnation, HostName};
 use std::collections::BTreeMap;
 
-/// Sequence numbers below the newest that may still come out of order.
+/// Size of the replay window: datagrams older than this many sequence numbers are dropped, newer
+/// ones may arrive out of order.
 const WINDOW_BITS: u64 = 128;
 
-/// What the guard says of a datagram.
+/// Result of a replay check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReplayDecision {
-    /// Not seen before.
+    /// The datagram is received for the first time.
     Fresh,
-    /// Seen before, or too old to tell.
+    /// The datagram was received before, or is older than the replay window.
     Replayed,
-    /// From a life of the sender that has ended.
+    /// The datagram is from an earlier incarnation of the sender.
     OldIncarnation,
 }
 
-/// Which of one sender's latest sequence numbers have been seen.
+/// Sliding window over the sequence numbers received from one sender.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReplayWindow {
     newest: u64,
@@ -29,7 +30,8 @@
 }
 
 impl ReplayWindow {
-    /// Notes a sequence number; says whether it is seen for the first time.
+    /// Records a sequence number and returns whether it is new. Numbers older than the window
+    /// are not.
     pub fn accept(&mut self, sequence: u64) -> bool {
         if self.seen == 0 || sequence > self.newest {
             let shift = sequence.saturating_sub(self.newest);
@@ -59,14 +61,14 @@
     window: ReplayWindow,
 }
 
-/// Replay windows of all senders, each bound to one life of its sender.
+/// Replay windows of all senders, each for the newest incarnation of its sender.
 #[derive(Debug, Default)]
 pub struct ReplayGuard {
     senders: BTreeMap<HostName, SenderWindow>,
 }
 
 impl ReplayGuard {
-    /// Judges an authenticated datagram and notes its sequence number.
+    /// Checks an authenticated datagram for replay and records its sequence number.
     pub fn check_and_record(
         &mut self,
         from: &HostName,
@@ -96,7 +98,8 @@
         }
     }
 
-    /// Forgets senders that `keep` does not name, so that replaced hosts take no memory for good.
+    /// Removes the senders for which `keep` returns false, so that removed hosts don't use memory
+    /// forever.
     pub fn retain(&mut self, keep: impl Fn(&HostName) -> bool) {
         self.senders.retain(|host, _| keep(host));
     }
--- a/crates/savorywood-protocol/src/peer/membership.rs
+++ b/crates/savorywood-protocol/src/peer/membership.rs
@@ -1,11 +1,11 @@
-//! Who is alive.
+//! Gossip messages about the liveness and addresses of members.
 
 use crate::{ConfigRevision, HostIncarnation, HostName, RegionName, ZoneName};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use strum::{Display, EnumIter, IntoStaticStr};
 
-/// What is known of a member.
+/// Liveness of a member.
 #[derive(
     Debug,
     Clone,
@@ -24,57 +24,57 @@
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum MemberState {
-    /// Answers.
+    /// Responds to probes.
     Alive,
-    /// Missed probes; may still refute.
+    /// Missed probes; the member can refute the suspicion.
     Suspect,
-    /// Leaving on purpose; sticky for the incarnation.
+    /// Shuts down on purpose; final for the incarnation.
     Leaving,
-    /// Gone.
+    /// Unreachable: the suspicion was not refuted in time.
     Dead,
 }
 
-/// Where a member stands and is reached. It does not change within an incarnation.
+/// Addresses, zone and region of a member. They don't change within an incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberLocation {
-    /// Where its peers reach it.
+    /// Address on which the member receives messages of its peers.
     pub peer_address: SocketAddr,
-    /// Where callers reach it.
+    /// Address on which the member accepts callers.
     pub caller_address: SocketAddr,
-    /// Availability zone.
+    /// Availability zone of the host.
     pub zone: ZoneName,
-    /// Region.
+    /// Region of the host.
     pub region: RegionName,
 }
 
-/// What one daemon tells of another.
+/// State of one member, as gossiped between daemons.
 ///
-/// Most updates are about members that the receiver knows, so the place, which is two thirds of
-/// the bytes, is left out of them.
+/// Most updates are about members that the receiver has in its table, so they omit the location,
+/// which is two thirds of the bytes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberUpdate {
-    /// Host that it is about.
+    /// Host of the member.
     pub host: HostName,
-    /// Life of the host that it is about.
+    /// Incarnation of the member that the update is about.
     pub incarnation: HostIncarnation,
-    /// Raised by the member itself to refute a suspicion.
+    /// Counter that the member itself raises to refute a suspicion.
     pub refutation: u32,
-    /// What is told.
+    /// Liveness of the member.
     pub state: MemberState,
-    /// Configuration revision in force there, as last heard.
+    /// Configuration revision in force at the member, as of its last report.
     pub config_revision: ConfigRevision,
-    /// Where it stands; given while the receiver may not know.
+    /// Location of the member; absent when the receiver is expected to have it.
     pub location: Option<MemberLocation>,
 }
 
-/// Bytes that a varint of 64 bits takes at most.
+/// Maximum encoded size of a 64-bit varint, in bytes.
 const MAX_VARINT_BYTES: usize = 10;
 
-/// Bytes that a socket address takes at most (a tag, 16 bytes of IPv6, a port).
+/// Maximum encoded size of a socket address, in bytes: a tag, 16 bytes of IPv6 and a port.
 const MAX_ADDRESS_BYTES: usize = 20;
 
 impl MemberUpdate {
-    /// Upper bound of its encoded length in bytes, cheaper than encoding it.
+    /// Returns an upper bound of the encoded size in bytes, which is cheaper than encoding.
     #[must_use]
     pub fn max_wire_bytes(&self) -> usize {
         let numbers = varint_bytes(self.incarnation.0)
@@ -86,7 +86,7 @@
                 address_bytes(location.peer_address) + address_bytes(location.caller_address);
             names + addresses + 2
         });
-        // One byte each for the length of the name, the state and the presence of the place.
+        // One byte each for the length of the name, the state and the presence of the location.
         self.host.as_str().len() + numbers + location + 3
     }
 }
@@ -103,65 +103,65 @@
     }
 }
 
-/// Digests of consecutive parts of the sender's member table.
+/// Digests of consecutive parts of the sender's member table, for anti-entropy.
 ///
-/// The receiver compares them with its own and answers with the parts that differ, so that news
-/// that was lost on all its ways is still learned.
+/// The receiver compares them with its own table and responds with the parts that differ, so that
+/// updates still arrive when every gossip message that carried them was lost.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberTableDigest {
     /// Number of the first part.
     pub first: u8,
-    /// Digest of each part, from the first on.
+    /// Digest of each part, starting with `first`.
     pub parts: Vec<u32>,
 }
 
-/// Message of the membership duty.
+/// Message of the membership component.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MembershipMessage {
-    /// Asks for a sign of life.
+    /// Probes the receiver, which responds with an `Ack`.
     Ping {
-        /// Echoed by the answer.
+        /// Sequence number, repeated in the response.
         sequence: u64,
-        /// Newest configuration revision known to the sender.
+        /// Newest configuration revision that the sender has learned of.
         newest_revision: ConfigRevision,
-        /// Parts of the sender's table.
+        /// Digests of some parts of the sender's member table.
         digest: MemberTableDigest,
-        /// News carried along.
+        /// Piggybacked member updates.
         updates: Vec<MemberUpdate>,
     },
-    /// Answers a ping, directly or for a third daemon.
+    /// Responds to a ping, either of the sender itself or forwarded for the probed member.
     Ack {
-        /// Of the ping.
+        /// Sequence number of the ping.
         sequence: u64,
-        /// Newest configuration revision known to the sender.
+        /// Newest configuration revision that the sender has learned of.
         newest_revision: ConfigRevision,
-        /// News carried along.
+        /// Piggybacked member updates.
         updates: Vec<MemberUpdate>,
-        /// Members in the parts whose digests differ, of any age.
+        /// Members in the parts whose digests differ, however old their state is.
         table: Vec<MemberUpdate>,
-        /// Whether the sender has read the whole table of others itself.
+        /// Whether the sender has completed its initial synchronisation of the member table.
         synced: bool,
     },
-    /// Asks a third daemon to ping the target.
+    /// Asks the receiver to probe the target on behalf of the sender.
     PingRequest {
-        /// Echoed by the answer.
+        /// Sequence number, repeated in the response.
         sequence: u64,
-        /// Whom to ping.
+        /// Member to probe.
         target: HostName,
-        /// News carried along.
+        /// Piggybacked member updates.
         updates: Vec<MemberUpdate>,
     },
-    /// A third daemon says that the target did not answer it either.
+    /// Reports that the target of a `PingRequest` did not respond to the sender either.
     Nack {
-        /// Of the request.
+        /// Sequence number of the `PingRequest`.
         sequence: u64,
     },
-    /// News that can't wait for the next ping: a member leaves, a new configuration.
+    /// Updates that can't wait for the next ping, such as a leaving member or a new configuration.
     #[serde(rename = "News")]
     Updates {
-        /// Newest configuration revision known to the sender.
+        /// Newest configuration revision that the sender has learned of.
         newest_revision: ConfigRevision,
-        /// The news.
+        /// Member updates; empty when only the revision is new.
         updates: Vec<MemberUpdate>,
     },
 }
--- a/crates/savorywood-protocol/src/peer/moves.rs
+++ b/crates/savorywood-protocol/src/peer/moves.rs
@@ -1,60 +1,64 @@
-//! Which moves were stopped, and what daemons saw of the two versions.
+//! Messages that stop traffic moves and carry statistics of the two versions.
 
 use crate::{ConfigRevision, MoveName, WallTime};
 use serde::{Deserialize, Serialize};
 
-/// What one daemon saw of one version on one route in one period.
+/// Request statistics of one version on one route, as measured by one daemon in one period.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct VersionStatistics {
-    /// Requests that ended, failed ones included.
+    /// Requests that ended, including failed ones.
     pub finished: u32,
     /// Requests that failed.
     pub failed: u32,
-    /// Requests whose speed was measured.
+    /// Requests whose time per token was measured.
     pub timed: u32,
-    /// Sum of the natural logarithms of the microseconds a token took.
+    /// Sum over the timed requests of the natural logarithm of the microseconds per token.
     pub log_sum: f32,
-    /// Sum of their squares.
+    /// Sum of the squares of these logarithms.
     pub log_square: f32,
 }
 
-/// What one daemon saw of both versions on one route in the same period.
+/// Statistics of both versions of a move on one route, as measured by one daemon in the same
+/// period.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RouteStatistics {
-    /// Route within the service.
+    /// Route of the service.
     pub route: String,
-    /// Version that had the traffic.
+    /// Statistics of the version that had the traffic (the baseline).
     pub old: VersionStatistics,
-    /// Version that gets it.
+    /// Statistics of the version that gets the traffic.
     pub new: VersionStatistics,
 }
 
-/// Message of the move duty. A move is named together with the configuration revision of its
-/// spec: one that was stopped may be written again and tried anew under the same name.
+/// Message about a traffic move.
+///
+/// A move is identified by its name and the configuration revision of its spec, since a stopped
+/// move can be written again under the same name for another attempt.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum MoveMessage {
-    /// The sender saw the new version fail; sticky for that revision of the move.
+    /// Stops the move because the sender found the new version to fail. Final for this revision
+    /// of the move.
     Stop {
-        /// Move that is stopped.
+        /// Name of the move.
         name: MoveName,
-        /// Revision of its spec.
+        /// Configuration revision of the move's spec.
         revision: ConfigRevision,
-        /// What was seen, for the move's status.
+        /// Human-readable reason, shown in the status of the move.
         reason: String,
-        /// When it was seen.
+        /// Time at which the sender detected the failure.
         at: WallTime,
     },
-    /// What the sender saw since its last message, for the daemon that drives the move. A lost
-    /// message costs some evidence, never a wrong count: nothing is sent twice.
+    /// Statistics since the sender's last message, for the daemon that drives the move. A lost
+    /// message loses some samples but never causes a wrong count, since nothing is sent twice.
     #[serde(rename = "Evidence")]
     Statistics {
-        /// Move that it is about.
+        /// Name of the move.
         name: MoveName,
-        /// Revision of its spec.
+        /// Configuration revision of the move's spec.
         revision: ConfigRevision,
-        /// Counted up by the sender; older ones are dropped.
+        /// Increased by the sender with each message; the receiver drops older ones.
         sequence: u64,
-        /// By route.
+        /// Statistics by route.
         routes: Vec<RouteStatistics>,
     },
 }
--- a/crates/savorywood-protocol/src/peer/snapshot.rs
+++ b/crates/savorywood-protocol/src/peer/snapshot.rs
@@ -1,57 +1,58 @@
-//! A whole configuration between two daemons, by TCP: one sealed request, one sealed reply.
+//! Transfer of a complete configuration between daemons over TCP: one authenticated request, one
+//! authenticated response.
 
 use super::datagram::DatagramKey;
 use crate::{ConfigRevision, HostName, table::CommitRevision};
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 use snafu::Snafu;
 
-/// Largest frame, in bytes: some 100,000 resources.
+/// Maximum size of a frame, in bytes: enough for about 100,000 resources.
 pub const MAX_FRAME_BYTES: usize = 64 << 20;
 
-/// Bytes of the authentication tag that ends a frame.
+/// Size of the authentication tag at the end of a frame, in bytes.
 const TAG_BYTES: usize = 32;
 
-/// Asks for a configuration.
+/// Requests the configuration that the receiver has in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotRequest {
-    /// Who asks.
+    /// Host of the requesting daemon.
     pub from: HostName,
-    /// Random; the reply repeats it, so that an old reply can't be played back.
+    /// Random number, repeated in the response so that an old response can't be replayed.
     pub nonce: u128,
 }
 
-/// A configuration.
+/// Response to a [`SnapshotRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotResponse {
-    /// Of the request.
+    /// Nonce of the request.
     pub nonce: u128,
-    /// What the daemon has in force; `None` while it has read none.
+    /// Configuration in force; `None` while the responding daemon has none.
     pub content: Option<SnapshotContent>,
 }
 
-/// Resources in force at one revision.
+/// All resources of the configuration at one revision.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotContent {
-    /// Revision in force.
+    /// Configuration revision.
     pub revision: ConfigRevision,
-    /// Newest commit of the table that it covers.
+    /// Revision of the newest table commit that the configuration includes.
     pub table_revision: CommitRevision,
-    /// All resources as a JSON array: their form is that of the operators' interface, which the
-    /// binary codec can't express.
+    /// All resources as a JSON array, as in the API for operators. `postcard` can't encode
+    /// [`crate::resource::ResourceDocument`], whose JSON form has flattened and tagged parts.
     pub documents: String,
 }
 
-/// Why a frame was dropped.
+/// Reason why a frame can't be sent or is dropped.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum FrameError {
-    /// The codec can't encode or decode it.
-    #[snafu(display("the frame can't be coded: {reason}"))]
+    /// The frame can't be encoded or decoded.
+    #[snafu(display("the frame can't be encoded or decoded: {reason}"))]
     Codec {
-        /// What the codec said.
+        /// Error of the encoder or decoder.
         reason: String,
     },
-    /// Shorter than its tag, or the tag does not fit.
-    #[snafu(display("the frame's tag does not fit its content"))]
+    /// The frame is shorter than a tag, or the tag doesn't match.
+    #[snafu(display("the frame's tag does not match its content"))]
     BadTag,
 }
 
@@ -59,7 +60,7 @@
 ///
 /// # Errors
 ///
-/// When the codec can't encode it.
+/// [`FrameError::Codec`] when the frame can't be encoded.
 pub fn seal_frame<T: Serialize>(
     frame: &T,
     to: &HostName,
@@ -71,11 +72,11 @@
     Ok(bytes)
 }
 
-/// Checks the tag for the receiver `to` and decodes a frame.
+/// Checks the tag and decodes a frame. `to` is the host of the receiver, which calls this.
 ///
 /// # Errors
 ///
-/// Says why the frame must be dropped.
+/// Returns why the frame has to be dropped.
 pub fn open_frame<T: DeserializeOwned>(
     bytes: &[u8],
     to: &HostName,
