--- a/crates/savorywood-cli/src/commands/check.rs
+++ b/crates/savorywood-cli/src/commands/check.rs
@@ -111,7 +111,7 @@
     }
     for found in validate::check_set(&set, now) {
         if let Some(place) = places.get(&found.key) {
-            faults.push(place.file.locate(place.index, &found.fault));
+            faults.push(place.file.locate(place.index, &found.error));
         }
     }
     faults
--- a/crates/savorywood-protocol/src/resource/validate.rs
+++ b/crates/savorywood-protocol/src/resource/validate.rs
@@ -58,23 +58,23 @@
     /// Which resource.
     pub key: ResourceKey,
     /// What is wrong with it.
-    pub fault: ValidationError,
+    pub error: ValidationError,
 }
 
 /// Faults of all resources of a set that is to be written anew, in the order of their keys.
 #[must_use]
 pub fn check_set(set: &ResourceSet, now: WallTime) -> Vec<SetValidationError> {
     let index = TokenIndex::new(set);
-    let mut faults = Vec::new();
+    let mut errors = Vec::new();
     for (key, document) in set {
-        let lookup = ResourceLookup::new(document, set).indexed(&index);
+        let lookup = ResourceLookup::new(document, set).with_index(&index);
         let found = check_with(&lookup, document, now).into_iter();
-        faults.extend(found.map(|fault| SetValidationError {
+        errors.extend(found.map(|error| SetValidationError {
             key: key.clone(),
-            fault,
+            error,
         }));
     }
-    faults
+    errors
 }
 
 fn check_with(
@@ -82,20 +82,20 @@
     document: &ResourceDocument,
     now: WallTime,
 ) -> Vec<ValidationError> {
-    let mut faults = Vec::new();
+    let mut errors = Vec::new();
     if let Err(error) = name::check_name(&document.name) {
         let remedy = "rename the resource";
-        faults.push(ValidationError::new("name", error.to_string(), remedy));
+        errors.push(ValidationError::new("name", error.to_string(), remedy));
     }
     match &document.spec {
-        ResourceSpec::Service(spec) => service::check(spec, lookup, &mut faults),
-        ResourceSpec::Tier(spec) => check_tier(spec, lookup, &mut faults),
-        ResourceSpec::Team(spec) => team::check(spec, lookup, &mut faults),
-        ResourceSpec::Upstream(spec) => upstream::check(spec, lookup, &mut faults),
-        ResourceSpec::Version(spec) => check_version(spec, lookup, &mut faults),
-        ResourceSpec::Move(spec) => traffic_move::check(spec, lookup, now, &mut faults),
+        ResourceSpec::Service(spec) => service::check(spec, lookup, &mut errors),
+        ResourceSpec::Tier(spec) => check_tier(spec, lookup, &mut errors),
+        ResourceSpec::Team(spec) => team::check(spec, lookup, &mut errors),
+        ResourceSpec::Upstream(spec) => upstream::check(spec, lookup, &mut errors),
+        ResourceSpec::Version(spec) => check_version(spec, lookup, &mut errors),
+        ResourceSpec::Move(spec) => traffic_move::check(spec, lookup, now, &mut errors),
     }
-    faults
+    errors
 }
 
 /// Faults of deleting the resource `key` from `others`, such as resources that still name it.
@@ -105,12 +105,12 @@
 }
 
 /// Two tiers of one rank would leave open which of them is shed first.
-fn check_tier(spec: &TierSpec, lookup: &ResourceLookup<'_>, faults: &mut Vec<ValidationError>) {
-    let twin = lookup.tiers().find(|(_, other)| other.rank == spec.rank);
-    if let Some((name, _)) = twin {
+fn check_tier(spec: &TierSpec, lookup: &ResourceLookup<'_>, errors: &mut Vec<ValidationError>) {
+    let duplicate = lookup.tiers().find(|(_, other)| other.rank == spec.rank);
+    if let Some((name, _)) = duplicate {
         let taken: Vec<_> = lookup.tiers().map(|(_, other)| other.rank.0).collect();
         let free = (0..=u8::MAX).find(|rank| !taken.contains(rank));
-        faults.push(ValidationError::new(
+        errors.push(ValidationError::new(
             "spec.rank",
             format!(
                 "tier `{name}` has rank {} too; each rank is allowed once",
@@ -127,11 +127,11 @@
 fn check_version(
     spec: &VersionSpec,
     lookup: &ResourceLookup<'_>,
-    faults: &mut Vec<ValidationError>,
+    errors: &mut Vec<ValidationError>,
 ) {
-    lookup.check_service("spec.service", &spec.service, faults);
+    lookup.check_service("spec.service", &spec.service, errors);
     if spec.weights.as_deref() == Some("") {
-        faults.push(ValidationError::new(
+        errors.push(ValidationError::new(
             "spec.weights",
             "the key of the weights is empty; a key of the weight store is allowed, or none",
             "write the key, or leave the member out",
@@ -139,13 +139,13 @@
     }
     // Whoever names a version relies on its service: an upstream would end up in a service that
     // its version doesn't belong to, and get requests that it can't run.
-    let strangers = lookup.users_of_version_outside(&spec.service);
-    if !strangers.is_empty() {
-        faults.push(ValidationError::new(
+    let outside_users = lookup.users_of_version_outside(&spec.service);
+    if !outside_users.is_empty() {
+        errors.push(ValidationError::new(
             "spec.service",
             format!(
                 "still named under its former service by {}",
-                lookup::listed(&strangers)
+                lookup::join_names(&outside_users)
             ),
             "make a version of another name for the other service",
         ));
--- a/crates/savorywood-protocol/src/resource/validate/deletion.rs
+++ b/crates/savorywood-protocol/src/resource/validate/deletion.rs
@@ -15,12 +15,12 @@
     if users.is_empty() {
         return Vec::new();
     }
-    let fault = ValidationError::new(
+    let error = ValidationError::new(
         "name",
-        format!("still named by {}", lookup::listed(&users)),
+        format!("still named by {}", lookup::join_names(&users)),
         "delete or change these first",
     );
-    vec![fault]
+    vec![error]
 }
 
 fn users_of_service(key: &ResourceKey, others: &ResourceSet) -> Vec<String> {
@@ -38,7 +38,7 @@
         ResourceSpec::Move(spec) => spec.service.as_str() == key.name,
         ResourceSpec::Service(_) | ResourceSpec::Tier(_) | ResourceSpec::Team(_) => false,
     });
-    users.map(shown_key).collect()
+    users.map(key_text).collect()
 }
 
 fn users_of_tier(key: &ResourceKey, others: &ResourceSet) -> Vec<String> {
@@ -47,7 +47,7 @@
         ResourceSpec::Team(spec) => spec.tiers.iter().any(|tier| tier.as_str() == key.name),
         _ => false,
     });
-    users.map(shown_key).collect()
+    users.map(key_text).collect()
 }
 
 fn users_of_version(key: &ResourceKey, others: &ResourceSet) -> Vec<String> {
@@ -58,6 +58,6 @@
     users.map(|(key, _)| key.to_string()).collect()
 }
 
-fn shown_key(document: &ResourceDocument) -> String {
+fn key_text(document: &ResourceDocument) -> String {
     document.key().to_string()
 }
--- a/crates/savorywood-protocol/src/resource/validate/lookup.rs
+++ b/crates/savorywood-protocol/src/resource/validate/lookup.rs
@@ -12,31 +12,34 @@
 use strum::IntoEnumIterator;
 
 /// Names listed in a message at most.
-const LISTED_NAMES: usize = 6;
+const MAX_LISTED_NAMES: usize = 6;
 
 /// Who holds which token, for checks of a whole set: a walk over all teams for each team would
 /// take seconds with 24,000 of them.
 pub(super) struct TokenIndex<'a> {
-    holders: BTreeMap<String, Vec<&'a str>>,
+    teams_by_digest: BTreeMap<String, Vec<&'a str>>,
 }
 
 impl<'a> TokenIndex<'a> {
     pub(super) fn new(set: &'a ResourceSet) -> Self {
-        let mut holders: BTreeMap<String, Vec<&'a str>> = BTreeMap::new();
+        let mut teams_by_digest: BTreeMap<String, Vec<&'a str>> = BTreeMap::new();
         for document in of_kind(set, ResourceKind::Team) {
             if let ResourceSpec::Team(spec) = &document.spec {
                 let digest = spec.token_sha256.to_ascii_lowercase();
-                holders.entry(digest).or_default().push(&document.name);
+                teams_by_digest
+                    .entry(digest)
+                    .or_default()
+                    .push(&document.name);
             }
         }
-        Self { holders }
+        Self { teams_by_digest }
     }
 }
 
 /// The other resources as one document sees them: itself left out.
 pub(super) struct ResourceLookup<'a> {
     document: &'a ResourceDocument,
-    own_key: ResourceKey,
+    document_key: ResourceKey,
     set: &'a ResourceSet,
     index: Option<&'a TokenIndex<'a>>,
 }
@@ -45,7 +48,7 @@
     pub(super) fn new(document: &'a ResourceDocument, set: &'a ResourceSet) -> Self {
         Self {
             document,
-            own_key: document.key(),
+            document_key: document.key(),
             set,
             index: None,
         }
@@ -53,7 +56,7 @@
 
     /// The same look-up with an index of the set, in which the document itself is what is checked
     /// and not a former form of it.
-    pub(super) fn indexed(self, index: &'a TokenIndex<'a>) -> Self {
+    pub(super) fn with_index(self, index: &'a TokenIndex<'a>) -> Self {
         Self {
             index: Some(index),
             ..self
@@ -61,25 +64,29 @@
     }
 
     /// Name of the document that is checked.
-    pub(super) fn own_name(&self) -> &'a str {
+    pub(super) fn document_name(&self) -> &'a str {
         &self.document.name
     }
 
     /// The document as it stands before the write.
-    pub(super) fn former(&self) -> Option<&'a ResourceDocument> {
+    pub(super) fn previous(&self) -> Option<&'a ResourceDocument> {
         match self.index {
             Some(_) => None,
-            None => self.set.get(&self.own_key),
+            None => self.set.get(&self.document_key),
         }
     }
 
     /// Another team that holds a token.
-    pub(super) fn holder_of(&self, token_sha256: &str) -> Option<&'a str> {
+    pub(super) fn other_team_with_token(&self, token_sha256: &str) -> Option<&'a str> {
         match self.index {
             Some(index) => {
-                let holders = index.holders.get(&token_sha256.to_ascii_lowercase())?;
-                let others = holders.iter().copied();
-                others.into_iter().find(|name| *name != self.own_name())
+                let teams = index
+                    .teams_by_digest
+                    .get(&token_sha256.to_ascii_lowercase())?;
+                let others = teams.iter().copied();
+                others
+                    .into_iter()
+                    .find(|name| *name != self.document_name())
             }
             None => self
                 .teams()
@@ -89,8 +96,10 @@
     }
 
     fn others(&self, kind: ResourceKind) -> impl Iterator<Item = &'a ResourceDocument> {
-        let own_name = (self.own_key.kind == kind).then_some(self.own_key.name.as_str());
-        of_kind(self.set, kind).filter(move |document| Some(document.name.as_str()) != own_name)
+        let document_name =
+            (self.document_key.kind == kind).then_some(self.document_key.name.as_str());
+        of_kind(self.set, kind)
+            .filter(move |document| Some(document.name.as_str()) != document_name)
     }
 
     pub(super) fn tiers(&self) -> impl Iterator<Item = (&'a str, &'a TierSpec)> {
@@ -140,19 +149,22 @@
     }
 
     /// Checks that a resource is there.
-    pub(super) fn check_named(
+    pub(super) fn check_exists(
         &self,
         path: &str,
         kind: ResourceKind,
         name: &str,
-        faults: &mut Vec<ValidationError>,
+        errors: &mut Vec<ValidationError>,
     ) -> bool {
         let found = self.get(kind, name).is_some();
         if !found {
-            let known: Vec<_> = of_kind(self.set, kind).map(|d| d.name.clone()).collect();
-            faults.push(ValidationError::new(
+            let existing: Vec<_> = of_kind(self.set, kind).map(|d| d.name.clone()).collect();
+            errors.push(ValidationError::new(
                 path,
-                format!("there is no {kind} `{name}`; allowed: {}", listed(&known)),
+                format!(
+                    "there is no {kind} `{name}`; allowed: {}",
+                    join_names(&existing)
+                ),
                 format!("create the {kind} first, or name another"),
             ));
         }
@@ -163,9 +175,9 @@
         &self,
         path: &str,
         service: &ServiceName,
-        faults: &mut Vec<ValidationError>,
+        errors: &mut Vec<ValidationError>,
     ) {
-        self.check_named(path, ResourceKind::Service, service.as_str(), faults);
+        self.check_exists(path, ResourceKind::Service, service.as_str(), errors);
     }
 
     /// Checks that a version is there and is one of `service`.
@@ -174,26 +186,26 @@
         path: &str,
         version: &VersionName,
         service: &str,
-        faults: &mut Vec<ValidationError>,
+        errors: &mut Vec<ValidationError>,
     ) {
         let kind = ResourceKind::Version;
-        if !self.check_named(path, kind, version.as_str(), faults) {
+        if !self.check_exists(path, kind, version.as_str(), errors) {
             return;
         }
         let Some(spec) = self.version(version) else {
             return;
         };
         if spec.service.as_str() != service {
-            let fitting: Vec<_> = of_kind(self.set, kind)
+            let candidates: Vec<_> = of_kind(self.set, kind)
                 .filter(|d| matches!(&d.spec, ResourceSpec::Version(v) if v.service.as_str() == service))
                 .map(|d| d.name.clone())
                 .collect();
-            faults.push(ValidationError::new(
+            errors.push(ValidationError::new(
                 path,
                 format!(
                     "version `{version}` is one of service `{}`, not of `{service}`; allowed: {}",
                     spec.service,
-                    listed(&fitting)
+                    join_names(&candidates)
                 ),
                 format!("name a version of `{service}`"),
             ));
@@ -202,10 +214,10 @@
 
     /// Resources that name the checked version under another service than this one.
     pub(super) fn users_of_version_outside(&self, service: &ServiceName) -> Vec<String> {
-        let Ok(own_name) = self.own_name().parse() else {
+        let Ok(document_name) = self.document_name().parse() else {
             return Vec::new();
         };
-        let users = users_of_version(self.set, &own_name);
+        let users = users_of_version(self.set, &document_name);
         let outside = users.filter(|(_, used_in)| *used_in != service.as_str());
         outside.map(|(key, _)| key.to_string()).collect()
     }
@@ -252,9 +264,9 @@
 }
 
 /// Some of the names, and how many more there are.
-pub(super) fn listed(names: &[String]) -> String {
-    let shown = names.get(..LISTED_NAMES).unwrap_or(names).join(", ");
-    match names.len().saturating_sub(LISTED_NAMES) {
+pub(super) fn join_names(names: &[String]) -> String {
+    let shown = names.get(..MAX_LISTED_NAMES).unwrap_or(names).join(", ");
+    match names.len().saturating_sub(MAX_LISTED_NAMES) {
         0 if names.is_empty() => "none yet".to_owned(),
         0 => shown,
         more => format!("{shown} and {more} more"),
--- a/crates/savorywood-protocol/src/resource/validate/service.rs
+++ b/crates/savorywood-protocol/src/resource/validate/service.rs
@@ -14,33 +14,33 @@
 pub(super) fn check(
     spec: &ServiceSpec,
     lookup: &ResourceLookup<'_>,
-    faults: &mut Vec<ValidationError>,
+    errors: &mut Vec<ValidationError>,
 ) {
     if let Some(version) = &spec.version {
-        lookup.check_version("spec.version", version, lookup.own_name(), faults);
+        lookup.check_version("spec.version", version, lookup.document_name(), errors);
     }
-    check_objectives(&spec.objectives, faults);
-    check_claims(spec.claims, faults);
+    check_objectives(&spec.objectives, errors);
+    check_claims(spec.claims, errors);
     if spec.protocol == ServiceProtocol::Model && !spec.routes.is_empty() {
-        faults.push(ValidationError::new(
+        errors.push(ValidationError::new(
             "spec.routes",
             "a model service has no route rules; rules are allowed with protocol `plain`",
             "delete the rules, or set the protocol to `plain`",
         ));
     }
     for (index, rule) in spec.routes.iter().enumerate() {
-        check_rule(index, rule, &spec.routes[..index], faults);
+        check_rule(index, rule, &spec.routes[..index], errors);
     }
 }
 
-fn check_objectives(objectives: &ServiceObjectives, faults: &mut Vec<ValidationError>) {
+fn check_objectives(objectives: &ServiceObjectives, errors: &mut Vec<ValidationError>) {
     let times = [
         ("first_token_ms", objectives.first_token_ms),
         ("token_gap_ms", objectives.token_gap_ms),
         ("deadline_ms", objectives.deadline_ms),
     ];
     for (name, _) in times.into_iter().filter(|(_, millis)| *millis == 0) {
-        faults.push(ValidationError::new(
+        errors.push(ValidationError::new(
             format!("spec.objectives.{name}"),
             "no request meets zero milliseconds; allowed: 1 or more",
             "write the time in milliseconds",
@@ -48,7 +48,7 @@
     }
     let (first, deadline) = (objectives.first_token_ms, objectives.deadline_ms);
     if deadline != 0 && deadline < first {
-        faults.push(ValidationError::new(
+        errors.push(ValidationError::new(
             "spec.objectives.deadline_ms",
             format!("the deadline ends before the first token is due; allowed: {first} or more"),
             "raise deadline_ms or lower first_token_ms",
@@ -56,7 +56,7 @@
     }
     let target = objectives.target_per_mille;
     if !(1..=MAX_TARGET_PER_MILLE).contains(&target) {
-        faults.push(ValidationError::new(
+        errors.push(ValidationError::new(
             "spec.objectives.target_per_mille",
             format!("{target} is out of range; allowed: 1 to {MAX_TARGET_PER_MILLE}"),
             "write the share of requests that must meet the objectives, such as 950",
@@ -64,13 +64,13 @@
     }
 }
 
-fn check_claims(claims: ClaimRetention, faults: &mut Vec<ValidationError>) {
+fn check_claims(claims: ClaimRetention, errors: &mut Vec<ValidationError>) {
     let ClaimRetention::Seconds(seconds) = claims else {
         return;
     };
     // A claim that is gone before the caller's last retry lets that retry run a second time.
     if seconds < MIN_CLAIM_SECONDS {
-        faults.push(ValidationError::new(
+        errors.push(ValidationError::new(
             "spec.claims.seconds",
             format!(
                 "a retry after {seconds} s would run again; allowed: {MIN_CLAIM_SECONDS} or more, \
@@ -85,11 +85,11 @@
     index: usize,
     rule: &RouteRule,
     earlier: &[RouteRule],
-    faults: &mut Vec<ValidationError>,
+    errors: &mut Vec<ValidationError>,
 ) {
     let path = format!("spec.routes.{index}");
     if !rule.path.starts_with('/') {
-        faults.push(ValidationError::new(
+        errors.push(ValidationError::new(
             format!("{path}.path"),
             format!(
                 "`{}` has no leading slash; allowed: paths such as /v1/notes",
@@ -99,9 +99,9 @@
         ));
     }
     for (place, method) in rule.methods.iter().enumerate() {
-        let known = !method.is_empty() && method.chars().all(|c| c.is_ascii_uppercase());
-        if !known {
-            faults.push(ValidationError::new(
+        let valid = !method.is_empty() && method.chars().all(|c| c.is_ascii_uppercase());
+        if !valid {
+            errors.push(ValidationError::new(
                 format!("{path}.methods.{place}"),
                 format!("`{method}` is no method; allowed: capital letters, such as POST"),
                 format!("write `{}`", method.to_ascii_uppercase()),
@@ -112,7 +112,7 @@
     // marks as not repeatable would be treated as repeatable, and could run twice.
     let wider = earlier.iter().position(|other| covers(other, rule));
     if let Some(wider) = wider {
-        faults.push(ValidationError::new(
+        errors.push(ValidationError::new(
             path,
             format!("rule {wider} matches all that this rule matches, so it has no effect"),
             format!("move it before rule {wider}, or delete it"),
--- a/crates/savorywood-protocol/src/resource/validate/team.rs
+++ b/crates/savorywood-protocol/src/resource/validate/team.rs
@@ -12,12 +12,12 @@
 pub(super) fn check(
     spec: &TeamSpec,
     lookup: &ResourceLookup<'_>,
-    faults: &mut Vec<ValidationError>,
+    errors: &mut Vec<ValidationError>,
 ) {
-    check_token(spec, lookup, faults);
-    check_tiers(spec, lookup, faults);
+    check_token(spec, lookup, errors);
+    check_tiers(spec, lookup, errors);
     if !(1..=MAX_WEIGHT).contains(&spec.weight) {
-        faults.push(ValidationError::new(
+        errors.push(ValidationError::new(
             "spec.weight",
             format!(
                 "{} is out of range; allowed: 1 to {MAX_WEIGHT}",
@@ -28,13 +28,13 @@
     }
 }
 
-fn check_token(spec: &TeamSpec, lookup: &ResourceLookup<'_>, faults: &mut Vec<ValidationError>) {
+fn check_token(spec: &TeamSpec, lookup: &ResourceLookup<'_>, errors: &mut Vec<ValidationError>) {
     let digest = &spec.token_sha256;
     let path = "spec.token_sha256";
     let hexadecimal = digest.chars().all(|c| c.is_ascii_hexdigit());
     if digest.len() != DIGEST_DIGITS || !hexadecimal {
         // The text is left out of the message: it may be the token itself.
-        faults.push(ValidationError::new(
+        errors.push(ValidationError::new(
             path,
             format!("not a SHA-256; allowed: {DIGEST_DIGITS} hexadecimal digits"),
             "write the digest, as from `printf %s TOKEN | sha256sum`",
@@ -42,8 +42,8 @@
         return;
     }
     // Whoever sends the token would be taken for one team or the other by chance.
-    if let Some(holder) = lookup.holder_of(digest) {
-        faults.push(ValidationError::new(
+    if let Some(holder) = lookup.other_team_with_token(digest) {
+        errors.push(ValidationError::new(
             path,
             format!("team `{holder}` holds this token; each token is allowed once"),
             "give the team a token of its own",
@@ -51,9 +51,9 @@
     }
 }
 
-fn check_tiers(spec: &TeamSpec, lookup: &ResourceLookup<'_>, faults: &mut Vec<ValidationError>) {
+fn check_tiers(spec: &TeamSpec, lookup: &ResourceLookup<'_>, errors: &mut Vec<ValidationError>) {
     if spec.tiers.is_empty() {
-        faults.push(ValidationError::new(
+        errors.push(ValidationError::new(
             "spec.tiers",
             "a team without tiers can ask for nothing; allowed: one tier or more",
             "name the tier that its requests get",
@@ -62,13 +62,13 @@
     for (index, tier) in spec.tiers.iter().enumerate() {
         let path = format!("spec.tiers.{index}");
         if spec.tiers[..index].contains(tier) {
-            faults.push(ValidationError::new(
+            errors.push(ValidationError::new(
                 path,
                 format!("tier `{tier}` is named twice; each is allowed once"),
                 "delete one of the two",
             ));
         } else {
-            lookup.check_named(&path, ResourceKind::Tier, tier.as_str(), faults);
+            lookup.check_exists(&path, ResourceKind::Tier, tier.as_str(), errors);
         }
     }
 }
--- a/crates/savorywood-protocol/src/resource/validate/traffic_move.rs
+++ b/crates/savorywood-protocol/src/resource/validate/traffic_move.rs
@@ -8,63 +8,64 @@
 use std::time::Duration;
 
 /// Share of all traffic, in thousandths.
-const WHOLE_PER_MILLE: u16 = 1_000;
+const FULL_SHARE_PER_MILLE: u16 = 1_000;
 
 pub(super) fn check(
     spec: &TrafficMoveSpec,
     lookup: &ResourceLookup<'_>,
     now: WallTime,
-    faults: &mut Vec<ValidationError>,
+    errors: &mut Vec<ValidationError>,
 ) {
-    lookup.check_service("spec.service", &spec.service, faults);
+    lookup.check_service("spec.service", &spec.service, errors);
     let service = spec.service.as_str();
-    lookup.check_version("spec.from", &spec.from, service, faults);
+    lookup.check_version("spec.from", &spec.from, service, errors);
     if spec.from == spec.to {
-        faults.push(ValidationError::new(
+        errors.push(ValidationError::new(
             "spec.to",
             format!("the move goes from `{}` to itself", spec.to),
             "name the version that gets the traffic",
         ));
     } else {
-        lookup.check_version("spec.to", &spec.to, service, faults);
+        lookup.check_version("spec.to", &spec.to, service, errors);
     }
-    check_steps(spec, faults);
-    let former = lookup.former();
+    check_steps(spec, errors);
+    let previous = lookup.previous();
     // A file that is applied again must be accepted even after the deadline that it names.
-    let unchanged = former.is_some_and(|former| former.spec == ResourceSpec::Move(spec.clone()));
+    let unchanged =
+        previous.is_some_and(|previous| previous.spec == ResourceSpec::Move(spec.clone()));
     if unchanged {
         return;
     }
-    check_deadline(spec, now, faults);
-    check_other_moves(spec, lookup, now, faults);
-    if let Some(former) = former {
-        check_edit(spec, former, faults);
+    check_deadline(spec, now, errors);
+    check_other_moves(spec, lookup, now, errors);
+    if let Some(previous) = previous {
+        check_edit(spec, previous, errors);
     }
 }
 
-fn check_steps(spec: &TrafficMoveSpec, faults: &mut Vec<ValidationError>) {
-    let mut reached = 0;
+fn check_steps(spec: &TrafficMoveSpec, errors: &mut Vec<ValidationError>) {
+    let mut previous_share = 0;
     for (index, step) in spec.steps.iter().enumerate() {
         let share = step.share_per_mille;
-        if share <= reached || share > WHOLE_PER_MILLE {
-            let least = (reached + 1).min(WHOLE_PER_MILLE);
-            faults.push(ValidationError::new(
+        if share <= previous_share || share > FULL_SHARE_PER_MILLE {
+            let min_share = (previous_share + 1).min(FULL_SHARE_PER_MILLE);
+            errors.push(ValidationError::new(
                 format!("spec.steps.{index}.share_per_mille"),
                 format!(
-                    "{share} is out of range; allowed: {least} to {WHOLE_PER_MILLE}, each step \
+                    "{share} is out of range; allowed: {min_share} to {FULL_SHARE_PER_MILLE}, each step \
                      larger than the one before"
                 ),
                 "correct the share, or leave `steps` out to have them planned",
             ));
         }
-        reached = reached.max(share.min(WHOLE_PER_MILLE));
+        previous_share = previous_share.max(share.min(FULL_SHARE_PER_MILLE));
     }
 }
 
-fn check_deadline(spec: &TrafficMoveSpec, now: WallTime, faults: &mut Vec<ValidationError>) {
+fn check_deadline(spec: &TrafficMoveSpec, now: WallTime, errors: &mut Vec<ValidationError>) {
     let soak = Duration::from_secs(spec.soak_seconds.into());
     if spec.finish_by <= now {
-        faults.push(ValidationError::new(
+        errors.push(ValidationError::new(
             "spec.finish_by",
             format!(
                 "the deadline {} has passed; allowed: later than {now}",
@@ -74,7 +75,7 @@
         ));
     } else if spec.finish_by <= now + soak {
         // Such a move could only ever be taken back.
-        faults.push(ValidationError::new(
+        errors.push(ValidationError::new(
             "spec.finish_by",
             format!(
                 "the deadline {} leaves no time besides the soak; allowed: later than {}",
@@ -91,28 +92,28 @@
     spec: &TrafficMoveSpec,
     lookup: &ResourceLookup<'_>,
     now: WallTime,
-    faults: &mut Vec<ValidationError>,
+    errors: &mut Vec<ValidationError>,
 ) {
-    let rival = lookup
+    let active = lookup
         .moves()
-        .find(|(document, other)| other.service == spec.service && is_live(document, other, now));
-    if let Some((rival, other)) = rival {
-        faults.push(ValidationError::new(
+        .find(|(document, other)| other.service == spec.service && is_active(document, other, now));
+    if let Some((active, other)) = active {
+        errors.push(ValidationError::new(
             "spec.service",
             format!(
                 "move `{}` of service `{}` is under way until {}; one at a time is allowed",
-                rival.name, spec.service, other.finish_by
+                active.name, spec.service, other.finish_by
             ),
             format!(
                 "wait until it is over; deleting move `{}` takes it back",
-                rival.name
+                active.name
             ),
         ));
     }
 }
 
 /// Whether a move may still shift traffic. Without a status, it is over when its deadline is.
-fn is_live(document: &ResourceDocument, spec: &TrafficMoveSpec, now: WallTime) -> bool {
+fn is_active(document: &ResourceDocument, spec: &TrafficMoveSpec, now: WallTime) -> bool {
     match state_of(document) {
         Some(MoveState::Completed | MoveState::TakenBack) => false,
         Some(MoveState::Planned | MoveState::Moving | MoveState::Soaking) => true,
@@ -128,18 +129,18 @@
 /// versions says nothing of another.
 fn check_edit(
     spec: &TrafficMoveSpec,
-    former: &ResourceDocument,
-    faults: &mut Vec<ValidationError>,
+    previous: &ResourceDocument,
+    errors: &mut Vec<ValidationError>,
 ) {
-    let ResourceSpec::Move(old) = &former.spec else {
+    let ResourceSpec::Move(old) = &previous.spec else {
         return;
     };
-    match state_of(former) {
+    match state_of(previous) {
         None | Some(MoveState::Planned) => {}
         Some(MoveState::Moving | MoveState::Soaking) => {
             let same = old.service == spec.service && old.from == spec.from && old.to == spec.to;
             if !same {
-                faults.push(ValidationError::new(
+                errors.push(ValidationError::new(
                     "spec",
                     format!(
                         "the move from `{}` to `{}` has begun; its deadline, steps and soak may \
@@ -151,7 +152,7 @@
             }
         }
         Some(state @ (MoveState::Completed | MoveState::TakenBack)) => {
-            faults.push(ValidationError::new(
+            errors.push(ValidationError::new(
                 "spec",
                 format!("the move is over ({state}); nothing of it may change"),
                 "create a move of another name",
--- a/crates/savorywood-protocol/src/resource/validate/upstream.rs
+++ b/crates/savorywood-protocol/src/resource/validate/upstream.rs
@@ -6,18 +6,18 @@
 pub(super) fn check(
     spec: &UpstreamSpec,
     lookup: &ResourceLookup<'_>,
-    faults: &mut Vec<ValidationError>,
+    errors: &mut Vec<ValidationError>,
 ) {
-    lookup.check_service("spec.service", &spec.service, faults);
+    lookup.check_service("spec.service", &spec.service, errors);
     let service = spec.service.as_str();
-    lookup.check_version("spec.version", &spec.version, service, faults);
-    check_address(spec, lookup, faults);
+    lookup.check_version("spec.version", &spec.version, service, errors);
+    check_address(spec, lookup, errors);
     let sizes = [
         ("spec.seats", spec.slots),
         ("spec.batch_tokens", spec.batch_tokens),
     ];
     for (path, _) in sizes.into_iter().filter(|(_, size)| *size == 0) {
-        faults.push(ValidationError::new(
+        errors.push(ValidationError::new(
             path,
             "zero would keep all work away; allowed: 1 or more",
             "write a number, or set `draining` to take the upstream out",
@@ -28,11 +28,11 @@
 fn check_address(
     spec: &UpstreamSpec,
     lookup: &ResourceLookup<'_>,
-    faults: &mut Vec<ValidationError>,
+    errors: &mut Vec<ValidationError>,
 ) {
     let address = spec.address;
     if address.ip().is_unspecified() || address.port() == 0 {
-        faults.push(ValidationError::new(
+        errors.push(ValidationError::new(
             "spec.address",
             format!("no daemon can connect to {address}; allowed: a host's IP address and port"),
             "write the address at which the upstream listens",
@@ -40,14 +40,14 @@
         return;
     }
     // Two upstreams of one address would each be given the engine's whole capacity.
-    let twin = lookup
+    let duplicate = lookup
         .upstreams()
         .find(|(_, other)| other.address == address);
-    if let Some((twin, _)) = twin {
-        faults.push(ValidationError::new(
+    if let Some((duplicate, _)) = duplicate {
+        errors.push(ValidationError::new(
             "spec.address",
-            format!("upstream `{twin}` has the address {address} too; each is allowed once"),
-            format!("correct the address, or delete upstream `{twin}` first"),
+            format!("upstream `{duplicate}` has the address {address} too; each is allowed once"),
+            format!("correct the address, or delete upstream `{duplicate}` first"),
         ));
     }
 }
--- a/crates/savorywood-protocol/tests/validate.rs
+++ b/crates/savorywood-protocol/tests/validate.rs
@@ -118,7 +118,7 @@
     let faults = check_set(&set, late);
     let told: Vec<_> = faults
         .iter()
-        .map(|fault| format!("{} {}", fault.key, fault.fault.path))
+        .map(|fault| format!("{} {}", fault.key, fault.error.path))
         .collect();
     let expected = [
         "team/survey spec.token_sha256",
