--- a/crates/savorywood-protocol/src/resource.rs
+++ b/crates/savorywood-protocol/src/resource.rs
@@ -1,4 +1,4 @@
-//! Resources: what operators create, edit and watch.
+//! Resources: the declarative configuration that operators create, edit and watch.
 
 pub mod document;
 pub mod service;
--- a/crates/savorywood-protocol/src/resource/document.rs
+++ b/crates/savorywood-protocol/src/resource/document.rs
@@ -1,4 +1,4 @@
-//! One resource as operators write and read it.
+//! JSON document of a resource, as operators write and read it.
 
 use super::{
     ResourceStatus, ServiceSpec, TeamSpec, TierSpec, TrafficMoveSpec, UpstreamSpec, VersionSpec,
@@ -8,12 +8,12 @@
 use std::fmt;
 use strum::{Display, EnumDiscriminants, EnumIter, EnumString, IntoStaticStr};
 
-/// What a resource declares.
+/// Spec of a resource, by kind.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, EnumDiscriminants)]
 #[serde(tag = "kind", content = "spec", rename_all = "kebab-case")]
 #[strum_discriminants(
     name(ResourceKind),
-    doc = "Kind of a resource, as in its `kind` member.",
+    doc = "Kind of a resource, as written in the `kind` member of its document.",
     derive(
         PartialOrd,
         Ord,
@@ -31,27 +31,27 @@
 pub enum ResourceSpec {
     /// A service that callers name.
     Service(ServiceSpec),
-    /// A tier of callers.
+    /// A priority tier.
     Tier(TierSpec),
-    /// A team of callers.
+    /// A team of callers, which shares a bearer token.
     Team(TeamSpec),
     /// A back end that runs one version of one service.
     Upstream(UpstreamSpec),
-    /// A version of a service.
+    /// A version of a service that upstreams can run.
     Version(VersionSpec),
-    /// A planned move of traffic from one version to another.
+    /// A planned move of traffic from one version of a service to another.
     Move(TrafficMoveSpec),
 }
 
 impl ResourceSpec {
-    /// Kind of this resource.
+    /// Returns the kind of the resource.
     #[must_use]
     pub fn kind(&self) -> ResourceKind {
         self.into()
     }
 }
 
-/// Identity of a resource: names are unique within a kind.
+/// Key of a resource; names are unique within a kind. Displayed as `KIND/NAME`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ResourceKey {
     /// Kind of the resource.
@@ -71,19 +71,19 @@
 pub struct ResourceDocument {
     /// Name within the kind.
     pub name: String,
-    /// What the operator declares.
+    /// Desired state, declared by the operator.
     #[serde(flatten)]
     pub spec: ResourceSpec,
-    /// Configuration revision that wrote the spec last; absent in files that operators write.
+    /// Configuration revision of the last write of the spec; absent in files that operators write.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub revision: Option<ConfigRevision>,
-    /// What the system says of it; ignored when an operator sends it.
+    /// Observed state, set by the daemons; ignored when an operator sends it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub status: Option<ResourceStatus>,
 }
 
 impl ResourceDocument {
-    /// Identity of this resource.
+    /// Returns the key of the resource.
     #[must_use]
     pub fn key(&self) -> ResourceKey {
         ResourceKey {
--- a/crates/savorywood-protocol/src/resource/service.rs
+++ b/crates/savorywood-protocol/src/resource/service.rs
@@ -1,9 +1,9 @@
-//! Services that callers name.
+//! Services that callers address, with their objectives and routes.
 
 use serde::{Deserialize, Serialize};
 use strum::{Display, EnumString, IntoStaticStr, VariantNames};
 
-/// How callers and upstreams of a service talk.
+/// Protocol between callers and upstreams of a service.
 #[derive(
     Debug,
     Clone,
@@ -20,28 +20,29 @@
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum ServiceProtocol {
-    /// Token streams by the OpenAI-compatible protocol.
+    /// OpenAI-compatible API with token streams.
     Model,
-    /// Any HTTP calls, passed through.
+    /// Arbitrary HTTP calls, forwarded unchanged.
     Plain,
 }
 
-/// Targets that the burn report measures against and admission plans with.
+/// Latency objectives, used by the burn report and by admission control.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ServiceObjectives {
-    /// Time to the first token (model) or byte (plain).
+    /// Maximum time to the first token (model service) or byte (plain service), in milliseconds.
     pub first_token_ms: u32,
-    /// Time between two tokens.
+    /// Maximum mean time between tokens, in milliseconds.
     pub token_gap_ms: u32,
-    /// Deadline of a request that names none.
+    /// Deadline of a request that sets none, in milliseconds after its arrival.
     pub deadline_ms: u32,
-    /// Share of requests that must meet the objective, in thousandths.
+    /// Fraction of requests that must meet each objective, in thousandths.
     pub target_per_mille: u16,
 }
 
 impl Default for ServiceObjectives {
-    /// The figures of the users' plan: 1.6 s, 79 ms, for 95 in 100.
+    /// The objectives in the users' plan: first token within 1.6 s and 79 ms between tokens, for
+    /// 95 % of requests.
     fn default() -> Self {
         Self {
             first_token_ms: 1_600,
@@ -52,33 +53,33 @@
     }
 }
 
-/// How long claims of idempotency keys are kept.
+/// Retention of claims. A claim records the use of an idempotency key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ClaimRetention {
-    /// For good: keys need not carry a time.
+    /// Claims are never deleted, so keys need no time stamp.
     Forever,
-    /// For this many seconds: keys must be version 7 UUIDs, older ones are refused.
+    /// Retention in seconds. Keys must be version 7 UUIDs, and keys older than this are refused.
     Seconds(u32),
 }
 
 impl Default for ClaimRetention {
-    /// One day, longer than any retry that callers are told to make.
+    /// One day, which is longer than any retry that callers are asked to make.
     fn default() -> Self {
         Self::Seconds(86_400)
     }
 }
 
-/// Says of a group of paths whether calls may be repeated.
+/// Rule that declares whether calls of a group of paths are idempotent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouteRule {
     /// Path prefix within the service, with a leading slash.
     pub path: String,
-    /// HTTP methods the rule is for; empty for all.
+    /// HTTP methods that the rule matches; empty for all.
     #[serde(default)]
     pub methods: Vec<String>,
-    /// Whether a call may run twice without harm.
+    /// Whether a call may be executed twice without harm.
     pub idempotent: bool,
 }
 
@@ -86,25 +87,26 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceSpec {
-    /// How it talks.
+    /// Protocol of callers and upstreams.
     pub protocol: ServiceProtocol,
-    /// Targets.
+    /// Latency objectives; defaults apply to omitted ones.
     #[serde(default)]
     pub objectives: ServiceObjectives,
-    /// First matching rule wins; without one, `GET`, `HEAD`, `OPTIONS`, `PUT` and `DELETE` are
-    /// idempotent as in RFC 9110 and others are not. Model services need no rules.
+    /// Route rules, of which the first match applies. Without a match, `GET`, `HEAD`, `OPTIONS`,
+    /// `PUT` and `DELETE` are idempotent, as in RFC 9110, and other methods are not. Model
+    /// services have no rules: all their calls are idempotent.
     #[serde(default)]
     pub routes: Vec<RouteRule>,
-    /// How long claims are kept.
+    /// Retention of claims of idempotency keys.
     #[serde(default)]
     pub claims: ClaimRetention,
-    /// Version that takes traffic when no move is under way; `None` for any.
+    /// Version that gets the traffic while no move is in progress; `None` for any version.
     #[serde(default)]
     pub version: Option<crate::VersionName>,
 }
 
 impl ServiceSpec {
-    /// Whether a call of `method` on `path` may run twice without harm.
+    /// Returns whether a call of `method` on `path` may be executed twice without harm.
     #[must_use]
     pub fn is_idempotent(&self, method: &str, path: &str) -> bool {
         if self.protocol == ServiceProtocol::Model {
@@ -119,7 +121,7 @@
 }
 
 impl RouteRule {
-    /// Whether this rule is for a call of `method` on `path`.
+    /// Returns whether this rule matches a call of `method` on `path`.
     #[must_use]
     pub fn matches(&self, method: &str, path: &str) -> bool {
         let any_method = self.methods.is_empty();
--- a/crates/savorywood-protocol/src/resource/status.rs
+++ b/crates/savorywood-protocol/src/resource/status.rs
@@ -1,11 +1,11 @@
-//! What the system says of a resource.
+//! Status of a resource, as observed by the daemons.
 
 use super::MoveState;
 use crate::{ConfigRevision, WallTime};
 use serde::{Deserialize, Serialize};
 use strum::{Display, EnumIter, EnumString, IntoStaticStr};
 
-/// Kind of a condition.
+/// Kind of a status condition.
 #[derive(
     Debug,
     Clone,
@@ -25,47 +25,47 @@
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum ConditionKind {
-    /// Committed in the table.
+    /// The spec is committed in the table.
     Accepted,
-    /// Applied by all live members.
+    /// All live members apply the spec.
     InForce,
-    /// The upstream takes requests.
+    /// The upstream accepts requests.
     Serving,
-    /// The move goes on.
+    /// The move is in progress.
     Progressing,
     /// The move ended with all traffic on the new version.
     Completed,
-    /// The move ended with all traffic on the old version.
+    /// The move was rolled back: all traffic is on the old version.
     TakenBack,
 }
 
-/// One statement about a resource.
+/// Condition of a resource, with the reason for it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatusCondition {
-    /// What is stated.
+    /// Kind of the condition.
     pub kind: ConditionKind,
-    /// Whether it holds.
+    /// Whether the condition holds.
     pub holds: bool,
-    /// Stable word for the reason.
+    /// Machine-readable reason.
     pub reason: String,
-    /// Sentence for a person.
+    /// Human-readable description.
     pub message: String,
-    /// When `holds` changed last.
+    /// Time of the last change of `holds`.
     pub since: WallTime,
 }
 
-/// All that the system says of a resource.
+/// Status of a resource.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResourceStatus {
-    /// Revision that this status speaks of.
+    /// Configuration revision that the status is about.
     pub observed_revision: ConfigRevision,
-    /// Live members on which the revision is in force.
+    /// Number of live members that have applied the revision.
     pub members_in_force: u32,
-    /// Live members known.
+    /// Number of live members.
     pub members_live: u32,
-    /// For a move: where it stands.
+    /// State of the move; absent for other kinds of resources.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub move_state: Option<MoveState>,
-    /// Statements, one a kind.
+    /// Conditions, at most one of each kind.
     pub conditions: Vec<StatusCondition>,
 }
--- a/crates/savorywood-protocol/src/resource/team.rs
+++ b/crates/savorywood-protocol/src/resource/team.rs
@@ -1,4 +1,4 @@
-//! Teams of callers.
+//! Teams of callers, which share a bearer token.
 
 use crate::TierName;
 use serde::{Deserialize, Serialize};
@@ -7,16 +7,16 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TeamSpec {
-    /// SHA-256 of the bearer token, 64 hexadecimal digits. The token itself is never stored.
+    /// SHA-256 of the bearer token, as 64 hexadecimal digits. The token itself is never stored.
     pub token_sha256: String,
-    /// Tiers that the team may ask for; the first one is used when it names none.
+    /// Tiers that the team may request; the first one applies when a request selects none.
     pub tiers: Vec<TierName>,
-    /// Share within a tier relative to other teams.
+    /// Weight of the team's fair share within a tier, relative to other teams.
     #[serde(default = "default_weight")]
     pub weight: u32,
 }
 
-/// Weight of a team that names none.
+/// Weight of a team that sets none.
 fn default_weight() -> u32 {
     1
 }
--- a/crates/savorywood-protocol/src/resource/tier.rs
+++ b/crates/savorywood-protocol/src/resource/tier.rs
@@ -1,4 +1,4 @@
-//! Tiers of callers.
+//! Priority tiers, which decide what is shed first under overload.
 
 use crate::TierRank;
 use serde::{Deserialize, Serialize};
@@ -7,6 +7,6 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TierSpec {
-    /// Zero is the most important; larger ranks are shed first.
+    /// Rank, unique among tiers: zero is the most important, larger ranks are shed first.
     pub rank: TierRank,
 }
--- a/crates/savorywood-protocol/src/resource/traffic_move.rs
+++ b/crates/savorywood-protocol/src/resource/traffic_move.rs
@@ -1,43 +1,44 @@
-//! Planned moves of traffic from one version to another.
+//! Traffic moves: planned shifts of traffic from one version of a service to another.
 
 use crate::{ServiceName, VersionName, WallTime};
 use serde::{Deserialize, Serialize};
 use strum::{Display, EnumIter, EnumString, IntoStaticStr};
 
-/// One stage of a move.
+/// Step of a traffic move.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MoveStep {
-    /// Share of traffic on the new version, in thousandths.
+    /// Fraction of traffic on the new version, in thousandths.
     pub share_per_mille: u16,
 }
 
-/// Spec of a move.
+/// Spec of a traffic move.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TrafficMoveSpec {
-    /// Service whose traffic moves.
+    /// Service whose traffic is moved.
     pub service: ServiceName,
-    /// Version that has the traffic now.
+    /// Old version, which has the traffic at the start.
     pub from: VersionName,
-    /// Version that gets it.
+    /// New version, which gets the traffic.
     pub to: VersionName,
-    /// Done or taken back by then.
+    /// Deadline: the move is completed or rolled back by then.
     pub finish_by: WallTime,
-    /// Stages in order; empty to let the system plan them.
+    /// Steps in order, with increasing fractions; planned automatically when empty.
     #[serde(default)]
     pub steps: Vec<MoveStep>,
-    /// Watched for this long after all traffic has moved, before it is called done.
+    /// Time in seconds during which the new version is still monitored after it got all traffic,
+    /// before the move is completed.
     #[serde(default = "default_soak_seconds")]
     pub soak_seconds: u32,
 }
 
-/// Soak of a move that names none.
+/// Soak time of a move that sets none, in seconds.
 fn default_soak_seconds() -> u32 {
     60
 }
 
-/// Where a move stands.
+/// State of a traffic move.
 #[derive(
     Debug,
     Clone,
@@ -54,14 +55,14 @@
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum MoveState {
-    /// Accepted, no traffic moved yet.
+    /// Accepted; no traffic moved yet.
     Planned,
     /// Some traffic is on the new version.
     Moving,
-    /// All traffic is on the new version, which is still watched.
+    /// All traffic is on the new version, which is still monitored.
     Soaking,
-    /// Done.
+    /// Completed: the new version keeps the traffic.
     Completed,
-    /// All traffic is on the old version again.
+    /// Rolled back: all traffic is on the old version again.
     TakenBack,
 }
--- a/crates/savorywood-protocol/src/resource/upstream.rs
+++ b/crates/savorywood-protocol/src/resource/upstream.rs
@@ -5,7 +5,7 @@
 use std::{collections::BTreeSet, net::SocketAddr};
 use strum::{Display, EnumIter, EnumString, IntoStaticStr, VariantNames};
 
-/// What an upstream can do beyond its plain protocol (`docs/UPSTREAM.md`).
+/// Optional capability of an upstream, beyond its base protocol (`docs/UPSTREAM.md`).
 #[derive(
     Debug,
     Clone,
@@ -26,17 +26,17 @@
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum UpstreamExtension {
-    /// A broken stream can be read on from an offset.
+    /// Resumes an interrupted response stream from an offset.
     Resume,
-    /// A request can be cancelled by its id.
+    /// Cancels a request by its id.
     Cancel,
-    /// It reports its load.
+    /// Reports its load.
     Load,
-    /// It publishes events of its prefix cache.
+    /// Publishes events of its prefix cache.
     CacheEvents,
-    /// Its KV cache can be exported and imported.
+    /// Exports and imports blocks of its KV cache.
     KvTransfer,
-    /// It takes orders to load models, adapters and versions.
+    /// Accepts orders to load models, adapters and versions.
     Orders,
 }
 
@@ -44,44 +44,46 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct UpstreamSpec {
-    /// IP address and port.
+    /// IP address and port on which the upstream listens.
     pub address: SocketAddr,
-    /// Service that it runs.
+    /// Service that the upstream belongs to.
     pub service: ServiceName,
-    /// Version that it runs.
+    /// Version that the upstream runs.
     pub version: VersionName,
-    /// Availability zone that it stands in.
+    /// Availability zone of the upstream.
     pub zone: ZoneName,
-    /// Host that it stands on, as the platform's host list names it. When the list says that the
-    /// host leaves, the upstream gets no new work.
+    /// Host of the upstream, by its name in the platform's host list. While the list marks the
+    /// host as leaving, the upstream gets no new requests. Absent when the upstream is not
+    /// tied to a listed host.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub host: Option<HostName>,
-    /// Hardware generation; a label for reports, no constant depends on it.
+    /// Hardware generation, a label for reports. It doesn't affect any decision.
     #[serde(default)]
     pub generation: String,
-    /// Requests at once to begin with, before its speed has been learned.
+    /// Initial number of concurrent requests (slots), until the limit adapts to the measured
+    /// latency.
     #[serde(rename = "seats", default = "default_seats")]
     pub slots: u32,
-    /// Tokens in its batch and cache at once to begin with.
+    /// Initial number of tokens that requests may occupy in the batch and KV cache at once.
     #[serde(default = "default_batch_tokens")]
     pub batch_tokens: u32,
-    /// Whether it refuses an order that carries an old fencing number.
+    /// Whether the upstream refuses orders with an outdated fencing number.
     #[serde(default)]
     pub checks_fencing: bool,
-    /// What it can do beyond its plain protocol.
+    /// Optional capabilities of the upstream.
     #[serde(default)]
     pub extensions: BTreeSet<UpstreamExtension>,
-    /// Set by operators to take it out: it gets no new work, its streams finish.
+    /// Set by operators to drain the upstream: it gets no new requests, while running ones finish.
     #[serde(default)]
     pub draining: bool,
 }
 
-/// Seats of an upstream that names none.
+/// Initial slots of an upstream that sets none.
 fn default_seats() -> u32 {
     8
 }
 
-/// Batch tokens of an upstream that names none.
+/// Initial batch tokens of an upstream that sets none.
 fn default_batch_tokens() -> u32 {
     65_536
 }
--- a/crates/savorywood-protocol/src/resource/validate.rs
+++ b/crates/savorywood-protocol/src/resource/validate.rs
@@ -1,7 +1,7 @@
-//! Checks of a resource against the others: what the shape alone can't show.
+//! Validation of resources beyond their JSON shape: value ranges, references and uniqueness.
 //!
-//! A check looks up the names that a resource gives and, where two resources may not share a
-//! value, walks the other resources of the same kind. Resources of other kinds cost nothing, so
+//! A check looks up the names that a resource refers to and, where a value has to be unique,
+//! iterates over the other resources of the same kind. Resources of other kinds cost nothing, so
 //! that a change of an upstream is as cheap with 24,000 teams as with five.
 
 mod deletion;
@@ -17,14 +17,14 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// One thing wrong with a resource.
+/// Validation error of a resource.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ValidationError {
-    /// Where in the document, as member names and indices joined by dots: `spec.tiers.0`.
+    /// Path of the member in the document, as names and indices joined by dots: `spec.tiers.0`.
     pub path: String,
-    /// What is wrong, the allowed values named.
+    /// What is wrong, and which values are allowed.
     pub message: String,
-    /// What to do.
+    /// What to do to correct it.
     pub remedy: String,
 }
 
@@ -38,11 +38,11 @@
     }
 }
 
-/// Resources that a document is checked against.
+/// Resources by key, against which documents are validated.
 pub type ResourceSet = BTreeMap<ResourceKey, ResourceDocument>;
 
-/// Faults of writing `document` into `others`; empty when it may be accepted. `others` may hold
-/// the document's previous form.
+/// Returns the errors of writing `document` into `others`; empty when the write is valid. `others`
+/// may contain the previous version of the document.
 #[must_use]
 pub fn check_document(
     document: &ResourceDocument,
@@ -52,16 +52,17 @@
     check_with(&ResourceLookup::new(document, others), document, now)
 }
 
-/// One thing wrong with one resource of a set.
+/// Validation error of one resource of a set.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SetValidationError {
-    /// Which resource.
+    /// Key of the resource.
     pub key: ResourceKey,
-    /// What is wrong with it.
+    /// The validation error.
     pub error: ValidationError,
 }
 
-/// Faults of all resources of a set that is to be written anew, in the order of their keys.
+/// Returns the errors of all resources of a set, in the order of their keys. The set is validated
+/// as if none of its resources existed before.
 #[must_use]
 pub fn check_set(set: &ResourceSet, now: WallTime) -> Vec<SetValidationError> {
     let index = TokenIndex::new(set);
@@ -98,13 +99,14 @@
     errors
 }
 
-/// Faults of deleting the resource `key` from `others`, such as resources that still name it.
+/// Returns the errors of deleting the resource `key` from `others`, such as resources that still
+/// refer to it.
 #[must_use]
 pub fn check_deletion(key: &ResourceKey, others: &ResourceSet) -> Vec<ValidationError> {
     deletion::check(key, others)
 }
 
-/// Two tiers of one rank would leave open which of them is shed first.
+/// Checks that the rank is unique: with two tiers of one rank, the order of shedding is undefined.
 fn check_tier(spec: &TierSpec, lookup: &ResourceLookup<'_>, errors: &mut Vec<ValidationError>) {
     let duplicate = lookup.tiers().find(|(_, other)| other.rank == spec.rank);
     if let Some((name, _)) = duplicate {
@@ -137,17 +139,17 @@
             "write the key, or leave the member out",
         ));
     }
-    // Whoever names a version relies on its service: an upstream would end up in a service that
-    // its version doesn't belong to, and get requests that it can't run.
+    // Resources that refer to a version rely on its service: an upstream would belong to another
+    // service than its version, and get requests that it can't execute.
     let outside_users = lookup.users_of_version_outside(&spec.service);
     if !outside_users.is_empty() {
         errors.push(ValidationError::new(
             "spec.service",
             format!(
-                "still named under its former service by {}",
+                "still referred to under its previous service by {}",
                 lookup::join_names(&outside_users)
             ),
-            "make a version of another name for the other service",
+            "create a version with another name for the other service",
         ));
     }
 }
--- a/crates/savorywood-protocol/src/resource/validate/deletion.rs
+++ b/crates/savorywood-protocol/src/resource/validate/deletion.rs
@@ -1,10 +1,10 @@
-//! Checks of deletions.
+//! Validation of deletions.
 
 use super::{ResourceSet, ValidationError, lookup};
 use crate::resource::{ResourceDocument, ResourceKey, ResourceKind, ResourceSpec};
 
-/// Faults of deleting a resource: a name that leads nowhere would be refused in a new document,
-/// so a deletion may not make one.
+/// Returns the errors of deleting a resource. New documents with dangling references are refused,
+/// so a deletion must not leave any either.
 pub(super) fn check(key: &ResourceKey, others: &ResourceSet) -> Vec<ValidationError> {
     let users = match key.kind {
         ResourceKind::Service => users_of_service(key, others),
@@ -17,7 +17,7 @@
     }
     let error = ValidationError::new(
         "name",
-        format!("still named by {}", lookup::join_names(&users)),
+        format!("still referred to by {}", lookup::join_names(&users)),
         "delete or change these first",
     );
     vec![error]
--- a/crates/savorywood-protocol/src/resource/validate/lookup.rs
+++ b/crates/savorywood-protocol/src/resource/validate/lookup.rs
@@ -1,4 +1,4 @@
-//! Looking up resources by the names that others give.
+//! Look-ups of resources that other resources refer to.
 
 use super::{ResourceSet, ValidationError};
 use crate::{
@@ -11,11 +11,11 @@
 use std::collections::BTreeMap;
 use strum::IntoEnumIterator;
 
-/// Names listed in a message at most.
+/// Maximum number of names listed in an error message.
 const MAX_LISTED_NAMES: usize = 6;
 
-/// Who holds which token, for checks of a whole set: a walk over all teams for each team would
-/// take seconds with 24,000 of them.
+/// Teams by the digest of their token, for the validation of complete sets. Comparing each team
+/// with all others would take seconds with 24,000 teams.
 pub(super) struct TokenIndex<'a> {
     teams_by_digest: BTreeMap<String, Vec<&'a str>>,
 }
@@ -36,7 +36,7 @@
     }
 }
 
-/// The other resources as one document sees them: itself left out.
+/// The other resources of a set, from the view of one document, which is excluded.
 pub(super) struct ResourceLookup<'a> {
     document: &'a ResourceDocument,
     document_key: ResourceKey,
@@ -54,8 +54,8 @@
         }
     }
 
-    /// The same look-up with an index of the set, in which the document itself is what is checked
-    /// and not a former form of it.
+    /// Adds an index of the set. The set then contains the checked document itself instead of a
+    /// previous version of it.
     pub(super) fn with_index(self, index: &'a TokenIndex<'a>) -> Self {
         Self {
             index: Some(index),
@@ -63,12 +63,12 @@
         }
     }
 
-    /// Name of the document that is checked.
+    /// Returns the name of the checked document.
     pub(super) fn document_name(&self) -> &'a str {
         &self.document.name
     }
 
-    /// The document as it stands before the write.
+    /// Returns the version of the document before the write; `None` when it is new.
     pub(super) fn previous(&self) -> Option<&'a ResourceDocument> {
         match self.index {
             Some(_) => None,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Another team that holds a token.
+    /// Returns another team whose token has this digest.
     pub(super) fn other_team_with_token(&self, token_sha256: &str) -> Option<&'a str> {
         match self.index {
             Some(index) => {
@@ -148,7 +148,7 @@
         self.set.get(&ResourceKey { kind, name })
     }
 
-    /// Checks that a resource is there.
+    /// Checks that a resource exists, adds an error otherwise, and returns whether it exists.
     pub(super) fn check_exists(
         &self,
         path: &str,
@@ -165,7 +165,7 @@
                     "there is no {kind} `{name}`; allowed: {}",
                     join_names(&existing)
                 ),
-                format!("create the {kind} first, or name another"),
+                format!("create the {kind} first, or choose an existing one"),
             ));
         }
         found
@@ -180,7 +180,7 @@
         self.check_exists(path, ResourceKind::Service, service.as_str(), errors);
     }
 
-    /// Checks that a version is there and is one of `service`.
+    /// Checks that a version exists and belongs to `service`.
     pub(super) fn check_version(
         &self,
         path: &str,
@@ -203,16 +203,16 @@
             errors.push(ValidationError::new(
                 path,
                 format!(
-                    "version `{version}` is one of service `{}`, not of `{service}`; allowed: {}",
+                    "version `{version}` belongs to service `{}`, not `{service}`; allowed: {}",
                     spec.service,
                     join_names(&candidates)
                 ),
-                format!("name a version of `{service}`"),
+                format!("choose a version of `{service}`"),
             ));
         }
     }
 
-    /// Resources that name the checked version under another service than this one.
+    /// Returns the resources that refer to the checked version under another service than `service`.
     pub(super) fn users_of_version_outside(&self, service: &ServiceName) -> Vec<String> {
         let Ok(document_name) = self.document_name().parse() else {
             return Vec::new();
@@ -223,7 +223,8 @@
     }
 }
 
-/// All resources of a kind. The set is ordered by kind, so that others aren't walked.
+/// Returns all resources of a kind. The set is ordered by kind, so this doesn't iterate over the
+/// others.
 pub(super) fn of_kind(
     set: &ResourceSet,
     kind: ResourceKind,
@@ -239,7 +240,7 @@
         .map(|(_, document)| document)
 }
 
-/// Resources that name a version, with the service under which they do.
+/// Returns the resources that refer to a version, with the service under which they do.
 pub(super) fn users_of_version<'a>(
     set: &'a ResourceSet,
     version: &VersionName,
@@ -263,7 +264,7 @@
     })
 }
 
-/// Some of the names, and how many more there are.
+/// Joins the first [`MAX_LISTED_NAMES`] names, followed by the number of further ones.
 pub(super) fn join_names(names: &[String]) -> String {
     let shown = names.get(..MAX_LISTED_NAMES).unwrap_or(names).join(", ");
     match names.len().saturating_sub(MAX_LISTED_NAMES) {
--- a/crates/savorywood-protocol/src/resource/validate/service.rs
+++ b/crates/savorywood-protocol/src/resource/validate/service.rs
@@ -1,14 +1,14 @@
-//! Checks of services.
+//! Validation of services.
 
 use super::{ValidationError, lookup::ResourceLookup};
 use crate::resource::{ClaimRetention, RouteRule, ServiceObjectives, ServiceProtocol, ServiceSpec};
 
-/// Shortest retention of claims, in seconds. A caller that repeats a call later than this must
-/// still find the claim of its first one.
+/// Minimum retention of claims, in seconds. The last retry of a caller must still find the claim
+/// of the first call, or it would be executed again.
 const MIN_CLAIM_SECONDS: u32 = 3_600;
 
-/// Largest target, in thousandths. A target of all requests leaves no errors to spend, and burn
-/// rates would be divided by zero.
+/// Maximum target, in thousandths. A target of all requests leaves an error budget of zero, by
+/// which burn rates would be divided.
 const MAX_TARGET_PER_MILLE: u16 = 999;
 
 pub(super) fn check(
@@ -59,7 +59,7 @@
         errors.push(ValidationError::new(
             "spec.objectives.target_per_mille",
             format!("{target} is out of range; allowed: 1 to {MAX_TARGET_PER_MILLE}"),
-            "write the share of requests that must meet the objectives, such as 950",
+            "write the fraction of requests in thousandths, such as 950",
         ));
     }
 }
@@ -68,15 +68,15 @@
     let ClaimRetention::Seconds(seconds) = claims else {
         return;
     };
-    // A claim that is gone before the caller's last retry lets that retry run a second time.
+    // If a claim expires before the caller's last retry, that retry is executed a second time.
     if seconds < MIN_CLAIM_SECONDS {
         errors.push(ValidationError::new(
             "spec.claims.seconds",
             format!(
-                "a retry after {seconds} s would run again; allowed: {MIN_CLAIM_SECONDS} or more, \
-                 or \"forever\""
+                "a retry after {seconds} s would be executed again; allowed: \
+                 {MIN_CLAIM_SECONDS} or more, or \"forever\""
             ),
-            "write a time longer than any caller goes on retrying",
+            "write a time longer than callers keep retrying",
         ));
     }
 }
@@ -103,13 +103,13 @@
         if !valid {
             errors.push(ValidationError::new(
                 format!("{path}.methods.{place}"),
-                format!("`{method}` is no method; allowed: capital letters, such as POST"),
+                format!("`{method}` is not a method; allowed: capital letters, such as POST"),
                 format!("write `{}`", method.to_ascii_uppercase()),
             ));
         }
     }
-    // The first matching rule wins, so a rule behind a wider one has no effect: a call that it
-    // marks as not repeatable would be treated as repeatable, and could run twice.
+    // The first matching rule applies, so a rule after a wider one has no effect: a call that it
+    // declares as not idempotent would be treated as idempotent, and could be executed twice.
     let wider = earlier.iter().position(|other| covers(other, rule));
     if let Some(wider) = wider {
         errors.push(ValidationError::new(
@@ -120,7 +120,7 @@
     }
 }
 
-/// Whether `wider` matches every call that `narrower` matches.
+/// Returns whether `wider` matches every call that `narrower` matches.
 fn covers(wider: &RouteRule, narrower: &RouteRule) -> bool {
     let any_method = wider.methods.is_empty();
     let methods = &narrower.methods;
--- a/crates/savorywood-protocol/src/resource/validate/team.rs
+++ b/crates/savorywood-protocol/src/resource/validate/team.rs
@@ -1,12 +1,12 @@
-//! Checks of teams.
+//! Validation of teams.
 
 use super::{ValidationError, lookup::ResourceLookup};
 use crate::resource::{ResourceKind, TeamSpec};
 
-/// Hexadecimal digits of a SHA-256.
+/// Length of a SHA-256 digest in hexadecimal digits.
 const DIGEST_DIGITS: usize = 64;
 
-/// Largest weight. Shares of one in a million starve a team for all that can be seen.
+/// Maximum weight. A team with a share of one in a million is practically starved.
 const MAX_WEIGHT: u32 = 1_000_000;
 
 pub(super) fn check(
@@ -23,7 +23,7 @@
                 "{} is out of range; allowed: 1 to {MAX_WEIGHT}",
                 spec.weight
             ),
-            "write the share relative to other teams, 1 for an equal one",
+            "write the weight relative to other teams, 1 for an equal share",
         ));
     }
 }
@@ -33,7 +33,7 @@
     let path = "spec.token_sha256";
     let hexadecimal = digest.chars().all(|c| c.is_ascii_hexdigit());
     if digest.len() != DIGEST_DIGITS || !hexadecimal {
-        // The text is left out of the message: it may be the token itself.
+        // The message omits the text, since it may be the token itself.
         errors.push(ValidationError::new(
             path,
             format!("not a SHA-256; allowed: {DIGEST_DIGITS} hexadecimal digits"),
@@ -41,11 +41,11 @@
         ));
         return;
     }
-    // Whoever sends the token would be taken for one team or the other by chance.
-    if let Some(holder) = lookup.other_team_with_token(digest) {
+    // Requests with a token of two teams couldn't be attributed to either.
+    if let Some(other_team) = lookup.other_team_with_token(digest) {
         errors.push(ValidationError::new(
             path,
-            format!("team `{holder}` holds this token; each token is allowed once"),
+            format!("team `{other_team}` has this token too; each token is allowed once"),
             "give the team a token of its own",
         ));
     }
@@ -55,8 +55,8 @@
     if spec.tiers.is_empty() {
         errors.push(ValidationError::new(
             "spec.tiers",
-            "a team without tiers can ask for nothing; allowed: one tier or more",
-            "name the tier that its requests get",
+            "a team without tiers can send no requests; allowed: one tier or more",
+            "write the tier of its requests",
         ));
     }
     for (index, tier) in spec.tiers.iter().enumerate() {
@@ -64,7 +64,7 @@
         if spec.tiers[..index].contains(tier) {
             errors.push(ValidationError::new(
                 path,
-                format!("tier `{tier}` is named twice; each is allowed once"),
+                format!("tier `{tier}` is listed twice; each is allowed once"),
                 "delete one of the two",
             ));
         } else {
--- a/crates/savorywood-protocol/src/resource/validate/traffic_move.rs
+++ b/crates/savorywood-protocol/src/resource/validate/traffic_move.rs
@@ -1,4 +1,4 @@
-//! Checks of moves.
+//! Validation of traffic moves.
 
 use super::{ValidationError, lookup::ResourceLookup};
 use crate::{
@@ -7,7 +7,7 @@
 };
 use std::time::Duration;
 
-/// Share of all traffic, in thousandths.
+/// All traffic of a service, in thousandths.
 const FULL_SHARE_PER_MILLE: u16 = 1_000;
 
 pub(super) fn check(
@@ -22,15 +22,15 @@
     if spec.from == spec.to {
         errors.push(ValidationError::new(
             "spec.to",
-            format!("the move goes from `{}` to itself", spec.to),
-            "name the version that gets the traffic",
+            format!("the move is from version `{}` to itself", spec.to),
+            "write the version that gets the traffic",
         ));
     } else {
         lookup.check_version("spec.to", &spec.to, service, errors);
     }
     check_steps(spec, errors);
     let previous = lookup.previous();
-    // A file that is applied again must be accepted even after the deadline that it names.
+    // Applying a file again must succeed, even when the deadline in it has passed.
     let unchanged =
         previous.is_some_and(|previous| previous.spec == ResourceSpec::Move(spec.clone()));
     if unchanged {
@@ -52,10 +52,10 @@
             errors.push(ValidationError::new(
                 format!("spec.steps.{index}.share_per_mille"),
                 format!(
-                    "{share} is out of range; allowed: {min_share} to {FULL_SHARE_PER_MILLE}, each step \
-                     larger than the one before"
+                    "{share} is out of range; allowed: {min_share} to {FULL_SHARE_PER_MILLE}, \
+                     each step larger than the one before"
                 ),
-                "correct the share, or leave `steps` out to have them planned",
+                "correct the share, or omit `steps` to have them planned automatically",
             ));
         }
         previous_share = previous_share.max(share.min(FULL_SHARE_PER_MILLE));
@@ -74,11 +74,11 @@
             "write a later time",
         ));
     } else if spec.finish_by <= now + soak {
-        // Such a move could only ever be taken back.
+        // Such a move could never complete, only be rolled back.
         errors.push(ValidationError::new(
             "spec.finish_by",
             format!(
-                "the deadline {} leaves no time besides the soak; allowed: later than {}",
+                "the deadline {} leaves no time before the soak; allowed: later than {}",
                 spec.finish_by,
                 now + soak
             ),
@@ -87,7 +87,8 @@
     }
 }
 
-/// Two moves of one service at once would each blame the other's traffic for what they see.
+/// Checks that no other move of the service is in progress: with two at once, failures couldn't be
+/// attributed to either.
 fn check_other_moves(
     spec: &TrafficMoveSpec,
     lookup: &ResourceLookup<'_>,
@@ -101,18 +102,18 @@
         errors.push(ValidationError::new(
             "spec.service",
             format!(
-                "move `{}` of service `{}` is under way until {}; one at a time is allowed",
+                "move `{}` of service `{}` is in progress until {}; one at a time is allowed",
                 active.name, spec.service, other.finish_by
             ),
             format!(
-                "wait until it is over; deleting move `{}` takes it back",
+                "wait until it has ended; deleting move `{}` rolls it back",
                 active.name
             ),
         ));
     }
 }
 
-/// Whether a move may still shift traffic. Without a status, it is over when its deadline is.
+/// Returns whether a move may still shift traffic. A move without a status ends at its deadline.
 fn is_active(document: &ResourceDocument, spec: &TrafficMoveSpec, now: WallTime) -> bool {
     match state_of(document) {
         Some(MoveState::Completed | MoveState::TakenBack) => false,
@@ -125,8 +126,8 @@
     document.status.as_ref()?.move_state
 }
 
-/// What may change of a move depends on how far it is: evidence gathered for one pair of
-/// versions says nothing of another.
+/// Checks which parts of a move change. After the start, the versions are fixed: statistics of one
+/// pair of versions don't apply to another. After the end, nothing may change.
 fn check_edit(
     spec: &TrafficMoveSpec,
     previous: &ResourceDocument,
@@ -147,15 +148,15 @@
                          change, its service and versions may not",
                         old.from, old.to
                     ),
-                    "delete this move to take it back, and create another",
+                    "delete this move to roll it back, and create another",
                 ));
             }
         }
         Some(state @ (MoveState::Completed | MoveState::TakenBack)) => {
             errors.push(ValidationError::new(
                 "spec",
-                format!("the move is over ({state}); nothing of it may change"),
-                "create a move of another name",
+                format!("the move has ended ({state}) and can't be changed"),
+                "create a move with another name",
             ));
         }
     }
--- a/crates/savorywood-protocol/src/resource/validate/upstream.rs
+++ b/crates/savorywood-protocol/src/resource/validate/upstream.rs
@@ -1,4 +1,4 @@
-//! Checks of upstreams.
+//! Validation of upstreams.
 
 use super::{ValidationError, lookup::ResourceLookup};
 use crate::resource::UpstreamSpec;
@@ -19,8 +19,8 @@
     for (path, _) in sizes.into_iter().filter(|(_, size)| *size == 0) {
         errors.push(ValidationError::new(
             path,
-            "zero would keep all work away; allowed: 1 or more",
-            "write a number, or set `draining` to take the upstream out",
+            "with zero, the upstream gets no requests; allowed: 1 or more",
+            "write a larger number, or set `draining` to drain the upstream",
         ));
     }
 }
@@ -39,7 +39,7 @@
         ));
         return;
     }
-    // Two upstreams of one address would each be given the engine's whole capacity.
+    // With two upstreams of one address, the engine would get twice the requests it can take.
     let duplicate = lookup
         .upstreams()
         .find(|(_, other)| other.address == address);
