--- a/crates/savorywood-protocol/tests/fuzz_peer.rs
+++ b/crates/savorywood-protocol/tests/fuzz_peer.rs
@@ -1,4 +1,5 @@
-//! Messages between daemons with mistakes in them: never a panic, and never more than was sent.
+//! Fuzz tests: malformed messages and tokens cause no panic and are never decoded to more data than
+//! was received.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't be set up fails")]
 
@@ -22,10 +23,10 @@
 use serde::{Serialize, Serializer, de::DeserializeOwned, ser::SerializeTuple};
 use std::time::Duration;
 
-/// Inputs for each property where nothing else is asked for.
+/// Number of inputs for each property.
 const RUNS: u64 = 2_000;
 
-/// Bytes by which a frame's tag is longer than a datagram's.
+/// Difference in size between the tags of a frame and of a datagram, in bytes.
 const TAG_SURPLUS_BYTES: usize = 16;
 
 const RESOURCES: &str = r#"[
@@ -35,7 +36,7 @@
         "service": "notes", "version": "v1", "zone": "zone-a", "seats": 16}}
 ]"#;
 
-/// Bytes that are encoded as they are, to seal what no message would be encoded as.
+/// Bytes that are encoded unchanged, to seal content that no message encodes to.
 struct RawBytes<'a>(&'a [u8]);
 
 impl Serialize for RawBytes<'_> {
@@ -60,7 +61,7 @@
     seal_frame(&RawBytes(content), &host("entry-2"), &key()).unwrap()
 }
 
-/// A datagram of a daemon that has the key: its tag is a frame's, cut.
+/// Seals content as a datagram with a valid tag, which is the truncated tag of a frame.
 fn sealed_datagram(content: &[u8]) -> Vec<u8> {
     let mut bytes = sealed_frame(content);
     bytes.truncate(bytes.len() - TAG_SURPLUS_BYTES);
@@ -205,15 +206,15 @@
     messages.into_iter().map(datagram).collect()
 }
 
-/// What was decoded can't be larger than what was sent: otherwise a few bytes could make a daemon
-/// hold many.
+/// Checks that the decoded value isn't larger than the input, so that a small message can't make a
+/// daemon allocate much memory.
 fn within_sent<T: Serialize>(decoded: &T, content: &[u8]) -> TestResult {
     let encoded = postcard::to_stdvec(decoded).unwrap();
     TestResult::from_bool(encoded.len() <= content.len())
 }
 
-/// A daemon of another version, or one with a fault in its memory, has the key and sends what
-/// this one can't read. Were that a panic, one bad daemon would end all others.
+/// Guards against panics on authenticated but malformed datagrams, from a daemon of another version
+/// or with corrupt memory: one such daemon could stop all others.
 #[test]
 fn datagrams_of_a_faulty_daemon_do_no_harm() {
     fn opens(which: usize, mutation: InputMutation) -> TestResult {
@@ -230,8 +231,8 @@
     fuzz(1, RUNS, opens as fn(usize, InputMutation) -> TestResult);
 }
 
-/// Somebody without the key changes datagrams on their way. Each changed one must be dropped, and
-/// the sequence number, sender and message of none be believed.
+/// Guards against accepting datagrams that were changed in transit by an attacker without the key:
+/// neither sender, sequence number nor message may be trusted.
 #[test]
 fn changed_datagrams_are_dropped() {
     fn is_dropped(which: usize, mutation: InputMutation) -> TestResult {
@@ -263,8 +264,8 @@
     }
 }
 
-/// A peer sends a configuration that can't be read: the daemon must go on with the one that it
-/// has.
+/// Guards against panics on a malformed configuration from a peer: the daemon must continue with
+/// its current one.
 #[test]
 fn snapshot_frames_of_a_faulty_daemon_do_no_harm() {
     fn opens(asks: bool, mutation: InputMutation) -> TestResult {
@@ -291,7 +292,8 @@
     fuzz(3, RUNS, opens as fn(bool, InputMutation) -> TestResult);
 }
 
-/// The resources inside a snapshot are text of their own, read after the frame was.
+/// Guards against panics on malformed resources in a snapshot. They are JSON text, parsed after the
+/// frame was decoded.
 #[test]
 fn resources_of_a_snapshot_do_no_harm() {
     fn reads(mutation: InputMutation) -> TestResult {
@@ -307,8 +309,8 @@
     fuzz(4, RUNS, reads as fn(InputMutation) -> TestResult);
 }
 
-/// A caller changes the resume token that it was given, to read another team's stream or one at
-/// another upstream. No changed token may be believed.
+/// Guards against accepting a resume token that a caller changed, to read the stream of another
+/// team or at another upstream.
 #[test]
 fn changed_resume_tokens_are_refused() {
     fn is_refused(mutation: InputMutation) -> TestResult {
--- a/crates/savorywood-protocol/tests/peer_datagram.rs
+++ b/crates/savorywood-protocol/tests/peer_datagram.rs
@@ -53,8 +53,8 @@
     assert_eq!(opened, Ok(datagram()));
 }
 
-/// Somebody on the network copies a datagram and plays it to a third daemon, or changes a bit of
-/// it. Were it read there, a grant of seats would be used by two daemons.
+/// Guards against accepting a captured datagram at another receiver, or with a flipped bit: two
+/// daemons could then use one grant of slots.
 #[test]
 fn a_datagram_for_another_or_changed_is_dropped() {
     let key = DatagramKey::derive(b"secret");
@@ -69,8 +69,8 @@
     }
 }
 
-/// A datagram that was copied off the wire is sent again later, when the sender has been
-/// restarted or not. One would notice it as seats that nobody uses or a member that flaps.
+/// Guards against accepting a captured datagram a second time, before or after a restart of the
+/// sender. It would leave slots unused or make a member flap.
 #[test]
 fn a_replayed_datagram_is_dropped() {
     let mut guard = ReplayGuard::default();
--- a/crates/savorywood-protocol/tests/prefix.rs
+++ b/crates/savorywood-protocol/tests/prefix.rs
@@ -1,4 +1,4 @@
-//! Prompts that begin alike share their first hashes, and only those.
+//! Prefix hashes: prompts share exactly the hashes of their common prefix blocks.
 
 use quickcheck::quickcheck;
 use savorywood_protocol::prefix::{MAX_PREFIX_BLOCKS, PREFIX_BLOCK_BYTES, prefix_hashes};
--- a/crates/savorywood-protocol/tests/resume_token.rs
+++ b/crates/savorywood-protocol/tests/resume_token.rs
@@ -1,4 +1,4 @@
-//! Resume tokens: what is believed and what is not.
+//! Resume tokens: which are accepted and which are refused.
 
 use quickcheck::quickcheck;
 use savorywood_protocol::{
@@ -44,8 +44,8 @@
     );
 }
 
-/// A caller changes a token to read another's stream, or one team's token gets into another
-/// team's hands. Neither may see a byte of the stream.
+/// Guards against disclosing a stream to a caller that changed a token or got the token of another
+/// team.
 #[test]
 fn forged_foreign_and_stale_tokens_are_told_apart() {
     let text = token().sign(&key()).expect("signed");
--- a/crates/savorywood-protocol/tests/validate.rs
+++ b/crates/savorywood-protocol/tests/validate.rs
@@ -1,4 +1,4 @@
-//! Checks of resources against each other.
+//! Validation of resources against each other.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't be set up fails")]
 
@@ -105,8 +105,9 @@
     assert!(faults[0].message.contains("billing, notes"));
 }
 
-/// A file with all teams is checked before it is applied. Checked one against all others, 24,000
-/// of them would keep an operator waiting for seconds.
+/// Guards against differences between the validation of a complete set, which uses an index of
+/// tokens, and that of single documents. Without the index, a file with 24,000 teams would take
+/// seconds to validate.
 #[test]
 fn a_whole_set_is_checked_like_its_documents() {
     let mut set = sound_set();
@@ -128,7 +129,8 @@
     assert_eq!(told, expected);
 }
 
-/// Requests of one service would reach engines that run another one's model.
+/// Guards against references to versions of another service, by which requests would reach engines
+/// with another model.
 #[test]
 fn versions_of_another_service_are_refused() {
     let upstream =
@@ -210,8 +212,8 @@
     assert_eq!(paths(steps), expected);
 }
 
-/// Two operators plan a move of one service each. Both at once, neither could tell whose version
-/// slows requests down.
+/// Guards against two moves of one service at a time: it would be unclear which of the new versions
+/// causes a slowdown.
 #[test]
 fn one_move_of_a_service_at_a_time() {
     let second = traffic_move("again", "2026-07-02T18:00:00Z");
@@ -285,11 +287,11 @@
 }
 
 quickcheck! {
-    /// Whatever is accepted one after another and deleted one after another, no name ever leads
-    /// nowhere: writing again what is there stays accepted.
+    /// Guards against dangling references after any sequence of accepted writes and deletions: each
+    /// document of the set must remain valid.
     fn accepted_sets_stay_sound(picks: Vec<(u8, u8, bool)>) -> TestResult {
         let all: Vec<_> = sound_set().into_values().collect();
-        // A service and its version name each other, so the service comes first without it.
+        // A service and its version refer to each other, so the service is created first without one.
         let service = document("service", "notes", json!({"protocol": "model"}));
         let mut set = set_of(vec![service]);
         for (pick, variant, delete) in picks {
