--- a/crates/savorywood-protocol/tests/fuzz_peer.rs
+++ b/crates/savorywood-protocol/tests/fuzz_peer.rs
@@ -24,10 +24,10 @@
 use std::time::Duration;
 
 /// Number of inputs for each property.
-const RUNS: u64 = 2_000;
+const INPUTS: u64 = 2_000;
 
 /// Difference in size between the tags of a frame and of a datagram, in bytes.
-const TAG_SURPLUS_BYTES: usize = 16;
+const TAG_SIZE_DIFFERENCE_BYTES: usize = 16;
 
 const RESOURCES: &str = r#"[
     {"kind": "tier", "name": "storm", "spec": {"rank": 0}},
@@ -64,7 +64,7 @@
 /// Seals content as a datagram with a valid tag, which is the truncated tag of a frame.
 fn sealed_datagram(content: &[u8]) -> Vec<u8> {
     let mut bytes = sealed_frame(content);
-    bytes.truncate(bytes.len() - TAG_SURPLUS_BYTES);
+    bytes.truncate(bytes.len() - TAG_SIZE_DIFFERENCE_BYTES);
     bytes
 }
 
@@ -159,7 +159,7 @@
 fn move_messages() -> Vec<MoveMessage> {
     let name: MoveName = "notes-to-v2".parse().unwrap();
     let revision = ConfigRevision(12);
-    let arm = VersionStatistics {
+    let statistics = VersionStatistics {
         finished: 300,
         failed: 2,
         timed: 290,
@@ -168,7 +168,7 @@
     };
     let route = RouteStatistics {
         route: "/v1/completions".to_owned(),
-        old: arm,
+        old: statistics,
         new: VersionStatistics::default(),
     };
     vec![
@@ -208,7 +208,7 @@
 
 /// Checks that the decoded value isn't larger than the input, so that a small message can't make a
 /// daemon allocate much memory.
-fn within_sent<T: Serialize>(decoded: &T, content: &[u8]) -> TestResult {
+fn not_larger_than_input<T: Serialize>(decoded: &T, content: &[u8]) -> TestResult {
     let encoded = postcard::to_stdvec(decoded).unwrap();
     TestResult::from_bool(encoded.len() <= content.len())
 }
@@ -216,28 +216,28 @@
 /// Guards against panics on authenticated but malformed datagrams, from a daemon of another version
 /// or with corrupt memory: one such daemon could stop all others.
 #[test]
-fn datagrams_of_a_faulty_daemon_do_no_harm() {
-    fn opens(which: usize, mutation: InputMutation) -> TestResult {
+fn malformed_datagrams_cause_no_panic() {
+    fn opens(index: usize, mutation: InputMutation) -> TestResult {
         let datagrams = datagrams();
-        let valid = postcard::to_stdvec(&datagrams[which % datagrams.len()]).unwrap();
+        let valid = postcard::to_stdvec(&datagrams[index % datagrams.len()]).unwrap();
         let content = mutation.apply(&valid);
         let opened = PeerDatagram::open(&sealed_datagram(&content), &host("entry-2"), &key());
         match opened {
-            Ok(datagram) => within_sent(&datagram, &content),
+            Ok(datagram) => not_larger_than_input(&datagram, &content),
             Err(DatagramError::Undecodable { reason }) => TestResult::from_bool(!reason.is_empty()),
             Err(error) => TestResult::error(error.to_string()),
         }
     }
-    fuzz(1, RUNS, opens as fn(usize, InputMutation) -> TestResult);
+    fuzz(1, INPUTS, opens as fn(usize, InputMutation) -> TestResult);
 }
 
 /// Guards against accepting datagrams that were changed in transit by an attacker without the key:
 /// neither sender, sequence number nor message may be trusted.
 #[test]
 fn changed_datagrams_are_dropped() {
-    fn is_dropped(which: usize, mutation: InputMutation) -> TestResult {
+    fn is_dropped(index: usize, mutation: InputMutation) -> TestResult {
         let datagrams = datagrams();
-        let datagram = &datagrams[which % datagrams.len()];
+        let datagram = &datagrams[index % datagrams.len()];
         let sealed = datagram.seal(&host("entry-2"), &key()).unwrap();
         let changed = mutation.apply(&sealed);
         if sealed.len() > MAX_DATAGRAM_BYTES {
@@ -251,7 +251,7 @@
     }
     fuzz(
         2,
-        RUNS,
+        INPUTS,
         is_dropped as fn(usize, InputMutation) -> TestResult,
     );
 }
@@ -259,7 +259,7 @@
 fn frame_opens<T: Serialize + DeserializeOwned>(valid: &T, mutation: &InputMutation) -> TestResult {
     let content = mutation.apply(&postcard::to_stdvec(valid).unwrap());
     match open_frame::<T>(&sealed_frame(&content), &host("entry-2"), &key()) {
-        Ok(frame) => within_sent(&frame, &content),
+        Ok(frame) => not_larger_than_input(&frame, &content),
         Err(error) => TestResult::from_bool(!error.to_string().is_empty()),
     }
 }
@@ -267,8 +267,8 @@
 /// Guards against panics on a malformed configuration from a peer: the daemon must continue with
 /// its current one.
 #[test]
-fn snapshot_frames_of_a_faulty_daemon_do_no_harm() {
-    fn opens(asks: bool, mutation: InputMutation) -> TestResult {
+fn malformed_snapshot_frames_cause_no_panic() {
+    fn opens(is_request: bool, mutation: InputMutation) -> TestResult {
         let nonce = u128::MAX / 3;
         let request = SnapshotRequest {
             from: host("entry-1"),
@@ -283,19 +283,19 @@
             nonce,
             content: Some(content),
         };
-        if asks {
+        if is_request {
             frame_opens(&request, &mutation)
         } else {
             frame_opens(&reply, &mutation)
         }
     }
-    fuzz(3, RUNS, opens as fn(bool, InputMutation) -> TestResult);
+    fuzz(3, INPUTS, opens as fn(bool, InputMutation) -> TestResult);
 }
 
 /// Guards against panics on malformed resources in a snapshot. They are JSON text, parsed after the
 /// frame was decoded.
 #[test]
-fn resources_of_a_snapshot_do_no_harm() {
+fn malformed_snapshot_resources_cause_no_panic() {
     fn reads(mutation: InputMutation) -> TestResult {
         let text = mutation.apply(RESOURCES.as_bytes());
         match serde_json::from_slice::<Vec<ResourceDocument>>(&text) {
@@ -306,7 +306,7 @@
             }
         }
     }
-    fuzz(4, RUNS, reads as fn(InputMutation) -> TestResult);
+    fuzz(4, INPUTS, reads as fn(InputMutation) -> TestResult);
 }
 
 /// Guards against accepting a resume token that a caller changed, to read the stream of another
@@ -333,5 +333,5 @@
         let verified = ResumeToken::verify(&changed, &key, &token.team, now, max_age);
         TestResult::from_bool(verified.is_err() || changed == signed)
     }
-    fuzz(5, RUNS, is_refused as fn(InputMutation) -> TestResult);
+    fuzz(5, INPUTS, is_refused as fn(InputMutation) -> TestResult);
 }
--- a/crates/savorywood-protocol/tests/peer_datagram.rs
+++ b/crates/savorywood-protocol/tests/peer_datagram.rs
@@ -56,14 +56,14 @@
 /// Guards against accepting a captured datagram at another receiver, or with a flipped bit: two
 /// daemons could then use one grant of slots.
 #[test]
-fn a_datagram_for_another_or_changed_is_dropped() {
+fn datagrams_for_another_receiver_or_changed_are_dropped() {
     let key = DatagramKey::derive(b"secret");
     let sealed = datagram().seal(&host("entry-2"), &key).expect("sealed");
     let elsewhere = PeerDatagram::open(&sealed, &host("entry-3"), &key);
     assert_eq!(elsewhere, Err(DatagramError::BadTag));
-    for place in 0..sealed.len() {
+    for position in 0..sealed.len() {
         let mut changed = sealed.clone();
-        changed[place] ^= 1;
+        changed[position] ^= 1;
         let opened = PeerDatagram::open(&changed, &host("entry-2"), &key);
         assert_eq!(opened, Err(DatagramError::BadTag));
     }
@@ -106,7 +106,7 @@
 }
 
 quickcheck! {
-    fn the_window_takes_each_number_at_most_once(sequences: Vec<u16>) -> bool {
+    fn replay_window_accepts_each_number_at_most_once(sequences: Vec<u16>) -> bool {
         let mut window = ReplayWindow::default();
         let mut seen = BTreeSet::new();
         sequences.into_iter().all(|sequence| {
@@ -115,7 +115,7 @@
         })
     }
 
-    fn the_bound_of_an_update_holds(incarnation: u64, refutation: u32, revision: u64) -> bool {
+    fn encoded_update_is_within_max_wire_bytes(incarnation: u64, refutation: u32, revision: u64) -> bool {
         [true, false].into_iter().all(|with_location| {
             let update = MemberUpdate {
                 incarnation: HostIncarnation(incarnation),
@@ -128,7 +128,7 @@
         })
     }
 
-    fn any_bytes_are_refused_without_harm(bytes: Vec<u8>) -> bool {
+    fn arbitrary_bytes_are_refused(bytes: Vec<u8>) -> bool {
         let key = DatagramKey::derive(b"secret");
         PeerDatagram::open(&bytes, &host("entry-2"), &key).is_err()
     }
--- a/crates/savorywood-protocol/tests/prefix.rs
+++ b/crates/savorywood-protocol/tests/prefix.rs
@@ -4,7 +4,7 @@
 use savorywood_protocol::prefix::{MAX_PREFIX_BLOCKS, PREFIX_BLOCK_BYTES, prefix_hashes};
 
 quickcheck! {
-    fn prompts_share_exactly_their_common_whole_blocks(blocks: u8, tail: u8, rest: u16) -> bool {
+    fn prompts_share_exactly_the_hashes_of_their_common_blocks(blocks: u8, tail: u8, rest: u16) -> bool {
         let blocks = usize::from(blocks % 8);
         let common = blocks * PREFIX_BLOCK_BYTES + usize::from(tail);
         let rest = usize::from(rest % 2_048);
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_long_prompt_has_no_more_names_than_the_bound() {
+fn hashes_are_limited_to_max_prefix_blocks() {
     let prompt = vec![b'x'; (MAX_PREFIX_BLOCKS + 3) * PREFIX_BLOCK_BYTES];
     assert_eq!(prefix_hashes(&prompt).len(), MAX_PREFIX_BLOCKS);
 }
--- a/crates/savorywood-protocol/tests/resume_token.rs
+++ b/crates/savorywood-protocol/tests/resume_token.rs
@@ -29,13 +29,13 @@
     }
 }
 
-fn verify(text: &str, by: &str, age: u64) -> Result<ResumeToken, ResumeTokenError> {
+fn verify(text: &str, team_name: &str, age: u64) -> Result<ResumeToken, ResumeTokenError> {
     let now = ISSUED + Duration::from_secs(age);
-    ResumeToken::verify(text, &key(), &team(by), now, MAX_AGE)
+    ResumeToken::verify(text, &key(), &team(team_name), now, MAX_AGE)
 }
 
 #[test]
-fn a_signed_token_is_read_back() {
+fn a_signed_token_is_verified() {
     let text = token().sign(&key()).expect("signed");
     assert_eq!(verify(&text, "survey", 60), Ok(token()));
     assert!(
@@ -47,11 +47,11 @@
 /// Guards against disclosing a stream to a caller that changed a token or got the token of another
 /// team.
 #[test]
-fn forged_foreign_and_stale_tokens_are_told_apart() {
+fn errors_of_refused_tokens_are_distinguished() {
     let text = token().sign(&key()).expect("signed");
     assert_eq!(verify(&text, "farm", 60), Err(ResumeTokenError::OtherTeam));
-    let stale = verify(&text, "survey", 601);
-    assert!(matches!(stale, Err(ResumeTokenError::Expired { .. })));
+    let expired = verify(&text, "survey", 601);
+    assert!(matches!(expired, Err(ResumeTokenError::Expired { .. })));
     let other = token().sign(&ResumeKey::derive(b"other")).expect("signed");
     assert_eq!(
         verify(&other, "survey", 60),
@@ -59,16 +59,23 @@
     );
     assert_eq!(verify("", "survey", 60), Err(ResumeTokenError::Malformed));
     assert_eq!(verify("%", "survey", 60), Err(ResumeTokenError::Malformed));
-    for place in 0..text.len() {
+    for position in 0..text.len() {
         let mut changed = text.clone().into_bytes();
-        changed[place] = if changed[place] == b'A' { b'B' } else { b'A' };
+        changed[position] = if changed[position] == b'A' {
+            b'B'
+        } else {
+            b'A'
+        };
         let changed = String::from_utf8(changed).expect("text");
-        assert!(verify(&changed, "survey", 60).is_err(), "place {place}");
+        assert!(
+            verify(&changed, "survey", 60).is_err(),
+            "position {position}"
+        );
     }
 }
 
 quickcheck! {
-    fn any_text_is_refused_without_harm(text: String) -> bool {
+    fn arbitrary_text_is_refused(text: String) -> bool {
         verify(&text, "survey", 60).is_err()
     }
 }
--- a/crates/savorywood-protocol/tests/validate.rs
+++ b/crates/savorywood-protocol/tests/validate.rs
@@ -40,7 +40,7 @@
     keyed.collect()
 }
 
-fn sound_set() -> ResourceSet {
+fn valid_set() -> ResourceSet {
     set_of(vec![
         document("tier", "storm", json!({"rank": 0})),
         document("tier", "bulk", json!({"rank": 1})),
@@ -63,30 +63,30 @@
     ])
 }
 
-fn faults_of(document: &ResourceDocument) -> Vec<ValidationError> {
-    check_document(document, &sound_set(), NOW)
+fn errors_of(document: &ResourceDocument) -> Vec<ValidationError> {
+    check_document(document, &valid_set(), NOW)
 }
 
 fn paths_of(kind: &str, name: &str, spec: Value) -> Vec<String> {
-    let faults = faults_of(&document(kind, name, spec));
-    for fault in &faults {
+    let errors = errors_of(&document(kind, name, spec));
+    for error in &errors {
         assert!(
-            !fault.message.is_empty() && !fault.remedy.is_empty(),
-            "{fault:?}"
+            !error.message.is_empty() && !error.remedy.is_empty(),
+            "{error:?}"
         );
     }
-    faults.into_iter().map(|fault| fault.path).collect()
+    errors.into_iter().map(|error| error.path).collect()
 }
 
 #[test]
-fn a_sound_set_is_accepted_and_may_be_written_again() {
-    for document in sound_set().values() {
-        assert_eq!(faults_of(document), Vec::new());
+fn a_valid_set_can_be_written_again() {
+    for document in valid_set().values() {
+        assert_eq!(errors_of(document), Vec::new());
     }
 }
 
 #[test]
-fn names_that_lead_nowhere_are_refused() {
+fn references_to_missing_resources_are_refused() {
     let upstream =
         json!({"address": "10.0.0.9:1", "service": "nots", "version": "v9", "zone": "a"});
     assert_eq!(
@@ -101,32 +101,32 @@
     );
     let service = json!({"protocol": "plain", "version": "nope"});
     assert_eq!(paths_of("service", "s", service), ["spec.version"]);
-    let faults = faults_of(&document("version", "v", json!({"service": "x"})));
-    assert!(faults[0].message.contains("billing, notes"));
+    let errors = errors_of(&document("version", "v", json!({"service": "x"})));
+    assert!(errors[0].message.contains("billing, notes"));
 }
 
 /// Guards against differences between the validation of a complete set, which uses an index of
 /// tokens, and that of single documents. Without the index, a file with 24,000 teams would take
 /// seconds to validate.
 #[test]
-fn a_whole_set_is_checked_like_its_documents() {
-    let mut set = sound_set();
+fn a_set_is_validated_like_its_documents() {
+    let mut set = valid_set();
     assert_eq!(check_set(&set, NOW), Vec::new());
-    let twin = json!({"token_sha256": digest(1).to_uppercase(), "tiers": ["storm"]});
-    let twin = document("team", "twin", twin);
-    set.insert(twin.key(), twin);
+    let duplicate = json!({"token_sha256": digest(1).to_uppercase(), "tiers": ["storm"]});
+    let duplicate = document("team", "twin", duplicate);
+    set.insert(duplicate.key(), duplicate);
     let late = NOW + Duration::from_secs(7 * 3_600);
-    let faults = check_set(&set, late);
-    let told: Vec<_> = faults
+    let errors = check_set(&set, late);
+    let found: Vec<_> = errors
         .iter()
-        .map(|fault| format!("{} {}", fault.key, fault.error.path))
+        .map(|error| format!("{} {}", error.key, error.error.path))
         .collect();
     let expected = [
         "team/survey spec.token_sha256",
         "team/twin spec.token_sha256",
         "move/to-v2 spec.finish_by",
     ];
-    assert_eq!(told, expected);
+    assert_eq!(found, expected);
 }
 
 /// Guards against references to versions of another service, by which requests would reach engines
@@ -138,29 +138,29 @@
     assert_eq!(paths_of("upstream", "u", upstream), ["spec.version"]);
     let service = json!({"protocol": "plain", "version": "v1"});
     assert_eq!(paths_of("service", "billing", service), ["spec.version"]);
-    let crossing = json!({"service": "billing", "from": "b1", "to": "v2", "finish_by": "2026-07-02T00:00:00Z"});
-    assert_eq!(paths_of("move", "m", crossing), ["spec.to"]);
+    let cross_service = json!({"service": "billing", "from": "b1", "to": "v2", "finish_by": "2026-07-02T00:00:00Z"});
+    assert_eq!(paths_of("move", "m", cross_service), ["spec.to"]);
     let version = json!({"service": "billing"});
     assert_eq!(paths_of("version", "v1", version), ["spec.service"]);
 }
 
 #[test]
-fn values_that_two_resources_may_not_share_are_refused() {
+fn duplicates_of_unique_values_are_refused() {
     assert_eq!(paths_of("tier", "other", json!({"rank": 1})), ["spec.rank"]);
-    let holder = json!({"token_sha256": digest(1), "tiers": ["bulk"]});
-    assert_eq!(paths_of("team", "other", holder), ["spec.token_sha256"]);
-    let faults = faults_of(&upstream("runner-2", "10.0.0.1:9000"));
-    assert_eq!(faults[0].path, "spec.address");
-    assert!(faults[0].message.contains("runner-1"));
+    let same_token = json!({"token_sha256": digest(1), "tiers": ["bulk"]});
+    assert_eq!(paths_of("team", "other", same_token), ["spec.token_sha256"]);
+    let errors = errors_of(&upstream("runner-2", "10.0.0.1:9000"));
+    assert_eq!(errors[0].path, "spec.address");
+    assert!(errors[0].message.contains("runner-1"));
 }
 
 #[test]
 fn values_out_of_range_are_refused() {
     let team = json!({"token_sha256": "secret-token", "tiers": [], "weight": 0});
-    let faults = faults_of(&document("team", "t", team));
-    let paths: Vec<_> = faults.iter().map(|fault| fault.path.as_str()).collect();
+    let errors = errors_of(&document("team", "t", team));
+    let paths: Vec<_> = errors.iter().map(|error| error.path.as_str()).collect();
     assert_eq!(paths, ["spec.token_sha256", "spec.tiers", "spec.weight"]);
-    assert!(!format!("{faults:?}").contains("secret-token"));
+    assert!(!format!("{errors:?}").contains("secret-token"));
     let upstream = json!({"address": "0.0.0.0:1", "service": "notes", "version": "v1", "zone": "a",
         "seats": 0, "batch_tokens": 0});
     let expected = ["spec.address", "spec.seats", "spec.batch_tokens"];
@@ -186,12 +186,12 @@
 }
 
 #[test]
-fn moves_that_can_not_be_kept_are_refused() {
-    let mut set = sound_set();
+fn moves_that_cannot_complete_are_refused() {
+    let mut set = valid_set();
     set.remove(&traffic_move("to-v2", "2026-07-01T18:00:00Z").key());
     let paths = |spec: Value| {
-        let faults = check_document(&document("move", "m", spec), &set, NOW);
-        faults.into_iter().map(|f| f.path).collect::<Vec<_>>()
+        let errors = check_document(&document("move", "m", spec), &set, NOW);
+        errors.into_iter().map(|f| f.path).collect::<Vec<_>>()
     };
     let to_itself =
         json!({"service": "notes", "from": "v1", "to": "v1", "finish_by": "2026-07-01T18:00:00Z"});
@@ -215,9 +215,9 @@
 /// Guards against two moves of one service at a time: it would be unclear which of the new versions
 /// causes a slowdown.
 #[test]
-fn one_move_of_a_service_at_a_time() {
+fn a_service_has_one_move_at_a_time() {
     let second = traffic_move("again", "2026-07-02T18:00:00Z");
-    let mut set = sound_set();
+    let mut set = valid_set();
     assert_eq!(check_document(&second, &set, NOW)[0].path, "spec.service");
     let after_deadline = NOW + Duration::from_secs(7 * 3_600);
     assert_eq!(check_document(&second, &set, after_deadline), Vec::new());
@@ -232,8 +232,8 @@
 }
 
 #[test]
-fn a_move_under_way_keeps_its_versions() {
-    let mut set = sound_set();
+fn a_move_in_progress_keeps_its_versions() {
+    let mut set = valid_set();
     let key = traffic_move("to-v2", "2026-07-01T18:00:00Z").key();
     let state = |set: &mut ResourceSet, state| {
         set.get_mut(&key).unwrap().status = Some(ResourceStatus {
@@ -253,8 +253,8 @@
 }
 
 #[test]
-fn what_is_still_named_is_not_deleted() {
-    let set = sound_set();
+fn referenced_resources_cannot_be_deleted() {
+    let set = valid_set();
     let key = |kind, name: &str| ResourceKey {
         kind,
         name: name.to_owned(),
@@ -289,13 +289,13 @@
 quickcheck! {
     /// Guards against dangling references after any sequence of accepted writes and deletions: each
     /// document of the set must remain valid.
-    fn accepted_sets_stay_sound(picks: Vec<(u8, u8, bool)>) -> TestResult {
-        let all: Vec<_> = sound_set().into_values().collect();
+    fn accepted_sets_stay_valid(operations: Vec<(u8, u8, bool)>) -> TestResult {
+        let all: Vec<_> = valid_set().into_values().collect();
         // A service and its version refer to each other, so the service is created first without one.
         let service = document("service", "notes", json!({"protocol": "model"}));
         let mut set = set_of(vec![service]);
-        for (pick, variant, delete) in picks {
-            let mut document = all[usize::from(pick) % all.len()].clone();
+        for (index, variant, delete) in operations {
+            let mut document = all[usize::from(index) % all.len()].clone();
             if variant % 4 == 0 {
                 document.name = format!("{}-{}", document.name, variant % 3);
             }
@@ -305,9 +305,9 @@
                 set.insert(document.key(), document);
             }
             for document in set.values() {
-                let faults = check_document(document, &set, NOW);
-                if !faults.is_empty() {
-                    return TestResult::error(format!("{}: {faults:?}", document.key()));
+                let errors = check_document(document, &set, NOW);
+                if !errors.is_empty() {
+                    return TestResult::error(format!("{}: {errors:?}", document.key()));
                 }
             }
         }
