--- a/crates/savorywood-protocol/src/api.rs
+++ b/crates/savorywood-protocol/src/api.rs
@@ -80,7 +80,7 @@
     /// Human-readable description of the error.
     #[serde(default)]
     pub detail: String,
-    /// Whether the change or request took effect; absent when the problem doesn't tell.
+    /// Whether the change or request took effect; absent in problems without it.
     #[serde(default)]
     pub outcome: Option<OutcomeKind>,
     /// Machine-readable reason, a [`crate::RefusalCode`] of this or a later release.
--- a/crates/savorywood-protocol/src/outcome.rs
+++ b/crates/savorywood-protocol/src/outcome.rs
@@ -70,7 +70,7 @@
     KeyUsed,
     /// The deadline can't be met, by the estimated queue wait.
     Overloaded,
-    /// The deadline passed while the request was queued.
+    /// The deadline passed while the request waited.
     DeadlineExceeded,
     /// The tier is less important than the lowest tier that is admitted now.
     TierShed,
--- a/crates/savorywood-protocol/src/peer/membership.rs
+++ b/crates/savorywood-protocol/src/peer/membership.rs
@@ -122,7 +122,7 @@
     Ping {
         /// Sequence number, repeated in the response.
         sequence: u64,
-        /// Newest configuration revision that the sender has learned of.
+        /// Newest configuration revision that the sender has observed.
         newest_revision: ConfigRevision,
         /// Digests of some parts of the sender's member table.
         digest: MemberTableDigest,
@@ -133,7 +133,7 @@
     Ack {
         /// Sequence number of the ping.
         sequence: u64,
-        /// Newest configuration revision that the sender has learned of.
+        /// Newest configuration revision that the sender has observed.
         newest_revision: ConfigRevision,
         /// Piggybacked member updates.
         updates: Vec<MemberUpdate>,
@@ -159,7 +159,7 @@
     /// Updates that can't wait for the next ping, such as a leaving member or a new configuration.
     #[serde(rename = "News")]
     Updates {
-        /// Newest configuration revision that the sender has learned of.
+        /// Newest configuration revision that the sender has observed.
         newest_revision: ConfigRevision,
         /// Member updates; empty when only the revision is new.
         updates: Vec<MemberUpdate>,
--- a/crates/savorywood-protocol/src/prefix.rs
+++ b/crates/savorywood-protocol/src/prefix.rs
@@ -16,17 +16,17 @@
     blocks
         .take(MAX_PREFIX_BLOCKS)
         .map(|block| {
-            previous = chain(previous, block);
+            previous = chain_hash(previous, block);
             previous
         })
         .collect()
 }
 
-fn chain(previous: u64, block: &[u8]) -> u64 {
+fn chain_hash(previous: u64, block: &[u8]) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&previous.to_le_bytes());
     hasher.update(block);
-    let mut name = [0; 8];
-    name.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
-    u64::from_le_bytes(name)
+    let mut hash = [0; 8];
+    hash.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
+    u64::from_le_bytes(hash)
 }
--- a/crates/savorywood-protocol/src/resource/document.rs
+++ b/crates/savorywood-protocol/src/resource/document.rs
@@ -29,11 +29,11 @@
     strum(serialize_all = "kebab-case")
 )]
 pub enum ResourceSpec {
-    /// A service that callers name.
+    /// A service that callers address.
     Service(ServiceSpec),
     /// A priority tier.
     Tier(TierSpec),
-    /// A team of callers, which shares a bearer token.
+    /// A team of callers, identified by a bearer token.
     Team(TeamSpec),
     /// A back end that runs one version of one service.
     Upstream(UpstreamSpec),
--- a/crates/savorywood-protocol/src/resource/team.rs
+++ b/crates/savorywood-protocol/src/resource/team.rs
@@ -1,4 +1,4 @@
-//! Teams of callers, which share a bearer token.
+//! Teams of callers, each identified by a bearer token.
 
 use crate::TierName;
 use serde::{Deserialize, Serialize};
--- a/crates/savorywood-protocol/src/resource/validate.rs
+++ b/crates/savorywood-protocol/src/resource/validate.rs
@@ -136,7 +136,7 @@
         errors.push(ValidationError::new(
             "spec.weights",
             "the key of the weights is empty; a key of the weight store is allowed, or none",
-            "write the key, or leave the member out",
+            "write the key, or omit the member",
         ));
     }
     // Resources that refer to a version rely on its service: an upstream would belong to another
--- a/crates/savorywood-protocol/src/resource/version.rs
+++ b/crates/savorywood-protocol/src/resource/version.rs
@@ -1,4 +1,4 @@
-//! Versions that upstreams of a service run.
+//! Versions of a service, one of which each upstream runs.
 
 use crate::ServiceName;
 use serde::{Deserialize, Serialize};
@@ -7,9 +7,10 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct VersionSpec {
-    /// Service that it is a version of.
+    /// Service that the version belongs to.
     pub service: ServiceName,
-    /// Key of its weights in the weight store, for engines that take orders.
+    /// Key of the version's weights in the weight store, for engines that accept orders; absent when
+    /// the weights aren't in the store.
     #[serde(default)]
     pub weights: Option<String>,
 }
