--- a/crates/savorywood-core/src/daemon.rs
+++ b/crates/savorywood-core/src/daemon.rs
@@ -35,9 +35,9 @@
 use savorywood_protocol::{
     CoreTime, HostIncarnation, HostName, MonotonicTime, RegionName, RequestId, ServiceName,
     TierRank, UpstreamName, ZoneName,
-    peer::{PeerMessage, membership::MemberPlace},
+    peer::{PeerMessage, membership::MemberLocation},
     resume_token::ResumeKey,
-    table::TableAnswer,
+    table::TableResponse,
 };
 use sharing::{DemandCount, HeldRequests};
 use std::{
@@ -71,8 +71,8 @@
 }
 
 impl CoreOptions {
-    fn place(&self) -> MemberPlace {
-        MemberPlace {
+    fn place(&self) -> MemberLocation {
+        MemberLocation {
             peer_address: self.peer_address,
             caller_address: self.caller_address,
             zone: self.zone.clone(),
@@ -204,7 +204,7 @@
             let DaemonEffect::Refuse { request, refusal } = effect else {
                 continue;
             };
-            if refusal.code.is_caller_fault() {
+            if refusal.code.is_caller_error() {
                 self.objectives.forget(*request);
             } else {
                 self.objectives
@@ -296,7 +296,7 @@
         now: CoreTime,
         duty: DutyKind,
         number: u64,
-        answer: TableAnswer,
+        answer: TableResponse,
         effects: &mut EffectQueue,
     ) {
         match duty {
--- a/crates/savorywood-core/src/membership/inbox.rs
+++ b/crates/savorywood-core/src/membership/inbox.rs
@@ -11,7 +11,7 @@
     HostName, MonotonicTime,
     peer::{
         MembershipMessage,
-        membership::{MemberUpdate, TableDigest},
+        membership::{MemberTableDigest, MemberUpdate},
     },
 };
 
@@ -26,7 +26,7 @@
 struct TablePart<'a> {
     members: &'a [MemberUpdate],
     /// Whether that daemon has read the whole table of others itself.
-    settled: bool,
+    synced: bool,
 }
 
 impl MembershipState {
@@ -55,14 +55,14 @@
                 newest_revision,
                 updates,
                 table,
-                settled,
+                synced,
             } => {
                 self.note_revision(newest_revision);
                 self.learn_all(now, from, &updates, NewsSource::Rumor, effects);
                 self.learn_all(now, from, &table, NewsSource::Table, effects);
                 let part = TablePart {
                     members: &table,
-                    settled,
+                    synced,
                 };
                 self.acked(now, from, sequence, part, effects);
             }
@@ -75,7 +75,7 @@
                 self.ping_for(now, from, sequence, target, effects);
             }
             MembershipMessage::Nack { sequence } => self.nacked(from, sequence),
-            MembershipMessage::News {
+            MembershipMessage::Updates {
                 newest_revision,
                 updates,
             } => {
@@ -90,12 +90,12 @@
         &mut self,
         from: &HostName,
         sequence: u64,
-        digest: &TableDigest,
+        digest: &MemberTableDigest,
         updates: &[MemberUpdate],
         effects: &mut EffectQueue,
     ) {
         // A sender that introduces itself may not know us either.
-        let introduced = |update: &MemberUpdate| update.host == *from && update.place.is_some();
+        let introduced = |update: &MemberUpdate| update.host == *from && update.location.is_some();
         let introduce = updates.iter().any(introduced);
         self.answer(from, sequence, digest, introduce, effects);
     }
@@ -136,7 +136,7 @@
         if self.pull.parts_read < TABLE_PARTS {
             // When a whole fleet starts at once, all read from one another. At full speed they
             // would use up their byte budgets and miss the probes that show they are alive.
-            if part.settled {
+            if part.synced {
                 self.pull(now, effects);
             }
         } else if !self.joined {
--- a/crates/savorywood-core/src/membership/table.rs
+++ b/crates/savorywood-core/src/membership/table.rs
@@ -6,7 +6,7 @@
 };
 use savorywood_protocol::{
     HostName, MonotonicTime,
-    peer::membership::{MemberPlace, MemberState, MemberUpdate, TableDigest},
+    peer::membership::{MemberLocation, MemberState, MemberTableDigest, MemberUpdate},
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,7 +19,7 @@
     /// Newest news of it.
     pub update: MemberUpdate,
     /// Where it stands.
-    pub place: MemberPlace,
+    pub place: MemberLocation,
     /// When its state last changed.
     pub since: MonotonicTime,
     /// Whether it has answered us, so that it knows where we stand.
@@ -143,11 +143,11 @@
     }
 
     fn add(&mut self, now: MonotonicTime, update: &MemberUpdate) -> MergeOutcome {
-        let Some(place) = update.place.clone() else {
+        let Some(place) = update.location.clone() else {
             return MergeOutcome::UnknownPlace;
         };
         let update = MemberUpdate {
-            place: None,
+            location: None,
             ..update.clone()
         };
         let host = update.host.clone();
@@ -225,18 +225,18 @@
     #[must_use]
     pub fn update_of(&self, host: &HostName, with_place: bool) -> Option<MemberUpdate> {
         let entry = self.entries.get(host)?;
-        let place = with_place.then(|| entry.place.clone());
+        let location = with_place.then(|| entry.place.clone());
         Some(MemberUpdate {
-            place,
+            location,
             ..entry.update.clone()
         })
     }
 
     /// Digests of `count` parts from `first` on.
     #[must_use]
-    pub fn digest(&self, first: u8, count: u8) -> TableDigest {
+    pub fn digest(&self, first: u8, count: u8) -> MemberTableDigest {
         let parts = (0..count).map(|offset| self.part_digest((first + offset) % TABLE_PARTS));
-        TableDigest {
+        MemberTableDigest {
             first,
             parts: parts.collect(),
         }
@@ -249,7 +249,7 @@
 
     /// Members in the parts where the sender's digest differs from ours.
     #[must_use]
-    pub fn differing(&self, digest: &TableDigest) -> Vec<HostName> {
+    pub fn differing(&self, digest: &MemberTableDigest) -> Vec<HostName> {
         let parts = (0..TABLE_PARTS).zip(&digest.parts);
         let differing: BTreeSet<u8> = parts
             .map(|(offset, theirs)| (digest.first.wrapping_add(offset) % TABLE_PARTS, *theirs))
--- a/crates/savorywood-protocol/src/resource.rs
+++ b/crates/savorywood-protocol/src/resource.rs
@@ -1,4 +1,4 @@
-//! Resources: what operators create, edit and watch.
+//! Resources: the declarative configuration that operators create, edit and watch.
 
 pub mod document;
 pub mod service;
@@ -17,5 +17,5 @@
 pub use tier::TierSpec;
 pub use traffic_move::{MoveState, MoveStep, TrafficMoveSpec};
 pub use upstream::{UpstreamExtension, UpstreamSpec};
-pub use validate::{ResourceFault, ResourceSet};
+pub use validate::{ResourceSet, ValidationError};
 pub use version::VersionSpec;
--- a/crates/savorywood-protocol/src/resource/validate.rs
+++ b/crates/savorywood-protocol/src/resource/validate.rs
@@ -1,7 +1,7 @@
-//! Checks of a resource against the others: what the shape alone can't show.
+//! Validation of resources beyond their JSON shape: value ranges, references and uniqueness.
 //!
-//! A check looks up the names that a resource gives and, where two resources may not share a
-//! value, walks the other resources of the same kind. Resources of other kinds cost nothing, so
+//! A check looks up the names that a resource refers to and, where a value has to be unique,
+//! iterates over the other resources of the same kind. Resources of other kinds cost nothing, so
 //! that a change of an upstream is as cheap with 24,000 teams as with five.
 
 mod deletion;
@@ -17,18 +17,18 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// One thing wrong with a resource.
+/// Validation error of a resource.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ResourceFault {
-    /// Where in the document, as member names and indices joined by dots: `spec.tiers.0`.
+pub struct ValidationError {
+    /// Path of the member in the document, as names and indices joined by dots: `spec.tiers.0`.
     pub path: String,
-    /// What is wrong, the allowed values named.
+    /// What is wrong, and which values are allowed.
     pub message: String,
-    /// What to do.
+    /// What to do to correct it.
     pub remedy: String,
 }
 
-impl ResourceFault {
+impl ValidationError {
     fn new(path: impl Into<String>, message: impl Into<String>, remedy: impl Into<String>) -> Self {
         Self {
             path: path.into(),
@@ -38,79 +38,81 @@
     }
 }
 
-/// Resources that a document is checked against.
+/// Resources by key, against which documents are validated.
 pub type ResourceSet = BTreeMap<ResourceKey, ResourceDocument>;
 
-/// Faults of writing `document` into `others`; empty when it may be accepted. `others` may hold
-/// the document's previous form.
+/// Returns the errors of writing `document` into `others`; empty when the write is valid. `others`
+/// may contain the previous version of the document.
 #[must_use]
 pub fn check_document(
     document: &ResourceDocument,
     others: &ResourceSet,
     now: WallTime,
-) -> Vec<ResourceFault> {
+) -> Vec<ValidationError> {
     check_with(&ResourceLookup::new(document, others), document, now)
 }
 
-/// One thing wrong with one resource of a set.
+/// Validation error of one resource of a set.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SetFault {
-    /// Which resource.
+pub struct SetValidationError {
+    /// Key of the resource.
     pub key: ResourceKey,
-    /// What is wrong with it.
-    pub fault: ResourceFault,
+    /// The validation error.
+    pub error: ValidationError,
 }
 
-/// Faults of all resources of a set that is to be written anew, in the order of their keys.
+/// Returns the errors of all resources of a set, in the order of their keys. The set is validated
+/// as if none of its resources existed before.
 #[must_use]
-pub fn check_set(set: &ResourceSet, now: WallTime) -> Vec<SetFault> {
+pub fn check_set(set: &ResourceSet, now: WallTime) -> Vec<SetValidationError> {
     let index = TokenIndex::new(set);
-    let mut faults = Vec::new();
+    let mut errors = Vec::new();
     for (key, document) in set {
-        let lookup = ResourceLookup::new(document, set).indexed(&index);
+        let lookup = ResourceLookup::new(document, set).with_index(&index);
         let found = check_with(&lookup, document, now).into_iter();
-        faults.extend(found.map(|fault| SetFault {
+        errors.extend(found.map(|error| SetValidationError {
             key: key.clone(),
-            fault,
+            error,
         }));
     }
-    faults
+    errors
 }
 
 fn check_with(
     lookup: &ResourceLookup<'_>,
     document: &ResourceDocument,
     now: WallTime,
-) -> Vec<ResourceFault> {
-    let mut faults = Vec::new();
+) -> Vec<ValidationError> {
+    let mut errors = Vec::new();
     if let Err(error) = name::check_name(&document.name) {
         let remedy = "rename the resource";
-        faults.push(ResourceFault::new("name", error.to_string(), remedy));
+        errors.push(ValidationError::new("name", error.to_string(), remedy));
     }
     match &document.spec {
-        ResourceSpec::Service(spec) => service::check(spec, lookup, &mut faults),
-        ResourceSpec::Tier(spec) => check_tier(spec, lookup, &mut faults),
-        ResourceSpec::Team(spec) => team::check(spec, lookup, &mut faults),
-        ResourceSpec::Upstream(spec) => upstream::check(spec, lookup, &mut faults),
-        ResourceSpec::Version(spec) => check_version(spec, lookup, &mut faults),
-        ResourceSpec::Move(spec) => traffic_move::check(spec, lookup, now, &mut faults),
+        ResourceSpec::Service(spec) => service::check(spec, lookup, &mut errors),
+        ResourceSpec::Tier(spec) => check_tier(spec, lookup, &mut errors),
+        ResourceSpec::Team(spec) => team::check(spec, lookup, &mut errors),
+        ResourceSpec::Upstream(spec) => upstream::check(spec, lookup, &mut errors),
+        ResourceSpec::Version(spec) => check_version(spec, lookup, &mut errors),
+        ResourceSpec::Move(spec) => traffic_move::check(spec, lookup, now, &mut errors),
     }
-    faults
+    errors
 }
 
-/// Faults of deleting the resource `key` from `others`, such as resources that still name it.
+/// Returns the errors of deleting the resource `key` from `others`, such as resources that still
+/// refer to it.
 #[must_use]
-pub fn check_deletion(key: &ResourceKey, others: &ResourceSet) -> Vec<ResourceFault> {
+pub fn check_deletion(key: &ResourceKey, others: &ResourceSet) -> Vec<ValidationError> {
     deletion::check(key, others)
 }
 
-/// Two tiers of one rank would leave open which of them is shed first.
-fn check_tier(spec: &TierSpec, lookup: &ResourceLookup<'_>, faults: &mut Vec<ResourceFault>) {
-    let twin = lookup.tiers().find(|(_, other)| other.rank == spec.rank);
-    if let Some((name, _)) = twin {
+/// Checks that the rank is unique: with two tiers of one rank, the order of shedding is undefined.
+fn check_tier(spec: &TierSpec, lookup: &ResourceLookup<'_>, errors: &mut Vec<ValidationError>) {
+    let duplicate = lookup.tiers().find(|(_, other)| other.rank == spec.rank);
+    if let Some((name, _)) = duplicate {
         let taken: Vec<_> = lookup.tiers().map(|(_, other)| other.rank.0).collect();
         let free = (0..=u8::MAX).find(|rank| !taken.contains(rank));
-        faults.push(ResourceFault::new(
+        errors.push(ValidationError::new(
             "spec.rank",
             format!(
                 "tier `{name}` has rank {} too; each rank is allowed once",
@@ -124,26 +126,30 @@
     }
 }
 
-fn check_version(spec: &VersionSpec, lookup: &ResourceLookup<'_>, faults: &mut Vec<ResourceFault>) {
-    lookup.check_service("spec.service", &spec.service, faults);
+fn check_version(
+    spec: &VersionSpec,
+    lookup: &ResourceLookup<'_>,
+    errors: &mut Vec<ValidationError>,
+) {
+    lookup.check_service("spec.service", &spec.service, errors);
     if spec.weights.as_deref() == Some("") {
-        faults.push(ResourceFault::new(
+        errors.push(ValidationError::new(
             "spec.weights",
             "the key of the weights is empty; a key of the weight store is allowed, or none",
-            "write the key, or leave the member out",
+            "write the key, or omit the member",
         ));
     }
-    // Whoever names a version relies on its service: an upstream would end up in a service that
-    // its version doesn't belong to, and get requests that it can't run.
-    let strangers = lookup.users_of_version_outside(&spec.service);
-    if !strangers.is_empty() {
-        faults.push(ResourceFault::new(
+    // Resources that refer to a version rely on its service: an upstream would belong to another
+    // service than its version, and get requests that it can't execute.
+    let outside_users = lookup.users_of_version_outside(&spec.service);
+    if !outside_users.is_empty() {
+        errors.push(ValidationError::new(
             "spec.service",
             format!(
-                "still named under its former service by {}",
-                lookup::listed(&strangers)
+                "still referred to under its previous service by {}",
+                lookup::join_names(&outside_users)
             ),
-            "make a version of another name for the other service",
+            "create a version with another name for the other service",
         ));
     }
 }
--- a/crates/savorywood-protocol/src/resource/validate/deletion.rs
+++ b/crates/savorywood-protocol/src/resource/validate/deletion.rs
@@ -1,11 +1,11 @@
-//! Checks of deletions.
+//! Validation of deletions.
 
-use super::{ResourceFault, ResourceSet, lookup};
+use super::{ResourceSet, ValidationError, lookup};
 use crate::resource::{ResourceDocument, ResourceKey, ResourceKind, ResourceSpec};
 
-/// Faults of deleting a resource: a name that leads nowhere would be refused in a new document,
-/// so a deletion may not make one.
-pub(super) fn check(key: &ResourceKey, others: &ResourceSet) -> Vec<ResourceFault> {
+/// Returns the errors of deleting a resource. New documents with dangling references are refused,
+/// so a deletion must not leave any either.
+pub(super) fn check(key: &ResourceKey, others: &ResourceSet) -> Vec<ValidationError> {
     let users = match key.kind {
         ResourceKind::Service => users_of_service(key, others),
         ResourceKind::Tier => users_of_tier(key, others),
@@ -15,12 +15,12 @@
     if users.is_empty() {
         return Vec::new();
     }
-    let fault = ResourceFault::new(
+    let error = ValidationError::new(
         "name",
-        format!("still named by {}", lookup::listed(&users)),
+        format!("still referred to by {}", lookup::join_names(&users)),
         "delete or change these first",
     );
-    vec![fault]
+    vec![error]
 }
 
 fn users_of_service(key: &ResourceKey, others: &ResourceSet) -> Vec<String> {
@@ -38,7 +38,7 @@
         ResourceSpec::Move(spec) => spec.service.as_str() == key.name,
         ResourceSpec::Service(_) | ResourceSpec::Tier(_) | ResourceSpec::Team(_) => false,
     });
-    users.map(shown_key).collect()
+    users.map(key_text).collect()
 }
 
 fn users_of_tier(key: &ResourceKey, others: &ResourceSet) -> Vec<String> {
@@ -47,7 +47,7 @@
         ResourceSpec::Team(spec) => spec.tiers.iter().any(|tier| tier.as_str() == key.name),
         _ => false,
     });
-    users.map(shown_key).collect()
+    users.map(key_text).collect()
 }
 
 fn users_of_version(key: &ResourceKey, others: &ResourceSet) -> Vec<String> {
@@ -58,6 +58,6 @@
     users.map(|(key, _)| key.to_string()).collect()
 }
 
-fn shown_key(document: &ResourceDocument) -> String {
+fn key_text(document: &ResourceDocument) -> String {
     document.key().to_string()
 }
--- a/crates/savorywood-protocol/src/resource/validate/lookup.rs
+++ b/crates/savorywood-protocol/src/resource/validate/lookup.rs
@@ -1,6 +1,6 @@
-//! Looking up resources by the names that others give.
+//! Look-ups of resources that other resources refer to.
 
-use super::{ResourceFault, ResourceSet};
+use super::{ResourceSet, ValidationError};
 use crate::{
     ServiceName, VersionName,
     resource::{
@@ -11,32 +11,35 @@
 use std::collections::BTreeMap;
 use strum::IntoEnumIterator;
 
-/// Names listed in a message at most.
-const LISTED_NAMES: usize = 6;
+/// Maximum number of names listed in an error message.
+const MAX_LISTED_NAMES: usize = 6;
 
-/// Who holds which token, for checks of a whole set: a walk over all teams for each team would
-/// take seconds with 24,000 of them.
+/// Teams by the digest of their token, for the validation of complete sets. Comparing each team
+/// with all others would take seconds with 24,000 teams.
 pub(super) struct TokenIndex<'a> {
-    holders: BTreeMap<String, Vec<&'a str>>,
+    teams_by_digest: BTreeMap<String, Vec<&'a str>>,
 }
 
 impl<'a> TokenIndex<'a> {
     pub(super) fn new(set: &'a ResourceSet) -> Self {
-        let mut holders: BTreeMap<String, Vec<&'a str>> = BTreeMap::new();
+        let mut teams_by_digest: BTreeMap<String, Vec<&'a str>> = BTreeMap::new();
         for document in of_kind(set, ResourceKind::Team) {
             if let ResourceSpec::Team(spec) = &document.spec {
                 let digest = spec.token_sha256.to_ascii_lowercase();
-                holders.entry(digest).or_default().push(&document.name);
+                teams_by_digest
+                    .entry(digest)
+                    .or_default()
+                    .push(&document.name);
             }
         }
-        Self { holders }
+        Self { teams_by_digest }
     }
 }
 
-/// The other resources as one document sees them: itself left out.
+/// The other resources of a set, from the view of one document, which is excluded.
 pub(super) struct ResourceLookup<'a> {
     document: &'a ResourceDocument,
-    own_key: ResourceKey,
+    document_key: ResourceKey,
     set: &'a ResourceSet,
     index: Option<&'a TokenIndex<'a>>,
 }
@@ -45,41 +48,45 @@
     pub(super) fn new(document: &'a ResourceDocument, set: &'a ResourceSet) -> Self {
         Self {
             document,
-            own_key: document.key(),
+            document_key: document.key(),
             set,
             index: None,
         }
     }
 
-    /// The same look-up with an index of the set, in which the document itself is what is checked
-    /// and not a former form of it.
-    pub(super) fn indexed(self, index: &'a TokenIndex<'a>) -> Self {
+    /// Adds an index of the set. The set then contains the checked document itself instead of a
+    /// previous version of it.
+    pub(super) fn with_index(self, index: &'a TokenIndex<'a>) -> Self {
         Self {
             index: Some(index),
             ..self
         }
     }
 
-    /// Name of the document that is checked.
-    pub(super) fn own_name(&self) -> &'a str {
+    /// Returns the name of the checked document.
+    pub(super) fn document_name(&self) -> &'a str {
         &self.document.name
     }
 
-    /// The document as it stands before the write.
-    pub(super) fn former(&self) -> Option<&'a ResourceDocument> {
+    /// Returns the version of the document before the write; `None` when it is new.
+    pub(super) fn previous(&self) -> Option<&'a ResourceDocument> {
         match self.index {
             Some(_) => None,
-            None => self.set.get(&self.own_key),
+            None => self.set.get(&self.document_key),
         }
     }
 
-    /// Another team that holds a token.
-    pub(super) fn holder_of(&self, token_sha256: &str) -> Option<&'a str> {
+    /// Returns another team whose token has this digest.
+    pub(super) fn other_team_with_token(&self, token_sha256: &str) -> Option<&'a str> {
         match self.index {
             Some(index) => {
-                let holders = index.holders.get(&token_sha256.to_ascii_lowercase())?;
-                let others = holders.iter().copied();
-                others.into_iter().find(|name| *name != self.own_name())
+                let teams = index
+                    .teams_by_digest
+                    .get(&token_sha256.to_ascii_lowercase())?;
+                let others = teams.iter().copied();
+                others
+                    .into_iter()
+                    .find(|name| *name != self.document_name())
             }
             None => self
                 .teams()
@@ -89,8 +96,10 @@
     }
 
     fn others(&self, kind: ResourceKind) -> impl Iterator<Item = &'a ResourceDocument> {
-        let own_name = (self.own_key.kind == kind).then_some(self.own_key.name.as_str());
-        of_kind(self.set, kind).filter(move |document| Some(document.name.as_str()) != own_name)
+        let document_name =
+            (self.document_key.kind == kind).then_some(self.document_key.name.as_str());
+        of_kind(self.set, kind)
+            .filter(move |document| Some(document.name.as_str()) != document_name)
     }
 
     pub(super) fn tiers(&self) -> impl Iterator<Item = (&'a str, &'a TierSpec)> {
@@ -139,21 +148,24 @@
         self.set.get(&ResourceKey { kind, name })
     }
 
-    /// Checks that a resource is there.
-    pub(super) fn check_named(
+    /// Checks that a resource exists, adds an error otherwise, and returns whether it exists.
+    pub(super) fn check_exists(
         &self,
         path: &str,
         kind: ResourceKind,
         name: &str,
-        faults: &mut Vec<ResourceFault>,
+        errors: &mut Vec<ValidationError>,
     ) -> bool {
         let found = self.get(kind, name).is_some();
         if !found {
-            let known: Vec<_> = of_kind(self.set, kind).map(|d| d.name.clone()).collect();
-            faults.push(ResourceFault::new(
+            let existing: Vec<_> = of_kind(self.set, kind).map(|d| d.name.clone()).collect();
+            errors.push(ValidationError::new(
                 path,
-                format!("there is no {kind} `{name}`; allowed: {}", listed(&known)),
-                format!("create the {kind} first, or name another"),
+                format!(
+                    "there is no {kind} `{name}`; allowed: {}",
+                    join_names(&existing)
+                ),
+                format!("create the {kind} first, or choose an existing one"),
             ));
         }
         found
@@ -163,55 +175,56 @@
         &self,
         path: &str,
         service: &ServiceName,
-        faults: &mut Vec<ResourceFault>,
+        errors: &mut Vec<ValidationError>,
     ) {
-        self.check_named(path, ResourceKind::Service, service.as_str(), faults);
+        self.check_exists(path, ResourceKind::Service, service.as_str(), errors);
     }
 
-    /// Checks that a version is there and is one of `service`.
+    /// Checks that a version exists and belongs to `service`.
     pub(super) fn check_version(
         &self,
         path: &str,
         version: &VersionName,
         service: &str,
-        faults: &mut Vec<ResourceFault>,
+        errors: &mut Vec<ValidationError>,
     ) {
         let kind = ResourceKind::Version;
-        if !self.check_named(path, kind, version.as_str(), faults) {
+        if !self.check_exists(path, kind, version.as_str(), errors) {
             return;
         }
         let Some(spec) = self.version(version) else {
             return;
         };
         if spec.service.as_str() != service {
-            let fitting: Vec<_> = of_kind(self.set, kind)
+            let candidates: Vec<_> = of_kind(self.set, kind)
                 .filter(|d| matches!(&d.spec, ResourceSpec::Version(v) if v.service.as_str() == service))
                 .map(|d| d.name.clone())
                 .collect();
-            faults.push(ResourceFault::new(
+            errors.push(ValidationError::new(
                 path,
                 format!(
-                    "version `{version}` is one of service `{}`, not of `{service}`; allowed: {}",
+                    "version `{version}` belongs to service `{}`, not `{service}`; allowed: {}",
                     spec.service,
-                    listed(&fitting)
+                    join_names(&candidates)
                 ),
-                format!("name a version of `{service}`"),
+                format!("choose a version of `{service}`"),
             ));
         }
     }
 
-    /// Resources that name the checked version under another service than this one.
+    /// Returns the resources that refer to the checked version under another service than `service`.
     pub(super) fn users_of_version_outside(&self, service: &ServiceName) -> Vec<String> {
-        let Ok(own_name) = self.own_name().parse() else {
+        let Ok(document_name) = self.document_name().parse() else {
             return Vec::new();
         };
-        let users = users_of_version(self.set, &own_name);
+        let users = users_of_version(self.set, &document_name);
         let outside = users.filter(|(_, used_in)| *used_in != service.as_str());
         outside.map(|(key, _)| key.to_string()).collect()
     }
 }
 
-/// All resources of a kind. The set is ordered by kind, so that others aren't walked.
+/// Returns all resources of a kind. The set is ordered by kind, so this doesn't iterate over the
+/// others.
 pub(super) fn of_kind(
     set: &ResourceSet,
     kind: ResourceKind,
@@ -227,7 +240,7 @@
         .map(|(_, document)| document)
 }
 
-/// Resources that name a version, with the service under which they do.
+/// Returns the resources that refer to a version, with the service under which they do.
 pub(super) fn users_of_version<'a>(
     set: &'a ResourceSet,
     version: &VersionName,
@@ -251,10 +264,10 @@
     })
 }
 
-/// Some of the names, and how many more there are.
-pub(super) fn listed(names: &[String]) -> String {
-    let shown = names.get(..LISTED_NAMES).unwrap_or(names).join(", ");
-    match names.len().saturating_sub(LISTED_NAMES) {
+/// Joins the first [`MAX_LISTED_NAMES`] names, followed by the number of further ones.
+pub(super) fn join_names(names: &[String]) -> String {
+    let shown = names.get(..MAX_LISTED_NAMES).unwrap_or(names).join(", ");
+    match names.len().saturating_sub(MAX_LISTED_NAMES) {
         0 if names.is_empty() => "none yet".to_owned(),
         0 => shown,
         more => format!("{shown} and {more} more"),
--- a/crates/savorywood-protocol/tests/fuzz_peer.rs
+++ b/crates/savorywood-protocol/tests/fuzz_peer.rs
@@ -1,4 +1,5 @@
-//! Messages between daemons with mistakes in them: never a panic, and never more than was sent.
+//! Fuzz tests: malformed messages and tokens cause no panic and are never decoded to more data than
+//! was received.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't be set up fails")]
 
@@ -11,9 +12,9 @@
         PeerDatagram, PeerMessage,
         credits::{TierDemand, UpstreamDemand, UpstreamGrant},
         datagram::MAX_DATAGRAM_BYTES,
-        membership::{MemberPlace, MemberState, MemberUpdate, TableDigest},
-        moves::{ArmEvidence, RouteEvidence},
-        snapshot::{SnapshotContent, SnapshotReply, SnapshotRequest, open_frame, seal_frame},
+        membership::{MemberLocation, MemberState, MemberTableDigest, MemberUpdate},
+        moves::{RouteStatistics, VersionStatistics},
+        snapshot::{SnapshotContent, SnapshotRequest, SnapshotResponse, open_frame, seal_frame},
     },
     resource::ResourceDocument,
     resume_token::{ResumeKey, ResumeToken},
@@ -22,11 +23,11 @@
 use serde::{Serialize, Serializer, de::DeserializeOwned, ser::SerializeTuple};
 use std::time::Duration;
 
-/// Inputs for each property where nothing else is asked for.
-const RUNS: u64 = 2_000;
+/// Number of inputs for each property.
+const INPUTS: u64 = 2_000;
 
-/// Bytes by which a frame's tag is longer than a datagram's.
-const TAG_SURPLUS_BYTES: usize = 16;
+/// Difference in size between the tags of a frame and of a datagram, in bytes.
+const TAG_SIZE_DIFFERENCE_BYTES: usize = 16;
 
 const RESOURCES: &str = r#"[
     {"kind": "tier", "name": "storm", "spec": {"rank": 0}},
@@ -35,7 +36,7 @@
         "service": "notes", "version": "v1", "zone": "zone-a", "seats": 16}}
 ]"#;
 
-/// Bytes that are encoded as they are, to seal what no message would be encoded as.
+/// Bytes that are encoded unchanged, to seal content that no message encodes to.
 struct RawBytes<'a>(&'a [u8]);
 
 impl Serialize for RawBytes<'_> {
@@ -60,15 +61,15 @@
     seal_frame(&RawBytes(content), &host("entry-2"), &key()).unwrap()
 }
 
-/// A datagram of a daemon that has the key: its tag is a frame's, cut.
+/// Seals content as a datagram with a valid tag, which is the truncated tag of a frame.
 fn sealed_datagram(content: &[u8]) -> Vec<u8> {
     let mut bytes = sealed_frame(content);
-    bytes.truncate(bytes.len() - TAG_SURPLUS_BYTES);
+    bytes.truncate(bytes.len() - TAG_SIZE_DIFFERENCE_BYTES);
     bytes
 }
 
 fn updates() -> Vec<MemberUpdate> {
-    let place = MemberPlace {
+    let location = MemberLocation {
         peer_address: "10.12.13.14:7000".parse().unwrap(),
         caller_address: "[2001:db8::1]:8080".parse().unwrap(),
         zone: "north-1a".parse().unwrap(),
@@ -80,10 +81,10 @@
         refutation: 3,
         state: MemberState::Leaving,
         config_revision: ConfigRevision(70_000),
-        place: None,
+        location: None,
     };
     let placed = MemberUpdate {
-        place: Some(place),
+        location: Some(location),
         ..update.clone()
     };
     vec![update, placed]
@@ -95,7 +96,7 @@
         MembershipMessage::Ping {
             sequence: 9,
             newest_revision,
-            digest: TableDigest {
+            digest: MemberTableDigest {
                 first: 2,
                 parts: vec![1, 70_000, u32::MAX],
             },
@@ -106,7 +107,7 @@
             newest_revision,
             updates: updates(),
             table: updates(),
-            settled: true,
+            synced: true,
         },
         MembershipMessage::PingRequest {
             sequence: 9,
@@ -114,7 +115,7 @@
             updates: updates(),
         },
         MembershipMessage::Nack { sequence: 9 },
-        MembershipMessage::News {
+        MembershipMessage::Updates {
             newest_revision,
             updates: updates(),
         },
@@ -124,7 +125,7 @@
 fn credit_messages() -> Vec<CreditMessage> {
     let demand = |rank| TierDemand {
         rank: TierRank(rank),
-        seats: 300,
+        slots: 300,
     };
     let upstream: UpstreamName = "engine-1".parse().unwrap();
     vec![
@@ -140,11 +141,11 @@
         },
         CreditMessage::Grant {
             sequence: 300,
-            answers: 299,
+            demand_sequence: 299,
             term_ms: 1_500,
             grants: vec![UpstreamGrant {
                 upstream: upstream.clone(),
-                seats: 8,
+                slots: 8,
                 floor: TierRank(2),
                 contended: true,
             }],
@@ -158,17 +159,17 @@
 fn move_messages() -> Vec<MoveMessage> {
     let name: MoveName = "notes-to-v2".parse().unwrap();
     let revision = ConfigRevision(12);
-    let arm = ArmEvidence {
+    let statistics = VersionStatistics {
         finished: 300,
         failed: 2,
         timed: 290,
         log_sum: 2_900.5,
         log_square: 29_000.25,
     };
-    let route = RouteEvidence {
+    let route = RouteStatistics {
         route: "/v1/completions".to_owned(),
-        old: arm,
-        new: ArmEvidence::default(),
+        old: statistics,
+        new: VersionStatistics::default(),
     };
     vec![
         MoveMessage::Stop {
@@ -177,7 +178,7 @@
             reason: "errors on /v1/completions".to_owned(),
             at: WallTime(1_780_000_000_000),
         },
-        MoveMessage::Evidence {
+        MoveMessage::Statistics {
             name,
             revision,
             sequence: 9,
@@ -205,38 +206,38 @@
     messages.into_iter().map(datagram).collect()
 }
 
-/// What was decoded can't be larger than what was sent: otherwise a few bytes could make a daemon
-/// hold many.
-fn within_sent<T: Serialize>(decoded: &T, content: &[u8]) -> TestResult {
+/// Checks that the decoded value isn't larger than the input, so that a small message can't make a
+/// daemon allocate much memory.
+fn not_larger_than_input<T: Serialize>(decoded: &T, content: &[u8]) -> TestResult {
     let encoded = postcard::to_stdvec(decoded).unwrap();
     TestResult::from_bool(encoded.len() <= content.len())
 }
 
-/// A daemon of another version, or one with a fault in its memory, has the key and sends what
-/// this one can't read. Were that a panic, one bad daemon would end all others.
+/// Guards against panics on authenticated but malformed datagrams, from a daemon of another version
+/// or with corrupt memory: one such daemon could stop all others.
 #[test]
-fn datagrams_of_a_faulty_daemon_do_no_harm() {
-    fn opens(which: usize, mutation: InputMutation) -> TestResult {
+fn malformed_datagrams_cause_no_panic() {
+    fn opens(index: usize, mutation: InputMutation) -> TestResult {
         let datagrams = datagrams();
-        let valid = postcard::to_stdvec(&datagrams[which % datagrams.len()]).unwrap();
+        let valid = postcard::to_stdvec(&datagrams[index % datagrams.len()]).unwrap();
         let content = mutation.apply(&valid);
         let opened = PeerDatagram::open(&sealed_datagram(&content), &host("entry-2"), &key());
         match opened {
-            Ok(datagram) => within_sent(&datagram, &content),
+            Ok(datagram) => not_larger_than_input(&datagram, &content),
             Err(DatagramError::Undecodable { reason }) => TestResult::from_bool(!reason.is_empty()),
             Err(error) => TestResult::error(error.to_string()),
         }
     }
-    fuzz(1, RUNS, opens as fn(usize, InputMutation) -> TestResult);
+    fuzz(1, INPUTS, opens as fn(usize, InputMutation) -> TestResult);
 }
 
-/// Somebody without the key changes datagrams on their way. Each changed one must be dropped, and
-/// the sequence number, sender and message of none be believed.
+/// Guards against accepting datagrams that were changed in transit by an attacker without the key:
+/// neither sender, sequence number nor message may be trusted.
 #[test]
 fn changed_datagrams_are_dropped() {
-    fn is_dropped(which: usize, mutation: InputMutation) -> TestResult {
+    fn is_dropped(index: usize, mutation: InputMutation) -> TestResult {
         let datagrams = datagrams();
-        let datagram = &datagrams[which % datagrams.len()];
+        let datagram = &datagrams[index % datagrams.len()];
         let sealed = datagram.seal(&host("entry-2"), &key()).unwrap();
         let changed = mutation.apply(&sealed);
         if sealed.len() > MAX_DATAGRAM_BYTES {
@@ -250,7 +251,7 @@
     }
     fuzz(
         2,
-        RUNS,
+        INPUTS,
         is_dropped as fn(usize, InputMutation) -> TestResult,
     );
 }
@@ -258,16 +259,16 @@
 fn frame_opens<T: Serialize + DeserializeOwned>(valid: &T, mutation: &InputMutation) -> TestResult {
     let content = mutation.apply(&postcard::to_stdvec(valid).unwrap());
     match open_frame::<T>(&sealed_frame(&content), &host("entry-2"), &key()) {
-        Ok(frame) => within_sent(&frame, &content),
+        Ok(frame) => not_larger_than_input(&frame, &content),
         Err(error) => TestResult::from_bool(!error.to_string().is_empty()),
     }
 }
 
-/// A peer sends a configuration that can't be read: the daemon must go on with the one that it
-/// has.
+/// Guards against panics on a malformed configuration from a peer: the daemon must continue with
+/// its current one.
 #[test]
-fn snapshot_frames_of_a_faulty_daemon_do_no_harm() {
-    fn opens(asks: bool, mutation: InputMutation) -> TestResult {
+fn malformed_snapshot_frames_cause_no_panic() {
+    fn opens(is_request: bool, mutation: InputMutation) -> TestResult {
         let nonce = u128::MAX / 3;
         let request = SnapshotRequest {
             from: host("entry-1"),
@@ -278,22 +279,23 @@
             table_revision: 80_000,
             documents: RESOURCES.to_owned(),
         };
-        let reply = SnapshotReply {
+        let reply = SnapshotResponse {
             nonce,
             content: Some(content),
         };
-        if asks {
+        if is_request {
             frame_opens(&request, &mutation)
         } else {
             frame_opens(&reply, &mutation)
         }
     }
-    fuzz(3, RUNS, opens as fn(bool, InputMutation) -> TestResult);
+    fuzz(3, INPUTS, opens as fn(bool, InputMutation) -> TestResult);
 }
 
-/// The resources inside a snapshot are text of their own, read after the frame was.
+/// Guards against panics on malformed resources in a snapshot. They are JSON text, parsed after the
+/// frame was decoded.
 #[test]
-fn resources_of_a_snapshot_do_no_harm() {
+fn malformed_snapshot_resources_cause_no_panic() {
     fn reads(mutation: InputMutation) -> TestResult {
         let text = mutation.apply(RESOURCES.as_bytes());
         match serde_json::from_slice::<Vec<ResourceDocument>>(&text) {
@@ -304,11 +306,11 @@
             }
         }
     }
-    fuzz(4, RUNS, reads as fn(InputMutation) -> TestResult);
+    fuzz(4, INPUTS, reads as fn(InputMutation) -> TestResult);
 }
 
-/// A caller changes the resume token that it was given, to read another team's stream or one at
-/// another upstream. No changed token may be believed.
+/// Guards against accepting a resume token that a caller changed, to read the stream of another
+/// team or at another upstream.
 #[test]
 fn changed_resume_tokens_are_refused() {
     fn is_refused(mutation: InputMutation) -> TestResult {
@@ -331,5 +333,5 @@
         let verified = ResumeToken::verify(&changed, &key, &token.team, now, max_age);
         TestResult::from_bool(verified.is_err() || changed == signed)
     }
-    fuzz(5, RUNS, is_refused as fn(InputMutation) -> TestResult);
+    fuzz(5, INPUTS, is_refused as fn(InputMutation) -> TestResult);
 }
--- a/crates/savorywood-protocol/tests/peer_datagram.rs
+++ b/crates/savorywood-protocol/tests/peer_datagram.rs
@@ -5,8 +5,8 @@
     ConfigRevision, HostIncarnation, HostName,
     peer::{
         DatagramError, DatagramKey, MembershipMessage, PeerDatagram, PeerMessage,
-        datagram::{ReplayGuard, ReplayVerdict, ReplayWindow},
-        membership::{MemberPlace, MemberState, MemberUpdate},
+        datagram::{ReplayDecision, ReplayGuard, ReplayWindow},
+        membership::{MemberLocation, MemberState, MemberUpdate},
     },
 };
 use std::collections::BTreeSet;
@@ -15,8 +15,8 @@
     HostName::new(name).expect("a name")
 }
 
-fn update(with_place: bool) -> MemberUpdate {
-    let place = MemberPlace {
+fn update(with_location: bool) -> MemberUpdate {
+    let location = MemberLocation {
         peer_address: "10.12.13.14:7000".parse().expect("an address"),
         caller_address: "10.12.13.14:8080".parse().expect("an address"),
         zone: "north-1a".parse().expect("a name"),
@@ -28,12 +28,12 @@
         refutation: 3,
         state: MemberState::Alive,
         config_revision: ConfigRevision(70_000),
-        place: with_place.then_some(place),
+        location: with_location.then_some(location),
     }
 }
 
 fn datagram() -> PeerDatagram {
-    let message = MembershipMessage::News {
+    let message = MembershipMessage::Updates {
         newest_revision: ConfigRevision(70_000),
         updates: vec![update(true)],
     };
@@ -53,37 +53,49 @@
     assert_eq!(opened, Ok(datagram()));
 }
 
-/// Somebody on the network copies a datagram and plays it to a third daemon, or changes a bit of
-/// it. Were it read there, a grant of seats would be used by two daemons.
+/// Guards against accepting a captured datagram at another receiver, or with a flipped bit: two
+/// daemons could then use one grant of slots.
 #[test]
-fn a_datagram_for_another_or_changed_is_dropped() {
+fn datagrams_for_another_receiver_or_changed_are_dropped() {
     let key = DatagramKey::derive(b"secret");
     let sealed = datagram().seal(&host("entry-2"), &key).expect("sealed");
     let elsewhere = PeerDatagram::open(&sealed, &host("entry-3"), &key);
     assert_eq!(elsewhere, Err(DatagramError::BadTag));
-    for place in 0..sealed.len() {
+    for position in 0..sealed.len() {
         let mut changed = sealed.clone();
-        changed[place] ^= 1;
+        changed[position] ^= 1;
         let opened = PeerDatagram::open(&changed, &host("entry-2"), &key);
         assert_eq!(opened, Err(DatagramError::BadTag));
     }
 }
 
-/// A datagram that was copied off the wire is sent again later, when the sender has been
-/// restarted or not. One would notice it as seats that nobody uses or a member that flaps.
+/// Guards against accepting a captured datagram a second time, before or after a restart of the
+/// sender. It would leave slots unused or make a member flap.
 #[test]
 fn a_replayed_datagram_is_dropped() {
     let mut guard = ReplayGuard::default();
     let from = host("entry-1");
     let old = HostIncarnation(1);
     let new = HostIncarnation(2);
-    assert_eq!(guard.judge(&from, old, 5), ReplayVerdict::Fresh);
-    assert_eq!(guard.judge(&from, old, 5), ReplayVerdict::Replayed);
-    assert_eq!(guard.judge(&from, old, 4), ReplayVerdict::Fresh);
-    assert_eq!(guard.judge(&from, new, 1), ReplayVerdict::Fresh);
-    assert_eq!(guard.judge(&from, old, 6), ReplayVerdict::OldIncarnation);
-    assert_eq!(guard.judge(&from, new, 500), ReplayVerdict::Fresh);
-    assert_eq!(guard.judge(&from, new, 1), ReplayVerdict::Replayed);
+    assert_eq!(guard.check_and_record(&from, old, 5), ReplayDecision::Fresh);
+    assert_eq!(
+        guard.check_and_record(&from, old, 5),
+        ReplayDecision::Replayed
+    );
+    assert_eq!(guard.check_and_record(&from, old, 4), ReplayDecision::Fresh);
+    assert_eq!(guard.check_and_record(&from, new, 1), ReplayDecision::Fresh);
+    assert_eq!(
+        guard.check_and_record(&from, old, 6),
+        ReplayDecision::OldIncarnation
+    );
+    assert_eq!(
+        guard.check_and_record(&from, new, 500),
+        ReplayDecision::Fresh
+    );
+    assert_eq!(
+        guard.check_and_record(&from, new, 1),
+        ReplayDecision::Replayed
+    );
 }
 
 #[test]
@@ -94,7 +106,7 @@
 }
 
 quickcheck! {
-    fn the_window_takes_each_number_at_most_once(sequences: Vec<u16>) -> bool {
+    fn replay_window_accepts_each_number_at_most_once(sequences: Vec<u16>) -> bool {
         let mut window = ReplayWindow::default();
         let mut seen = BTreeSet::new();
         sequences.into_iter().all(|sequence| {
@@ -103,20 +115,20 @@
         })
     }
 
-    fn the_bound_of_an_update_holds(incarnation: u64, refutation: u32, revision: u64) -> bool {
-        [true, false].into_iter().all(|with_place| {
+    fn encoded_update_is_within_max_wire_bytes(incarnation: u64, refutation: u32, revision: u64) -> bool {
+        [true, false].into_iter().all(|with_location| {
             let update = MemberUpdate {
                 incarnation: HostIncarnation(incarnation),
                 refutation,
                 config_revision: ConfigRevision(revision),
-                ..update(with_place)
+                ..update(with_location)
             };
             let bytes = postcard::to_stdvec(&update).expect("encoded").len();
             bytes <= update.max_wire_bytes()
         })
     }
 
-    fn any_bytes_are_refused_without_harm(bytes: Vec<u8>) -> bool {
+    fn arbitrary_bytes_are_refused(bytes: Vec<u8>) -> bool {
         let key = DatagramKey::derive(b"secret");
         PeerDatagram::open(&bytes, &host("entry-2"), &key).is_err()
     }
