--- a/crates/savorywood-core/examples/membership_figures.rs
+++ b/crates/savorywood-core/examples/membership_figures.rs
@@ -283,10 +283,10 @@
     fleet.run(Duration::from_secs(3), |fleet| arrive(fleet, rush, flood));
     fleet.run(Duration::from_secs(7), |fleet| arrive(fleet, rush, steady));
     let before: Vec<_> = fleet.daemons.values().map(|d| d.sent_bytes).collect();
-    fleet.inversions.clear();
+    fleet.priority_inversions.clear();
     let time = Duration::from_secs(10);
     let (spent, steps) = (fleet.spent, fleet.steps);
-    let alone = fleet.total(0).shed_alone;
+    let alone = fleet.total(0).shed_locally;
     fleet.run(time, |fleet| arrive(fleet, rush, steady));
     let spent = fleet.spent - spent;
     let steps = fleet.steps - steps;
@@ -308,11 +308,11 @@
     println!("  lowest tier {:?}", fleet.total(3));
     println!(
         "  of these, highest tier shed alone in the measured time: {}",
-        fleet.total(0).shed_alone - alone
+        fleet.total(0).shed_locally - alone
     );
     println!(
         "  sheds while lower work waited in the zone: {}",
-        fleet.inversions.len()
+        fleet.priority_inversions.len()
     );
 }
 
--- a/crates/savorywood-core/tests/credit/daemon.rs
+++ b/crates/savorywood-core/tests/credit/daemon.rs
@@ -13,9 +13,9 @@
     pub arrived: u64,
     pub done: u64,
     pub shed: u64,
-    pub shed_alone: u64,
-    pub floored: u64,
-    pub late: u64,
+    pub shed_locally: u64,
+    pub below_floor: u64,
+    pub expired: u64,
 }
 
 #[derive(Debug)]
--- a/crates/savorywood-core/tests/credit/fleet.rs
+++ b/crates/savorywood-core/tests/credit/fleet.rs
@@ -39,7 +39,7 @@
 const SHED_AHEAD: Duration = Duration::from_secs(3);
 
 #[derive(Debug, Clone)]
-struct CreditFlight {
+struct InFlightMessage {
     at: MonotonicTime,
     from: HostName,
     to: HostName,
@@ -61,13 +61,13 @@
     pub daemons: BTreeMap<HostName, FakeDaemon>,
     pub faults: FleetFaults,
     pub limit: u32,
-    pub peak: BTreeMap<UpstreamName, u32>,
+    pub peak_in_use: BTreeMap<UpstreamName, u32>,
     /// Sheds of a tier while a lower one waited at some daemon.
-    pub inversions: Vec<String>,
+    pub priority_inversions: Vec<String>,
     /// Processor time that the credit duties took, and in how many steps.
     pub spent: Duration,
     pub steps: u64,
-    flights: Vec<CreditFlight>,
+    in_flight: Vec<InFlightMessage>,
     near: BTreeMap<ZoneName, Vec<UpstreamName>>,
     rng: ChaCha8Rng,
 }
@@ -94,11 +94,11 @@
             daemons: BTreeMap::new(),
             faults: FleetFaults::default(),
             limit,
-            peak: BTreeMap::new(),
-            inversions: Vec::new(),
+            peak_in_use: BTreeMap::new(),
+            priority_inversions: Vec::new(),
             spent: Duration::ZERO,
             steps: 0,
-            flights: Vec::new(),
+            in_flight: Vec::new(),
             near: BTreeMap::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
         };
@@ -139,7 +139,7 @@
         let floors = daemon.credits.floors();
         let floor = floors.get(&service()).copied().unwrap_or(NO_FLOOR);
         if rank > floor {
-            daemon.tallies.entry(rank).or_default().floored += 1;
+            daemon.tallies.entry(rank).or_default().below_floor += 1;
             return;
         }
         let deadline = self.now.monotonic + PATIENCE;
@@ -172,7 +172,7 @@
             for host in &hosts {
                 self.shed(host);
             }
-            self.note_peak();
+            self.record_peak();
         }
     }
 
@@ -182,14 +182,14 @@
 
     fn deliver(&mut self) {
         let now = self.now.monotonic;
-        let flights = std::mem::take(&mut self.flights);
-        let (mut due, kept): (Vec<_>, Vec<_>) = flights.into_iter().partition(|f| f.at <= now);
-        self.flights = kept;
-        due.sort_by_key(|flight| flight.at);
-        for flight in due {
-            let CreditFlight {
+        let in_flight = std::mem::take(&mut self.in_flight);
+        let (mut due, later): (Vec<_>, Vec<_>) = in_flight.into_iter().partition(|f| f.at <= now);
+        self.in_flight = later;
+        due.sort_by_key(|delivery| delivery.at);
+        for delivery in due {
+            let InFlightMessage {
                 from, to, message, ..
-            } = flight;
+            } = delivery;
             self.event(&to, CreditEvent::Peer { from, message });
         }
     }
@@ -233,7 +233,7 @@
             if *rank > floor {
                 let count = queue.len() as u64;
                 queue.clear();
-                daemon.tallies.entry(*rank).or_default().floored += count;
+                daemon.tallies.entry(*rank).or_default().below_floor += count;
             }
         }
     }
@@ -283,20 +283,26 @@
                 if advice == ShedAdvice::Wait && !late {
                     break;
                 }
-                self.note_inversion(host, rank, advice, late);
+                self.record_priority_inversion(host, rank, advice, late);
                 let daemon = self.daemons.get_mut(host).expect("a daemon");
                 daemon.queues.get_mut(&rank).expect("a queue").pop_front();
                 let tally = daemon.tallies.entry(rank).or_default();
                 match advice {
                     ShedAdvice::Shed => tally.shed += 1,
-                    ShedAdvice::Alone => tally.shed_alone += 1,
-                    ShedAdvice::Wait => tally.late += 1,
+                    ShedAdvice::Alone => tally.shed_locally += 1,
+                    ShedAdvice::Wait => tally.expired += 1,
                 }
             }
         }
     }
 
-    fn note_inversion(&mut self, host: &HostName, rank: TierRank, advice: ShedAdvice, late: bool) {
+    fn record_priority_inversion(
+        &mut self,
+        host: &HostName,
+        rank: TierRank,
+        advice: ShedAdvice,
+        late: bool,
+    ) {
         for (other, daemon) in &self.daemons {
             let mut queues = daemon.queues.iter();
             let shares = self.members.members[other].zone == self.members.members[host].zone;
@@ -305,7 +311,7 @@
                 let text = format!(
                     "{at} ms: {host} shed {rank} ({advice:?}, late={late}) while {other} had lower"
                 );
-                self.inversions.push(text);
+                self.priority_inversions.push(text);
             }
         }
     }
@@ -375,7 +381,7 @@
                 continue;
             }
             let delay = 2 + self.rng.random_range(0..=self.faults.jitter_ms);
-            self.flights.push(CreditFlight {
+            self.in_flight.push(InFlightMessage {
                 at: self.now.monotonic + Duration::from_millis(delay),
                 from: from.clone(),
                 to: to.clone(),
@@ -419,10 +425,10 @@
         demands
     }
 
-    fn note_peak(&mut self) {
+    fn record_peak(&mut self) {
         for name in self.config.upstreams.keys() {
             let used: u32 = self.daemons.values().map(|d| d.in_use(name)).sum();
-            let peak = self.peak.entry(name.clone()).or_default();
+            let peak = self.peak_in_use.entry(name.clone()).or_default();
             *peak = used.max(*peak);
         }
     }
@@ -447,9 +453,9 @@
             arrived: sum.arrived + one.arrived,
             done: sum.done + one.done,
             shed: sum.shed + one.shed,
-            shed_alone: sum.shed_alone + one.shed_alone,
-            floored: sum.floored + one.floored,
-            late: sum.late + one.late,
+            shed_locally: sum.shed_locally + one.shed_locally,
+            below_floor: sum.below_floor + one.below_floor,
+            expired: sum.expired + one.expired,
         })
     }
 
--- a/crates/savorywood-core/tests/credit_uneven.rs
+++ b/crates/savorywood-core/tests/credit_uneven.rs
@@ -32,11 +32,11 @@
             fleet.arrive(&host_name(1), LOW);
         }
     });
-    assert_eq!(fleet.inversions, Vec::<String>::new());
+    assert_eq!(fleet.priority_inversions, Vec::<String>::new());
     let (top, low) = (fleet.tally(&top, 0), fleet.tally(&low, 3));
     assert!(top.done >= 360, "{top:?} of 400 that the upstream can do");
-    assert_eq!(top.shed_alone + top.late, 0, "{top:?}");
-    assert!(top.shed > 0 && low.floored > 0, "{top:?} {low:?}");
+    assert_eq!(top.shed_locally + top.expired, 0, "{top:?}");
+    assert!(top.shed > 0 && low.below_floor > 0, "{top:?} {low:?}");
 }
 
 /// The highest tier alone fits the upstream. None of it may be shed because the lowest tier is
@@ -54,7 +54,7 @@
     });
     let top = fleet.tally(&host_name(0), 0);
     assert_eq!(
-        top.shed + top.shed_alone + top.late + top.floored,
+        top.shed + top.shed_locally + top.expired + top.below_floor,
         0,
         "{top:?}"
     );
@@ -74,7 +74,7 @@
             }
         }
     });
-    assert_eq!(fleet.inversions, Vec::<String>::new());
+    assert_eq!(fleet.priority_inversions, Vec::<String>::new());
     let lost: Vec<_> = (0..4)
         .map(|rank| {
             let tally = fleet.total(rank);
@@ -142,7 +142,7 @@
         let mut fleet = CreditFleet::new(6, 4, 1, 1, 5);
         fleet.run(Duration::from_secs(4), rush);
         fleet.kill(&host_name(victim));
-        fleet.peak.clear();
+        fleet.peak_in_use.clear();
         let before = fleet.total(0).done;
         fleet.run(Duration::from_secs(7), rush);
         let meanwhile = fleet.total(0).done - before;
@@ -156,7 +156,12 @@
         fleet.run(Duration::from_secs(5), rush);
         let after = fleet.total(0).done - before;
         assert!(after > 85, "victim {victim}: {after} of 100 jobs were done");
-        let peak = fleet.peak.values().max().copied().unwrap_or_default();
+        let peak = fleet
+            .peak_in_use
+            .values()
+            .max()
+            .copied()
+            .unwrap_or_default();
         assert!(peak <= 12, "victim {victim}: {peak} at once on 8 seats");
     }
 }
@@ -206,7 +211,12 @@
         });
         let top = fleet.tally(&host_name(0), 0);
         let low = fleet.tally(&host_name(1), 3);
-        let peak = fleet.peak.values().max().copied().unwrap_or_default();
+        let peak = fleet
+            .peak_in_use
+            .values()
+            .max()
+            .copied()
+            .unwrap_or_default();
         peak <= 16 && top.done > 120 && top.done > 2 * low.done
     }
     let rounds = std::env::var("SAVORYWOOD_ROUNDS").ok();
