--- a/crates/savorywood-core/examples/membership_figures.rs
+++ b/crates/savorywood-core/examples/membership_figures.rs
@@ -91,9 +91,9 @@
 fn measure_steady(network: &mut FakeNetwork) {
     let steps = network.steps;
     let time = Duration::from_secs(60);
-    let began = Instant::now();
+    let started = Instant::now();
     let rates = rates_over(network, time, |network| network.run(time));
-    let spent = began.elapsed();
+    let spent = started.elapsed();
     let steps = network.steps - steps;
     let hosts = network.hosts.len() as f64;
     let core = spent.as_secs_f64() / (hosts * time.as_secs_f64());
@@ -166,13 +166,13 @@
     for _ in 0..REPEATS {
         let host = network.random_host();
         match state {
-            MemberState::Dead => network.kill(&host),
+            MemberState::Dead => network.crash(&host),
             _ => network.step(&host, MembershipEvent::Leave),
         }
         let limit = Duration::from_secs(60);
         let took = network.run_until(limit, |net| all_know(net, &host, state));
         times.push(took.unwrap_or(limit));
-        network.kill(&host);
+        network.crash(&host);
         network.run(Duration::from_secs(15));
         restart(network, &host, size);
     }
@@ -213,7 +213,7 @@
     let zone = network::place_of(0, size.regions, size.zones).zone;
     let lost = network.hosts_where(|place| place.zone == zone);
     for host in &lost {
-        network.kill(host);
+        network.crash(host);
     }
     let time = Duration::from_secs(60);
     let mut took = None;
@@ -285,10 +285,10 @@
     let before: Vec<_> = fleet.daemons.values().map(|d| d.sent_bytes).collect();
     fleet.priority_inversions.clear();
     let time = Duration::from_secs(10);
-    let (spent, steps) = (fleet.spent, fleet.steps);
+    let (spent, steps) = (fleet.step_time, fleet.steps);
     let alone = fleet.total(0).shed_locally;
     fleet.run(time, |fleet| arrive(fleet, rush, steady));
-    let spent = fleet.spent - spent;
+    let spent = fleet.step_time - spent;
     let steps = fleet.steps - steps;
     let after = fleet.daemons.values().map(|d| d.sent_bytes);
     let sent = before.iter().zip(after);
@@ -321,13 +321,13 @@
     let expected = jobs_per_second * credit::STEP.as_secs_f64();
     for number in 0..rush.daemons {
         let mut jobs = expected.trunc() as u64;
-        jobs += u64::from(fleet.chance(expected.fract()));
+        jobs += u64::from(fleet.random_chance(expected.fract()));
         let rank = match (number / rush.zones) % 2 {
             0 => TierRank(0),
             _ => TierRank(3),
         };
         for _ in 0..jobs {
-            fleet.arrive(&credit::host_name(number), rank);
+            fleet.submit_job(&credit::host_name(number), rank);
         }
     }
 }
--- a/crates/savorywood-core/tests/credit/fleet.rs
+++ b/crates/savorywood-core/tests/credit/fleet.rs
@@ -30,13 +30,13 @@
 pub const STEP: Duration = Duration::from_millis(5);
 
 /// Time that a job takes.
-const JOB_TIME: Duration = Duration::from_millis(400);
+const JOB_DURATION: Duration = Duration::from_millis(400);
 
 /// Time that a job may wait.
-const PATIENCE: Duration = Duration::from_secs(5);
+const MAX_QUEUE_TIME: Duration = Duration::from_secs(5);
 
 /// Time before a job's end of patience at which the daemon wants to shed it.
-const SHED_AHEAD: Duration = Duration::from_secs(3);
+const SHED_LEAD_TIME: Duration = Duration::from_secs(3);
 
 #[derive(Debug, Clone)]
 struct InFlightMessage {
@@ -65,10 +65,10 @@
     /// Sheds of a tier while a lower one waited at some daemon.
     pub priority_inversions: Vec<String>,
     /// Processor time that the credit duties took, and in how many steps.
-    pub spent: Duration,
+    pub step_time: Duration,
     pub steps: u64,
     in_flight: Vec<InFlightMessage>,
-    near: BTreeMap<ZoneName, Vec<UpstreamName>>,
+    upstreams_by_zone: BTreeMap<ZoneName, Vec<UpstreamName>>,
     rng: ChaCha8Rng,
 }
 
@@ -89,22 +89,25 @@
         };
         let mut fleet = Self {
             now,
-            config: config_of(upstreams, zones),
+            config: build_config(upstreams, zones),
             members: MemberView::default(),
             daemons: BTreeMap::new(),
             faults: FleetFaults::default(),
             limit,
             peak_in_use: BTreeMap::new(),
             priority_inversions: Vec::new(),
-            spent: Duration::ZERO,
+            step_time: Duration::ZERO,
             steps: 0,
             in_flight: Vec::new(),
-            near: BTreeMap::new(),
+            upstreams_by_zone: BTreeMap::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
         };
         for (name, spec) in &fleet.config.upstreams {
-            let near = fleet.near.entry(spec.zone.clone()).or_default();
-            near.push(name.clone());
+            let zone_upstreams = fleet
+                .upstreams_by_zone
+                .entry(spec.zone.clone())
+                .or_default();
+            zone_upstreams.push(name.clone());
         }
         for number in 0..daemons {
             fleet.start(number, zones);
@@ -127,11 +130,11 @@
         self.members.members.insert(host.clone(), record);
         let daemon = FakeDaemon::new(host.clone());
         self.daemons.insert(host.clone(), daemon);
-        self.event(&host, CreditEvent::Started);
+        self.step(&host, CreditEvent::Started);
     }
 
     /// A job arrives and waits.
-    pub fn arrive(&mut self, host: &HostName, rank: TierRank) {
+    pub fn submit_job(&mut self, host: &HostName, rank: TierRank) {
         let Some(daemon) = self.daemons.get_mut(host) else {
             return;
         };
@@ -142,16 +145,16 @@
             daemon.tallies.entry(rank).or_default().below_floor += 1;
             return;
         }
-        let deadline = self.now.monotonic + PATIENCE;
+        let deadline = self.now.monotonic + MAX_QUEUE_TIME;
         daemon.queues.entry(rank).or_default().push_back(deadline);
         let was_idle = daemon.queues.values().map(VecDeque::len).sum::<usize>() == 1;
         self.dispatch(host);
-        let waits = self.daemons[host]
+        let is_waiting = self.daemons[host]
             .queues
             .values()
             .any(|queue| !queue.is_empty());
-        if waits && was_idle {
-            self.event(host, CreditEvent::QueueFormed);
+        if is_waiting && was_idle {
+            self.step(host, CreditEvent::QueueFormed);
         }
     }
 
@@ -176,7 +179,7 @@
         }
     }
 
-    pub fn chance(&mut self, chance: f64) -> bool {
+    pub fn random_chance(&mut self, chance: f64) -> bool {
         self.rng.random_bool(chance)
     }
 
@@ -190,7 +193,7 @@
             let InFlightMessage {
                 from, to, message, ..
             } = delivery;
-            self.event(&to, CreditEvent::Peer { from, message });
+            self.step(&to, CreditEvent::Peer { from, message });
         }
     }
 
@@ -206,7 +209,7 @@
             let timers = &mut self.daemons.get_mut(host).expect("a daemon").timers;
             timers.remove(&key);
             let number = key.number;
-            self.event(host, CreditEvent::TimerFired { number });
+            self.step(host, CreditEvent::TimerFired { number });
         }
     }
 
@@ -240,10 +243,13 @@
 
     fn dispatch(&mut self, host: &HostName) {
         let zone = self.members.members[host].zone.clone();
-        let near = self.near.get(&zone).map_or(&[][..], Vec::as_slice);
+        let zone_upstreams = self
+            .upstreams_by_zone
+            .get(&zone)
+            .map_or(&[][..], Vec::as_slice);
         let daemon = self.daemons.get_mut(host).expect("a daemon");
         loop {
-            let free = near.iter().find(|name| {
+            let free = zone_upstreams.iter().find(|name| {
                 let granted = daemon.credits.grants().get(*name).map(|grant| grant.seats);
                 let allowed = granted.unwrap_or(self.limit).min(self.limit);
                 daemon.in_use(name) < allowed
@@ -261,7 +267,7 @@
             daemon.running.push(RunningJob {
                 rank: *rank,
                 upstream: upstream.clone(),
-                ends_at: self.now.monotonic + JOB_TIME,
+                ends_at: self.now.monotonic + JOB_DURATION,
             });
         }
     }
@@ -275,7 +281,7 @@
                 let Some(deadline) = queue.front().copied() else {
                     break;
                 };
-                if now + SHED_AHEAD < deadline {
+                if now + SHED_LEAD_TIME < deadline {
                     break;
                 }
                 let late = deadline <= now;
@@ -305,8 +311,8 @@
     ) {
         for (other, daemon) in &self.daemons {
             let mut queues = daemon.queues.iter();
-            let shares = self.members.members[other].zone == self.members.members[host].zone;
-            if shares && queues.any(|(lower, queue)| *lower > rank && !queue.is_empty()) {
+            let same_zone = self.members.members[other].zone == self.members.members[host].zone;
+            if same_zone && queues.any(|(lower, queue)| *lower > rank && !queue.is_empty()) {
                 let at = self.now.monotonic.0 / 1_000;
                 let text = format!(
                     "{at} ms: {host} shed {rank} ({advice:?}, late={late}) while {other} had lower"
@@ -333,7 +339,7 @@
         advice
     }
 
-    pub fn event(&mut self, host: &HostName, event: CreditEvent) {
+    pub fn step(&mut self, host: &HostName, event: CreditEvent) {
         if !self.daemons.contains_key(host) {
             return;
         }
@@ -345,9 +351,9 @@
         };
         let daemon = self.daemons.get_mut(host).expect("a daemon");
         let mut effects = EffectQueue::new();
-        let began = Instant::now();
+        let started = Instant::now();
         daemon.credits.step(self.now, event, view, &mut effects);
-        self.spent += began.elapsed();
+        self.step_time += started.elapsed();
         self.steps += 1;
         self.execute(host, &mut effects);
     }
@@ -394,15 +400,18 @@
     fn demands_of(&self, host: &HostName) -> BTreeMap<UpstreamName, LocalDemand> {
         let zone = &self.members.members[host].zone;
         let daemon = &self.daemons[host];
-        let names = self.near.get(zone).map_or(&[][..], Vec::as_slice);
+        let zone_upstreams = self
+            .upstreams_by_zone
+            .get(zone)
+            .map_or(&[][..], Vec::as_slice);
         let waiting: BTreeMap<_, _> = daemon
             .queues
             .iter()
             .filter(|(_, queue)| !queue.is_empty())
-            .map(|(rank, queue)| (*rank, queue.len().div_ceil(names.len().max(1))))
+            .map(|(rank, queue)| (*rank, queue.len().div_ceil(zone_upstreams.len().max(1))))
             .collect();
         let mut demands = BTreeMap::new();
-        for name in names {
+        for name in zone_upstreams {
             let mut tiers = daemon.seats.get(name).cloned().unwrap_or_default();
             tiers.retain(|_, seats| *seats > 0);
             for (rank, count) in &waiting {
@@ -434,11 +443,11 @@
     }
 
     /// A host dies; the others still hold it for alive.
-    pub fn kill(&mut self, host: &HostName) {
+    pub fn crash(&mut self, host: &HostName) {
         self.daemons.remove(host);
     }
 
-    pub fn mark(&mut self, host: &HostName, state: MemberState) {
+    pub fn set_member_state(&mut self, host: &HostName, state: MemberState) {
         self.members.members.get_mut(host).expect("a member").state = state;
     }
 
@@ -464,14 +473,14 @@
     }
 
     /// Hosts that hold a grant on this upstream.
-    pub fn granted(&self, upstream: &str) -> BTreeSet<&HostName> {
+    pub fn grant_holders(&self, upstream: &str) -> BTreeSet<&HostName> {
         let daemons = self.daemons.iter();
         let held = daemons.filter(|(_, d)| d.credits.grants().contains_key(upstream));
         held.map(|(host, _)| host).collect()
     }
 }
 
-fn config_of(upstreams: usize, zones: usize) -> ConfigView {
+fn build_config(upstreams: usize, zones: usize) -> ConfigView {
     let mut texts =
         vec![r#"{"kind":"service","name":"notes","spec":{"protocol":"model"}}"#.to_owned()];
     for rank in 0..4 {
--- a/crates/savorywood-core/tests/credit_uneven.rs
+++ b/crates/savorywood-core/tests/credit_uneven.rs
@@ -25,11 +25,11 @@
     let mut fleet = two_daemons(1);
     let (top, low) = (host_name(0), host_name(1));
     fleet.run(Duration::from_secs(20), |fleet| {
-        if fleet.chance(0.15) {
-            fleet.arrive(&host_name(0), TOP);
+        if fleet.random_chance(0.15) {
+            fleet.submit_job(&host_name(0), TOP);
         }
-        if fleet.chance(0.15) {
-            fleet.arrive(&host_name(1), LOW);
+        if fleet.random_chance(0.15) {
+            fleet.submit_job(&host_name(1), LOW);
         }
     });
     assert_eq!(fleet.priority_inversions, Vec::<String>::new());
@@ -45,11 +45,11 @@
 fn a_top_tier_that_fits_is_never_shed() {
     let mut fleet = two_daemons(2);
     fleet.run(Duration::from_secs(20), |fleet| {
-        if fleet.chance(0.07) {
-            fleet.arrive(&host_name(0), TOP);
+        if fleet.random_chance(0.07) {
+            fleet.submit_job(&host_name(0), TOP);
         }
-        if fleet.chance(0.2) {
-            fleet.arrive(&host_name(1), LOW);
+        if fleet.random_chance(0.2) {
+            fleet.submit_job(&host_name(1), LOW);
         }
     });
     let top = fleet.tally(&host_name(0), 0);
@@ -69,8 +69,8 @@
     let mut fleet = CreditFleet::new(3, 4, 1, 1, 5);
     fleet.run(Duration::from_secs(20), |fleet| {
         for rank in 0..4_u8 {
-            if fleet.chance(0.04) {
-                fleet.arrive(&host_name(usize::from(rank)), TierRank(rank));
+            if fleet.random_chance(0.04) {
+                fleet.submit_job(&host_name(usize::from(rank)), TierRank(rank));
             }
         }
     });
@@ -92,8 +92,8 @@
     let mut fleet = CreditFleet::new(4, 8, 4, 2, 8);
     fleet.run(Duration::from_secs(5), |fleet| {
         for number in 0..8 {
-            if fleet.chance(0.005) {
-                fleet.arrive(&host_name(number), TOP);
+            if fleet.random_chance(0.005) {
+                fleet.submit_job(&host_name(number), TOP);
             }
         }
     });
@@ -107,21 +107,21 @@
 fn contention_ends_with_the_rush() {
     let mut fleet = two_daemons(5);
     fleet.run(Duration::from_secs(5), |fleet| {
-        if fleet.chance(0.2) {
-            fleet.arrive(&host_name(0), TOP);
+        if fleet.random_chance(0.2) {
+            fleet.submit_job(&host_name(0), TOP);
         }
-        if fleet.chance(0.05) {
-            fleet.arrive(&host_name(1), LOW);
+        if fleet.random_chance(0.05) {
+            fleet.submit_job(&host_name(1), LOW);
         }
     });
-    assert!(!fleet.granted("runner-000").is_empty());
+    assert!(!fleet.grant_holders("runner-000").is_empty());
     let idle = |fleet: &mut CreditFleet| {
-        if fleet.chance(0.02) {
-            fleet.arrive(&host_name(0), TOP);
+        if fleet.random_chance(0.02) {
+            fleet.submit_job(&host_name(0), TOP);
         }
     };
     fleet.run(Duration::from_secs(20), idle);
-    assert_eq!(fleet.granted("runner-000").len(), 0);
+    assert_eq!(fleet.grant_holders("runner-000").len(), 0);
     let before = fleet.sent_bytes();
     fleet.run(Duration::from_secs(5), idle);
     assert_eq!(fleet.sent_bytes(), before);
@@ -133,15 +133,15 @@
 fn a_dead_arbiter_is_followed_by_the_next() {
     let rush = |fleet: &mut CreditFleet| {
         for number in 0..4 {
-            if fleet.chance(0.05) {
-                fleet.arrive(&host_name(number), TOP);
+            if fleet.random_chance(0.05) {
+                fleet.submit_job(&host_name(number), TOP);
             }
         }
     };
     for victim in 0..4 {
         let mut fleet = CreditFleet::new(6, 4, 1, 1, 5);
         fleet.run(Duration::from_secs(4), rush);
-        fleet.kill(&host_name(victim));
+        fleet.crash(&host_name(victim));
         fleet.peak_in_use.clear();
         let before = fleet.total(0).done;
         fleet.run(Duration::from_secs(7), rush);
@@ -150,7 +150,7 @@
             meanwhile > 75,
             "victim {victim}: {meanwhile} of 140 jobs were done"
         );
-        fleet.mark(&host_name(victim), MemberState::Dead);
+        fleet.set_member_state(&host_name(victim), MemberState::Dead);
         fleet.run(Duration::from_secs(2), rush);
         let before = fleet.total(0).done;
         fleet.run(Duration::from_secs(5), rush);
@@ -174,8 +174,8 @@
     fleet.faults.loss = 1.0;
     fleet.run(Duration::from_secs(10), |fleet| {
         for number in 0..2 {
-            if fleet.chance(0.15) {
-                fleet.arrive(&host_name(number), TOP);
+            if fleet.random_chance(0.15) {
+                fleet.submit_job(&host_name(number), TOP);
             }
         }
     });
@@ -202,11 +202,11 @@
             jitter_ms: u64::from(jitter),
         };
         fleet.run(Duration::from_secs(10), |fleet| {
-            if fleet.chance(0.12) {
-                fleet.arrive(&host_name(0), TOP);
+            if fleet.random_chance(0.12) {
+                fleet.submit_job(&host_name(0), TOP);
             }
-            if fleet.chance(0.12) {
-                fleet.arrive(&host_name(1), LOW);
+            if fleet.random_chance(0.12) {
+                fleet.submit_job(&host_name(1), LOW);
             }
         });
         let top = fleet.tally(&host_name(0), 0);
--- a/crates/savorywood-core/tests/fleet/network.rs
+++ b/crates/savorywood-core/tests/fleet/network.rs
@@ -169,7 +169,7 @@
     }
 
     /// Ends a process without a word.
-    pub fn kill(&mut self, host: &HostName) {
+    pub fn crash(&mut self, host: &HostName) {
         self.hosts.remove(host);
     }
 
--- a/crates/savorywood-core/tests/membership_schedules.rs
+++ b/crates/savorywood-core/tests/membership_schedules.rs
@@ -49,7 +49,7 @@
 
 fn apply(network: &mut FakeNetwork, mishap: FleetMishap, leaving: &mut BTreeSet<HostName>) {
     match mishap {
-        FleetMishap::Kill(number) => network.kill(&host_name(number.into())),
+        FleetMishap::Kill(number) => network.crash(&host_name(number.into())),
         FleetMishap::Restart(number) => {
             let host = network.start(number.into(), REGIONS, ZONES);
             leaving.remove(&host);
--- a/crates/savorywood-core/tests/membership_spread.rs
+++ b/crates/savorywood-core/tests/membership_spread.rs
@@ -22,7 +22,7 @@
 fn a_dead_host_is_noticed() {
     let mut network = settled(1, 40, 2);
     let host = host_name(7);
-    network.kill(&host);
+    network.crash(&host);
     let limit = Duration::from_secs(12);
     let took = network.run_until(limit, |net| net.all_hold(&host, MemberState::Dead));
     assert!(took.is_some(), "some still hold {host} for alive");
@@ -97,7 +97,7 @@
     network.run(Duration::from_secs(1_800));
     let lost = host_name(5);
     assert!(there.contains(&lost));
-    network.kill(&lost);
+    network.crash(&lost);
     network.run(Duration::from_secs(1_800));
     for host in &here {
         let far = there.iter().filter(|far| **far != lost);
@@ -158,7 +158,7 @@
 fn a_smaller_incarnation_is_raised() {
     let mut network = settled(8, 10, 1);
     let host = host_name(2);
-    network.kill(&host);
+    network.crash(&host);
     network.run(Duration::from_secs(15));
     network.now.wall.0 -= 3_600_000;
     network.start(2, 1, 4);
