--- a/crates/savorywood-core/tests/credit/daemon.rs
+++ b/crates/savorywood-core/tests/credit/daemon.rs
@@ -26,7 +26,7 @@
     pub sent_bytes: u64,
     pub sent_messages: u64,
     pub running: Vec<RunningJob>,
-    pub seats: BTreeMap<UpstreamName, BTreeMap<TierRank, u32>>,
+    pub slots: BTreeMap<UpstreamName, BTreeMap<TierRank, u32>>,
     pub timers: BTreeMap<TimerKey, MonotonicTime>,
 }
 
@@ -46,7 +46,7 @@
             sent_bytes: 0,
             sent_messages: 0,
             running: Vec::new(),
-            seats: BTreeMap::new(),
+            slots: BTreeMap::new(),
             timers: BTreeMap::new(),
         }
     }
@@ -56,7 +56,7 @@
     }
 
     pub fn in_use(&self, name: &UpstreamName) -> u32 {
-        let seats = self.seats.get(name);
-        seats.map_or(0, |seats| seats.values().sum())
+        let slots = self.slots.get(name);
+        slots.map_or(0, |slots| slots.values().sum())
     }
 }
--- a/crates/savorywood-core/tests/credit/fleet.rs
+++ b/crates/savorywood-core/tests/credit/fleet.rs
@@ -221,8 +221,8 @@
             .partition(|job| job.ends_at <= now);
         daemon.running = running;
         for job in done {
-            let seats = daemon.seats.get_mut(&job.upstream).expect("seats");
-            *seats.get_mut(&job.rank).expect("a seat") -= 1;
+            let slots = daemon.slots.get_mut(&job.upstream).expect("seats");
+            *slots.get_mut(&job.rank).expect("a seat") -= 1;
             daemon.tallies.entry(job.rank).or_default().done += 1;
         }
     }
@@ -262,8 +262,8 @@
                 return;
             };
             queue.pop_front();
-            let seats = daemon.seats.entry(upstream.clone()).or_default();
-            *seats.entry(*rank).or_default() += 1;
+            let slots = daemon.slots.entry(upstream.clone()).or_default();
+            *slots.entry(*rank).or_default() += 1;
             daemon.running.push(RunningJob {
                 rank: *rank,
                 upstream: upstream.clone(),
@@ -412,8 +412,8 @@
             .collect();
         let mut demands = BTreeMap::new();
         for name in zone_upstreams {
-            let mut tiers = daemon.seats.get(name).cloned().unwrap_or_default();
-            tiers.retain(|_, seats| *seats > 0);
+            let mut tiers = daemon.slots.get(name).cloned().unwrap_or_default();
+            tiers.retain(|_, slots| *slots > 0);
             for (rank, count) in &waiting {
                 *tiers.entry(*rank).or_default() += u32::try_from(*count).unwrap_or(u32::MAX);
             }
--- a/crates/savorywood-core/tests/credit_uneven.rs
+++ b/crates/savorywood-core/tests/credit_uneven.rs
@@ -21,7 +21,7 @@
 /// each with more work than the upstream can do. Were each to look at its own queues only, the
 /// first would shed storm briefings while the second goes on with notes.
 #[test]
-fn the_lowest_tier_anywhere_yields_first() {
+fn the_lowest_tier_is_shed_first_across_daemons() {
     let mut fleet = two_daemons(1);
     let (top, low) = (host_name(0), host_name(1));
     fleet.run(Duration::from_secs(20), |fleet| {
@@ -75,14 +75,17 @@
         }
     });
     assert_eq!(fleet.priority_inversions, Vec::<String>::new());
-    let lost: Vec<_> = (0..4)
+    let not_done: Vec<_> = (0..4)
         .map(|rank| {
             let tally = fleet.total(rank);
             tally.arrived - tally.done
         })
         .collect();
-    assert!(lost[0] <= 10 && lost[1] <= 10, "{lost:?}");
-    assert!(lost[3] > 100 && lost[3] > lost[2], "{lost:?}");
+    assert!(not_done[0] <= 10 && not_done[1] <= 10, "{not_done:?}");
+    assert!(
+        not_done[3] > 100 && not_done[3] > not_done[2],
+        "{not_done:?}"
+    );
 }
 
 /// Nobody queues. The daemons must not say a word about the upstream, or at the planned size
@@ -104,7 +107,7 @@
 /// A rush is over. The upstream must stop being spoken of, and each daemon be free to use its
 /// own limit again.
 #[test]
-fn contention_ends_with_the_rush() {
+fn contention_ends_with_the_burst() {
     let mut fleet = two_daemons(5);
     fleet.run(Duration::from_secs(5), |fleet| {
         if fleet.random_chance(0.2) {
@@ -115,23 +118,23 @@
         }
     });
     assert!(!fleet.grant_holders("runner-000").is_empty());
-    let idle = |fleet: &mut CreditFleet| {
+    let submit_few = |fleet: &mut CreditFleet| {
         if fleet.random_chance(0.02) {
             fleet.submit_job(&host_name(0), TOP);
         }
     };
-    fleet.run(Duration::from_secs(20), idle);
+    fleet.run(Duration::from_secs(20), submit_few);
     assert_eq!(fleet.grant_holders("runner-000").len(), 0);
     let before = fleet.sent_bytes();
-    fleet.run(Duration::from_secs(5), idle);
+    fleet.run(Duration::from_secs(5), submit_few);
     assert_eq!(fleet.sent_bytes(), before);
 }
 
 /// The arbiter dies in the middle of a rush. Until the others notice, their grants lapse and
 /// they use a standing share, so the upstream is not overrun; then the next by hash takes over.
 #[test]
-fn a_dead_arbiter_is_followed_by_the_next() {
-    let rush = |fleet: &mut CreditFleet| {
+fn a_crashed_arbiter_is_replaced() {
+    let submit_burst = |fleet: &mut CreditFleet| {
         for number in 0..4 {
             if fleet.random_chance(0.05) {
                 fleet.submit_job(&host_name(number), TOP);
@@ -140,20 +143,20 @@
     };
     for victim in 0..4 {
         let mut fleet = CreditFleet::new(6, 4, 1, 1, 5);
-        fleet.run(Duration::from_secs(4), rush);
+        fleet.run(Duration::from_secs(4), submit_burst);
         fleet.crash(&host_name(victim));
         fleet.peak_in_use.clear();
         let before = fleet.total(0).done;
-        fleet.run(Duration::from_secs(7), rush);
-        let meanwhile = fleet.total(0).done - before;
+        fleet.run(Duration::from_secs(7), submit_burst);
+        let done_during_failover = fleet.total(0).done - before;
         assert!(
-            meanwhile > 75,
-            "victim {victim}: {meanwhile} of 140 jobs were done"
+            done_during_failover > 75,
+            "victim {victim}: {done_during_failover} of 140 jobs were done"
         );
         fleet.set_member_state(&host_name(victim), MemberState::Dead);
-        fleet.run(Duration::from_secs(2), rush);
+        fleet.run(Duration::from_secs(2), submit_burst);
         let before = fleet.total(0).done;
-        fleet.run(Duration::from_secs(5), rush);
+        fleet.run(Duration::from_secs(5), submit_burst);
         let after = fleet.total(0).done - before;
         assert!(after > 85, "victim {victim}: {after} of 100 jobs were done");
         let peak = fleet
@@ -169,7 +172,7 @@
 /// Every arbiter is cut off from everybody. A daemon that must shed does so by its own queues
 /// after a short time, and counts it; callers must not wait for an answer that never comes.
 #[test]
-fn without_an_arbiter_a_daemon_judges_alone() {
+fn without_an_arbiter_a_daemon_sheds_by_its_own_queues() {
     let mut fleet = two_daemons(7);
     fleet.faults.loss = 1.0;
     fleet.run(Duration::from_secs(10), |fleet| {
@@ -179,12 +182,12 @@
             }
         }
     });
-    let alone: u64 = fleet
+    let shed_locally: u64 = fleet
         .daemons
         .values()
         .map(|d| d.credits.counters().sheds_alone)
         .sum();
-    assert!(alone > 0);
+    assert!(shed_locally > 0);
     let total = fleet.total(0);
     assert!(total.done > 150, "{total:?}");
 }
@@ -193,7 +196,7 @@
 /// while, but the upstream must never get more than the daemons' own limits allow, the highest
 /// tier must get the larger part, and no old grant may undo a newer one.
 #[test]
-fn a_bad_network_costs_capacity_only() {
+fn a_faulty_network_costs_only_capacity() {
     fn holds(seed: u64, loss: u8, jitter: u8) -> bool {
         let mut fleet = two_daemons(seed);
         fleet.faults = FleetFaults {
