--- a/crates/savorywood-core/tests/claim/store.rs
+++ b/crates/savorywood-core/tests/claim/cluster.rs
@@ -21,29 +21,29 @@
 
 /// How often things go wrong, as chances a step.
 #[derive(Debug, Clone, Copy)]
-pub struct WorldFaults {
-    pub lost: f64,
+pub struct ClaimFaults {
+    pub lost_responses: f64,
     pub unavailable: f64,
-    pub kills: f64,
-    pub breaks: f64,
+    pub crashes: f64,
+    pub broken_requests: f64,
 }
 
-impl WorldFaults {
+impl ClaimFaults {
     pub fn all() -> Self {
         Self {
-            lost: 0.25,
+            lost_responses: 0.25,
             unavailable: 0.1,
-            kills: 0.02,
-            breaks: 0.2,
+            crashes: 0.02,
+            broken_requests: 0.2,
         }
     }
 
     pub fn none() -> Self {
         Self {
-            lost: 0.0,
+            lost_responses: 0.0,
             unavailable: 0.0,
-            kills: 0.0,
-            breaks: 0.0,
+            crashes: 0.0,
+            broken_requests: 0.0,
         }
     }
 }
@@ -56,11 +56,11 @@
 }
 
 impl FakeTable {
-    pub fn answer(&mut self, request: &TableRequest) -> TableAnswer {
+    pub fn execute(&mut self, request: &TableRequest) -> TableAnswer {
         match request {
             TableRequest::Get { keys } => {
                 let rows = keys.iter().filter_map(|key| self.rows.get(key));
-                self.rows_answer(rows.filter(|row| row.value.is_some()).cloned().collect())
+                self.rows_response(rows.filter(|row| row.value.is_some()).cloned().collect())
             }
             TableRequest::Scan {
                 prefix,
@@ -71,13 +71,13 @@
                 let mut rows: Vec<_> = rows.filter(|row| row.revision > *after).cloned().collect();
                 rows.sort_by_key(|row| row.revision);
                 rows.truncate(*limit as usize);
-                self.rows_answer(rows)
+                self.rows_response(rows)
             }
             TableRequest::Commit(commit) => self.commit(commit),
         }
     }
 
-    fn rows_answer(&self, rows: Vec<TableRow>) -> TableAnswer {
+    fn rows_response(&self, rows: Vec<TableRow>) -> TableAnswer {
         TableAnswer::Rows {
             rows,
             revision: self.revision,
@@ -124,72 +124,72 @@
 #[derive(Debug)]
 struct FakeDaemon {
     claims: ClaimState,
-    life: u64,
+    incarnation: u64,
     timers: BTreeMap<TimerKey, MonotonicTime>,
     running: BTreeMap<RequestId, AttemptNumber>,
 }
 
 #[derive(Debug, Clone)]
-struct TableFlight {
+struct PendingCall {
     daemon: usize,
-    life: u64,
+    incarnation: u64,
     number: u64,
     request: TableRequest,
 }
 
 /// Daemons, table and callers.
 #[derive(Debug)]
-pub struct ClaimWorld {
-    pub faults: WorldFaults,
+pub struct ClaimCluster {
+    pub faults: ClaimFaults,
     pub now: CoreTime,
     pub table: FakeTable,
     pub refusals: Vec<(RequestId, RequestRefusal)>,
     pub replays: BTreeSet<RequestId>,
     daemons: Vec<FakeDaemon>,
-    flights: Vec<TableFlight>,
-    late: Vec<TableRequest>,
+    pending_calls: Vec<PendingCall>,
+    delayed_writes: Vec<TableRequest>,
     keys: Vec<String>,
-    key_of: BTreeMap<RequestId, usize>,
-    bytes_left: BTreeMap<RequestId, usize>,
+    key_by_request: BTreeMap<RequestId, usize>,
+    possible_executions: BTreeMap<RequestId, usize>,
     last_request: u128,
     rng: ChaCha8Rng,
     members: MemberView,
 }
 
-const DAEMONS: usize = 3;
-const KEYS: usize = 4;
+const DAEMON_COUNT: usize = 3;
+const KEY_COUNT: usize = 4;
 
-impl ClaimWorld {
-    pub fn new(seed: u64, faults: WorldFaults) -> Self {
+impl ClaimCluster {
+    pub fn new(seed: u64, faults: ClaimFaults) -> Self {
         let now = CoreTime {
             monotonic: MonotonicTime(1_000_000),
             wall: WallTime(1_780_000_000_000),
         };
-        let mut world = Self {
+        let mut cluster = Self {
             faults,
             now,
             table: FakeTable::default(),
             refusals: Vec::new(),
             replays: BTreeSet::new(),
             daemons: Vec::new(),
-            flights: Vec::new(),
-            late: Vec::new(),
+            pending_calls: Vec::new(),
+            delayed_writes: Vec::new(),
             keys: Vec::new(),
-            key_of: BTreeMap::new(),
-            bytes_left: BTreeMap::new(),
+            key_by_request: BTreeMap::new(),
+            possible_executions: BTreeMap::new(),
             last_request: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
             members: MemberView::default(),
         };
-        for number in 0..KEYS {
+        for number in 0..KEY_COUNT {
             let random = (number as u128) << 8 | 0x8000_0000_0000_0000;
             let key = u128::from(now.wall.0) << 80 | 7 << 76 | random;
-            world.keys.push(Uuid::from_u128(key).to_string());
+            cluster.keys.push(Uuid::from_u128(key).to_string());
         }
-        for number in 0..DAEMONS {
-            world.daemons.push(new_daemon(number, 1));
+        for number in 0..DAEMON_COUNT {
+            cluster.daemons.push(new_daemon(number, 1));
         }
-        world
+        cluster
     }
 
     /// Takes random steps.
@@ -200,44 +200,44 @@
     }
 
     /// Lets all that is under way come to an end.
-    pub fn settle(&mut self) {
+    pub fn run_until_idle(&mut self) {
         for _ in 0..4_000 {
-            let idle = self.flights.is_empty() && self.open_claims() == 0;
+            let idle = self.pending_calls.is_empty() && self.open_claims() == 0;
             if idle {
                 return;
             }
             match self.rng.random_range(0..3) {
                 0 => self.deliver(),
-                1 => self.end_call(),
-                _ => self.pass_time(),
+                1 => self.end_attempt(),
+                _ => self.advance_time(),
             }
         }
     }
 
     fn random_step(&mut self) {
-        if self.rng.random_bool(self.faults.kills) {
-            let number = self.rng.random_range(0..DAEMONS);
-            let life = self.daemons[number].life + 1;
-            self.daemons[number] = new_daemon(number, life);
+        if self.rng.random_bool(self.faults.crashes) {
+            let number = self.rng.random_range(0..DAEMON_COUNT);
+            let incarnation = self.daemons[number].incarnation + 1;
+            self.daemons[number] = new_daemon(number, incarnation);
             return;
         }
         match self.rng.random_range(0..10) {
-            0 | 1 => self.arrive(),
+            0 | 1 => self.submit_request(),
             2..=4 => self.deliver(),
-            5 | 6 => self.end_call(),
-            7 => self.land_late(),
-            _ => self.pass_time(),
+            5 | 6 => self.end_attempt(),
+            7 => self.apply_delayed_write(),
+            _ => self.advance_time(),
         }
     }
 
-    pub fn arrive(&mut self) {
-        let key = self.rng.random_range(0..KEYS);
-        let daemon = self.rng.random_range(0..DAEMONS);
+    pub fn submit_request(&mut self) {
+        let key = self.rng.random_range(0..KEY_COUNT);
+        let daemon = self.rng.random_range(0..DAEMON_COUNT);
         self.last_request += 1;
         let request = RequestId(self.last_request);
-        self.key_of.insert(request, key);
+        self.key_by_request.insert(request, key);
         let wish = ClaimWish {
-            request: call(request, self.now.monotonic),
+            request: queued_request(request, self.now.monotonic),
             key: self.keys[key].clone(),
             fingerprint: [7; 32],
             retention: ClaimRetention::Seconds(86_400),
@@ -246,46 +246,46 @@
     }
 
     fn deliver(&mut self) {
-        if self.flights.is_empty() {
+        if self.pending_calls.is_empty() {
             return;
         }
-        let place = self.rng.random_range(0..self.flights.len());
-        let flight = self.flights.swap_remove(place);
+        let index = self.rng.random_range(0..self.pending_calls.len());
+        let call = self.pending_calls.swap_remove(index);
         let answer = if self.rng.random_bool(self.faults.unavailable) {
             TableAnswer::Unavailable
-        } else if self.rng.random_bool(self.faults.lost) {
+        } else if self.rng.random_bool(self.faults.lost_responses) {
             match self.rng.random_range(0..3) {
-                0 => drop(self.table.answer(&flight.request)),
-                1 => self.late.push(flight.request.clone()),
+                0 => drop(self.table.execute(&call.request)),
+                1 => self.delayed_writes.push(call.request.clone()),
                 _ => {}
             }
             TableAnswer::Lost
         } else {
-            self.table.answer(&flight.request)
+            self.table.execute(&call.request)
         };
-        if self.daemons[flight.daemon].life == flight.life {
-            let number = flight.number;
-            self.step(flight.daemon, ClaimEvent::Table { number, answer });
+        if self.daemons[call.daemon].incarnation == call.incarnation {
+            let number = call.number;
+            self.step(call.daemon, ClaimEvent::Table { number, answer });
         }
     }
 
     /// A write whose answer was given up long ago takes effect after all.
-    fn land_late(&mut self) {
-        if let Some(request) = self.late.pop() {
-            self.table.answer(&request);
+    fn apply_delayed_write(&mut self) {
+        if let Some(request) = self.delayed_writes.pop() {
+            self.table.execute(&request);
         }
     }
 
-    fn end_call(&mut self) {
-        let daemon = self.rng.random_range(0..DAEMONS);
+    fn end_attempt(&mut self) {
+        let daemon = self.rng.random_range(0..DAEMON_COUNT);
         let running = self.daemons[daemon].running.pop_first();
         let Some((request, attempt)) = running else {
             return;
         };
-        if self.rng.random_bool(self.faults.breaks) {
-            let no_byte = self.rng.random_bool(0.5);
-            if no_byte {
-                *self.bytes_left.get_mut(&request).expect("a count") -= 1;
+        if self.rng.random_bool(self.faults.broken_requests) {
+            let is_unsent = self.rng.random_bool(0.5);
+            if is_unsent {
+                *self.possible_executions.get_mut(&request).expect("a count") -= 1;
                 let event = UpstreamEvent::NotSent { request, attempt };
                 self.step(daemon, ClaimEvent::Upstream(event));
                 self.step(daemon, ClaimEvent::Closed { request });
@@ -318,10 +318,10 @@
         self.step(daemon, ClaimEvent::Upstream(event));
     }
 
-    pub fn pass_time(&mut self) {
+    pub fn advance_time(&mut self) {
         let millis = self.rng.random_range(1..400);
         self.now = self.now.after(Duration::from_millis(millis));
-        for daemon in 0..DAEMONS {
+        for daemon in 0..DAEMON_COUNT {
             let timers = &mut self.daemons[daemon].timers;
             let due: Vec<_> = timers
                 .iter()
@@ -346,12 +346,12 @@
         for ClaimVerdict::Granted(request) in verdicts {
             self.dispatch(daemon, request.request, &mut effects);
         }
-        let life = self.daemons[daemon].life;
+        let incarnation = self.daemons[daemon].incarnation;
         for effect in effects.drain() {
             match effect {
-                DaemonEffect::CallTable { call, request } => self.flights.push(TableFlight {
+                DaemonEffect::CallTable { call, request } => self.pending_calls.push(PendingCall {
                     daemon,
-                    life,
+                    incarnation,
                     number: call.number,
                     request,
                 }),
@@ -374,37 +374,43 @@
     fn dispatch(&mut self, daemon: usize, request: RequestId, effects: &mut EffectQueue) {
         let claims = &mut self.daemons[daemon].claims;
         assert!(claims.may_dispatch(request, false, effects));
-        *self.bytes_left.entry(request).or_default() += 1;
+        *self.possible_executions.entry(request).or_default() += 1;
         let running = &mut self.daemons[daemon].running;
         running.insert(request, AttemptNumber(0));
     }
 
     /// Calls of each key that may have reached the upstream.
-    fn runs(&self) -> BTreeMap<usize, usize> {
-        let mut runs = BTreeMap::new();
-        for (request, count) in &self.bytes_left {
-            *runs.entry(self.key_of[request]).or_default() += count;
+    fn executions(&self) -> BTreeMap<usize, usize> {
+        let mut executions = BTreeMap::new();
+        for (request, count) in &self.possible_executions {
+            *executions.entry(self.key_by_request[request]).or_default() += count;
         }
-        runs
+        executions
     }
 
-    pub fn check(&self) {
-        for (key, runs) in self.runs() {
-            assert!(runs <= 1, "key {key} ran {runs} times");
+    pub fn check_invariants(&self) {
+        for (key, executions) in self.executions() {
+            assert!(executions <= 1, "key {key} ran {executions} times");
         }
         for (request, refusal) in &self.refusals {
-            let ran = self.bytes_left.get(request).is_some_and(|count| *count > 0);
+            let ran = self
+                .possible_executions
+                .get(request)
+                .is_some_and(|count| *count > 0);
             let not_run = refusal.outcome == OutcomeKind::NotRun;
             assert!(!(not_run && ran), "{request} ran: {refusal:?}");
         }
     }
 
-    pub fn keys_run(&self) -> usize {
-        self.runs().values().filter(|runs| **runs > 0).count()
+    pub fn executed_keys(&self) -> usize {
+        self.executions()
+            .values()
+            .filter(|executions| **executions > 0)
+            .count()
     }
 
-    pub fn keys_sent(&self) -> usize {
-        self.key_of.values().collect::<BTreeSet<_>>().len()
+    pub fn requested_keys(&self) -> usize {
+        self.key_by_request.values().collect::<BTreeSet<_>>().len()
     }
 
     pub fn open_claims(&self) -> usize {
@@ -412,17 +418,17 @@
     }
 }
 
-fn new_daemon(number: usize, life: u64) -> FakeDaemon {
+fn new_daemon(number: usize, incarnation: u64) -> FakeDaemon {
     let host = HostName::new(&format!("entry-{number}")).expect("a name");
     FakeDaemon {
-        claims: ClaimState::new(ClaimOptions::new(host, HostIncarnation(life), 1)),
-        life,
+        claims: ClaimState::new(ClaimOptions::new(host, HostIncarnation(incarnation), 1)),
+        incarnation,
         timers: BTreeMap::new(),
         running: BTreeMap::new(),
     }
 }
 
-pub fn call(request: RequestId, now: MonotonicTime) -> QueuedRequest {
+pub fn queued_request(request: RequestId, now: MonotonicTime) -> QueuedRequest {
     QueuedRequest {
         request,
         service: "charges".parse().expect("a name"),
--- a/crates/savorywood-core/tests/claim_keys.rs
+++ b/crates/savorywood-core/tests/claim_keys.rs
@@ -1,9 +1,10 @@
 //! Keys, repeats and groups of claims, one case at a time.
 
-#[path = "claim/store.rs"]
+#[path = "claim/cluster.rs"]
 #[allow(dead_code)]
-mod store;
+mod cluster;
 
+use cluster::{FakeTable, queued_request};
 use savorywood_core::{
     AnswerReport, DaemonEffect, EffectQueue, KeptAnswer, MemberRecord, MemberView, UpstreamEvent,
     claims::{ClaimEvent, ClaimKey, ClaimOptions, ClaimState, ClaimView, ClaimWish},
@@ -16,7 +17,6 @@
     table::{TableAnswer, TableRequest},
 };
 use std::{net::SocketAddr, time::Duration};
-use store::{FakeTable, call};
 use uuid::Uuid;
 
 const START: WallTime = WallTime(1_780_000_000_000);
@@ -34,14 +34,14 @@
 }
 
 impl Desk {
-    fn new(life: u64) -> Self {
+    fn new(incarnation: u64) -> Self {
         let host = "entry-0".parse().expect("a name");
         let now = CoreTime {
             monotonic: MonotonicTime(1_000_000),
             wall: START,
         };
         Self {
-            claims: ClaimState::new(ClaimOptions::new(host, HostIncarnation(life), 1)),
+            claims: ClaimState::new(ClaimOptions::new(host, HostIncarnation(incarnation), 1)),
             table: FakeTable::default(),
             now,
             members: MemberView::default(),
@@ -54,7 +54,7 @@
 
     fn want(&mut self, request: u128, key: &str, fingerprint: u8) {
         let wish = ClaimWish {
-            request: call(RequestId(request), self.now.monotonic),
+            request: queued_request(RequestId(request), self.now.monotonic),
             key: key.to_owned(),
             fingerprint: [fingerprint; 32],
             retention: ClaimRetention::Seconds(3_600),
@@ -84,7 +84,7 @@
             match effect {
                 DaemonEffect::CallTable { call, request } => {
                     self.commits += usize::from(matches!(request, TableRequest::Commit(_)));
-                    answers.push((call.number, self.table.answer(&request)));
+                    answers.push((call.number, self.table.execute(&request)));
                 }
                 DaemonEffect::Refuse { refusal, .. } => self.refusals.push(refusal),
                 DaemonEffect::Replay { answer, .. } => self.replays.push(*answer),
@@ -298,7 +298,7 @@
     let mut desk = Desk::new(1);
     let mut effects = EffectQueue::new();
     let wish = ClaimWish {
-        request: call(RequestId(1), desk.now.monotonic),
+        request: queued_request(RequestId(1), desk.now.monotonic),
         key: key(1),
         fingerprint: [7; 32],
         retention: ClaimRetention::Seconds(3_600),
--- a/crates/savorywood-core/tests/claim_schedules.rs
+++ b/crates/savorywood-core/tests/claim_schedules.rs
@@ -1,11 +1,11 @@
 //! Calls that may not be repeated, under a store that loses answers and daemons that die.
 
-#[path = "claim/store.rs"]
+#[path = "claim/cluster.rs"]
 #[allow(dead_code)]
-mod store;
+mod cluster;
 
+use cluster::{ClaimCluster, ClaimFaults};
 use quickcheck::QuickCheck;
-use store::{ClaimWorld, WorldFaults};
 
 fn rounds() -> u64 {
     let rounds = std::env::var("SAVORYWOOD_ROUNDS").ok();
@@ -19,9 +19,9 @@
 #[test]
 fn a_charge_runs_at_most_once() {
     fn holds(seed: u64) -> bool {
-        let mut world = ClaimWorld::new(seed, WorldFaults::all());
-        world.run(400);
-        world.check();
+        let mut cluster = ClaimCluster::new(seed, ClaimFaults::all());
+        cluster.run(400);
+        cluster.check_invariants();
         true
     }
     QuickCheck::new()
@@ -35,11 +35,11 @@
 #[test]
 fn with_a_healthy_store_every_charge_runs() {
     fn holds(seed: u64) -> bool {
-        let mut world = ClaimWorld::new(seed, WorldFaults::none());
-        world.run(400);
-        world.settle();
-        world.check();
-        world.keys_run() == world.keys_sent() && world.open_claims() == 0
+        let mut cluster = ClaimCluster::new(seed, ClaimFaults::none());
+        cluster.run(400);
+        cluster.run_until_idle();
+        cluster.check_invariants();
+        cluster.executed_keys() == cluster.requested_keys() && cluster.open_claims() == 0
     }
     QuickCheck::new()
         .tests(rounds() / 3)
@@ -52,16 +52,16 @@
 #[test]
 fn lost_answers_leave_no_claim_open() {
     fn holds(seed: u64) -> bool {
-        let faults = WorldFaults {
-            kills: 0.0,
-            ..WorldFaults::all()
+        let faults = ClaimFaults {
+            crashes: 0.0,
+            ..ClaimFaults::all()
         };
-        let mut world = ClaimWorld::new(seed, faults);
-        world.run(300);
-        world.faults = WorldFaults::none();
-        world.settle();
-        world.check();
-        world.open_claims() == 0
+        let mut cluster = ClaimCluster::new(seed, faults);
+        cluster.run(300);
+        cluster.faults = ClaimFaults::none();
+        cluster.run_until_idle();
+        cluster.check_invariants();
+        cluster.open_claims() == 0
     }
     QuickCheck::new()
         .tests(rounds() / 3)
