--- a/crates/savorywood-core/tests/claim_resume.rs
+++ b/crates/savorywood-core/tests/claim_resume.rs
@@ -12,7 +12,7 @@
 
 fn config(extensions: &str, draining: bool) -> ConfigView {
     let digest = "01".repeat(32);
-    let texts = [
+    let documents = [
         r#"{"kind":"service","name":"notes","spec":{"protocol":"model"}}"#.to_owned(),
         format!(
             r#"{{"kind":"team","name":"survey","spec":{{"token_sha256":"{digest}","tiers":["t"]}}}}"#
@@ -24,7 +24,7 @@
         ),
     ];
     let mut config = ConfigView::default();
-    for text in texts {
+    for text in documents {
         let document = serde_json::from_str(&text).expect("a document");
         config.insert(document).expect("a name");
     }
@@ -58,7 +58,7 @@
 /// A daemon dies in the middle of a long answer. The caller goes to another daemon with its
 /// token and gets the rest, from the engine that has it, also while that engine is drained.
 #[test]
-fn a_stream_is_read_on_at_its_upstream() {
+fn a_stream_resumes_at_its_upstream() {
     let key = ResumeKey::derive(b"secret");
     for draining in [false, true] {
         let config = config(r#""resume""#, draining);
@@ -71,21 +71,21 @@
 /// The stream can't be had any more. The caller must not be told that nothing ran: its tokens
 /// were generated.
 #[test]
-fn no_refusal_of_a_resume_says_not_run() {
+fn refused_resumes_never_report_not_run() {
     let key = ResumeKey::derive(b"secret");
-    let other = ResumeKey::derive(b"other");
-    let able = config(r#""resume""#, false);
-    let late = now().after(MAX_TOKEN_AGE + Duration::from_secs(1));
-    let nobody = ResumeArrival {
+    let other_key = ResumeKey::derive(b"other");
+    let resumable = config(r#""resume""#, false);
+    let after_expiry = now().after(MAX_TOKEN_AGE + Duration::from_secs(1));
+    let without_token = ResumeArrival {
         token: None,
         ..arrival(&key)
     };
     let refused = [
-        resolve_resume(now(), &arrival(&other), &key, &able),
-        resolve_resume(late, &arrival(&key), &key, &able),
+        resolve_resume(now(), &arrival(&other_key), &key, &resumable),
+        resolve_resume(after_expiry, &arrival(&key), &key, &resumable),
         resolve_resume(now(), &arrival(&key), &key, &config("", false)),
         resolve_resume(now(), &arrival(&key), &key, &ConfigView::default()),
-        resolve_resume(now(), &nobody, &key, &able),
+        resolve_resume(now(), &without_token, &key, &resumable),
     ];
     let codes = refused.map(|refused| {
         let refusal = refused.expect_err("a refusal");
--- a/crates/savorywood-core/tests/claim_schedules.rs
+++ b/crates/savorywood-core/tests/claim_schedules.rs
@@ -50,7 +50,7 @@
 /// Answers of the store are lost now and then, but no daemon dies. After it has recovered, no
 /// claim may be left hanging in a daemon's memory.
 #[test]
-fn lost_answers_leave_no_claim_open() {
+fn lost_responses_leave_no_claim_open() {
     fn holds(seed: u64) -> bool {
         let faults = ClaimFaults {
             crashes: 0.0,
