--- a/crates/savorywood-core/tests/config_faults.rs
+++ b/crates/savorywood-core/tests/config_faults.rs
@@ -5,7 +5,7 @@
 #[path = "support/fake_table.rs"]
 mod fake_table;
 
-use config_cluster::{ConfigCluster, FaultChances};
+use config_cluster::{ConfigCluster, FaultRates};
 use quickcheck::quickcheck;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -15,22 +15,25 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn storm() -> FaultChances {
-    FaultChances {
-        lost_after: 15,
-        lost_before: 10,
-        lands_late: 10,
-        unavailable: 10,
-        drop: 20,
+fn random_faults() -> FaultRates {
+    FaultRates {
+        lost_responses: 15,
+        lost_requests: 10,
+        late_writes: 10,
+        refused_calls: 10,
+        dropped_messages: 20,
     }
 }
 
 /// Checks each operator's answer against what the table really holds.
 fn answers_are_true(cluster: &ConfigCluster) -> Result<(), String> {
     let committed = cluster.committed_marks();
-    for (call, record) in &cluster.operators {
-        let times = committed.iter().filter(|w| **w == record.mark).count();
-        let right = match &record.reply {
+    for (call, operator) in &cluster.operators {
+        let times = committed
+            .iter()
+            .filter(|mark| **mark == operator.mark)
+            .count();
+        let is_consistent = match &operator.reply {
             Some(OperatorReply::Accepted { .. }) => times == 1,
             Some(OperatorReply::Refused(refusal)) => {
                 times == 0 || (times == 1 && refusal.outcome == OutcomeKind::Unknown)
@@ -38,10 +41,10 @@
             Some(_) => times == 0,
             None => false,
         };
-        if !right {
+        if !is_consistent {
             return Err(format!(
                 "call {call} took effect {times} times: {:?}",
-                record.reply
+                operator.reply
             ));
         }
     }
@@ -55,7 +58,7 @@
 /// and all hosts must end with the same configuration.
 fn racing_operators(seed: u64) -> Result<(), String> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut cluster = ConfigCluster::new(4, seed, storm());
+    let mut cluster = ConfigCluster::new(4, seed, random_faults());
     cluster.run(2 * SECOND);
     for _ in 0..12 {
         for _ in 0..rng.random_range(1..4) {
@@ -70,7 +73,7 @@
     }
     cluster.outage = false;
     cluster.run(30 * SECOND);
-    cluster.chances = FaultChances::default();
+    cluster.fault_rates = FaultRates::default();
     cluster.run(20 * SECOND);
     answers_are_true(&cluster)?;
     if !cluster.breaches.is_empty() {
@@ -94,7 +97,7 @@
 /// were accepted, the first one's change would be gone without anybody being told.
 #[test]
 fn one_of_two_racing_operators_gets_a_conflict() {
-    let mut cluster = ConfigCluster::new(2, 1, FaultChances::default());
+    let mut cluster = ConfigCluster::new(2, 1, FaultRates::default());
     cluster.run(SECOND);
     cluster.write_service(0, "shop", Some(ConfigRevision(0)));
     cluster.run(3 * SECOND);
@@ -118,15 +121,15 @@
 /// Accepting it would undo what was changed since, without anybody being told.
 #[test]
 fn a_change_to_an_old_revision_is_a_conflict() {
-    let mut cluster = ConfigCluster::new(2, 23, FaultChances::default());
+    let mut cluster = ConfigCluster::new(2, 23, FaultRates::default());
     cluster.run(SECOND);
     cluster.write_service(0, "shop", None);
     cluster.run(4 * SECOND);
     cluster.write_service(1, "shop", None);
     cluster.run(4 * SECOND);
-    let late = cluster.write_service(0, "shop", Some(ConfigRevision(1)));
+    let stale_write = cluster.write_service(0, "shop", Some(ConfigRevision(1)));
     cluster.run(4 * SECOND);
-    let reply = &cluster.operators[&late].reply;
+    let reply = &cluster.operators[&stale_write].reply;
     assert!(
         matches!(reply, Some(OperatorReply::Conflict { .. })),
         "{reply:?}"
@@ -137,7 +140,7 @@
 /// newer revision. Taking it would put a replaced configuration in force again.
 #[test]
 fn a_late_snapshot_does_not_undo_what_the_table_gave() {
-    let mut cluster = ConfigCluster::new(2, 29, FaultChances::default());
+    let mut cluster = ConfigCluster::new(2, 29, FaultRates::default());
     cluster.run(SECOND);
     cluster.write_service(0, "shop", None);
     cluster.run(4 * SECOND);
@@ -155,7 +158,7 @@
 /// say that nothing newer was accepted: it begins once the table says so.
 #[test]
 fn a_restarted_host_never_begins_with_an_older_revision() {
-    let mut cluster = ConfigCluster::new(5, 7, FaultChances::default());
+    let mut cluster = ConfigCluster::new(5, 7, FaultRates::default());
     cluster.run(SECOND);
     cluster.write_service(0, "shop", None);
     cluster.run(4 * SECOND);
@@ -184,7 +187,7 @@
 /// that time, so callers should notice nothing; operators get a refusal that is true.
 #[test]
 fn an_outage_of_an_hour_stops_no_host_that_peers_confirm() {
-    let mut cluster = ConfigCluster::new(7, 3, FaultChances::default());
+    let mut cluster = ConfigCluster::new(7, 3, FaultRates::default());
     cluster.write_service(0, "shop", None);
     cluster.run(5 * SECOND);
     cluster.outage = true;
@@ -210,7 +213,7 @@
 /// must know within the allowed time that they can't be sure.
 #[test]
 fn a_cut_off_minority_knows_that_it_may_be_old() {
-    let mut cluster = ConfigCluster::new(7, 5, FaultChances::default());
+    let mut cluster = ConfigCluster::new(7, 5, FaultRates::default());
     cluster.write_service(0, "shop", None);
     cluster.run(5 * SECOND);
     cluster.cut_off = vec![5, 6];
@@ -236,7 +239,7 @@
 /// the outage lasts.
 #[test]
 fn a_change_spreads_from_a_peer_while_the_table_is_down() {
-    let mut cluster = ConfigCluster::new(7, 11, FaultChances::default());
+    let mut cluster = ConfigCluster::new(7, 11, FaultRates::default());
     cluster.run(2 * SECOND);
     let call = cluster.write_service(0, "shop", None);
     while cluster.operators[&call].reply.is_none() {
@@ -251,11 +254,11 @@
 /// is lost and only polling carries it, and polling must leave the table to the other duties.
 #[test]
 fn polling_alone_reaches_all_of_350_daemons_within_its_budget() {
-    let chances = FaultChances {
-        drop: 100,
-        ..FaultChances::default()
+    let fault_rates = FaultRates {
+        dropped_messages: 100,
+        ..FaultRates::default()
     };
-    let mut cluster = ConfigCluster::new(350, 13, chances);
+    let mut cluster = ConfigCluster::new(350, 13, fault_rates);
     cluster.run(25 * SECOND);
     for revision in 1..=2 {
         let before = cluster.table_calls;
@@ -273,7 +276,7 @@
 /// miss changes without knowing; it is told to list all resources anew.
 #[test]
 fn a_watcher_that_lags_too_far_is_told_to_list_anew() {
-    let mut cluster = ConfigCluster::new(1, 17, FaultChances::default());
+    let mut cluster = ConfigCluster::new(1, 17, FaultRates::default());
     cluster.run(SECOND);
     for _ in 0..1_100 {
         cluster.write_service(0, "shop", None);
@@ -293,7 +296,7 @@
 /// something through a host that it has not heard of, and must not go on as if it knew.
 #[test]
 fn a_host_without_peers_is_not_confirmed_by_itself() {
-    let mut cluster = ConfigCluster::new(1, 19, FaultChances::default());
+    let mut cluster = ConfigCluster::new(1, 19, FaultRates::default());
     cluster.run(2 * SECOND);
     assert!(cluster.nodes[0].is_current(cluster.now()));
     cluster.outage = true;
--- a/crates/savorywood-core/tests/support/config_cluster.rs
+++ b/crates/savorywood-core/tests/support/config_cluster.rs
@@ -24,23 +24,23 @@
 
 /// Chances of faults, in percent of table calls.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct FaultChances {
+pub struct FaultRates {
     /// The answer is lost after the call took effect.
-    pub lost_after: u32,
+    pub lost_responses: u32,
     /// The call is lost before it took effect.
-    pub lost_before: u32,
+    pub lost_requests: u32,
     /// The caller is told that the answer was lost, and the call takes effect later.
-    pub lands_late: u32,
+    pub late_writes: u32,
     /// The call is refused.
-    pub unavailable: u32,
+    pub refused_calls: u32,
     /// A peer message is dropped.
-    pub drop: u32,
+    pub dropped_messages: u32,
 }
 
 enum Pending {
-    Node(usize, ConfigEvent),
-    Land(TableRequest),
-    Execute(usize, u64, TableRequest),
+    NodeEvent(usize, ConfigEvent),
+    LateWrite(TableRequest),
+    TableCall(usize, u64, TableRequest),
 }
 
 /// An operator's call and what it was told.
@@ -59,7 +59,7 @@
     /// The reducers.
     pub nodes: Vec<ConfigState>,
     /// Chances of faults.
-    pub chances: FaultChances,
+    pub fault_rates: FaultRates,
     /// The table refuses everything.
     pub outage: bool,
     /// Nodes that neither peers nor the table reach.
@@ -70,12 +70,12 @@
     pub breaches: Vec<String>,
     /// Calls that reached the table.
     pub table_calls: usize,
-    lives: Vec<u64>,
+    incarnations: Vec<u64>,
     revisions: Vec<ConfigRevision>,
-    agenda: BTreeMap<(u64, u64), Pending>,
+    scheduled: BTreeMap<(u64, u64), Pending>,
     timers: BTreeMap<(usize, u64), u64>,
     now: u64,
-    serial: u64,
+    last_sequence: u64,
     rng: ChaCha8Rng,
 }
 
@@ -83,28 +83,28 @@
 
 impl ConfigCluster {
     /// So many nodes that have all begun.
-    pub fn new(nodes: usize, seed: u64, chances: FaultChances) -> Self {
+    pub fn new(nodes: usize, seed: u64, fault_rates: FaultRates) -> Self {
         let mut cluster = Self {
             table: FakeTable::default(),
             nodes: Vec::new(),
-            chances,
+            fault_rates,
             outage: false,
             cut_off: Vec::new(),
             operators: BTreeMap::new(),
             breaches: Vec::new(),
             table_calls: 0,
-            lives: vec![0; nodes],
+            incarnations: vec![0; nodes],
             revisions: vec![ConfigRevision::default(); nodes],
-            agenda: BTreeMap::new(),
+            scheduled: BTreeMap::new(),
             timers: BTreeMap::new(),
             now: 1,
-            serial: 0,
+            last_sequence: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
         };
         for node in 0..nodes {
             let options = cluster.options(node);
             cluster.nodes.push(ConfigState::new(options));
-            cluster.later(0, Pending::Node(node, ConfigEvent::Started));
+            cluster.schedule(0, Pending::NodeEvent(node, ConfigEvent::Started));
         }
         cluster
     }
@@ -115,17 +115,17 @@
 
     /// Replaces a node by a new life that knows nothing.
     pub fn restart(&mut self, node: usize) {
-        self.lives[node] += 1;
-        self.agenda.retain(|_, pending| match pending {
-            Pending::Node(to, _) => *to != node,
-            Pending::Execute(from, ..) => *from != node,
-            Pending::Land(_) => true,
+        self.incarnations[node] += 1;
+        self.scheduled.retain(|_, pending| match pending {
+            Pending::NodeEvent(to, _) => *to != node,
+            Pending::TableCall(from, ..) => *from != node,
+            Pending::LateWrite(_) => true,
         });
         self.timers.retain(|(of, _), _| *of != node);
         let options = self.options(node);
         self.nodes[node] = ConfigState::new(options);
         self.revisions[node] = ConfigRevision::default();
-        self.later(0, Pending::Node(node, ConfigEvent::Started));
+        self.schedule(0, Pending::NodeEvent(node, ConfigEvent::Started));
     }
 
     /// The time on all clocks.
@@ -154,7 +154,7 @@
         let reply = None;
         self.operators
             .insert(number, OperatorRecord { mark, reply });
-        self.later(0, Pending::Node(node, event));
+        self.schedule(0, Pending::NodeEvent(node, event));
         number
     }
 
@@ -163,7 +163,7 @@
         let end = self.now + duration.as_micros() as u64;
         loop {
             let timer = self.timers.iter().map(|(key, at)| (*at, *key)).min();
-            let next = self.agenda.keys().next().copied();
+            let next = self.scheduled.keys().next().copied();
             let at = [timer.map(|(at, _)| at), next.map(|(at, _)| at)];
             match at.into_iter().flatten().min() {
                 Some(at) if at <= end => self.now = self.now.max(at),
@@ -176,8 +176,8 @@
                     self.step(node, ConfigEvent::TimerFired { number });
                 }
                 (_, Some(key)) => {
-                    if let Some(pending) = self.agenda.remove(&key) {
-                        self.happen(pending);
+                    if let Some(pending) = self.scheduled.remove(&key) {
+                        self.process(pending);
                     }
                 }
                 _ => break,
@@ -218,62 +218,65 @@
     pub fn members_of(&self, node: usize) -> MemberView {
         let mut view = MemberView::default();
         for (other, revision) in self.revisions.iter().enumerate() {
-            let reached =
+            let is_reachable =
                 other == node || self.cut_off.contains(&other) == self.cut_off.contains(&node);
-            let state = if reached {
+            let state = if is_reachable {
                 MemberState::Alive
             } else {
                 MemberState::Dead
             };
-            view.members
-                .insert(host(other), record(self.lives[other], state, *revision));
+            view.members.insert(
+                host(other),
+                member_record(self.incarnations[other], state, *revision),
+            );
         }
         view
     }
 
-    fn later(&mut self, delay: u64, pending: Pending) {
-        self.serial += 1;
-        self.agenda.insert((self.now + delay, self.serial), pending);
+    fn schedule(&mut self, delay: u64, pending: Pending) {
+        self.last_sequence += 1;
+        self.scheduled
+            .insert((self.now + delay, self.last_sequence), pending);
     }
 
-    fn happen(&mut self, pending: Pending) {
+    fn process(&mut self, pending: Pending) {
         match pending {
-            Pending::Node(node, event) => self.step(node, event),
-            Pending::Land(request) => {
+            Pending::NodeEvent(node, event) => self.step(node, event),
+            Pending::LateWrite(request) => {
                 self.table.execute(&request);
             }
-            Pending::Execute(node, number, request) => self.execute(node, number, request),
+            Pending::TableCall(node, number, request) => self.execute(node, number, request),
         }
     }
 
     fn execute(&mut self, node: usize, number: u64, request: TableRequest) {
         self.table_calls += 1;
-        let dice = self.rng.random_range(0..100);
+        let roll = self.rng.random_range(0..100);
         let delay = self.rng.random_range(500..20_000);
-        let chances = self.chances;
-        let after = chances.lost_after;
-        let before = after + chances.lost_before;
-        let late = before + chances.lands_late;
-        let refused = late + chances.unavailable;
+        let fault_rates = self.fault_rates;
+        let response_bound = fault_rates.lost_responses;
+        let request_bound = response_bound + fault_rates.lost_requests;
+        let late_bound = request_bound + fault_rates.late_writes;
+        let refused_bound = late_bound + fault_rates.refused_calls;
         let answer = if self.outage || self.cut_off.contains(&node) {
             TableAnswer::Unavailable
-        } else if dice < after {
+        } else if roll < response_bound {
             self.table.execute(&request);
             TableAnswer::Lost
-        } else if dice < before {
+        } else if roll < request_bound {
             TableAnswer::Lost
-        } else if dice < late {
-            let landing = self.rng.random_range(0..3_000_000);
-            self.later(landing, Pending::Land(request));
+        } else if roll < late_bound {
+            let extra_delay = self.rng.random_range(0..3_000_000);
+            self.schedule(extra_delay, Pending::LateWrite(request));
             TableAnswer::Lost
-        } else if dice < refused {
+        } else if roll < refused_bound {
             TableAnswer::Unavailable
         } else {
             self.table.execute(&request)
         };
-        self.later(
+        self.schedule(
             delay,
-            Pending::Node(node, ConfigEvent::Table { number, answer }),
+            Pending::NodeEvent(node, ConfigEvent::Table { number, answer }),
         );
     }
 
@@ -293,26 +296,26 @@
         let delay = self.rng.random_range(200..5_000);
         match effect {
             DaemonEffect::CallTable { call, request } => {
-                self.later(delay, Pending::Execute(node, call.number, request));
+                self.schedule(delay, Pending::TableCall(node, call.number, request));
             }
             DaemonEffect::SetTimer { key, at } => {
                 self.timers.insert((node, key.number), at.0);
             }
             DaemonEffect::SendPeer { to, message, .. } => self.send(node, &to, message, delay),
             DaemonEffect::FetchSnapshot { from, .. } => {
-                let source = number_of(&from);
-                let reached = self.cut_off.contains(&source) == self.cut_off.contains(&node);
+                let source = node_of(&from);
+                let is_reachable = self.cut_off.contains(&source) == self.cut_off.contains(&node);
                 let snapshot = self.nodes[source]
                     .snapshot()
-                    .filter(|_| reached)
+                    .filter(|_| is_reachable)
                     .map(Box::new);
                 let event = ConfigEvent::SnapshotFetched { from, snapshot };
-                self.later(delay, Pending::Node(node, event));
+                self.schedule(delay, Pending::NodeEvent(node, event));
             }
             DaemonEffect::ReplyOperator { call, reply } => {
-                let record = self.operators.get_mut(&call.0).expect("a known call");
-                assert!(record.reply.is_none(), "an operator was answered twice");
-                record.reply = Some(*reply);
+                let operator = self.operators.get_mut(&call.0).expect("a known call");
+                assert!(operator.reply.is_none(), "an operator was answered twice");
+                operator.reply = Some(*reply);
             }
             DaemonEffect::Breach(breach) => self.breaches.push(breach.detail),
             _ => {}
@@ -320,16 +323,16 @@
     }
 
     fn send(&mut self, node: usize, to: &HostName, message: PeerMessage, delay: u64) {
-        let target = number_of(to);
-        let reached = self.cut_off.contains(&target) == self.cut_off.contains(&node);
-        let dropped = self.rng.random_range(0..100) < self.chances.drop;
+        let target = node_of(to);
+        let is_reachable = self.cut_off.contains(&target) == self.cut_off.contains(&node);
+        let is_dropped = self.rng.random_range(0..100) < self.fault_rates.dropped_messages;
         let PeerMessage::Config(message) = message else {
             return;
         };
-        if reached && !dropped {
+        if is_reachable && !is_dropped {
             let from = host(node);
             let event = ConfigEvent::Peer { from, message };
-            self.later(delay, Pending::Node(target, event));
+            self.schedule(delay, Pending::NodeEvent(target, event));
         }
     }
 }
@@ -339,14 +342,18 @@
     format!("host-{node}").parse().expect("a name")
 }
 
-fn number_of(host: &HostName) -> usize {
+fn node_of(host: &HostName) -> usize {
     let digits = host.as_str().trim_start_matches("host-");
     digits.parse().expect("a node's host")
 }
 
-fn record(life: u64, state: MemberState, config_revision: ConfigRevision) -> MemberRecord {
+fn member_record(
+    incarnation: u64,
+    state: MemberState,
+    config_revision: ConfigRevision,
+) -> MemberRecord {
     MemberRecord {
-        incarnation: HostIncarnation(life),
+        incarnation: HostIncarnation(incarnation),
         state,
         peer_address: "127.0.0.1:1".parse().expect("an address"),
         caller_address: "127.0.0.1:2".parse().expect("an address"),
--- a/crates/savorywood-core/tests/support/fake_table.rs
+++ b/crates/savorywood-core/tests/support/fake_table.rs
@@ -20,7 +20,7 @@
         match request {
             TableRequest::Get { keys } => {
                 let rows = keys.iter().filter_map(|key| self.rows.get(key).cloned());
-                self.rows_answer(rows.collect(), false)
+                self.rows_response(rows.collect(), false)
             }
             TableRequest::Scan {
                 prefix,
@@ -35,13 +35,13 @@
                 rows.sort_by(|a, b| (a.revision, &a.key).cmp(&(b.revision, &b.key)));
                 let more = rows.len() > *limit as usize;
                 rows.truncate(*limit as usize);
-                self.rows_answer(rows, more)
+                self.rows_response(rows, more)
             }
             TableRequest::Commit(commit) => self.commit(commit),
         }
     }
 
-    fn rows_answer(&self, rows: Vec<TableRow>, more: bool) -> TableAnswer {
+    fn rows_response(&self, rows: Vec<TableRow>, more: bool) -> TableAnswer {
         let revision = self.revision;
         TableAnswer::Rows {
             rows,
@@ -52,13 +52,15 @@
 
     fn commit(&mut self, commit: &TableCommit) -> TableAnswer {
         let live = |row: &&TableRow| row.value.is_some();
-        let broken = commit.conditions.iter().filter(|condition| {
+        let failed_keys = commit.conditions.iter().filter(|condition| {
             let row = self.rows.get(&condition.key).filter(live);
             row.map(|row| row.revision) != condition.revision
         });
-        let broken: Vec<_> = broken.map(|condition| condition.key.clone()).collect();
-        if !broken.is_empty() {
-            let rows = broken.iter().filter_map(|key| self.rows.get(key).cloned());
+        let failed_keys: Vec<_> = failed_keys.map(|condition| condition.key.clone()).collect();
+        if !failed_keys.is_empty() {
+            let rows = failed_keys
+                .iter()
+                .filter_map(|key| self.rows.get(key).cloned());
             return TableAnswer::Conflict {
                 rows: rows.collect(),
             };
--- a/crates/savorywood-core/tests/support/lease_cluster.rs
+++ b/crates/savorywood-core/tests/support/lease_cluster.rs
@@ -15,14 +15,14 @@
 use std::{collections::BTreeMap, time::Duration};
 
 enum Pending {
-    Node(usize, LeaseEvent),
-    Land(TableRequest),
-    Execute(usize, u64, TableRequest),
+    NodeEvent(usize, LeaseEvent),
+    LateWrite(TableRequest),
+    TableCall(usize, u64, TableRequest),
 }
 
 /// Something done under the lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LeaseAct {
+pub struct LeaseAction {
     /// Who did it.
     pub node: usize,
     /// Under which fencing number.
@@ -32,54 +32,54 @@
 /// The reducers, their clocks, the table and what is on its way.
 pub struct LeaseCluster {
     /// Everything that was done, in the order of real time.
-    pub acts: Vec<LeaseAct>,
+    pub actions: Vec<LeaseAction>,
     /// Breaches reported by any node.
     pub breaches: Vec<String>,
     /// Faults of the table in percent of calls.
-    pub faults: u32,
+    pub fault_percent: u32,
     nodes: Vec<LeaseState>,
     /// Rate of each clock in thousandths.
-    rates: Vec<u64>,
+    clock_rates: Vec<u64>,
     paused_until: Vec<u64>,
     table: FakeTable,
-    agenda: BTreeMap<(u64, u64), Pending>,
+    scheduled: BTreeMap<(u64, u64), Pending>,
     timers: BTreeMap<usize, u64>,
     members: MemberView,
     now: u64,
-    serial: u64,
+    last_sequence: u64,
     rng: ChaCha8Rng,
 }
 
 impl LeaseCluster {
     /// So many nodes that all want the lease. Rates of clocks are in thousandths.
-    pub fn new(rates: &[u64], seed: u64) -> Self {
+    pub fn new(clock_rates: &[u64], seed: u64) -> Self {
         let mut members = MemberView::default();
-        let options = rates.iter().enumerate().map(|(node, _)| {
-            members.members.insert(host(node), record());
+        let options = clock_rates.iter().enumerate().map(|(node, _)| {
+            members.members.insert(host(node), member_record());
             LeaseOptions::new(host(node), HostIncarnation(1), seed ^ node as u64)
         });
         let nodes = options.map(LeaseState::new).collect();
         let mut cluster = Self {
-            acts: Vec::new(),
+            actions: Vec::new(),
             breaches: Vec::new(),
-            faults: 0,
+            fault_percent: 0,
             nodes,
-            rates: rates.to_vec(),
-            paused_until: vec![0; rates.len()],
+            clock_rates: clock_rates.to_vec(),
+            paused_until: vec![0; clock_rates.len()],
             table: FakeTable::default(),
-            agenda: BTreeMap::new(),
+            scheduled: BTreeMap::new(),
             timers: BTreeMap::new(),
             members,
             now: 1,
-            serial: 0,
+            last_sequence: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
         };
-        for node in 0..rates.len() {
+        for node in 0..clock_rates.len() {
             let event = LeaseEvent::Wanted {
                 name: LeaseName::Moves,
                 wanted: true,
             };
-            cluster.later(0, Pending::Node(node, event));
+            cluster.schedule(0, Pending::NodeEvent(node, event));
         }
         cluster
     }
@@ -113,27 +113,27 @@
             // A node that was frozen may be in the middle of acting when it goes on: before any
             // timer or answer has told it how late it is.
             for node in 0..self.nodes.len() {
-                self.act(node);
+                self.record_action(node);
             }
-            self.run_agenda();
+            self.run_scheduled();
             self.run_timers();
         }
     }
 
-    fn run_agenda(&mut self) {
-        let later = self.agenda.split_off(&(self.now, 0));
-        let due = std::mem::replace(&mut self.agenda, later);
+    fn run_scheduled(&mut self) {
+        let future = self.scheduled.split_off(&(self.now, 0));
+        let due = std::mem::replace(&mut self.scheduled, future);
         for pending in due.into_values() {
             match pending {
-                Pending::Node(node, event) if self.is_paused(node) => {
+                Pending::NodeEvent(node, event) if self.is_paused(node) => {
                     let wait = self.paused_until[node] - self.now + 1;
-                    self.later(wait, Pending::Node(node, event));
+                    self.schedule(wait, Pending::NodeEvent(node, event));
                 }
-                Pending::Node(node, event) => self.step(node, event),
-                Pending::Land(request) => {
+                Pending::NodeEvent(node, event) => self.step(node, event),
+                Pending::LateWrite(request) => {
                     self.table.execute(&request);
                 }
-                Pending::Execute(node, number, request) => self.execute(node, number, request),
+                Pending::TableCall(node, number, request) => self.execute(node, number, request),
             }
         }
     }
@@ -150,13 +150,13 @@
         }
     }
 
-    fn act(&mut self, node: usize) {
+    fn record_action(&mut self, node: usize) {
         if self.is_paused(node) {
             return;
         }
         if let Some(grant) = self.nodes[node].grant(self.clock(node), LeaseName::Moves) {
             let fencing = grant.fencing.0;
-            self.acts.push(LeaseAct { node, fencing });
+            self.actions.push(LeaseAction { node, fencing });
         }
     }
 
@@ -167,42 +167,43 @@
     fn clock(&self, node: usize) -> CoreTime {
         let offset = 1_000_000_000 * (node as u64 + 1);
         CoreTime {
-            monotonic: MonotonicTime(offset + self.now * self.rates[node] / 1_000),
+            monotonic: MonotonicTime(offset + self.now * self.clock_rates[node] / 1_000),
             wall: WallTime(0),
         }
     }
 
-    fn later(&mut self, delay: u64, pending: Pending) {
-        self.serial += 1;
-        self.agenda.insert((self.now + delay, self.serial), pending);
+    fn schedule(&mut self, delay: u64, pending: Pending) {
+        self.last_sequence += 1;
+        self.scheduled
+            .insert((self.now + delay, self.last_sequence), pending);
     }
 
     fn execute(&mut self, node: usize, number: u64, request: TableRequest) {
-        let dice = self.rng.random_range(0..100);
-        let answer = if dice >= self.faults {
+        let roll = self.rng.random_range(0..100);
+        let answer = if roll >= self.fault_percent {
             self.table.execute(&request)
         } else {
-            match dice % 4 {
+            match roll % 4 {
                 0 => {
                     self.table.execute(&request);
                     TableAnswer::Lost
                 }
                 1 => TableAnswer::Lost,
                 2 => {
-                    let landing = self.rng.random_range(0..8_000_000);
-                    self.later(landing, Pending::Land(request));
+                    let extra_delay = self.rng.random_range(0..8_000_000);
+                    self.schedule(extra_delay, Pending::LateWrite(request));
                     TableAnswer::Lost
                 }
                 _ => TableAnswer::Unavailable,
             }
         };
-        let slow = self.rng.random_range(0..100) < self.faults;
+        let slow = self.rng.random_range(0..100) < self.fault_percent;
         let delay = self
             .rng
             .random_range(500..if slow { 4_000_000 } else { 20_000 });
-        self.later(
+        self.schedule(
             delay,
-            Pending::Node(node, LeaseEvent::Table { number, answer }),
+            Pending::NodeEvent(node, LeaseEvent::Table { number, answer }),
         );
     }
 
@@ -215,7 +216,7 @@
             match effect {
                 DaemonEffect::CallTable { call, request } => {
                     let delay = self.rng.random_range(500..20_000);
-                    self.later(delay, Pending::Execute(node, call.number, request));
+                    self.schedule(delay, Pending::TableCall(node, call.number, request));
                 }
                 DaemonEffect::SetTimer { at, .. } => {
                     self.timers.insert(node, at.0);
@@ -231,7 +232,7 @@
     format!("host-{node}").parse().expect("a name")
 }
 
-fn record() -> MemberRecord {
+fn member_record() -> MemberRecord {
     MemberRecord {
         incarnation: HostIncarnation(1),
         state: MemberState::Alive,
