--- a/crates/savorywood-core/examples/move_figures.rs
+++ b/crates/savorywood-core/examples/move_figures.rs
@@ -5,10 +5,10 @@
 
 #[path = "../tests/support/fake_table.rs"]
 mod fake_table;
-#[path = "../tests/support/move_lab.rs"]
-mod move_lab;
+#[path = "../tests/support/move_simulation.rs"]
+mod move_simulation;
 
-use move_lab::{FaultOnset, LabPlan, LabResult, MoveLab};
+use move_simulation::{FaultOnset, MoveScenario, MoveSimulation, SimulationResult};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use savorywood_protocol::resource::MoveState;
@@ -16,26 +16,26 @@
 /// One kind of version.
 struct VersionKind {
     name: &'static str,
-    plan: fn(&mut ChaCha8Rng) -> LabPlan,
+    scenario: fn(&mut ChaCha8Rng) -> MoveScenario,
 }
 
-fn failing(onset: FaultOnset) -> LabPlan {
-    LabPlan {
+fn failing(onset: FaultOnset) -> MoveScenario {
+    MoveScenario {
         onset,
         failure_rate: 0.5,
-        ..LabPlan::default()
+        ..MoveScenario::default()
     }
 }
 
-fn slow(onset: FaultOnset) -> LabPlan {
-    LabPlan {
+fn slow(onset: FaultOnset) -> MoveScenario {
+    MoveScenario {
         onset,
         slowdown: 1.6,
-        ..LabPlan::default()
+        ..MoveScenario::default()
     }
 }
 
-/// A time at which a version turns bad: anywhere before the soak ends in the plan.
+/// A time at which a version turns bad: anywhere before the soak ends in the scenario.
 fn later(rng: &mut ChaCha8Rng) -> FaultOnset {
     FaultOnset::After(rng.random_range(30.0..480.0))
 }
@@ -48,53 +48,53 @@
 const KINDS: [VersionKind; 11] = [
     VersionKind {
         name: "fails at once",
-        plan: |_| failing(FaultOnset::AtOnce),
+        scenario: |_| failing(FaultOnset::Immediate),
     },
     VersionKind {
         name: "fails later",
-        plan: |rng| failing(later(rng)),
+        scenario: |rng| failing(later(rng)),
     },
     VersionKind {
         name: "fails under load",
-        plan: |rng| failing(load(rng)),
+        scenario: |rng| failing(load(rng)),
     },
     VersionKind {
         name: "fails on one route",
-        plan: |_| failing(FaultOnset::OneRoute),
+        scenario: |_| failing(FaultOnset::OneRoute),
     },
     VersionKind {
         name: "slow at once",
-        plan: |_| slow(FaultOnset::AtOnce),
+        scenario: |_| slow(FaultOnset::Immediate),
     },
     VersionKind {
         name: "slow later",
-        plan: |rng| slow(later(rng)),
+        scenario: |rng| slow(later(rng)),
     },
     VersionKind {
         name: "slow under load",
-        plan: |rng| slow(load(rng)),
+        scenario: |rng| slow(load(rng)),
     },
     VersionKind {
         name: "slow on one route",
-        plan: |_| slow(FaultOnset::OneRoute),
+        scenario: |_| slow(FaultOnset::OneRoute),
     },
     VersionKind {
         name: "fails 1 in 20",
-        plan: |_| LabPlan {
-            onset: FaultOnset::AtOnce,
+        scenario: |_| MoveScenario {
+            onset: FaultOnset::Immediate,
             failure_rate: 0.05,
-            ..LabPlan::default()
+            ..MoveScenario::default()
         },
     },
     VersionKind {
         name: "good, hot afternoon",
-        plan: |_| LabPlan::default(),
+        scenario: |_| MoveScenario::default(),
     },
     VersionKind {
         name: "good, 10 requests/s",
-        plan: |_| LabPlan {
-            rate: 10.0,
-            ..LabPlan::default()
+        scenario: |_| MoveScenario {
+            requests_per_second: 10.0,
+            ..MoveScenario::default()
         },
     },
 ];
@@ -113,15 +113,15 @@
 }
 
 impl KindSummary {
-    fn add(&mut self, result: &LabResult) {
+    fn add(&mut self, result: &SimulationResult) {
         let percent = |count: u32| 100.0 * f64::from(count) / f64::from(result.requests);
         self.runs += 1;
         self.taken_back += u32::from(result.state == Some(MoveState::TakenBack));
         self.completed += u32::from(result.state == Some(MoveState::Completed));
-        self.met_bad.push(percent(result.met_bad));
-        self.met_new.push(percent(result.met_new));
-        self.found_after.extend(result.found_after);
-        self.spread.push(result.spread);
+        self.met_bad.push(percent(result.bad_requests));
+        self.met_new.push(percent(result.new_requests));
+        self.found_after.extend(result.detected_after_seconds);
+        self.spread.push(result.stop_spread_seconds);
         self.breaches += result.breaches;
     }
 
@@ -170,12 +170,12 @@
         let mut summary = KindSummary::default();
         for seed in first_seed..first_seed + runs {
             let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x5eed);
-            let plan = (kind.plan)(&mut rng);
-            let mut lab = MoveLab::new(plan, seed);
-            lab.run_until(plan.deadline);
-            summary.add(&lab.result);
-            if plan.onset == FaultOnset::Never && lab.state(0) != MoveState::Completed {
-                let reason = lab.reason(0);
+            let scenario = (kind.scenario)(&mut rng);
+            let mut simulation = MoveSimulation::new(scenario, seed);
+            simulation.run_until(scenario.deadline_seconds);
+            summary.add(&simulation.result);
+            if scenario.onset == FaultOnset::Never && simulation.state(0) != MoveState::Completed {
+                let reason = simulation.reason(0);
                 unfinished.push(format!("{}, seed {seed}: {reason}", kind.name));
             }
         }
--- a/crates/savorywood-core/tests/move_faults.rs
+++ b/crates/savorywood-core/tests/move_faults.rs
@@ -2,10 +2,10 @@
 
 #[path = "support/fake_table.rs"]
 mod fake_table;
-#[path = "support/move_lab.rs"]
-mod move_lab;
+#[path = "support/move_simulation.rs"]
+mod move_simulation;
 
-use move_lab::{FaultOnset, LabPlan, MoveLab};
+use move_simulation::{FaultOnset, MoveScenario, MoveSimulation};
 use quickcheck::{QuickCheck, quickcheck};
 use savorywood_core::moves::judge::{JudgeVerdict, VersionJudge};
 use savorywood_protocol::{
@@ -15,108 +15,118 @@
 };
 use std::time::Duration;
 
-fn failing(onset: FaultOnset) -> LabPlan {
-    LabPlan {
+fn failing_version(onset: FaultOnset) -> MoveScenario {
+    MoveScenario {
         onset,
         failure_rate: 0.5,
-        ..LabPlan::default()
+        ..MoveScenario::default()
     }
 }
 
 /// A version is good and the room grows hot while it takes over: all engines slow down, and for
 /// some seconds both versions fail. Taking it back would cost the users their release for nothing.
 #[test]
-fn a_good_version_is_done_in_time_on_a_hot_afternoon() {
-    let mut lab = MoveLab::new(LabPlan::default(), 2);
-    lab.run_until(600.0);
+fn a_good_version_completes_in_time_while_engines_slow_down() {
+    let mut simulation = MoveSimulation::new(MoveScenario::default(), 2);
+    simulation.run_until(600.0);
     assert_eq!(
-        lab.result.state,
+        simulation.result.state,
         Some(MoveState::Completed),
         "{}",
-        lab.reason(0)
+        simulation.reason(0)
     );
-    assert_eq!(lab.result.breaches, 0);
+    assert_eq!(simulation.result.breaches, 0);
 }
 
 /// Guards against a good version that is taken back since fewer callers come than while the move
 /// measured them.
 #[test]
-fn a_good_version_is_done_in_time_when_fewer_callers_come() {
-    let plan = LabPlan {
-        rate: 90.0,
-        later_rate: Some(20.0),
-        deadline: 300.0,
-        hot: false,
-        ..LabPlan::default()
+fn a_good_version_completes_in_time_when_traffic_drops() {
+    let scenario = MoveScenario {
+        requests_per_second: 90.0,
+        later_requests_per_second: Some(20.0),
+        deadline_seconds: 300.0,
+        thermal_slowdown: false,
+        ..MoveScenario::default()
     };
     for seed in 1..=6 {
-        let mut lab = MoveLab::new(plan, seed);
-        lab.run_until(300.0);
-        let state = lab.result.state;
-        let reason = lab.reason(0);
+        let mut simulation = MoveSimulation::new(scenario, seed);
+        simulation.run_until(300.0);
+        let state = simulation.result.state;
+        let reason = simulation.reason(0);
         assert_eq!(state, Some(MoveState::Completed), "seed {seed}: {reason}");
-        assert_eq!(lab.result.breaches, 0);
+        assert_eq!(simulation.result.breaches, 0);
     }
 }
 
 /// Guards against a first share that takes the time which larger shares need for their proof.
 #[test]
-fn a_good_version_is_done_in_time_by_a_short_move() {
-    let plan = LabPlan {
-        rate: 690.0,
-        later_rate: Some(250.0),
-        deadline: 75.0,
+fn a_good_version_completes_in_time_in_a_short_move() {
+    let scenario = MoveScenario {
+        requests_per_second: 690.0,
+        later_requests_per_second: Some(250.0),
+        deadline_seconds: 75.0,
         soak_seconds: 1,
-        hot: false,
-        ..LabPlan::default()
+        thermal_slowdown: false,
+        ..MoveScenario::default()
     };
-    let ends = (1..=20).map(|seed| {
-        let mut lab = MoveLab::new(plan, seed);
-        lab.run_until(plan.deadline);
-        let is_done = lab.result.state == Some(MoveState::Completed);
-        (seed, is_done, lab.reason(0))
+    let outcomes = (1..=20).map(|seed| {
+        let mut simulation = MoveSimulation::new(scenario, seed);
+        simulation.run_until(scenario.deadline_seconds);
+        let is_completed = simulation.result.state == Some(MoveState::Completed);
+        (seed, is_completed, simulation.reason(0))
     });
-    let missed: Vec<_> = ends.filter(|(_, is_done, _)| !is_done).collect();
-    assert!(missed.is_empty(), "{} of 20: {missed:?}", missed.len());
+    let incomplete: Vec<_> = outcomes
+        .filter(|(_, is_completed, _)| !is_completed)
+        .collect();
+    assert!(
+        incomplete.is_empty(),
+        "{} of 20: {incomplete:?}",
+        incomplete.len()
+    );
 }
 
 /// A version turns bad in one of the ways that the users name, at any time. Callers get errors or
 /// slow answers. It must be taken back by the deadline with few requests having met it, and get
 /// none a second after the first daemon saw it.
-fn bad_version(seed: u64) -> Result<(), String> {
+fn check_bad_version(seed: u64) -> Result<(), String> {
     let onsets = [
-        FaultOnset::AtOnce,
+        FaultOnset::Immediate,
         FaultOnset::After(50.0 + (seed % 400) as f64),
         FaultOnset::UnderLoad(200),
         FaultOnset::OneRoute,
     ];
     let onset = onsets[(seed % 4) as usize];
-    let slow = LabPlan {
+    let slow_version = MoveScenario {
         onset,
         slowdown: 1.6,
-        ..LabPlan::default()
+        ..MoveScenario::default()
+    };
+    let scenario = if seed % 8 < 4 {
+        failing_version(onset)
+    } else {
+        slow_version
     };
-    let plan = if seed % 8 < 4 { failing(onset) } else { slow };
-    let mut lab = MoveLab::new(plan, seed);
-    lab.run_until(600.0);
-    let result = lab.result;
-    let met = f64::from(result.met_bad) / f64::from(result.requests);
-    let right = result.state == Some(MoveState::TakenBack)
-        && met < 0.02
-        && result.spread < 1.0
+    let mut simulation = MoveSimulation::new(scenario, seed);
+    simulation.run_until(600.0);
+    let result = simulation.result;
+    let bad_fraction = f64::from(result.bad_requests) / f64::from(result.requests);
+    let is_acceptable = result.state == Some(MoveState::TakenBack)
+        && bad_fraction < 0.02
+        && result.stop_spread_seconds < 1.0
         && result.breaches == 0;
-    if right {
+    if is_acceptable {
         Ok(())
     } else {
-        Err(format!("{plan:?}: {result:?}, met {met}"))
+        Err(format!("{scenario:?}: {result:?}, met {bad_fraction}"))
     }
 }
 
 #[test]
-fn bad_versions_are_taken_back() {
+fn bad_versions_are_rolled_back() {
     QuickCheck::new()
         .tests(12)
-        .quickcheck(bad_version as fn(u64) -> Result<(), String>);
+        .quickcheck(check_bad_version as fn(u64) -> Result<(), String>);
 }
 
 /// The version fails while the table is down. Nobody can write that it is taken back, yet no
@@ -124,41 +134,41 @@
 /// so in the table.
 #[test]
 fn a_stop_works_without_the_table() {
-    let mut lab = MoveLab::new(failing(FaultOnset::After(40.0)), 3);
-    lab.run_until(35.0);
-    lab.outage = true;
-    lab.run_until(140.0);
-    assert!((0..7).all(|node| lab.share(node) == 0));
-    assert_eq!(lab.state(0), MoveState::Moving);
-    lab.outage = false;
-    lab.run_until(150.0);
-    assert!((0..7).all(|node| lab.state(node) == MoveState::TakenBack));
+    let mut simulation = MoveSimulation::new(failing_version(FaultOnset::After(40.0)), 3);
+    simulation.run_until(35.0);
+    simulation.outage = true;
+    simulation.run_until(140.0);
+    assert!((0..7).all(|node| simulation.share(node) == 0));
+    assert_eq!(simulation.state(0), MoveState::Moving);
+    simulation.outage = false;
+    simulation.run_until(150.0);
+    assert!((0..7).all(|node| simulation.state(node) == MoveState::TakenBack));
 }
 
 /// The holder is cut off from the table and the others for good. The others still see the version
 /// fail and must stop it by themselves.
 #[test]
 fn daemons_stop_a_version_without_the_holder() {
-    let mut lab = MoveLab::new(failing(FaultOnset::After(40.0)), 5);
-    lab.run_until(35.0);
-    lab.cut_off.insert(0);
-    lab.run_until(400.0);
-    assert!((1..7).all(|node| lab.share(node) == 0));
+    let mut simulation = MoveSimulation::new(failing_version(FaultOnset::After(40.0)), 5);
+    simulation.run_until(35.0);
+    simulation.cut_off.insert(0);
+    simulation.run_until(400.0);
+    assert!((1..7).all(|node| simulation.share(node) == 0));
 }
 
 /// The holder dies in the middle of a move and another daemon takes over, knowing only the rows.
 /// Were it to begin anew, the move would not be done in time; were it to go on without a proof of
 /// its own, it could push a bad version through.
 #[test]
-fn another_holder_goes_on_with_the_move() {
-    let mut good = MoveLab::new(LabPlan::default(), 13);
+fn a_new_lease_holder_continues_the_move() {
+    let mut good = MoveSimulation::new(MoveScenario::default(), 13);
     good.run_until(300.0);
     good.cut_off.insert(0);
     good.run_until(320.0);
     good.holder = 3;
     good.run_until(600.0);
     assert_eq!(good.state(3), MoveState::Completed, "{}", good.reason(3));
-    let mut bad = MoveLab::new(failing(FaultOnset::UnderLoad(50)), 13);
+    let mut bad = MoveSimulation::new(failing_version(FaultOnset::UnderLoad(50)), 13);
     bad.run_until(300.0);
     bad.cut_off.insert(0);
     bad.run_until(320.0);
@@ -171,73 +181,73 @@
 /// The table loses every other answer, also the one to the row that says "completed". Operators
 /// must not be told that the move is done before the row says so, nor may it stand still.
 #[test]
-fn lost_answers_neither_hold_up_nor_run_ahead_of_the_table() {
-    let mut lab = MoveLab::new(LabPlan::default(), 17);
-    lab.lost = 50;
-    lab.run_until(600.0);
+fn lost_responses_neither_delay_nor_anticipate_the_table() {
+    let mut simulation = MoveSimulation::new(MoveScenario::default(), 17);
+    simulation.lost_percent = 50;
+    simulation.run_until(600.0);
     assert!(
-        (0..7).all(|node| lab.state(node) == MoveState::Completed),
+        (0..7).all(|node| simulation.state(node) == MoveState::Completed),
         "{}",
-        lab.reason(0)
+        simulation.reason(0)
     );
-    assert_eq!(lab.result.breaches, 0);
+    assert_eq!(simulation.result.breaches, 0);
 }
 
 /// Table and holder are gone until after the deadline, and the version is not proved. Were each
 /// daemon to wait for a row, it would keep its share for as long as the outage lasts.
 #[test]
 fn an_unproven_version_has_no_share_after_the_deadline() {
-    let mut lab = MoveLab::new(LabPlan::default(), 7);
-    lab.run_until(60.0);
-    assert!((0..7).all(|node| lab.share(node) > 0));
-    lab.outage = true;
-    lab.run_until(601.0);
-    assert!((0..7).all(|node| lab.share(node) == 0));
-    assert_ne!(lab.state(0), MoveState::Completed);
+    let mut simulation = MoveSimulation::new(MoveScenario::default(), 7);
+    simulation.run_until(60.0);
+    assert!((0..7).all(|node| simulation.share(node) > 0));
+    simulation.outage = true;
+    simulation.run_until(601.0);
+    assert!((0..7).all(|node| simulation.share(node) == 0));
+    assert_ne!(simulation.state(0), MoveState::Completed);
 }
 
 /// A service gets hardly any requests, so nothing can be proved in the time that there is. The
 /// version must be taken back by the deadline with a reason, rather than pushed through.
 #[test]
-fn without_proof_the_version_is_taken_back_by_the_deadline() {
-    let plan = LabPlan {
-        rate: 0.2,
-        ..LabPlan::default()
+fn an_unproven_version_is_rolled_back_by_the_deadline() {
+    let scenario = MoveScenario {
+        requests_per_second: 0.2,
+        ..MoveScenario::default()
     };
-    let mut lab = MoveLab::new(plan, 11);
-    lab.run_until(599.0);
-    assert_eq!(lab.state(0), MoveState::TakenBack);
+    let mut simulation = MoveSimulation::new(scenario, 11);
+    simulation.run_until(599.0);
+    assert_eq!(simulation.state(0), MoveState::TakenBack);
     assert!(
-        lab.reason(0).contains("too few requests"),
+        simulation.reason(0).contains("too few requests"),
         "{}",
-        lab.reason(0)
+        simulation.reason(0)
     );
 }
 
-fn evidence(old: [u32; 2], new: [u32; 2]) -> RouteEvidence {
-    let arm = |[finished, failed]: [u32; 2]| ArmEvidence {
+fn route_statistics(old: [u32; 2], new: [u32; 2]) -> RouteEvidence {
+    let version_statistics = |[finished, failed]: [u32; 2]| ArmEvidence {
         finished,
         failed,
         ..ArmEvidence::default()
     };
     RouteEvidence {
         route: "/a".into(),
-        old: arm(old),
-        new: arm(new),
+        old: version_statistics(old),
+        new: version_statistics(new),
     }
 }
 
 quickcheck! {
     /// Something that both versions need is down for minutes, and both fail at whatever rate. The
     /// new one is not to blame and must not be taken back.
-    fn shared_trouble_is_no_fault_of_the_new_version(rates: Vec<u8>) -> bool {
-        let mut judge = VersionJudge::new(Duration::from_secs(1));
+    fn shared_failures_do_not_reject_the_new_version(rates: Vec<u8>) -> bool {
+        let mut evaluator = VersionJudge::new(Duration::from_secs(1));
         for (second, rate) in rates.iter().enumerate() {
             let now = MonotonicTime(1_000_000 * (second as u64 + 1));
             let failed = 40 * u32::from(rate % 100) / 100;
-            judge.close_slot(now);
-            judge.add(now, &evidence([40, failed], [20, failed / 2]));
+            evaluator.close_slot(now);
+            evaluator.add(now, &route_statistics([40, failed], [20, failed / 2]));
         }
-        !matches!(judge.verdict(), JudgeVerdict::Bad { .. })
+        !matches!(evaluator.verdict(), JudgeVerdict::Bad { .. })
     }
 }
--- a/crates/savorywood-core/tests/support/move_lab.rs
+++ b/crates/savorywood-core/tests/support/move_simulation.rs
@@ -25,7 +25,7 @@
     /// Never.
     Never,
     /// From its first request.
-    AtOnce,
+    Immediate,
     /// From so many seconds after the beginning.
     After(f64),
     /// While its share is at least so many thousandths.
@@ -36,7 +36,7 @@
 
 /// What one run is about.
 #[derive(Debug, Clone, Copy)]
-pub struct LabPlan {
+pub struct MoveScenario {
     /// When the new version is bad.
     pub onset: FaultOnset,
     /// Failure rate while it is bad.
@@ -45,134 +45,136 @@
     pub slowdown: f64,
     /// Whether the room grows hot: all engines slow down by up to 60%, unevenly, and there are
     /// seconds in which both versions fail.
-    pub hot: bool,
+    pub thermal_slowdown: bool,
     /// Requests a second.
-    pub rate: f64,
+    pub requests_per_second: f64,
     /// Requests a second from the twelfth second on, once the rate was measured.
-    pub later_rate: Option<f64>,
+    pub later_requests_per_second: Option<f64>,
     /// Seconds from the beginning to the deadline.
-    pub deadline: f64,
+    pub deadline_seconds: f64,
     /// Seconds with all traffic on the new version before the move is done.
     pub soak_seconds: u32,
     /// Peer messages lost, in percent.
-    pub drop: u32,
+    pub dropped_percent: u32,
 }
 
-impl Default for LabPlan {
+impl Default for MoveScenario {
     fn default() -> Self {
         Self {
             onset: FaultOnset::Never,
             failure_rate: 0.004,
             slowdown: 1.0,
-            hot: true,
-            rate: 60.0,
-            later_rate: None,
-            deadline: 600.0,
+            thermal_slowdown: true,
+            requests_per_second: 60.0,
+            later_requests_per_second: None,
+            deadline_seconds: 600.0,
             soak_seconds: 60,
-            drop: 10,
+            dropped_percent: 10,
         }
     }
 }
 
 /// What came out of a run.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct LabResult {
+pub struct SimulationResult {
     /// By the table, at the deadline.
     pub state: Option<MoveState>,
     /// Requests of the service up to the deadline.
     pub requests: u32,
     /// Requests that the new version got while it was bad.
-    pub met_bad: u32,
+    pub bad_requests: u32,
     /// Requests that the new version got.
-    pub met_new: u32,
+    pub new_requests: u32,
     /// From when the version was bad to when the first daemon stopped it, in seconds.
-    pub found_after: Option<f64>,
+    pub detected_after_seconds: Option<f64>,
     /// From the first daemon's stop to the last request that any daemon gave the new version.
-    pub spread: f64,
+    pub stop_spread_seconds: f64,
     /// Breaches of invariants.
     pub breaches: u32,
 }
 
-const NODES: usize = 7;
-const ENGINES: usize = 6;
+const NODE_COUNT: usize = 7;
+const ENGINES_PER_VERSION: usize = 6;
 const STEP_MICROS: u64 = 10_000;
 const START_MICROS: u64 = 1_000_000;
 const START_WALL_MS: u64 = 1_800_000_000_000;
 
 enum Pending {
-    Node(usize, Box<MoveEvent>),
-    Execute(usize, u64, TableRequest),
+    NodeEvent(usize, Box<MoveEvent>),
+    TableCall(usize, u64, TableRequest),
 }
 
 /// The reducers, the table and the engines.
-pub struct MoveLab {
+pub struct MoveSimulation {
     /// Nodes that neither peers nor the table reach.
     pub cut_off: BTreeSet<usize>,
     /// The table refuses everything.
     pub outage: bool,
     /// Calls of the table whose answer is lost after they took effect, in percent.
-    pub lost: u32,
+    pub lost_percent: u32,
     /// Node that holds the lease.
     pub holder: usize,
     /// What came out so far.
-    pub result: LabResult,
-    plan: LabPlan,
+    pub result: SimulationResult,
+    scenario: MoveScenario,
     nodes: Vec<MovesState>,
     config: ConfigView,
     members: MemberView,
     table: FakeTable,
-    agenda: BTreeMap<(u64, u64), Pending>,
+    scheduled: BTreeMap<(u64, u64), Pending>,
     timers: BTreeMap<(usize, u64), u64>,
     engine_noise: Vec<f64>,
-    heat: f64,
-    shared_trouble_until: u64,
+    shared_slowdown: f64,
+    shared_failure_until: u64,
     bad_since: Option<u64>,
     stopped_at: Option<u64>,
     now: u64,
-    serial: u64,
+    last_sequence: u64,
     rng: ChaCha8Rng,
 }
 
-impl MoveLab {
+impl MoveSimulation {
     /// A move that is about to begin.
-    pub fn new(plan: LabPlan, seed: u64) -> Self {
+    pub fn new(scenario: MoveScenario, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut members = MemberView::default();
-        let options = (0..NODES).map(|node| {
-            members.members.insert(host(node), record());
+        let options = (0..NODE_COUNT).map(|node| {
+            members.members.insert(host(node), member_record());
             MoveOptions {
                 host: host(node),
                 seed: seed.wrapping_mul(31) ^ node as u64,
             }
         });
         let nodes = options.map(MovesState::new).collect();
-        let engine_noise = (0..2 * ENGINES).map(|_| 0.04 * normal(&mut rng)).collect();
-        let mut lab = Self {
+        let engine_noise = (0..2 * ENGINES_PER_VERSION)
+            .map(|_| 0.04 * standard_normal(&mut rng))
+            .collect();
+        let mut simulation = Self {
             cut_off: BTreeSet::new(),
             outage: false,
-            lost: 0,
+            lost_percent: 0,
             holder: 0,
-            result: LabResult::default(),
-            plan,
+            result: SimulationResult::default(),
+            scenario,
             nodes,
-            config: config(&plan),
+            config: config(&scenario),
             members,
             table: FakeTable::default(),
-            agenda: BTreeMap::new(),
+            scheduled: BTreeMap::new(),
             timers: BTreeMap::new(),
             engine_noise,
-            heat: 0.0,
-            shared_trouble_until: 0,
+            shared_slowdown: 0.0,
+            shared_failure_until: 0,
             bad_since: None,
             stopped_at: None,
             now: START_MICROS,
-            serial: 0,
+            last_sequence: 0,
             rng,
         };
-        for node in 0..NODES {
-            lab.step(node, MoveEvent::Started);
+        for node in 0..NODE_COUNT {
+            simulation.step(node, MoveEvent::Started);
         }
-        lab
+        simulation
     }
 
     /// Seconds since the beginning.
@@ -204,14 +206,18 @@
     pub fn run_until(&mut self, seconds: f64) {
         while self.elapsed() < seconds {
             self.now += STEP_MICROS;
-            self.run_agenda();
+            self.run_scheduled();
             self.run_timers();
-            self.weather();
+            self.update_slowdown();
             if self.now.is_multiple_of(100_000) {
-                self.check_told();
+                self.check_reported_state();
             }
-            let later = self.plan.later_rate.filter(|_| self.elapsed() >= 12.0);
-            let mut due = later.unwrap_or(self.plan.rate) * STEP_MICROS as f64 / 1e6;
+            let later_rate = self
+                .scenario
+                .later_requests_per_second
+                .filter(|_| self.elapsed() >= 12.0);
+            let mut due =
+                later_rate.unwrap_or(self.scenario.requests_per_second) * STEP_MICROS as f64 / 1e6;
             while due > 0.0 {
                 if self.rng.random_bool(due.min(1.0)) {
                     self.request();
@@ -223,47 +229,47 @@
     }
 
     /// Nobody is told that the move ended before the table says so.
-    fn check_told(&mut self) {
+    fn check_reported_state(&mut self) {
         let keys = vec!["move/m".to_owned()];
         let answer = self.table.execute(&TableRequest::Get { keys });
         let TableAnswer::Rows { rows, .. } = answer else {
             return;
         };
         let text = rows.first().and_then(|row| row.value.as_deref());
-        for node in 0..NODES {
+        for node in 0..NODE_COUNT {
             let state = self.state(node);
-            let over = matches!(state, MoveState::Completed | MoveState::TakenBack);
-            let said = text.is_some_and(|text| text.contains(&format!("\"{state}\"")));
-            self.result.breaches += u32::from(over && !said);
+            let has_ended = matches!(state, MoveState::Completed | MoveState::TakenBack);
+            let is_recorded = text.is_some_and(|text| text.contains(&format!("\"{state}\"")));
+            self.result.breaches += u32::from(has_ended && !is_recorded);
         }
     }
 
-    fn weather(&mut self) {
-        if !self.plan.hot {
+    fn update_slowdown(&mut self) {
+        if !self.scenario.thermal_slowdown {
             return;
         }
-        let target = 0.47 * (self.elapsed() / self.plan.deadline).min(1.0);
-        self.heat += (target - self.heat) * 0.002;
+        let target = 0.47 * (self.elapsed() / self.scenario.deadline_seconds).min(1.0);
+        self.shared_slowdown += (target - self.shared_slowdown) * 0.002;
         if self.rng.random_bool(STEP_MICROS as f64 / 60e6) {
-            self.heat = (self.heat + 0.1 * self.rng.random::<f64>()).min(0.6);
+            self.shared_slowdown = (self.shared_slowdown + 0.1 * self.rng.random::<f64>()).min(0.6);
         }
         if self.rng.random_bool(STEP_MICROS as f64 / 200e6) {
-            self.shared_trouble_until = self.now + 3_000_000;
+            self.shared_failure_until = self.now + 3_000_000;
         }
     }
 
     fn is_bad(&self, route: usize, share: u16) -> bool {
-        match self.plan.onset {
+        match self.scenario.onset {
             FaultOnset::Never => false,
-            FaultOnset::AtOnce => true,
+            FaultOnset::Immediate => true,
             FaultOnset::After(seconds) => self.elapsed() >= seconds,
-            FaultOnset::UnderLoad(least) => share >= least,
+            FaultOnset::UnderLoad(minimum) => share >= minimum,
             FaultOnset::OneRoute => route == 2,
         }
     }
 
     fn request(&mut self) {
-        let node = self.rng.random_range(0..NODES);
+        let node = self.rng.random_range(0..NODE_COUNT);
         let route = match self.rng.random_range(0..10) {
             0..6 => 0,
             6..9 => 1,
@@ -273,60 +279,67 @@
         let is_new = self.rng.random_range(0..1_000) < share;
         let bad = is_new && self.is_bad(route, share);
         self.result.requests += 1;
-        self.result.met_new += u32::from(is_new);
-        self.result.met_bad += u32::from(bad);
+        self.result.new_requests += u32::from(is_new);
+        self.result.bad_requests += u32::from(bad);
         if bad && self.bad_since.is_none() {
             self.bad_since = Some(self.now);
         }
         if let Some(stopped_at) = self.stopped_at.filter(|_| is_new) {
-            self.result.spread = (self.now - stopped_at) as f64 / 1e6;
+            self.result.stop_spread_seconds = (self.now - stopped_at) as f64 / 1e6;
         }
         let sample = self.sample(route, is_new, bad);
         let length = -self.rng.random::<f64>().max(1e-9).ln();
         let delay = (1e6 * length) as u64;
         let event = Box::new(MoveEvent::Sampled(sample));
-        self.later(delay, Pending::Node(node, event));
+        self.schedule(delay, Pending::NodeEvent(node, event));
     }
 
     fn sample(&mut self, route: usize, is_new: bool, bad: bool) -> MoveSample {
-        let trouble = self.now < self.shared_trouble_until;
-        let plain = if trouble { 0.15 } else { 0.004 };
+        let is_shared_failure = self.now < self.shared_failure_until;
+        let base_rate = if is_shared_failure { 0.15 } else { 0.004 };
         let rate = if bad {
-            self.plan.failure_rate.max(plain)
+            self.scenario.failure_rate.max(base_rate)
         } else {
-            plain
+            base_rate
         };
-        let engine = self.rng.random_range(0..ENGINES) + if is_new { ENGINES } else { 0 };
-        let slow = if bad { self.plan.slowdown.ln() } else { 0.0 };
-        let of_route = [0.0, 0.3, -0.2][route];
-        let noise = self.engine_noise[engine] + 0.25 * normal(&mut self.rng);
-        let log = 30_000f64.ln() + of_route + self.heat + slow + noise;
+        let engine = self.rng.random_range(0..ENGINES_PER_VERSION)
+            + if is_new { ENGINES_PER_VERSION } else { 0 };
+        let version_offset = if bad {
+            self.scenario.slowdown.ln()
+        } else {
+            0.0
+        };
+        let route_offset = [0.0, 0.3, -0.2][route];
+        let noise = self.engine_noise[engine] + 0.25 * standard_normal(&mut self.rng);
+        let log_micros =
+            30_000f64.ln() + route_offset + self.shared_slowdown + version_offset + noise;
         MoveSample {
             service: "map".parse().expect("a name"),
             route: format!("/route-{route}"),
             version: (if is_new { "v2" } else { "v1" }).parse().expect("a name"),
             failed: self.rng.random_bool(rate),
-            micros: Some(log.exp() as u32),
+            micros: Some(log_micros.exp() as u32),
         }
     }
 
-    fn run_agenda(&mut self) {
-        let later = self.agenda.split_off(&(self.now, 0));
-        let due = std::mem::replace(&mut self.agenda, later);
+    fn run_scheduled(&mut self) {
+        let future = self.scheduled.split_off(&(self.now, 0));
+        let due = std::mem::replace(&mut self.scheduled, future);
         for pending in due.into_values() {
             match pending {
-                Pending::Node(node, event) => self.step(node, *event),
-                Pending::Execute(node, number, request) => {
-                    let out = self.outage || self.cut_off.contains(&node);
-                    let answer = if out {
+                Pending::NodeEvent(node, event) => self.step(node, *event),
+                Pending::TableCall(node, number, request) => {
+                    let is_unavailable = self.outage || self.cut_off.contains(&node);
+                    let answer = if is_unavailable {
                         TableAnswer::Unavailable
                     } else {
                         let answer = self.table.execute(&request);
-                        let lost = self.lost > 0 && self.rng.random_range(0..100) < self.lost;
-                        if lost { TableAnswer::Lost } else { answer }
+                        let is_lost = self.lost_percent > 0
+                            && self.rng.random_range(0..100) < self.lost_percent;
+                        if is_lost { TableAnswer::Lost } else { answer }
                     };
                     let event = Box::new(MoveEvent::Table { number, answer });
-                    self.later(4_000, Pending::Node(node, event));
+                    self.schedule(4_000, Pending::NodeEvent(node, event));
                 }
             }
         }
@@ -342,9 +355,10 @@
         }
     }
 
-    fn later(&mut self, delay: u64, pending: Pending) {
-        self.serial += 1;
-        self.agenda.insert((self.now + delay, self.serial), pending);
+    fn schedule(&mut self, delay: u64, pending: Pending) {
+        self.last_sequence += 1;
+        self.scheduled
+            .insert((self.now + delay, self.last_sequence), pending);
     }
 
     fn step(&mut self, node: usize, event: MoveEvent) {
@@ -374,7 +388,7 @@
     fn execute(&mut self, node: usize, effect: DaemonEffect) {
         match effect {
             DaemonEffect::CallTable { call, request } => {
-                self.later(4_000, Pending::Execute(node, call.number, request));
+                self.schedule(4_000, Pending::TableCall(node, call.number, request));
             }
             DaemonEffect::SetTimer { key, at } => {
                 self.timers.insert((node, key.number), at.0);
@@ -389,30 +403,30 @@
             {
                 self.stopped_at = Some(self.now);
                 let since = self.bad_since.map(|since| (self.now - since) as f64 / 1e6);
-                self.result.found_after = since;
+                self.result.detected_after_seconds = since;
             }
             _ => {}
         }
     }
 
     fn send(&mut self, node: usize, to: &HostName, message: PeerMessage) {
-        let target = (0..NODES).find(|target| host(*target) == *to);
+        let target = (0..NODE_COUNT).find(|target| host(*target) == *to);
         let target = target.expect("a node's host");
-        let cut = self.cut_off.contains(&node) != self.cut_off.contains(&target);
-        let lost = self.rng.random_range(0..100) < self.plan.drop;
+        let is_cut_off = self.cut_off.contains(&node) != self.cut_off.contains(&target);
+        let is_lost = self.rng.random_range(0..100) < self.scenario.dropped_percent;
         let PeerMessage::Moves(message) = message else {
             return;
         };
-        if !cut && !lost {
+        if !is_cut_off && !is_lost {
             let from = host(node);
             let event = Box::new(MoveEvent::Peer { from, message });
             let delay = self.rng.random_range(500..5_000);
-            self.later(delay, Pending::Node(target, event));
+            self.schedule(delay, Pending::NodeEvent(target, event));
         }
     }
 }
 
-fn normal(rng: &mut ChaCha8Rng) -> f64 {
+fn standard_normal(rng: &mut ChaCha8Rng) -> f64 {
     let sum: f64 = (0..12).map(|_| rng.random::<f64>()).sum();
     sum - 6.0
 }
@@ -421,7 +435,7 @@
     format!("host-{node}").parse().expect("a name")
 }
 
-fn record() -> MemberRecord {
+fn member_record() -> MemberRecord {
     MemberRecord {
         incarnation: HostIncarnation(1),
         state: MemberState::Alive,
@@ -433,9 +447,9 @@
     }
 }
 
-fn config(plan: &LabPlan) -> ConfigView {
-    let soak = plan.soak_seconds;
-    let finish_by = WallTime(START_WALL_MS + (plan.deadline * 1_000.0) as u64);
+fn config(scenario: &MoveScenario) -> ConfigView {
+    let soak = scenario.soak_seconds;
+    let finish_by = WallTime(START_WALL_MS + (scenario.deadline_seconds * 1_000.0) as u64);
     let texts = [
         r#"{"kind":"service","name":"map","spec":{"protocol":"model"},"revision":1}"#.to_owned(),
         r#"{"kind":"upstream","name":"u2","revision":2,"spec":{"address":"127.0.0.1:9",
