--- a/crates/savorywood-core/examples/membership_figures.rs
+++ b/crates/savorywood-core/examples/membership_figures.rs
@@ -76,7 +76,7 @@
     println!("members={members} regions={regions} zones={zones}");
     let mut network = FakeNetwork::fleet(1, members, regions, zones);
     let limit = Duration::from_secs(120);
-    let joined = network.run_until(limit, FakeNetwork::agrees);
+    let joined = network.run_until(limit, FakeNetwork::has_converged);
     println!("  all started at once agree after {joined:?}");
     network.run(Duration::from_secs(60));
     measure_steady(&mut network);
@@ -191,7 +191,7 @@
 }
 
 fn all_know(network: &FakeNetwork, host: &HostName, state: MemberState) -> bool {
-    network.all_hold(host, state)
+    network.all_observe(host, state)
 }
 
 fn measure_join(network: &mut FakeNetwork, size: FleetSize) {
@@ -201,7 +201,7 @@
     network.step(&host, MembershipEvent::HostsListed(list));
     let limit = Duration::from_secs(60);
     let read = network.run_until(limit, |net| net.hosts[&host].membership.has_joined());
-    let known = network.run_until(limit, |net| net.all_hold(&host, MemberState::Alive));
+    let known = network.run_until(limit, |net| net.all_observe(&host, MemberState::Alive));
     println!("  one more: has read the table after {read:?}, known to all {known:?} later");
 }
 
@@ -221,7 +221,7 @@
         let end = network.now.monotonic + time;
         took = network.run_until(time, |net| {
             lost.iter()
-                .all(|host| net.all_hold(host, MemberState::Dead))
+                .all(|host| net.all_observe(host, MemberState::Dead))
         });
         network.run(end.since(network.now.monotonic));
     });
--- a/crates/savorywood-core/tests/fleet/network.rs
+++ b/crates/savorywood-core/tests/fleet/network.rs
@@ -21,7 +21,7 @@
 };
 
 /// Heads of IPv4 and UDP, which count for the budget but not for the length of a datagram.
-const HEAD_BYTES: usize = 28;
+const HEADER_BYTES: usize = 28;
 
 /// How the network treats datagrams.
 #[derive(Debug, Clone, Default)]
@@ -30,11 +30,11 @@
     pub duplicates: f64,
     pub jitter: Duration,
     /// Datagrams from a host of the first set to one of the second are lost.
-    pub cuts: Vec<NetworkCut>,
+    pub partitions: Vec<NetworkPartition>,
 }
 
 #[derive(Debug, Clone, Default)]
-pub struct NetworkCut {
+pub struct NetworkPartition {
     pub from: BTreeSet<HostName>,
     pub to: BTreeSet<HostName>,
 }
@@ -85,7 +85,7 @@
     pub steps: u64,
     rng: ChaCha8Rng,
     queue: BTreeMap<EventOrder, NetworkEvent>,
-    number: u64,
+    last_number: u64,
 }
 
 pub fn host_name(number: usize) -> HostName {
@@ -125,7 +125,7 @@
             steps: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
             queue: BTreeMap::new(),
-            number: 0,
+            last_number: 0,
         }
     }
 
@@ -235,7 +235,7 @@
         };
         let bytes = message.wire_bytes(from);
         assert!(
-            bytes <= MAX_DATAGRAM_BYTES + HEAD_BYTES,
+            bytes <= MAX_DATAGRAM_BYTES + HEADER_BYTES,
             "{bytes}: {message:?}"
         );
         let class = BudgetClass::of(&message);
@@ -275,18 +275,18 @@
                 .get(host)
                 .map(|fake: &FakeHost| &fake.place.region)
         };
-        let base = if region(to) == region(from) {
+        let base_micros = if region(to) == region(from) {
             1_500
         } else {
             40_000
         };
-        let jitter = u64::try_from(self.faults.jitter.as_micros()).unwrap_or(0);
-        Duration::from_micros(base + self.rng.random_range(0..=500 + jitter))
+        let jitter_micros = u64::try_from(self.faults.jitter.as_micros()).unwrap_or(0);
+        Duration::from_micros(base_micros + self.rng.random_range(0..=500 + jitter_micros))
     }
 
     fn push(&mut self, at: MonotonicTime, event: NetworkEvent) {
-        self.number += 1;
-        let number = self.number;
+        self.last_number += 1;
+        let number = self.last_number;
         self.queue.insert(EventOrder { at, number }, event);
     }
 
@@ -355,7 +355,7 @@
                 message,
                 ..
             } => {
-                if self.is_cut(&from, &host) {
+                if self.is_partitioned(&from, &host) {
                     return;
                 }
                 let Some(fake) = self.hosts.get_mut(&host) else {
@@ -372,22 +372,22 @@
         }
     }
 
-    fn is_cut(&self, from: &HostName, to: &HostName) -> bool {
-        let mut cuts = self.faults.cuts.iter();
-        cuts.any(|cut| cut.from.contains(from) && cut.to.contains(to))
+    fn is_partitioned(&self, from: &HostName, to: &HostName) -> bool {
+        let mut partitions = self.faults.partitions.iter();
+        partitions.any(|partition| partition.from.contains(from) && partition.to.contains(to))
     }
 
     /// Cuts two sets of hosts off from each other, both ways.
-    pub fn cut(&mut self, one: &BTreeSet<HostName>, other: &BTreeSet<HostName>) {
+    pub fn partition(&mut self, one: &BTreeSet<HostName>, other: &BTreeSet<HostName>) {
         for (from, to) in [(one, other), (other, one)] {
             let from = from.clone();
             let to = to.clone();
-            self.faults.cuts.push(NetworkCut { from, to });
+            self.faults.partitions.push(NetworkPartition { from, to });
         }
     }
 
-    pub fn hosts_where(&self, keep: impl Fn(&MemberPlace) -> bool) -> BTreeSet<HostName> {
-        let hosts = self.hosts.iter().filter(|(_, fake)| keep(&fake.place));
+    pub fn hosts_where(&self, predicate: impl Fn(&MemberPlace) -> bool) -> BTreeSet<HostName> {
+        let hosts = self.hosts.iter().filter(|(_, fake)| predicate(&fake.place));
         hosts.map(|(host, _)| host.clone()).collect()
     }
 
@@ -397,21 +397,21 @@
     }
 
     /// What one host holds another for.
-    pub fn state_at(&self, at: &HostName, about: &HostName) -> Option<MemberState> {
-        let view = self.hosts.get(at)?.membership.view();
-        view.members.get(about).map(|record| record.state)
+    pub fn state_at(&self, observer: &HostName, member: &HostName) -> Option<MemberState> {
+        let view = self.hosts.get(observer)?.membership.view();
+        view.members.get(member).map(|record| record.state)
     }
 
     /// Whether all that run hold the member for this state.
-    pub fn all_hold(&self, about: &HostName, state: MemberState) -> bool {
-        let others = self.hosts.keys().filter(|host| *host != about);
+    pub fn all_observe(&self, member: &HostName, state: MemberState) -> bool {
+        let others = self.hosts.keys().filter(|host| *host != member);
         others
-            .map(|host| self.state_at(host, about))
-            .all(|held| held == Some(state))
+            .map(|host| self.state_at(host, member))
+            .all(|observed| observed == Some(state))
     }
 
     /// Whether everybody holds everybody that runs, and nobody else, for alive.
-    pub fn agrees(&self) -> bool {
+    pub fn has_converged(&self) -> bool {
         self.hosts.values().all(|fake| {
             let members = &fake.membership.view().members;
             let alive = members
--- a/crates/savorywood-core/tests/membership_schedules.rs
+++ b/crates/savorywood-core/tests/membership_schedules.rs
@@ -18,19 +18,19 @@
 const ZONES: usize = 2;
 
 #[derive(Debug, Clone, Copy)]
-enum FleetMishap {
+enum FleetFault {
     Kill(u8),
     Restart(u8),
     Leave(u8),
     Pause(u8, u8),
-    CutZone(u8),
-    CutOneWay(u8),
-    Heal,
+    PartitionZone(u8),
+    PartitionZoneOneWay(u8),
+    HealPartitions,
     Loss(u8),
-    OldList,
+    StaleHostList,
 }
 
-impl Arbitrary for FleetMishap {
+impl Arbitrary for FleetFault {
     fn arbitrary(g: &mut Gen) -> Self {
         let host = u8::arbitrary(g) % HOSTS as u8;
         match u8::arbitrary(g) % 9 {
@@ -38,52 +38,52 @@
             1 => Self::Restart(host),
             2 => Self::Leave(host),
             3 => Self::Pause(host, u8::arbitrary(g) % 20),
-            4 => Self::CutZone(host),
-            5 => Self::CutOneWay(host),
-            6 => Self::Heal,
+            4 => Self::PartitionZone(host),
+            5 => Self::PartitionZoneOneWay(host),
+            6 => Self::HealPartitions,
             7 => Self::Loss(u8::arbitrary(g) % 30),
-            _ => Self::OldList,
+            _ => Self::StaleHostList,
         }
     }
 }
 
-fn apply(network: &mut FakeNetwork, mishap: FleetMishap, leaving: &mut BTreeSet<HostName>) {
-    match mishap {
-        FleetMishap::Kill(number) => network.crash(&host_name(number.into())),
-        FleetMishap::Restart(number) => {
+fn inject(network: &mut FakeNetwork, fault: FleetFault, leaving: &mut BTreeSet<HostName>) {
+    match fault {
+        FleetFault::Kill(number) => network.crash(&host_name(number.into())),
+        FleetFault::Restart(number) => {
             let host = network.start(number.into(), REGIONS, ZONES);
             leaving.remove(&host);
             let list = network.host_list(&BTreeSet::new());
             network.step(&host, MembershipEvent::HostsListed(list));
         }
-        FleetMishap::Leave(number) => {
+        FleetFault::Leave(number) => {
             let host = host_name(number.into());
             if network.hosts.contains_key(&host) {
                 network.step(&host, MembershipEvent::Leave);
                 leaving.insert(host);
             }
         }
-        FleetMishap::Pause(number, seconds) => {
+        FleetFault::Pause(number, seconds) => {
             let duration = Duration::from_secs(seconds.into());
             network.pause(&host_name(number.into()), duration);
         }
-        FleetMishap::CutZone(number) | FleetMishap::CutOneWay(number) => {
+        FleetFault::PartitionZone(number) | FleetFault::PartitionZoneOneWay(number) => {
             let zone = network::place_of(number.into(), REGIONS, ZONES).zone;
             let inside = network.hosts_where(|place| place.zone == zone);
             let outside = network.hosts_where(|place| place.zone != zone);
-            network.cut(&inside, &outside);
-            if matches!(mishap, FleetMishap::CutOneWay(_)) {
-                network.faults.cuts.pop();
+            network.partition(&inside, &outside);
+            if matches!(fault, FleetFault::PartitionZoneOneWay(_)) {
+                network.faults.partitions.pop();
             }
         }
-        FleetMishap::Heal => network.faults.cuts.clear(),
-        FleetMishap::Loss(percent) => network.faults.loss = f64::from(percent) / 100.0,
-        FleetMishap::OldList => {
-            let old = network.host_list(&BTreeSet::new()).split_off(1);
+        FleetFault::HealPartitions => network.faults.partitions.clear(),
+        FleetFault::Loss(percent) => network.faults.loss = f64::from(percent) / 100.0,
+        FleetFault::StaleHostList => {
+            let stale_list = network.host_list(&BTreeSet::new()).split_off(1);
             network.run(Duration::from_secs(5));
             let hosts: Vec<_> = network.hosts.keys().cloned().collect();
             for host in &hosts {
-                network.step(host, MembershipEvent::HostsListed(old.clone()));
+                network.step(host, MembershipEvent::HostsListed(stale_list.clone()));
             }
         }
     }
@@ -91,7 +91,7 @@
 
 /// Whether all know who serves, in every region where somebody is left to serve: a region that
 /// is gone as a whole can't be told from one that is cut off, and is kept on purpose.
-fn agree(network: &FakeNetwork, leaving: &BTreeSet<HostName>) -> bool {
+fn views_converged(network: &FakeNetwork, leaving: &BTreeSet<HostName>) -> bool {
     let serving = || {
         network
             .hosts
@@ -101,12 +101,14 @@
     let regions: BTreeSet<_> = serving().map(|(_, fake)| &fake.place.region).collect();
     network.hosts.values().all(|fake| {
         let members = fake.membership.view().members.iter();
-        let mut held = members.filter(|(_, member)| regions.contains(&member.region));
-        let alive = held.clone().filter(|(_, m)| m.state == MemberState::Alive);
-        let same = alive
+        let mut observed = members.filter(|(_, member)| regions.contains(&member.region));
+        let live = observed
+            .clone()
+            .filter(|(_, m)| m.state == MemberState::Alive);
+        let same_hosts = live
             .map(|(host, _)| host)
             .eq(serving().map(|(host, _)| host));
-        same && !held.any(|(_, member)| member.state == MemberState::Suspect)
+        same_hosts && !observed.any(|(_, member)| member.state == MemberState::Suspect)
     })
 }
 
@@ -125,33 +127,35 @@
 /// exactly who serves; otherwise callers are sent to dead hosts or a live one stands idle.
 #[test]
 fn all_agree_once_the_network_is_whole() {
-    fn holds(seed: u64, mishaps: Vec<FleetMishap>) -> bool {
+    fn holds(seed: u64, faults: Vec<FleetFault>) -> bool {
         let mut network = FakeNetwork::fleet(seed, HOSTS, REGIONS, ZONES);
         network.faults.duplicates = 0.05;
         network.faults.jitter = Duration::from_millis(30);
         network.run(Duration::from_secs(3));
         let mut leaving = BTreeSet::new();
-        for mishap in mishaps.into_iter().take(12) {
-            apply(&mut network, mishap, &mut leaving);
+        for fault in faults.into_iter().take(12) {
+            inject(&mut network, fault, &mut leaving);
             network.run(Duration::from_millis(1_500));
         }
-        network.faults.cuts.clear();
+        network.faults.partitions.clear();
         network.faults.loss = 0.0;
         network.run(Duration::from_secs(20));
         network.list_hosts(&BTreeSet::new());
         leaving.retain(|host| network.hosts.contains_key(host));
-        let whole = network.run_until(Duration::from_secs(300), |net| agree(net, &leaving));
-        if whole.is_none() {
+        let convergence_time = network.run_until(Duration::from_secs(300), |net| {
+            views_converged(net, &leaving)
+        });
+        if convergence_time.is_none() {
             print_views(&network);
         }
-        whole.is_some()
+        convergence_time.is_some()
     }
     let rounds = std::env::var("SAVORYWOOD_ROUNDS").ok();
     let rounds = rounds.and_then(|text| text.parse().ok()).unwrap_or(12);
     QuickCheck::new()
         .tests(rounds)
         .max_tests(rounds)
-        .quickcheck(holds as fn(u64, Vec<FleetMishap>) -> bool);
+        .quickcheck(holds as fn(u64, Vec<FleetFault>) -> bool);
 }
 
 /// News of a member takes many ways and comes in any order. Whatever a daemon hears first, once
@@ -159,7 +163,7 @@
 #[test]
 fn leaving_is_never_undone_within_a_life() {
     fn holds(states: Vec<u8>, refutations: Vec<u32>) -> bool {
-        let mut held = news(MemberState::Leaving, 0);
+        let mut current = member_update(MemberState::Leaving, 0);
         for (state, refutation) in states.into_iter().zip(refutations) {
             let state = match state % 4 {
                 0 => MemberState::Alive,
@@ -167,19 +171,19 @@
                 2 => MemberState::Leaving,
                 _ => MemberState::Dead,
             };
-            let heard = news(state, refutation);
+            let received = member_update(state, refutation);
             // What comes after death is another matter: only a refutation brings a member back,
             // and a leaving one refutes as leaving.
-            if held.state == MemberState::Leaving && supersedes(&heard, &held) {
-                held = heard;
+            if current.state == MemberState::Leaving && supersedes(&received, &current) {
+                current = received;
             }
         }
-        matches!(held.state, MemberState::Leaving | MemberState::Dead)
+        matches!(current.state, MemberState::Leaving | MemberState::Dead)
     }
     QuickCheck::new().quickcheck(holds as fn(Vec<u8>, Vec<u32>) -> bool);
 }
 
-fn news(state: MemberState, refutation: u32) -> MemberUpdate {
+fn member_update(state: MemberState, refutation: u32) -> MemberUpdate {
     MemberUpdate {
         host: host_name(1),
         incarnation: HostIncarnation(1),
--- a/crates/savorywood-core/tests/membership_spread.rs
+++ b/crates/savorywood-core/tests/membership_spread.rs
@@ -9,9 +9,9 @@
 use savorywood_protocol::{ConfigRevision, peer::membership::MemberState};
 use std::{collections::BTreeSet, time::Duration};
 
-fn settled(seed: u64, count: usize, regions: usize) -> FakeNetwork {
+fn converged_fleet(seed: u64, count: usize, regions: usize) -> FakeNetwork {
     let mut network = FakeNetwork::fleet(seed, count, regions, 4);
-    let took = network.run_until(Duration::from_secs(20), FakeNetwork::agrees);
+    let took = network.run_until(Duration::from_secs(20), FakeNetwork::has_converged);
     assert!(took.is_some(), "the fleet never agreed");
     network
 }
@@ -20,11 +20,11 @@
 /// others notice, new callers are sent to it.
 #[test]
 fn a_dead_host_is_noticed() {
-    let mut network = settled(1, 40, 2);
+    let mut network = converged_fleet(1, 40, 2);
     let host = host_name(7);
     network.crash(&host);
     let limit = Duration::from_secs(12);
-    let took = network.run_until(limit, |net| net.all_hold(&host, MemberState::Dead));
+    let took = network.run_until(limit, |net| net.all_observe(&host, MemberState::Dead));
     assert!(took.is_some(), "some still hold {host} for alive");
 }
 
@@ -33,12 +33,12 @@
 #[test]
 fn a_leaving_mark_reaches_all_within_three_seconds() {
     for seed in 0..5 {
-        let mut network = settled(seed, 60, 2);
+        let mut network = converged_fleet(seed, 60, 2);
         network.faults.loss = 0.1;
         let host = network.random_host();
         network.step(&host, MembershipEvent::Leave);
         let limit = Duration::from_secs(3);
-        let took = network.run_until(limit, |net| net.all_hold(&host, MemberState::Leaving));
+        let took = network.run_until(limit, |net| net.all_observe(&host, MemberState::Leaving));
         assert!(
             took.is_some(),
             "seed {seed}: some still send callers to {host}"
@@ -46,7 +46,7 @@
         network.list_hosts(&BTreeSet::new());
         network.run(Duration::from_secs(20));
         assert!(
-            network.all_hold(&host, MemberState::Leaving),
+            network.all_observe(&host, MemberState::Leaving),
             "the mark was taken back"
         );
     }
@@ -56,31 +56,31 @@
 /// Were it believed, callers would get no address, or crowd onto the few that it names.
 #[test]
 fn a_wrong_host_list_does_not_empty_the_fleet() {
-    let mut network = settled(3, 12, 1);
-    let old: Vec<_> = network.host_list(&BTreeSet::new()).split_off(6);
+    let mut network = converged_fleet(3, 12, 1);
+    let stale_list: Vec<_> = network.host_list(&BTreeSet::new()).split_off(6);
     for number in 0..12 {
         network.step(&host_name(number), MembershipEvent::HostsListed(Vec::new()));
         network.step(
             &host_name(number),
-            MembershipEvent::HostsListed(old.clone()),
+            MembershipEvent::HostsListed(stale_list.clone()),
         );
     }
     network.run(Duration::from_secs(5));
-    assert!(network.agrees());
+    assert!(network.has_converged());
 }
 
 /// The platform announces that it takes a host away. Its daemon has not been told yet, and
 /// callers that are still sent there lose their answers when the host goes.
 #[test]
 fn a_host_listed_as_leaving_is_believed() {
-    let mut network = settled(4, 8, 1);
+    let mut network = converged_fleet(4, 8, 1);
     let host = host_name(3);
     network.list_hosts(&BTreeSet::from([host.clone()]));
-    assert!(network.all_hold(&host, MemberState::Leaving));
+    assert!(network.all_observe(&host, MemberState::Leaving));
     let all = network.hosts.keys().cloned().collect();
     network.list_hosts(&all);
     assert!(
-        network.all_hold(&host, MemberState::Alive),
+        network.all_observe(&host, MemberState::Alive),
         "a list that empties the fleet"
     );
 }
@@ -90,31 +90,31 @@
 /// fleet at once when the line comes back, and callers would see addresses come and go.
 #[test]
 fn a_cut_between_regions_does_not_churn() {
-    let mut network = settled(5, 24, 2);
+    let mut network = converged_fleet(5, 24, 2);
     let here = network.hosts_where(|place| place.region.as_str() == "a");
     let there = network.hosts_where(|place| place.region.as_str() == "b");
-    network.cut(&here, &there);
+    network.partition(&here, &there);
     network.run(Duration::from_secs(1_800));
-    let lost = host_name(5);
-    assert!(there.contains(&lost));
-    network.crash(&lost);
+    let replaced = host_name(5);
+    assert!(there.contains(&replaced));
+    network.crash(&replaced);
     network.run(Duration::from_secs(1_800));
     for host in &here {
-        let far = there.iter().filter(|far| **far != lost);
+        let far = there.iter().filter(|far| **far != replaced);
         let states: BTreeSet<_> = far.map(|far| network.state_at(host, far)).collect();
         assert_eq!(states, BTreeSet::from([Some(MemberState::Alive)]));
     }
-    let bridges = here.iter().filter(|host| {
+    let bridge_hosts = here.iter().filter(|host| {
         let membership = &network.hosts[*host].membership;
         !membership.unreachable_regions().is_empty()
     });
-    assert_eq!(bridges.count(), 3);
-    network.faults.cuts.clear();
-    let took = network.run_until(Duration::from_secs(30), FakeNetwork::agrees);
+    assert_eq!(bridge_hosts.count(), 3);
+    network.faults.partitions.clear();
+    let took = network.run_until(Duration::from_secs(30), FakeNetwork::has_converged);
     assert!(
         took.is_some(),
         "{:?}",
-        network.state_at(&host_name(0), &lost)
+        network.state_at(&host_name(0), &replaced)
     );
 }
 
@@ -123,15 +123,15 @@
 /// dead.
 #[test]
 fn a_cut_off_zone_comes_back() {
-    let mut network = settled(6, 24, 1);
+    let mut network = converged_fleet(6, 24, 1);
     let zone = network.hosts_where(|place| place.zone.as_str() == "a1");
     let rest = network.hosts_where(|place| place.zone.as_str() != "a1");
-    network.cut(&zone, &rest);
+    network.partition(&zone, &rest);
     network.run(Duration::from_secs(60));
-    network.faults.cuts.pop();
+    network.faults.partitions.pop();
     network.run(Duration::from_secs(60));
-    network.faults.cuts.clear();
-    let took = network.run_until(Duration::from_secs(90), FakeNetwork::agrees);
+    network.faults.partitions.clear();
+    let took = network.run_until(Duration::from_secs(90), FakeNetwork::has_converged);
     assert!(took.is_some(), "the zone is still held for dead");
 }
 
@@ -139,16 +139,16 @@
 /// wakes up with old news and overdue timers. It must not take the others for dead.
 #[test]
 fn a_paused_daemon_wakes_up_without_harm() {
-    let mut network = settled(7, 20, 1);
+    let mut network = converged_fleet(7, 20, 1);
     let host = host_name(4);
     network.pause(&host, Duration::from_secs(20));
     network.run(Duration::from_secs(19));
-    assert!(network.all_hold(&host, MemberState::Dead));
+    assert!(network.all_observe(&host, MemberState::Dead));
     network.run(Duration::from_millis(1_200));
     let others = network.hosts.keys().filter(|other| **other != host);
     let dead = others.filter(|other| network.state_at(&host, other) == Some(MemberState::Dead));
     assert_eq!(dead.count(), 0);
-    let took = network.run_until(Duration::from_secs(15), FakeNetwork::agrees);
+    let took = network.run_until(Duration::from_secs(15), FakeNetwork::has_converged);
     assert!(took.is_some(), "the paused daemon is still held for dead");
 }
 
@@ -156,7 +156,7 @@
 /// that the others know. Nobody would believe it, and no caller would be sent there.
 #[test]
 fn a_smaller_incarnation_is_raised() {
-    let mut network = settled(8, 10, 1);
+    let mut network = converged_fleet(8, 10, 1);
     let host = host_name(2);
     network.crash(&host);
     network.run(Duration::from_secs(15));
@@ -165,7 +165,7 @@
     network.list_hosts(&BTreeSet::new());
     // The replay guard of a real daemon drops what comes under the old incarnation, so the
     // answer to this daemon's first ping is what tells it.
-    let took = network.run_until(Duration::from_secs(30), FakeNetwork::agrees);
+    let took = network.run_until(Duration::from_secs(30), FakeNetwork::has_converged);
     assert!(took.is_some(), "the restarted daemon is not a member");
 }
 
@@ -173,7 +173,7 @@
 /// configuration has to be in force everywhere within four seconds.
 #[test]
 fn a_new_revision_is_heard_of_at_once() {
-    let mut network = settled(9, 60, 2);
+    let mut network = converged_fleet(9, 60, 2);
     network.faults.loss = 0.05;
     let host = network.random_host();
     network.step(&host, MembershipEvent::RevisionInForce(ConfigRevision(17)));
@@ -193,11 +193,11 @@
 /// be sent to nobody else.
 #[test]
 fn an_isolated_daemon_judges_nobody() {
-    let mut network = settled(10, 16, 1);
-    let lone = BTreeSet::from([host_name(1)]);
+    let mut network = converged_fleet(10, 16, 1);
+    let isolated = BTreeSet::from([host_name(1)]);
     let rest = network.hosts_where(|place| place.caller_address.ip().to_string() != "10.0.0.2");
     assert_eq!(rest.len(), 15);
-    network.cut(&lone, &rest);
+    network.partition(&isolated, &rest);
     network.run(Duration::from_secs(60));
     let states = rest
         .iter()
@@ -222,6 +222,6 @@
             assert!(members.all(|member| member.state == MemberState::Alive));
         }
     }
-    let took = network.run_until(Duration::from_secs(30), FakeNetwork::agrees);
+    let took = network.run_until(Duration::from_secs(30), FakeNetwork::has_converged);
     assert!(took.is_some(), "some never learned of all");
 }
