--- a/crates/savorywood-core/tests/membership_schedules.rs
+++ b/crates/savorywood-core/tests/membership_schedules.rs
@@ -126,7 +126,7 @@
 /// are lost, doubled and reordered. Once the network is whole, every daemon must again know
 /// exactly who serves; otherwise callers are sent to dead hosts or a live one stands idle.
 #[test]
-fn all_agree_once_the_network_is_whole() {
+fn all_views_converge_once_the_network_recovers() {
     fn holds(seed: u64, faults: Vec<FleetFault>) -> bool {
         let mut network = FakeNetwork::fleet(seed, HOSTS, REGIONS, ZONES);
         network.faults.duplicates = 0.05;
@@ -161,7 +161,7 @@
 /// News of a member takes many ways and comes in any order. Whatever a daemon hears first, once
 /// it has heard that a member leaves, nothing of the same life may make it serve again.
 #[test]
-fn leaving_is_never_undone_within_a_life() {
+fn leaving_is_never_undone_within_an_incarnation() {
     fn holds(states: Vec<u8>, refutations: Vec<u32>) -> bool {
         let mut current = member_update(MemberState::Leaving, 0);
         for (state, refutation) in states.into_iter().zip(refutations) {
--- a/crates/savorywood-core/tests/membership_spread.rs
+++ b/crates/savorywood-core/tests/membership_spread.rs
@@ -19,7 +19,7 @@
 /// A host dies without a word, as when its power goes. Its callers get no answer, and until the
 /// others notice, new callers are sent to it.
 #[test]
-fn a_dead_host_is_noticed() {
+fn a_crashed_host_is_detected() {
     let mut network = converged_fleet(1, 40, 2);
     let host = host_name(7);
     network.crash(&host);
@@ -31,7 +31,7 @@
 /// A daemon is told to stop while the host list still calls it live and one datagram in ten is
 /// lost. Callers that are sent to it meanwhile would meet a closed port.
 #[test]
-fn a_leaving_mark_reaches_all_within_three_seconds() {
+fn a_leaving_state_reaches_all_within_three_seconds() {
     for seed in 0..5 {
         let mut network = converged_fleet(seed, 60, 2);
         network.faults.loss = 0.1;
@@ -72,7 +72,7 @@
 /// The platform announces that it takes a host away. Its daemon has not been told yet, and
 /// callers that are still sent there lose their answers when the host goes.
 #[test]
-fn a_host_listed_as_leaving_is_believed() {
+fn a_host_listed_as_leaving_is_marked_leaving() {
     let mut network = converged_fleet(4, 8, 1);
     let host = host_name(3);
     network.list_hosts(&BTreeSet::from([host.clone()]));
@@ -89,22 +89,22 @@
 /// on the far side is replaced. If each side forgot the other, both would relearn half of the
 /// fleet at once when the line comes back, and callers would see addresses come and go.
 #[test]
-fn a_cut_between_regions_does_not_churn() {
+fn a_partition_between_regions_causes_no_churn() {
     let mut network = converged_fleet(5, 24, 2);
-    let here = network.hosts_where(|place| place.region.as_str() == "a");
-    let there = network.hosts_where(|place| place.region.as_str() == "b");
-    network.partition(&here, &there);
+    let region_a = network.hosts_where(|place| place.region.as_str() == "a");
+    let region_b = network.hosts_where(|place| place.region.as_str() == "b");
+    network.partition(&region_a, &region_b);
     network.run(Duration::from_secs(1_800));
     let replaced = host_name(5);
-    assert!(there.contains(&replaced));
+    assert!(region_b.contains(&replaced));
     network.crash(&replaced);
     network.run(Duration::from_secs(1_800));
-    for host in &here {
-        let far = there.iter().filter(|far| **far != replaced);
+    for host in &region_a {
+        let far = region_b.iter().filter(|far| **far != replaced);
         let states: BTreeSet<_> = far.map(|far| network.state_at(host, far)).collect();
         assert_eq!(states, BTreeSet::from([Some(MemberState::Alive)]));
     }
-    let bridge_hosts = here.iter().filter(|host| {
+    let bridge_hosts = region_a.iter().filter(|host| {
         let membership = &network.hosts[*host].membership;
         !membership.unreachable_regions().is_empty()
     });
@@ -122,7 +122,7 @@
 /// but is not heard. Afterwards all must be members again, though each side took the other for
 /// dead.
 #[test]
-fn a_cut_off_zone_comes_back() {
+fn a_partitioned_zone_rejoins() {
     let mut network = converged_fleet(6, 24, 1);
     let zone = network.hosts_where(|place| place.zone.as_str() == "a1");
     let rest = network.hosts_where(|place| place.zone.as_str() != "a1");
@@ -138,7 +138,7 @@
 /// A process stands still for twenty seconds, as under SIGSTOP or on a starved machine, and
 /// wakes up with old news and overdue timers. It must not take the others for dead.
 #[test]
-fn a_paused_daemon_wakes_up_without_harm() {
+fn a_resumed_daemon_declares_nobody_dead() {
     let mut network = converged_fleet(7, 20, 1);
     let host = host_name(4);
     network.pause(&host, Duration::from_secs(20));
@@ -172,16 +172,16 @@
 /// An operator's change is accepted on one daemon. All others must hear of it at once: the new
 /// configuration has to be in force everywhere within four seconds.
 #[test]
-fn a_new_revision_is_heard_of_at_once() {
+fn a_new_revision_spreads_at_once() {
     let mut network = converged_fleet(9, 60, 2);
     network.faults.loss = 0.05;
     let host = network.random_host();
     network.step(&host, MembershipEvent::RevisionInForce(ConfigRevision(17)));
-    let heard = |net: &FakeNetwork| {
+    let revision_received = |net: &FakeNetwork| {
         let mut hosts = net.hosts.values();
         hosts.all(|fake| fake.membership.newest_revision() == ConfigRevision(17))
     };
-    let took = network.run_until(Duration::from_millis(1_500), heard);
+    let took = network.run_until(Duration::from_millis(1_500), revision_received);
     assert!(
         took.is_some(),
         "some have not heard of the new configuration"
@@ -192,7 +192,7 @@
 /// it would come back with a table full of dead members, and callers that still reach it would
 /// be sent to nobody else.
 #[test]
-fn an_isolated_daemon_judges_nobody() {
+fn an_isolated_daemon_declares_nobody_dead() {
     let mut network = converged_fleet(10, 16, 1);
     let isolated = BTreeSet::from([host_name(1)]);
     let rest = network.hosts_where(|place| place.caller_address.ip().to_string() != "10.0.0.2");
