--- a/crates/savorywood-core/tests/credit_messages.rs
+++ b/crates/savorywood-core/tests/credit_messages.rs
@@ -43,7 +43,7 @@
 }
 
 /// One daemon, which arbitrates if it is the only one of the zone.
-struct Desk {
+struct TestDaemon {
     credits: CreditState,
     now: CoreTime,
     config: ConfigView,
@@ -52,15 +52,15 @@
     timers: BTreeMap<u64, MonotonicTime>,
 }
 
-impl Desk {
+impl TestDaemon {
     fn new() -> Self {
         let mut config = ConfigView::default();
-        let texts = [
+        let documents = [
             r#"{"kind":"service","name":"notes","spec":{"protocol":"model"}}"#,
             r#"{"kind":"upstream","name":"runner-0","spec":{"address":"10.1.0.1:80",
                 "service":"notes","version":"v1","zone":"z0"}}"#,
         ];
-        for text in texts {
+        for text in documents {
             let document = serde_json::from_str(text).expect("a document");
             config.insert(document).expect("a name");
         }
@@ -78,7 +78,7 @@
             let host = host(number.into());
             members.members.insert(host, record);
         }
-        let mut desk = Self {
+        let mut daemon = Self {
             credits: CreditState::new(CreditOptions::new(host(0))),
             now: CoreTime {
                 monotonic: MonotonicTime(1_000_000),
@@ -89,8 +89,8 @@
             sent: Vec::new(),
             timers: BTreeMap::new(),
         };
-        desk.step(CreditEvent::Started);
-        desk
+        daemon.step(CreditEvent::Started);
+        daemon
     }
 
     fn step(&mut self, event: CreditEvent) {
@@ -117,7 +117,7 @@
         }
     }
 
-    fn pass(&mut self, duration: Duration) {
+    fn advance(&mut self, duration: Duration) {
         let end = self.now.monotonic + duration;
         while let Some((number, at)) = self.next_timer().filter(|(_, at)| *at <= end) {
             self.timers.remove(&number);
@@ -215,116 +215,116 @@
 /// use seats that have been given to another.
 #[test]
 fn an_older_grant_does_not_undo_a_newer_one() {
-    let mut desk = Desk::new();
-    desk.grant(10, 2);
-    desk.grant(9, 8);
-    desk.grant(10, 8);
-    assert_eq!(desk.credits.grants()[&upstream()].seats, 2);
-    desk.grant(11, 3);
-    assert_eq!(desk.credits.grants()[&upstream()].seats, 3);
-    assert_eq!(desk.credits.counters().outdated, 2);
+    let mut daemon = TestDaemon::new();
+    daemon.grant(10, 2);
+    daemon.grant(9, 8);
+    daemon.grant(10, 8);
+    assert_eq!(daemon.credits.grants()[&upstream()].seats, 2);
+    daemon.grant(11, 3);
+    assert_eq!(daemon.credits.grants()[&upstream()].seats, 3);
+    assert_eq!(daemon.credits.counters().outdated, 2);
 }
 
 /// A grant lapses, since the arbiter or the way to it is gone. Seats that may have been given to
 /// others since must not be used; a share that could be everybody's may.
 #[test]
-fn a_lapsed_grant_leaves_a_standing_share() {
-    let mut desk = Desk::new();
-    desk.grant(1, 8);
-    desk.pass(Duration::from_millis(2_900));
-    assert_eq!(desk.credits.grants()[&upstream()].seats, 8);
-    let mut longer = Desk::new();
-    longer.step(CreditEvent::Peer {
+fn an_expired_grant_leaves_a_standing_share() {
+    let mut daemon = TestDaemon::new();
+    daemon.grant(1, 8);
+    daemon.advance(Duration::from_millis(2_900));
+    assert_eq!(daemon.credits.grants()[&upstream()].seats, 8);
+    let mut surveyed = TestDaemon::new();
+    surveyed.step(CreditEvent::Peer {
         from: host(1),
         message: CreditMessage::Survey {
             upstreams: vec![upstream()],
         },
     });
-    longer.grant(1, 8);
-    longer.pass(Duration::from_millis(3_100));
-    assert_eq!(longer.credits.grants()[&upstream()].seats, 1);
+    surveyed.grant(1, 8);
+    surveyed.advance(Duration::from_millis(3_100));
+    assert_eq!(surveyed.credits.grants()[&upstream()].seats, 1);
 }
 
 /// A new arbiter hears of one daemon before it hears of the others. Were it to grant at once, the
 /// first would get all seats while the others still use theirs.
 #[test]
-fn a_new_arbiter_listens_before_it_grants() {
-    let mut desk = Desk::new();
-    desk.demand(1, 1, demand(&[(0, 12)], 8, None));
-    desk.pass(Duration::from_millis(90));
-    assert!(!desk.has_granted());
-    desk.pass(Duration::from_millis(120));
-    assert!(desk.has_granted());
+fn a_new_arbiter_collects_demand_before_it_grants() {
+    let mut daemon = TestDaemon::new();
+    daemon.demand(1, 1, demand(&[(0, 12)], 8, None));
+    daemon.advance(Duration::from_millis(90));
+    assert!(!daemon.has_granted());
+    daemon.advance(Duration::from_millis(120));
+    assert!(daemon.has_granted());
 }
 
 /// A daemon full of the highest tier is about to shed while three lower ones wait elsewhere. The
 /// lowest goes first, and it alone if that is enough.
 #[test]
 fn the_floor_rises_one_tier_a_round() {
-    let mut desk = Desk::new();
-    desk.demand(1, 1, demand(&[(0, 20)], 4, Some(0)));
-    desk.demand(2, 1, demand(&[(1, 2), (2, 2), (3, 2)], 4, None));
-    desk.pass(Duration::from_secs(1));
-    assert_eq!(desk.floors(), [2, 1, 0]);
+    let mut daemon = TestDaemon::new();
+    daemon.demand(1, 1, demand(&[(0, 20)], 4, Some(0)));
+    daemon.demand(2, 1, demand(&[(1, 2), (2, 2), (3, 2)], 4, None));
+    daemon.advance(Duration::from_secs(1));
+    assert_eq!(daemon.floors(), [2, 1, 0]);
 }
 
 /// The floor is up and a request of a tier below it is about to be refused. It must go at once:
 /// asking again would hold it back for nothing, while its caller waits.
 #[test]
-fn what_is_below_the_floor_is_shed_without_asking() {
-    let mut desk = Desk::new();
-    desk.grant_with(1, 8, TierRank(1));
-    assert_eq!(desk.advice(2), ShedAdvice::Shed);
-    assert_eq!(desk.advice(1), ShedAdvice::Wait);
+fn requests_below_the_floor_are_shed_without_asking() {
+    let mut daemon = TestDaemon::new();
+    daemon.grant_with(1, 8, TierRank(1));
+    assert_eq!(daemon.advice(2), ShedAdvice::Shed);
+    assert_eq!(daemon.advice(1), ShedAdvice::Wait);
 }
 
 /// A daemon has shed all its low work because of the floor and reports that it wants nothing. It
 /// must still be told of the floor, or it would take low work in again while others shed high.
 #[test]
-fn a_daemon_without_work_is_told_of_the_floor() {
-    let mut desk = Desk::new();
-    desk.demand(1, 1, demand(&[(0, 20)], 4, Some(0)));
-    desk.demand(2, 1, demand(&[(3, 2)], 0, None));
-    desk.pass(Duration::from_millis(300));
-    desk.demand(2, 2, demand(&[], 0, None));
-    desk.demand(1, 2, demand(&[(0, 20)], 4, Some(0)));
-    desk.sent.clear();
-    desk.pass(Duration::from_millis(300));
-    assert!(desk.grants_to(2) > 0);
+fn an_idle_daemon_still_receives_the_floor() {
+    let mut daemon = TestDaemon::new();
+    daemon.demand(1, 1, demand(&[(0, 20)], 4, Some(0)));
+    daemon.demand(2, 1, demand(&[(3, 2)], 0, None));
+    daemon.advance(Duration::from_millis(300));
+    daemon.demand(2, 2, demand(&[], 0, None));
+    daemon.demand(1, 2, demand(&[(0, 20)], 4, Some(0)));
+    daemon.sent.clear();
+    daemon.advance(Duration::from_millis(300));
+    assert!(daemon.grants_to(2) > 0);
 }
 
 quickcheck! {
     /// Seats in use beyond a daemon's share come off the others' shares, so that the upstream
     /// never has to run both.
-    fn shares_and_busy_seats_fit_the_capacity(wants: Vec<(u8, u8, u8)>, capacity: u8) -> bool {
-        let demands = demands_of(&wants);
+    fn shares_and_slots_in_use_fit_the_capacity(requests: Vec<(u8, u8, u8)>, capacity: u8) -> bool {
+        let demands = demands_by_host(&requests);
         let capacity = u32::from(capacity);
         let shares = allocate(&demands, capacity);
         let total: u32 = shares.values().sum();
-        let busy: u32 = demands
+        let excess_in_use: u32 = demands
             .iter()
             .map(|(host, demand)| demand.in_use.saturating_sub(shares[host]))
             .sum();
-        total <= capacity && total + busy <= capacity.max(in_use(&demands))
+        total <= capacity && total + excess_in_use <= capacity.max(in_use(&demands))
     }
 
     /// A lower tier gets a seat only when every higher one has all that it asks for.
-    fn higher_tiers_come_first(wants: Vec<(u8, u8, u8)>, capacity: u8) -> bool {
-        let idle: Vec<_> = wants.iter().map(|(rank, seats, _)| (*rank, *seats, 0)).collect();
-        let demands = demands_of(&idle);
+    fn higher_tiers_come_first(requests: Vec<(u8, u8, u8)>, capacity: u8) -> bool {
+        let without_use: Vec<_> = requests.iter().map(|(rank, seats, _)| (*rank, *seats, 0)).collect();
+        let demands = demands_by_host(&without_use);
         let shares = allocate(&demands, u32::from(capacity));
-        let lacking = demands.iter().filter(|(host, d)| shares[*host] < wanted(d));
-        let Some(highest_lacking) = lacking.map(|(_, d)| d.tiers[0].rank).min() else {
+        let unsatisfied = demands.iter().filter(|(host, d)| shares[*host] < requested_slots(d));
+        let Some(highest_unsatisfied) = unsatisfied.map(|(_, d)| d.tiers[0].rank).min() else {
             return true;
         };
-        let mut lower = demands.iter().filter(|(_, d)| d.tiers[0].rank > highest_lacking);
-        lower.all(|(host, _)| shares[host] == 0)
+        let mut lower_tiers = demands.iter().filter(|(_, d)| d.tiers[0].rank > highest_unsatisfied);
+        lower_tiers.all(|(host, _)| shares[host] == 0)
     }
 }
 
-fn demands_of(wants: &[(u8, u8, u8)]) -> BTreeMap<HostName, UpstreamDemand> {
-    let wants = wants.iter().enumerate().take(12);
-    wants
+fn demands_by_host(requests: &[(u8, u8, u8)]) -> BTreeMap<HostName, UpstreamDemand> {
+    let requests = requests.iter().enumerate().take(12);
+    requests
         .map(|(number, (rank, seats, in_use))| {
             let seats = u32::from(*seats % 20);
             let in_use = u32::from(*in_use % 20).min(seats);
@@ -333,7 +333,7 @@
         .collect()
 }
 
-fn wanted(demand: &UpstreamDemand) -> u32 {
+fn requested_slots(demand: &UpstreamDemand) -> u32 {
     demand.tiers.iter().map(|tier| tier.seats).sum()
 }
 
--- a/crates/savorywood-core/tests/discovery_rank.rs
+++ b/crates/savorywood-core/tests/discovery_rank.rs
@@ -46,7 +46,7 @@
     config
 }
 
-fn rank(
+fn ranked_addresses(
     view: &MemberView,
     group: Option<&str>,
     team: Option<&str>,
@@ -63,15 +63,15 @@
         caller,
     };
     let options = DiscoveryOptions::default();
-    let answer = rank_addresses(&query, view, &config(), &zone, &options).expect("addresses");
-    answer.addresses.into_iter().map(|a| a.address).collect()
+    let response = rank_addresses(&query, view, &config(), &zone, &options).expect("addresses");
+    response.addresses.into_iter().map(|a| a.address).collect()
 }
 
-fn firsts(view: &MemberView) -> BTreeMap<String, SocketAddr> {
+fn first_addresses(view: &MemberView) -> BTreeMap<String, SocketAddr> {
     let groups = (0..600).map(|number| format!("group-{number}"));
     groups
         .map(|group| {
-            let first = rank(view, Some(&group), None, "c")[0];
+            let first = ranked_addresses(view, Some(&group), None, "c")[0];
             (group, first)
         })
         .collect()
@@ -80,7 +80,7 @@
 #[test]
 fn the_own_zone_comes_first_and_another_last() {
     let view = members(8, 4);
-    let addresses = rank(&view, Some("g"), None, "c");
+    let addresses = ranked_addresses(&view, Some("g"), None, "c");
     let zones: Vec<_> = addresses
         .iter()
         .map(|address| {
@@ -95,15 +95,17 @@
 /// A daemon announces that it leaves, or is taken for dead. Callers that were still sent there
 /// would meet a closed port.
 #[test]
-fn members_that_leave_or_are_gone_are_not_named() {
+fn leaving_and_dead_members_are_not_returned() {
     for state in [MemberState::Leaving, MemberState::Dead] {
         let mut view = members(4, 1);
-        let gone = HostName::new("entry-2").expect("a name");
-        let record = view.members.get_mut(&gone).expect("a member");
+        let host = HostName::new("entry-2").expect("a name");
+        let record = view.members.get_mut(&host).expect("a member");
         record.state = state;
         let address = record.caller_address;
         for number in 0..200 {
-            assert!(!rank(&view, Some(&number.to_string()), None, "c").contains(&address));
+            assert!(
+                !ranked_addresses(&view, Some(&number.to_string()), None, "c").contains(&address)
+            );
         }
     }
 }
@@ -115,10 +117,12 @@
     let before = members(8, 1);
     let mut after = before.clone();
     after.members.remove("entry-5");
-    let lost = before.members["entry-5"].caller_address;
-    let (old, new) = (firsts(&before), firsts(&after));
-    let kept = old.iter().filter(|(_, first)| **first != lost);
-    let moved = kept.filter(|(group, first)| new[*group] != **first).count();
+    let lost_address = before.members["entry-5"].caller_address;
+    let (old, new) = (first_addresses(&before), first_addresses(&after));
+    let unaffected = old.iter().filter(|(_, first)| **first != lost_address);
+    let moved = unaffected
+        .filter(|(group, first)| new[*group] != **first)
+        .count();
     assert!(moved <= 60, "{moved} of 600 keys moved without need");
 }
 
@@ -126,28 +130,32 @@
 fn no_member_gets_much_more_than_its_share() {
     for count in [2, 7, 8, 40] {
         let mut loads: BTreeMap<_, usize> = BTreeMap::new();
-        for first in firsts(&members(count, 1)).into_values() {
+        for first in first_addresses(&members(count, 1)).into_values() {
             *loads.entry(first).or_default() += 1;
         }
-        let most = loads.into_values().max().expect("a load");
+        let max_load = loads.into_values().max().expect("a load");
         let share = 600 / usize::from(count);
-        assert!(most <= share * 2, "{most} of 600 keys on one of {count}");
+        assert!(
+            max_load <= share * 2,
+            "{max_load} of 600 keys on one of {count}"
+        );
     }
 }
 
 #[test]
 fn a_large_team_is_spread_and_a_small_one_is_not() {
     let view = members(8, 1);
-    let used = |team| {
-        let callers = (0..100).map(|number| rank(&view, None, Some(team), &number.to_string())[0]);
+    let addresses_used = |team| {
+        let callers = (0..100)
+            .map(|number| ranked_addresses(&view, None, Some(team), &number.to_string())[0]);
         callers.collect::<std::collections::BTreeSet<_>>().len()
     };
-    assert_eq!(used("small"), 1);
-    assert_eq!(used("large"), 7);
+    assert_eq!(addresses_used("small"), 1);
+    assert_eq!(addresses_used("large"), 7);
 }
 
 #[test]
-fn an_unknown_service_is_named_with_the_known_ones() {
+fn an_unknown_service_is_refused_with_a_list_of_the_known_ones() {
     let service = ServiceName::new("maps").expect("a name");
     let zone = ZoneName::new("z0").expect("a name");
     let query = AddressQuery {
@@ -165,12 +173,12 @@
 }
 
 quickcheck! {
-    fn answers_are_short_and_without_repeats(count: u8, zones: u8, group: String) -> TestResult {
+    fn responses_are_short_and_without_duplicates(count: u8, zones: u8, group: String) -> TestResult {
         let (count, zones) = (count % 40, zones % 5);
         if count == 0 || zones == 0 {
             return TestResult::discard();
         }
-        let mut addresses = rank(&members(count, zones), Some(&group), None, "c");
+        let mut addresses = ranked_addresses(&members(count, zones), Some(&group), None, "c");
         let length = addresses.len();
         addresses.sort();
         addresses.dedup();
