--- a/crates/savorywood-core/tests/claim/cluster.rs
+++ b/crates/savorywood-core/tests/claim/cluster.rs
@@ -1,4 +1,4 @@
-//! A few daemons' claim duties over a small table that loses answers.
+//! Simulates the claim states of several daemons over an in-memory table that loses responses.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -19,7 +19,8 @@
 };
 use uuid::Uuid;
 
-/// How often things go wrong, as chances a step.
+/// Probabilities of faults, each from 0 to 1. `unavailable` and `lost_responses` apply to each
+/// table call, `crashes` to each random step and `broken_requests` to each attempt that ends.
 #[derive(Debug, Clone, Copy)]
 pub struct ClaimFaults {
     pub lost_responses: f64,
@@ -48,7 +49,7 @@
     }
 }
 
-/// A table whose commits are atomic.
+/// An in-memory table with atomic commits.
 #[derive(Debug, Default)]
 pub struct FakeTable {
     rows: BTreeMap<RowKey, TableRow>,
@@ -129,6 +130,7 @@
     running: BTreeMap<RequestId, AttemptNumber>,
 }
 
+/// A table call whose response has not been delivered yet.
 #[derive(Debug, Clone)]
 struct PendingCall {
     daemon: usize,
@@ -137,7 +139,7 @@
     request: TableRequest,
 }
 
-/// Daemons, table and callers.
+/// The daemons, their table, the callers' requests and what became of them.
 #[derive(Debug)]
 pub struct ClaimCluster {
     pub faults: ClaimFaults,
@@ -199,7 +201,8 @@
         }
     }
 
-    /// Lets all that is under way come to an end.
+    /// Runs until no table call is pending and no claim is open, for 4,000 steps at most. Submits
+    /// no new requests.
     pub fn run_until_idle(&mut self) {
         for _ in 0..4_000 {
             let idle = self.pending_calls.is_empty() && self.open_claims() == 0;
@@ -269,7 +272,7 @@
         }
     }
 
-    /// A write whose answer was given up long ago takes effect after all.
+    /// Applies a write whose response was reported as lost long before.
     fn apply_delayed_write(&mut self) {
         if let Some(request) = self.delayed_writes.pop() {
             self.table.execute(&request);
@@ -285,7 +288,10 @@
         if self.rng.random_bool(self.faults.broken_requests) {
             let is_unsent = self.rng.random_bool(0.5);
             if is_unsent {
-                *self.possible_executions.get_mut(&request).expect("a count") -= 1;
+                *self
+                    .possible_executions
+                    .get_mut(&request)
+                    .expect("a dispatch count") -= 1;
                 let event = UpstreamEvent::NotSent { request, attempt };
                 self.step(daemon, ClaimEvent::Upstream(event));
                 self.step(daemon, ClaimEvent::Closed { request });
@@ -379,7 +385,7 @@
         running.insert(request, AttemptNumber(0));
     }
 
-    /// Calls of each key that may have reached the upstream.
+    /// Counts, for each key, the dispatches that may have reached the upstream.
     fn executions(&self) -> BTreeMap<usize, usize> {
         let mut executions = BTreeMap::new();
         for (request, count) in &self.possible_executions {
@@ -388,6 +394,8 @@
         executions
     }
 
+    /// Panics if a key may have been executed twice, or if a request reported as not run may have
+    /// been executed.
     pub fn check_invariants(&self) {
         for (key, executions) in self.executions() {
             assert!(executions <= 1, "key {key} ran {executions} times");
@@ -402,6 +410,7 @@
         }
     }
 
+    /// Returns the number of keys that may have been executed.
     pub fn executed_keys(&self) -> usize {
         self.executions()
             .values()
--- a/crates/savorywood-core/tests/claim_keys.rs
+++ b/crates/savorywood-core/tests/claim_keys.rs
@@ -1,4 +1,5 @@
-//! Keys, repeats and groups of claims, one case at a time.
+//! Checks how claim keys are parsed, how repeated requests are handled and how claims are batched
+//! into transactions.
 
 #[path = "claim/cluster.rs"]
 #[allow(dead_code)]
@@ -21,7 +22,7 @@
 
 const START: WallTime = WallTime(1_780_000_000_000);
 
-/// One daemon with a healthy table.
+/// The claim state of one daemon over a table without faults.
 struct TestDaemon {
     claims: ClaimState,
     table: FakeTable,
@@ -133,8 +134,10 @@
     ClaimKey::parse(text, &team, retention, START, Duration::from_secs(60))
 }
 
-/// A caller repeats a charge a day later, when its claim is deleted already, or its clock is
-/// wrong, or its key carries no time. None of them can be told from a first call.
+/// Guards against a second execution of a request whose claim may have been deleted. A key older
+/// than the retention, a key from a clock that runs ahead and a key without a time may belong to a
+/// first request or to a repeat, so all three are refused. A claim that is kept forever needs no
+/// time in its key.
 #[test]
 fn expired_future_and_untimed_keys_are_refused() {
     let retention = ClaimRetention::Seconds(3_600);
@@ -149,8 +152,8 @@
     assert!(parse(&key_created_at(WallTime(START.0 + 59_000), 1), retention).is_ok());
 }
 
-/// A client library writes the same UUID in capitals on its second try. Taken for another key,
-/// the charge would be made twice.
+/// Guards against two executions of one request when a client writes the same UUID in upper case or
+/// without hyphens on its retry.
 #[test]
 fn the_spelling_of_a_uuid_does_not_matter() {
     let retention = ClaimRetention::Seconds(3_600);
@@ -161,8 +164,8 @@
     assert_eq!(canonical, without_hyphens);
 }
 
-/// A caller did not see the answer to its charge and sends it again, to a daemon that has been
-/// restarted meanwhile. It must get the first answer and no second charge.
+/// Guards against a second charge when a caller lost the response and repeats the request at a
+/// restarted daemon: it must get the recorded response.
 #[test]
 fn a_repeat_gets_the_recorded_response() {
     let mut daemon = TestDaemon::new(1);
@@ -180,8 +183,8 @@
     assert!(second.granted.is_empty());
 }
 
-/// A repeat comes while the first call runs. Whether it will succeed is not known yet, and the
-/// caller must not be told that nothing ran.
+/// A repeat that arrives while the first request still runs must not be reported as not run, since
+/// its outcome is not known yet.
 #[test]
 fn a_repeat_of_a_running_request_is_refused_as_unknown() {
     let mut daemon = TestDaemon::new(1);
@@ -195,8 +198,9 @@
     assert!(refusal.retry_after.is_some());
 }
 
-/// The daemon that ran a charge died before it could record the outcome. Asking again and again
-/// would not help the caller, who has to look at the service's own books.
+/// A daemon that crashed before it recorded the outcome leaves a claim that never resolves. The
+/// refusal has no retry-after delay, since retries can't help: the caller has to check the
+/// service's own records.
 #[test]
 fn a_claim_of_a_crashed_daemon_stays_unknown() {
     let mut daemon = TestDaemon::new(1);
@@ -224,8 +228,7 @@
     assert!(refusal.detail.contains("stopped before it recorded"));
 }
 
-/// A caller uses one key for two different charges. Giving the second the first one's answer
-/// would make it believe in a charge that was never made.
+/// Guards against replaying the response of one request to a different request that reuses its key.
 #[test]
 fn a_key_used_for_another_request_is_refused() {
     let mut daemon = TestDaemon::new(1);
@@ -240,8 +243,7 @@
     assert!(daemon.replays.is_empty());
 }
 
-/// No upstream could be reached, so no byte left. The caller tries again with the same key, as it
-/// was told to, and the charge must then be made.
+/// No upstream could be reached, so no byte was sent. A retry with the same key must be executed.
 #[test]
 fn an_unsent_request_may_be_retried() {
     let mut daemon = TestDaemon::new(1);
@@ -261,8 +263,8 @@
     assert_eq!(daemon.granted, [RequestId(1), RequestId(2)]);
 }
 
-/// Many charges come at once and one of their keys is taken. The store takes a transaction whole
-/// or not at all, so the others would fail with it.
+/// Claims are committed in batches, and the table commits a transaction completely or not at all.
+/// One key that is in use already must not fail the other claims of its batch.
 #[test]
 fn one_used_key_does_not_fail_its_batch() {
     let mut daemon = TestDaemon::new(1);
@@ -280,8 +282,8 @@
     assert_eq!(second.commits, 2);
 }
 
-/// The shell has a fault and dispatches a charge that holds no claim. The daemon must notice
-/// before the charge leaves, and say so.
+/// The runtime must not dispatch a request that holds no claim. If it tries to, the dispatch is
+/// denied and reported as an invariant breach.
 #[test]
 fn a_dispatch_without_a_claim_is_a_breach() {
     let mut daemon = TestDaemon::new(1);
@@ -293,8 +295,8 @@
     assert!(matches!(effects.as_slice(), [DaemonEffect::Breach(_)]));
 }
 
-/// The store is away. The charge must be refused as not run, with a time to come back, and the
-/// same key must work then.
+/// While the store is unavailable a request is refused as not run with a retry-after delay, and a
+/// later retry with the same key is executed.
 #[test]
 fn without_the_store_requests_are_refused_as_not_run() {
     let mut daemon = TestDaemon::new(1);
@@ -330,7 +332,8 @@
     assert_eq!(daemon.granted, [RequestId(2)]);
 }
 
-/// An answer is larger than what is kept. A repeat must still learn that the call ran.
+/// A response above the size limit is recorded without its body, so that a repeat still learns that
+/// the request was executed.
 #[test]
 fn a_large_response_is_recorded_without_its_body() {
     let mut daemon = TestDaemon::new(1);
--- a/crates/savorywood-core/tests/claim_resume.rs
+++ b/crates/savorywood-core/tests/claim_resume.rs
@@ -1,4 +1,4 @@
-//! Streams that are read on through another daemon.
+//! Checks that a stream is resumed through another daemon, and what a refused resume reports.
 
 use savorywood_core::{
     ConfigView, ResumeArrival, TokenDigest,
@@ -55,8 +55,8 @@
     }
 }
 
-/// A daemon dies in the middle of a long answer. The caller goes to another daemon with its
-/// token and gets the rest, from the engine that has it, also while that engine is drained.
+/// A daemon crashes during a long stream. The caller resumes through another daemon with its token
+/// and gets the rest from the same engine, also while that engine is draining.
 #[test]
 fn a_stream_resumes_at_its_upstream() {
     let key = ResumeKey::derive(b"secret");
@@ -68,8 +68,8 @@
     }
 }
 
-/// The stream can't be had any more. The caller must not be told that nothing ran: its tokens
-/// were generated.
+/// When a stream can't be resumed, the refusal must not report the request as not run, since its
+/// tokens were generated.
 #[test]
 fn refused_resumes_never_report_not_run() {
     let key = ResumeKey::derive(b"secret");
--- a/crates/savorywood-core/tests/claim_schedules.rs
+++ b/crates/savorywood-core/tests/claim_schedules.rs
@@ -1,4 +1,4 @@
-//! Calls that may not be repeated, under a store that loses answers and daemons that die.
+//! Runs claims in random schedules with a table that loses responses and daemons that crash.
 
 #[path = "claim/cluster.rs"]
 #[allow(dead_code)]
@@ -7,15 +7,16 @@
 use cluster::{ClaimCluster, ClaimFaults};
 use quickcheck::QuickCheck;
 
+/// Returns the number of random schedules, from `SAVORYWOOD_ROUNDS` or 300.
 fn rounds() -> u64 {
     let rounds = std::env::var("SAVORYWOOD_ROUNDS").ok();
     rounds.and_then(|text| text.parse().ok()).unwrap_or(300)
 }
 
-/// A caller sends the same charge to several daemons at once and again after each failure, while
-/// daemons die between any two steps, the store is away, and its answers are lost before, after
-/// or long before the write takes effect. However it goes, the charge must be made at most once,
-/// and whoever is told that it was not run must not find it on the bill.
+/// Callers send one charge to several daemons at once and retry after each failure, while daemons
+/// crash between any two steps, the table is unavailable, and responses are lost before, after or
+/// long before the write takes effect. Each charge must be executed at most once, and no request
+/// reported as not run may have been executed.
 #[test]
 fn a_charge_runs_at_most_once() {
     fn holds(seed: u64) -> bool {
@@ -30,8 +31,8 @@
         .quickcheck(holds as fn(u64) -> bool);
 }
 
-/// The store answers and nobody dies: then each charge must also be made, and a repeat must get
-/// the answer of the first. Refusing everything would be safe and of no use.
+/// Without faults every charge must be executed and every repeat must get the first response.
+/// Guards against a state that is safe only because it refuses everything.
 #[test]
 fn with_a_healthy_store_every_charge_runs() {
     fn holds(seed: u64) -> bool {
@@ -47,8 +48,8 @@
         .quickcheck(holds as fn(u64) -> bool);
 }
 
-/// Answers of the store are lost now and then, but no daemon dies. After it has recovered, no
-/// claim may be left hanging in a daemon's memory.
+/// The table loses responses but no daemon crashes. Once the table has recovered, no claim may stay
+/// open in a daemon's memory.
 #[test]
 fn lost_responses_leave_no_claim_open() {
     fn holds(seed: u64) -> bool {
--- a/crates/savorywood-core/tests/config_faults.rs
+++ b/crates/savorywood-core/tests/config_faults.rs
@@ -1,4 +1,5 @@
-//! Failures of the configuration duty, brought about with several reducers and one fake table.
+//! Checks the configuration state under faults: several reducers share one in-memory table that
+//! loses, delays and refuses calls.
 
 #[path = "support/config_cluster.rs"]
 mod config_cluster;
@@ -25,7 +26,7 @@
     }
 }
 
-/// Checks each operator's answer against what the table really holds.
+/// Checks that each reply to an operator agrees with what the table committed.
 fn answers_are_true(cluster: &ConfigCluster) -> Result<(), String> {
     let committed = cluster.committed_marks();
     for (call, operator) in &cluster.operators {
@@ -43,7 +44,7 @@
         };
         if !is_consistent {
             return Err(format!(
-                "call {call} took effect {times} times: {:?}",
+                "call {call} was committed {times} times, but its reply is {:?}",
                 operator.reply
             ));
         }
@@ -51,11 +52,10 @@
     Ok(())
 }
 
-/// Two operators edit the same service through different hosts while the table loses answers, some
-/// of them after the write took effect, some before, and some writes land seconds later. An
-/// operator who is told "refused" would send the change again over a newer one; one who is told
-/// "accepted" would rely on what is not there. Each answer must agree with the table for good,
-/// and all hosts must end with the same configuration.
+/// Operators edit the same services through different hosts while the table loses responses before
+/// or after the commit and applies some writes seconds late. A false refusal would make an operator
+/// send the change again over a newer one; a false acceptance would hide a lost change. Each reply
+/// must agree with the table for good, and all hosts must end with the newest revision in force.
 fn racing_operators(seed: u64) -> Result<(), String> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut cluster = ConfigCluster::new(4, seed, random_faults());
@@ -93,8 +93,8 @@
     }
 }
 
-/// Two operators read the same revision of a service and both send a change with `If-Match`. If both
-/// were accepted, the first one's change would be gone without anybody being told.
+/// Two operators change the same revision of a service with `If-Match`. Accepting both would
+/// silently overwrite the first change.
 #[test]
 fn one_of_two_racing_operators_gets_a_conflict() {
     let mut cluster = ConfigCluster::new(2, 1, FaultRates::default());
@@ -113,12 +113,12 @@
         Some(OperatorReply::Conflict { current }) => current.as_ref(),
         _ => None,
     });
-    let winner = winner.expect("the other one is told of the winner");
+    let winner = winner.expect("the conflict carries the accepted document");
     assert_eq!(winner.revision, Some(ConfigRevision(2)));
 }
 
-/// An operator kept a page open over the week-end and sends a change made to an old revision.
-/// Accepting it would undo what was changed since, without anybody being told.
+/// A change based on an old revision must be refused as a conflict, since accepting it would
+/// silently undo the newer changes.
 #[test]
 fn a_change_to_an_old_revision_is_a_conflict() {
     let mut cluster = ConfigCluster::new(2, 23, FaultRates::default());
@@ -136,8 +136,8 @@
     );
 }
 
-/// A snapshot was asked of a peer that answers slowly; by the time it comes the table has given a
-/// newer revision. Taking it would put a replaced configuration in force again.
+/// A peer's snapshot arrives after the table has delivered a newer revision. Applying it would put
+/// a replaced configuration in force again.
 #[test]
 fn a_late_snapshot_does_not_undo_what_the_table_gave() {
     let mut cluster = ConfigCluster::new(2, 29, FaultRates::default());
@@ -152,10 +152,10 @@
     assert!(cluster.breaches.is_empty(), "{:?}", cluster.breaches);
 }
 
-/// A host restarts while the table is down, and the only peer that it asks first is one that lags.
-/// Were it to begin with that peer's older configuration, callers would meet a withdrawn token or
-/// a drained upstream again for some seconds. Also when it reaches most peers none of them can
-/// say that nothing newer was accepted: it begins once the table says so.
+/// A host restarts while the table is unavailable and first reaches only peers that lag behind.
+/// Starting with their older configuration would accept a withdrawn token or use a drained
+/// upstream. Even most peers can't confirm that nothing newer was accepted, so the host becomes
+/// ready only after a read from the table.
 #[test]
 fn a_restarted_host_never_begins_with_an_older_revision() {
     let mut cluster = ConfigCluster::new(5, 7, FaultRates::default());
@@ -171,11 +171,14 @@
     cluster.run(10 * SECOND);
     assert!(
         !cluster.nodes[2].is_ready(),
-        "a lagging minority was believed"
+        "the host became ready with the configuration of a lagging minority"
     );
     cluster.cut_off.clear();
     cluster.run(20 * SECOND);
-    assert!(!cluster.nodes[2].is_ready(), "peers alone were believed");
+    assert!(
+        !cluster.nodes[2].is_ready(),
+        "the host became ready without the table"
+    );
     cluster.outage = false;
     cluster.run(10 * SECOND);
     assert!(cluster.nodes[2].is_ready());
@@ -183,8 +186,9 @@
     assert!(cluster.breaches.is_empty(), "{:?}", cluster.breaches);
 }
 
-/// The table is down for an hour and all hosts still reach each other. Nothing can be accepted in
-/// that time, so callers should notice nothing; operators get a refusal that is true.
+/// The table is unavailable for an hour while all hosts reach each other. No change can be accepted
+/// in that time, so every host must stay current, and operators must get a refusal that reports the
+/// change as not run.
 #[test]
 fn an_outage_of_an_hour_stops_no_host_that_peers_confirm() {
     let mut cluster = ConfigCluster::new(7, 3, FaultRates::default());
@@ -205,12 +209,12 @@
     assert_eq!(refusal.outcome, OutcomeKind::NotRun);
     cluster.outage = false;
     cluster.run(15 * SECOND);
-    answers_are_true(&cluster).expect("true answers");
+    answers_are_true(&cluster).expect("replies that agree with the table");
 }
 
-/// Two of seven hosts lose the table and the other five at once. They still confirm each other,
-/// and a service that was withdrawn on the others would go on being served by them for hours. They
-/// must know within the allowed time that they can't be sure.
+/// Two of seven hosts lose the table and the other five. Although they confirm each other, they
+/// must stop being current within the allowed time, or they would go on serving a service that the
+/// others have withdrawn.
 #[test]
 fn a_cut_off_minority_knows_that_it_may_be_old() {
     let mut cluster = ConfigCluster::new(7, 5, FaultRates::default());
@@ -234,9 +238,9 @@
     assert!(cluster.in_force().iter().all(|r| *r == ConfigRevision(2)));
 }
 
-/// One host takes a change from the table just before the table goes down. The others hear of it
-/// and must get it from that host, or the same caller would be treated in two ways for as long as
-/// the outage lasts.
+/// One host reads a change from the table just before the table becomes unavailable. The others
+/// must fetch it from that host, or hosts would treat the same caller differently for the length of
+/// the outage.
 #[test]
 fn a_change_spreads_from_a_peer_while_the_table_is_down() {
     let mut cluster = ConfigCluster::new(7, 11, FaultRates::default());
@@ -250,8 +254,9 @@
     assert!(cluster.in_force().iter().all(|r| *r == ConfigRevision(1)));
 }
 
-/// With 350 daemons every change must be in force everywhere within 4 s, also when every datagram
-/// is lost and only polling carries it, and polling must leave the table to the other duties.
+/// With 350 daemons every change must be in force on all of them within 4 s, even when every
+/// datagram is lost and only polling carries it. Polling must stay within its budget of table
+/// calls, which leaves the rest of the table's capacity to the other duties.
 #[test]
 fn polling_alone_reaches_all_of_350_daemons_within_its_budget() {
     let fault_rates = FaultRates {
@@ -272,8 +277,8 @@
     }
 }
 
-/// A watcher was away for longer than changes are kept. Were it to get only what is left, it would
-/// miss changes without knowing; it is told to list all resources anew.
+/// A watcher lags behind the oldest retained change. It must get `Compacted` and list all resources
+/// again, since the retained changes alone would hide the discarded ones.
 #[test]
 fn a_watcher_that_lags_too_far_is_told_to_list_anew() {
     let mut cluster = ConfigCluster::new(1, 17, FaultRates::default());
@@ -292,8 +297,8 @@
     assert_eq!(revisions, (1_091..=1_100).collect::<Vec<_>>());
 }
 
-/// A single host has no peers. Without the table it can't know whether an operator changed
-/// something through a host that it has not heard of, and must not go on as if it knew.
+/// A single host has no peers to confirm its configuration. Without the table it may miss changes
+/// made through a host that it has not heard from, so it must stop being current.
 #[test]
 fn a_host_without_peers_is_not_confirmed_by_itself() {
     let mut cluster = ConfigCluster::new(1, 19, FaultRates::default());
--- a/crates/savorywood-core/tests/credit/daemon.rs
+++ b/crates/savorywood-core/tests/credit/daemon.rs
@@ -1,4 +1,4 @@
-//! One daemon of the fleet: its queues, what it runs and what became of its jobs.
+//! One daemon of the simulated fleet: its queues, its running jobs and its counters.
 
 use savorywood_core::{
     TimerKey,
@@ -7,29 +7,40 @@
 use savorywood_protocol::{HostName, MonotonicTime, TierRank, UpstreamName};
 use std::collections::{BTreeMap, VecDeque};
 
-/// What became of the jobs of one tier at one daemon.
+/// Counters of the jobs of one tier at one daemon.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TierTally {
+    /// Jobs submitted.
     pub arrived: u64,
+    /// Jobs completed at the upstream.
     pub done: u64,
+    /// Jobs shed on the arbiter's advice.
     pub shed: u64,
+    /// Jobs shed by the daemon's own queues, without an arbiter.
     pub shed_locally: u64,
+    /// Jobs refused or shed because their tier is below the floor.
     pub below_floor: u64,
+    /// Jobs whose wait ended before the arbiter advised to shed them.
     pub expired: u64,
 }
 
+/// A daemon with a credit state and a minimal scheduler.
 #[derive(Debug)]
 pub struct FakeDaemon {
     pub credits: CreditState,
+    /// Deadlines of the waiting jobs of each tier, oldest first.
     pub queues: BTreeMap<TierRank, VecDeque<MonotonicTime>>,
     pub tallies: BTreeMap<TierRank, TierTally>,
+    /// Bytes of the messages sent, with the IPv4 and UDP headers.
     pub sent_bytes: u64,
     pub sent_messages: u64,
     pub running: Vec<RunningJob>,
+    /// Slots in use at each upstream, by tier.
     pub slots: BTreeMap<UpstreamName, BTreeMap<TierRank, u32>>,
     pub timers: BTreeMap<TimerKey, MonotonicTime>,
 }
 
+/// A job that occupies a slot of an upstream.
 #[derive(Debug, Clone)]
 pub struct RunningJob {
     pub rank: TierRank,
--- a/crates/savorywood-core/tests/credit/fleet.rs
+++ b/crates/savorywood-core/tests/credit/fleet.rs
@@ -1,5 +1,5 @@
-//! A few daemons that share upstreams, each with a plain scheduler: strict tiers, no more than
-//! its own limit and its grant, and a question to the credit duty before it sheds.
+//! Simulates daemons that share upstreams. Each has a minimal scheduler: strict tier order, no more
+//! slots than its own limit and its grant, and a query to the credit state before it sheds.
 
 mod daemon;
 
@@ -26,18 +26,19 @@
     time::{Duration, Instant},
 };
 
-/// Length of a step.
+/// Simulated time per step.
 pub const STEP: Duration = Duration::from_millis(5);
 
-/// Time that a job takes.
+/// Time that a job occupies a slot.
 const JOB_DURATION: Duration = Duration::from_millis(400);
 
-/// Time that a job may wait.
+/// Time after which a waiting job expires.
 const MAX_QUEUE_TIME: Duration = Duration::from_secs(5);
 
-/// Time before a job's end of patience at which the daemon wants to shed it.
+/// Remaining wait from which the daemon tries to shed a job.
 const SHED_LEAD_TIME: Duration = Duration::from_secs(3);
 
+/// A credit message that is delivered at `at`.
 #[derive(Debug, Clone)]
 struct InFlightMessage {
     at: MonotonicTime,
@@ -46,6 +47,8 @@
     message: CreditMessage,
 }
 
+/// Faults of the network. `loss` and `duplicates` are probabilities from 0 to 1 per message;
+/// `jitter_ms` is the largest extra delay.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct FleetFaults {
     pub loss: f64,
@@ -53,6 +56,7 @@
     pub jitter_ms: u64,
 }
 
+/// The daemons, their configuration and the network between them.
 #[derive(Debug)]
 pub struct CreditFleet {
     pub now: CoreTime,
@@ -60,12 +64,15 @@
     pub members: MemberView,
     pub daemons: BTreeMap<HostName, FakeDaemon>,
     pub faults: FleetFaults,
+    /// Limit of each daemon on each upstream, in slots.
     pub limit: u32,
+    /// Most slots in use at once at each upstream.
     pub peak_in_use: BTreeMap<UpstreamName, u32>,
-    /// Sheds of a tier while a lower one waited at some daemon.
+    /// Descriptions of jobs shed while a job of a lower tier waited at a daemon of the same zone.
     pub priority_inversions: Vec<String>,
-    /// Processor time that the credit duties took, and in how many steps.
+    /// Wall-clock time spent in the credit reducers.
     pub step_time: Duration,
+    /// Number of steps that `step_time` covers.
     pub steps: u64,
     in_flight: Vec<InFlightMessage>,
     upstreams_by_zone: BTreeMap<ZoneName, Vec<UpstreamName>>,
@@ -81,7 +88,8 @@
 }
 
 impl CreditFleet {
-    /// Daemons and upstreams spread over zones; each upstream takes `limit` jobs at once.
+    /// Creates daemons and upstreams distributed over the zones. `limit` is the limit of each
+    /// daemon on each upstream.
     pub fn new(seed: u64, daemons: usize, upstreams: usize, zones: usize, limit: u32) -> Self {
         let now = CoreTime {
             monotonic: MonotonicTime(1_000_000),
@@ -133,7 +141,7 @@
         self.step(&host, CreditEvent::Started);
     }
 
-    /// A job arrives and waits.
+    /// Submits a job to a daemon, which refuses it if its tier is below the floor.
     pub fn submit_job(&mut self, host: &HostName, rank: TierRank) {
         let Some(daemon) = self.daemons.get_mut(host) else {
             return;
@@ -158,7 +166,7 @@
         }
     }
 
-    /// Lets time pass; `arrivals` says who gets jobs in each step.
+    /// Runs for a duration of simulated time. `arrivals` submits the jobs of each step.
     pub fn run(&mut self, duration: Duration, mut arrivals: impl FnMut(&mut Self)) {
         let end = self.now.monotonic + duration;
         while self.now.monotonic < end {
@@ -179,6 +187,7 @@
         }
     }
 
+    /// Returns true with this probability, from 0 to 1.
     pub fn random_chance(&mut self, chance: f64) -> bool {
         self.rng.random_bool(chance)
     }
@@ -221,13 +230,13 @@
             .partition(|job| job.ends_at <= now);
         daemon.running = running;
         for job in done {
-            let slots = daemon.slots.get_mut(&job.upstream).expect("seats");
-            *slots.get_mut(&job.rank).expect("a seat") -= 1;
+            let slots = daemon.slots.get_mut(&job.upstream).expect("slots in use");
+            *slots.get_mut(&job.rank).expect("a slot in use") -= 1;
             daemon.tallies.entry(job.rank).or_default().done += 1;
         }
     }
 
-    /// Work below the floor is shed.
+    /// Sheds the waiting jobs whose tier is below the floor.
     fn apply_floor(&mut self, host: &HostName) {
         let daemon = self.daemons.get_mut(host).expect("a daemon");
         let floors = daemon.credits.floors();
@@ -315,7 +324,7 @@
             if same_zone && queues.any(|(lower, queue)| *lower > rank && !queue.is_empty()) {
                 let at = self.now.monotonic.0 / 1_000;
                 let text = format!(
-                    "{at} ms: {host} shed {rank} ({advice:?}, late={late}) while {other} had lower"
+                    "{at} ms: {host} shed {rank} ({advice:?}, late={late}) while a lower tier waited at {other}"
                 );
                 self.priority_inversions.push(text);
             }
@@ -396,7 +405,7 @@
         }
     }
 
-    /// Demand of a daemon on the upstreams of its zone.
+    /// Returns the demand of a daemon on the upstreams of its zone.
     fn demands_of(&self, host: &HostName) -> BTreeMap<UpstreamName, LocalDemand> {
         let zone = &self.members.members[host].zone;
         let daemon = &self.daemons[host];
@@ -442,7 +451,7 @@
         }
     }
 
-    /// A host dies; the others still hold it for alive.
+    /// Removes a daemon without a message; the members still list it as alive.
     pub fn crash(&mut self, host: &HostName) {
         self.daemons.remove(host);
     }
@@ -472,7 +481,7 @@
         self.daemons.values().map(|daemon| daemon.sent_bytes).sum()
     }
 
-    /// Hosts that hold a grant on this upstream.
+    /// Returns the hosts that hold a grant for this upstream.
     pub fn grant_holders(&self, upstream: &str) -> BTreeSet<&HostName> {
         let daemons = self.daemons.iter();
         let held = daemons.filter(|(_, d)| d.credits.grants().contains_key(upstream));
--- a/crates/savorywood-core/tests/credit_messages.rs
+++ b/crates/savorywood-core/tests/credit_messages.rs
@@ -1,4 +1,5 @@
-//! What an arbiter and a holder make of single messages, and how seats are divided.
+//! Checks how credit arbiters and credit holders handle single messages, and how slots are
+//! allocated.
 
 use quickcheck::quickcheck;
 use savorywood_core::{
@@ -42,7 +43,7 @@
     message: CreditMessage,
 }
 
-/// One daemon, which arbitrates if it is the only one of the zone.
+/// The credit state of one daemon, which is the arbiter if it is the only daemon of its zone.
 struct TestDaemon {
     credits: CreditState,
     now: CoreTime,
@@ -211,8 +212,8 @@
     HostName::new(&format!("entry-{number}")).expect("a name")
 }
 
-/// Two grants overtake each other on the network. Were the older one believed, the daemon would
-/// use seats that have been given to another.
+/// Grants can be reordered on the network. Applying an older one would make the daemon use slots
+/// that have since been granted to another.
 #[test]
 fn an_older_grant_does_not_undo_a_newer_one() {
     let mut daemon = TestDaemon::new();
@@ -225,8 +226,8 @@
     assert_eq!(daemon.credits.counters().outdated, 2);
 }
 
-/// A grant lapses, since the arbiter or the way to it is gone. Seats that may have been given to
-/// others since must not be used; a share that could be everybody's may.
+/// A grant expires because the arbiter or the path to it fails. Its slots may have been granted to
+/// others since, so the daemon may use only the standing share that every daemon can have at once.
 #[test]
 fn an_expired_grant_leaves_a_standing_share() {
     let mut daemon = TestDaemon::new();
@@ -245,8 +246,8 @@
     assert_eq!(surveyed.credits.grants()[&upstream()].seats, 1);
 }
 
-/// A new arbiter hears of one daemon before it hears of the others. Were it to grant at once, the
-/// first would get all seats while the others still use theirs.
+/// A new arbiter receives the demand of one daemon before that of the others. Granting at once
+/// would give the first daemon all slots while the others still use theirs.
 #[test]
 fn a_new_arbiter_collects_demand_before_it_grants() {
     let mut daemon = TestDaemon::new();
@@ -257,8 +258,8 @@
     assert!(daemon.has_granted());
 }
 
-/// A daemon full of the highest tier is about to shed while three lower ones wait elsewhere. The
-/// lowest goes first, and it alone if that is enough.
+/// A daemon with requests of the highest tier only is about to shed while three lower tiers wait
+/// elsewhere. The lowest tier is shed first, and no other if that is enough.
 #[test]
 fn the_floor_rises_one_tier_a_round() {
     let mut daemon = TestDaemon::new();
@@ -268,8 +269,8 @@
     assert_eq!(daemon.floors(), [2, 1, 0]);
 }
 
-/// The floor is up and a request of a tier below it is about to be refused. It must go at once:
-/// asking again would hold it back for nothing, while its caller waits.
+/// A request of a tier below the floor is refused at once. Asking the arbiter again would only
+/// delay the refusal.
 #[test]
 fn requests_below_the_floor_are_shed_without_asking() {
     let mut daemon = TestDaemon::new();
@@ -278,8 +279,8 @@
     assert_eq!(daemon.advice(1), ShedAdvice::Wait);
 }
 
-/// A daemon has shed all its low work because of the floor and reports that it wants nothing. It
-/// must still be told of the floor, or it would take low work in again while others shed high.
+/// A daemon that shed all its low-tier requests because of the floor reports no demand. It must
+/// still receive the floor, or it would admit low tiers again while others shed higher ones.
 #[test]
 fn an_idle_daemon_still_receives_the_floor() {
     let mut daemon = TestDaemon::new();
@@ -294,8 +295,8 @@
 }
 
 quickcheck! {
-    /// Seats in use beyond a daemon's share come off the others' shares, so that the upstream
-    /// never has to run both.
+    /// Slots in use beyond a daemon's share are subtracted from the shares of the others, so that
+    /// the upstream never runs both.
     fn shares_and_slots_in_use_fit_the_capacity(requests: Vec<(u8, u8, u8)>, capacity: u8) -> bool {
         let demands = demands_by_host(&requests);
         let capacity = u32::from(capacity);
@@ -308,7 +309,7 @@
         total <= capacity && total + excess_in_use <= capacity.max(in_use(&demands))
     }
 
-    /// A lower tier gets a seat only when every higher one has all that it asks for.
+    /// A lower tier gets a slot only when every higher tier has all slots that it asks for.
     fn higher_tiers_come_first(requests: Vec<(u8, u8, u8)>, capacity: u8) -> bool {
         let without_use: Vec<_> = requests.iter().map(|(rank, seats, _)| (*rank, *seats, 0)).collect();
         let demands = demands_by_host(&without_use);
--- a/crates/savorywood-core/tests/credit_uneven.rs
+++ b/crates/savorywood-core/tests/credit_uneven.rs
@@ -1,4 +1,5 @@
-//! Uneven queues over daemons that share an upstream, and what the network does to credits.
+//! Checks credits when queues are uneven across the daemons that share an upstream, and when the
+//! network is faulty.
 
 #[path = "credit/fleet.rs"]
 #[allow(dead_code)]
@@ -12,14 +13,15 @@
 const TOP: TierRank = TierRank(0);
 const LOW: TierRank = TierRank(3);
 
-/// One upstream of eight seats, of which 20 jobs a second can be had, and two daemons.
+/// Creates two daemons that share one upstream. The upstream has eight slots and completes 20 jobs
+/// per second.
 fn two_daemons(seed: u64) -> CreditFleet {
     CreditFleet::new(seed, 2, 1, 1, 8)
 }
 
-/// All callers of the highest tier are sent to one daemon, and all of the lowest to another,
-/// each with more work than the upstream can do. Were each to look at its own queues only, the
-/// first would shed storm briefings while the second goes on with notes.
+/// One daemon gets all requests of the highest tier and another all of the lowest, each more than
+/// the upstream can execute. If each daemon looked only at its own queues, the first would shed the
+/// highest tier while the second went on with the lowest.
 #[test]
 fn the_lowest_tier_is_shed_first_across_daemons() {
     let mut fleet = two_daemons(1);
@@ -34,13 +36,16 @@
     });
     assert_eq!(fleet.priority_inversions, Vec::<String>::new());
     let (top, low) = (fleet.tally(&top, 0), fleet.tally(&low, 3));
-    assert!(top.done >= 360, "{top:?} of 400 that the upstream can do");
+    assert!(
+        top.done >= 360,
+        "{top:?} of 400 jobs that the upstream can execute"
+    );
     assert_eq!(top.shed_locally + top.expired, 0, "{top:?}");
     assert!(top.shed > 0 && low.below_floor > 0, "{top:?} {low:?}");
 }
 
-/// The highest tier alone fits the upstream. None of it may be shed because the lowest tier is
-/// asked for at another daemon.
+/// The highest tier alone fits the upstream. None of it may be shed because of lowest-tier demand
+/// at another daemon.
 #[test]
 fn a_top_tier_that_fits_is_never_shed() {
     let mut fleet = two_daemons(2);
@@ -59,11 +64,15 @@
         "{top:?}"
     );
     let low = fleet.tally(&host_name(1), 3);
-    assert!(low.done > 50, "the rest of the seats stood idle: {low:?}");
+    assert!(
+        low.done > 50,
+        "the lowest tier did not use the remaining slots: {low:?}"
+    );
 }
 
-/// Four tiers wait at different daemons. They must go from the bottom, one after the other: a
-/// floor that rose all at once would shed the second tier when the fourth was enough.
+/// Four tiers wait at different daemons and must be shed one after the other from the lowest. A
+/// floor that rose by several tiers at once would shed the second tier when shedding the fourth was
+/// enough.
 #[test]
 fn the_floor_rises_from_the_bottom() {
     let mut fleet = CreditFleet::new(3, 4, 1, 1, 5);
@@ -88,8 +97,8 @@
     );
 }
 
-/// Nobody queues. The daemons must not say a word about the upstream, or at the planned size
-/// they would speak of nothing else.
+/// Without queues the daemons must send no credit messages: at the planned size, messages about
+/// uncontended upstreams would take most of the traffic.
 #[test]
 fn what_is_not_contended_costs_no_bytes() {
     let mut fleet = CreditFleet::new(4, 8, 4, 2, 8);
@@ -104,8 +113,8 @@
     assert!(fleet.total(0).done > 15);
 }
 
-/// A rush is over. The upstream must stop being spoken of, and each daemon be free to use its
-/// own limit again.
+/// After a burst the credit messages about the upstream must stop, and each daemon may use its own
+/// limit again.
 #[test]
 fn contention_ends_with_the_burst() {
     let mut fleet = two_daemons(5);
@@ -130,8 +139,9 @@
     assert_eq!(fleet.sent_bytes(), before);
 }
 
-/// The arbiter dies in the middle of a rush. Until the others notice, their grants lapse and
-/// they use a standing share, so the upstream is not overrun; then the next by hash takes over.
+/// The arbiter crashes during a burst. Until the others detect it, their grants expire and they use
+/// standing shares, so the upstream is not overloaded; then the next daemon in hash order becomes
+/// the arbiter.
 #[test]
 fn a_crashed_arbiter_is_replaced() {
     let submit_burst = |fleet: &mut CreditFleet| {
@@ -151,26 +161,32 @@
         let done_during_failover = fleet.total(0).done - before;
         assert!(
             done_during_failover > 75,
-            "victim {victim}: {done_during_failover} of 140 jobs were done"
+            "victim {victim}: {done_during_failover} of 140 jobs were completed"
         );
         fleet.set_member_state(&host_name(victim), MemberState::Dead);
         fleet.run(Duration::from_secs(2), submit_burst);
         let before = fleet.total(0).done;
         fleet.run(Duration::from_secs(5), submit_burst);
         let after = fleet.total(0).done - before;
-        assert!(after > 85, "victim {victim}: {after} of 100 jobs were done");
+        assert!(
+            after > 85,
+            "victim {victim}: {after} of 100 jobs were completed"
+        );
         let peak = fleet
             .peak_in_use
             .values()
             .max()
             .copied()
             .unwrap_or_default();
-        assert!(peak <= 12, "victim {victim}: {peak} at once on 8 seats");
+        assert!(
+            peak <= 12,
+            "victim {victim}: {peak} jobs at once on 8 slots"
+        );
     }
 }
 
-/// Every arbiter is cut off from everybody. A daemon that must shed does so by its own queues
-/// after a short time, and counts it; callers must not wait for an answer that never comes.
+/// All messages are lost. A daemon that must shed does so by its own queues after a short wait, and
+/// counts it; requests must not wait for a response that never arrives.
 #[test]
 fn without_an_arbiter_a_daemon_sheds_by_its_own_queues() {
     let mut fleet = two_daemons(7);
@@ -192,9 +208,9 @@
     assert!(total.done > 150, "{total:?}");
 }
 
-/// Datagrams are lost, doubled and come out of order during a rush. Seats may stand idle for a
-/// while, but the upstream must never get more than the daemons' own limits allow, the highest
-/// tier must get the larger part, and no old grant may undo a newer one.
+/// Messages are lost, duplicated and reordered during a burst. Slots may stay idle for a while, but
+/// the upstream must never get more than the daemons' own limits allow, the highest tier must get
+/// the larger part, and no old grant may undo a newer one.
 #[test]
 fn a_faulty_network_costs_only_capacity() {
     fn holds(seed: u64, loss: u8, jitter: u8) -> bool {
--- a/crates/savorywood-core/tests/discovery_rank.rs
+++ b/crates/savorywood-core/tests/discovery_rank.rs
@@ -1,4 +1,4 @@
-//! Which addresses callers get.
+//! Checks which daemon addresses callers get, and in which order.
 
 use quickcheck::{TestResult, quickcheck};
 use savorywood_core::{
@@ -67,6 +67,7 @@
     response.addresses.into_iter().map(|a| a.address).collect()
 }
 
+/// Returns the first address for each of 600 prefix groups.
 fn first_addresses(view: &MemberView) -> BTreeMap<String, SocketAddr> {
     let groups = (0..600).map(|number| format!("group-{number}"));
     groups
@@ -92,8 +93,8 @@
     assert_eq!(zones, [true, true, false]);
 }
 
-/// A daemon announces that it leaves, or is taken for dead. Callers that were still sent there
-/// would meet a closed port.
+/// Guards against sending callers to a daemon that is leaving or dead, where they would find a
+/// closed port.
 #[test]
 fn leaving_and_dead_members_are_not_returned() {
     for state in [MemberState::Leaving, MemberState::Dead] {
@@ -110,8 +111,8 @@
     }
 }
 
-/// One of eight daemons dies. Callers whose keys it did not hold must stay where their prompts'
-/// prefixes are known, or the whole fleet would compute them anew.
+/// One of eight daemons is removed. Keys of the other daemons must stay where the prefixes of their
+/// prompts are cached, or the fleet would compute all of them again.
 #[test]
 fn a_lost_member_moves_few_keys() {
     let before = members(8, 1);
@@ -123,7 +124,10 @@
     let moved = unaffected
         .filter(|(group, first)| new[*group] != **first)
         .count();
-    assert!(moved <= 60, "{moved} of 600 keys moved without need");
+    assert!(
+        moved <= 60,
+        "{moved} of 600 keys moved, although their daemon remains"
+    );
 }
 
 #[test]
@@ -137,7 +141,7 @@
         let share = 600 / usize::from(count);
         assert!(
             max_load <= share * 2,
-            "{max_load} of 600 keys on one of {count}"
+            "{max_load} of 600 keys on one of {count} members"
         );
     }
 }
--- a/crates/savorywood-core/tests/fleet/network.rs
+++ b/crates/savorywood-core/tests/fleet/network.rs
@@ -1,5 +1,5 @@
-//! Many membership reducers in one thread, over a network that delays, loses, doubles and
-//! reorders datagrams, with hosts that crash, restart and stand still.
+//! Simulates many membership reducers in one thread, over a network that delays, loses, duplicates
+//! and reorders datagrams, with hosts that crash, restart and pause.
 
 use rand::{Rng, SeedableRng, seq::IteratorRandom};
 use rand_chacha::ChaCha8Rng;
@@ -20,32 +20,38 @@
     time::Duration,
 };
 
-/// Heads of IPv4 and UDP, which count for the budget but not for the length of a datagram.
+/// Size of the IPv4 and UDP headers, which count towards the byte budget but not towards the length
+/// of a datagram.
 const HEADER_BYTES: usize = 28;
 
-/// How the network treats datagrams.
+/// Faults of the network. `loss` and `duplicates` are probabilities from 0 to 1 per datagram;
+/// `jitter` is the largest extra delay.
 #[derive(Debug, Clone, Default)]
 pub struct NetworkFaults {
     pub loss: f64,
     pub duplicates: f64,
     pub jitter: Duration,
-    /// Datagrams from a host of the first set to one of the second are lost.
+    /// Datagrams from a host in `from` to one in `to` are lost.
     pub partitions: Vec<NetworkPartition>,
 }
 
+/// One direction of a partition.
 #[derive(Debug, Clone, Default)]
 pub struct NetworkPartition {
     pub from: BTreeSet<HostName>,
     pub to: BTreeSet<HostName>,
 }
 
+/// A host with its membership reducer, byte budget, replay guard and timers.
 #[derive(Debug)]
 pub struct FakeHost {
     pub membership: MembershipState,
     pub budget: PeerBudget,
+    /// Bytes sent, with the IPv4 and UDP headers.
     pub sent_bytes: u64,
     pub sent_datagrams: u64,
     pub received_bytes: u64,
+    /// Time until which the host handles nothing; absent while it runs.
     pub paused_until: Option<MonotonicTime>,
     pub place: MemberPlace,
     guard: ReplayGuard,
@@ -70,13 +76,14 @@
     },
 }
 
+/// Time of an event and the order in which it was scheduled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct EventOrder {
     at: MonotonicTime,
     number: u64,
 }
 
-/// The fleet and its network.
+/// The hosts and the network between them.
 #[derive(Debug)]
 pub struct FakeNetwork {
     pub now: CoreTime,
@@ -92,7 +99,8 @@
     HostName::new(&format!("entry-{number:03}")).expect("a name")
 }
 
-/// Zones of the first region are `a0..`, those of the second `b0..`.
+/// Returns the addresses, zone and region of a host. Zones of the first region are `a0..`, those of
+/// the second `b0..`.
 pub fn place_of(number: usize, regions: usize, zones: usize) -> MemberPlace {
     let region = if number.is_multiple_of(regions) {
         "a"
@@ -129,7 +137,7 @@
         }
     }
 
-    /// Hosts `0..count`, all started and all listed.
+    /// Creates hosts `0..count`, all started and all in the host list.
     pub fn fleet(seed: u64, count: usize, regions: usize, zones: usize) -> Self {
         let mut network = Self::new(seed);
         for number in 0..count {
@@ -139,7 +147,7 @@
         network
     }
 
-    /// Starts a host, or starts it anew under a larger incarnation.
+    /// Starts a host, or restarts it under the incarnation of the current wall clock.
     pub fn start(&mut self, number: usize, regions: usize, zones: usize) -> HostName {
         let host = host_name(number);
         let place = place_of(number, regions, zones);
@@ -168,11 +176,12 @@
         self.step(&host, MembershipEvent::Started);
     }
 
-    /// Ends a process without a word.
+    /// Ends a daemon without a message.
     pub fn crash(&mut self, host: &HostName) {
         self.hosts.remove(host);
     }
 
+    /// Pauses a host, which handles its datagrams and timers when the duration has passed.
     pub fn pause(&mut self, host: &HostName, duration: Duration) {
         let until = self.now.monotonic + duration;
         if let Some(fake) = self.hosts.get_mut(host) {
@@ -180,7 +189,7 @@
         }
     }
 
-    /// The list as the platform would give it of the hosts that run.
+    /// Returns the platform's list of the hosts that run.
     pub fn host_list(&self, leaving: &BTreeSet<HostName>) -> Vec<HostEntry> {
         let entries = self.hosts.iter().map(|(host, fake)| HostEntry {
             host: host.clone(),
@@ -193,6 +202,7 @@
         entries.collect()
     }
 
+    /// Delivers the platform's host list to all hosts.
     pub fn list_hosts(&mut self, leaving: &BTreeSet<HostName>) {
         let list = self.host_list(leaving);
         let hosts: Vec<_> = self.hosts.keys().cloned().collect();
@@ -303,7 +313,8 @@
         self.advance(end);
     }
 
-    /// Runs until `done`, at most for `limit`; gives the time it took.
+    /// Runs until `done` returns true, for `limit` at most; returns the time that it took, or
+    /// `None` at the limit.
     pub fn run_until(
         &mut self,
         limit: Duration,
@@ -377,7 +388,7 @@
         partitions.any(|partition| partition.from.contains(from) && partition.to.contains(to))
     }
 
-    /// Cuts two sets of hosts off from each other, both ways.
+    /// Partitions two sets of hosts from each other in both directions.
     pub fn partition(&mut self, one: &BTreeSet<HostName>, other: &BTreeSet<HostName>) {
         for (from, to) in [(one, other), (other, one)] {
             let from = from.clone();
@@ -396,13 +407,13 @@
         host.cloned().expect("a host")
     }
 
-    /// What one host holds another for.
+    /// Returns the state of a member as one host sees it.
     pub fn state_at(&self, observer: &HostName, member: &HostName) -> Option<MemberState> {
         let view = self.hosts.get(observer)?.membership.view();
         view.members.get(member).map(|record| record.state)
     }
 
-    /// Whether all that run hold the member for this state.
+    /// Returns whether all other running hosts see the member in this state.
     pub fn all_observe(&self, member: &HostName, state: MemberState) -> bool {
         let others = self.hosts.keys().filter(|host| *host != member);
         others
@@ -410,7 +421,7 @@
             .all(|observed| observed == Some(state))
     }
 
-    /// Whether everybody holds everybody that runs, and nobody else, for alive.
+    /// Returns whether every host lists exactly the running hosts as alive.
     pub fn has_converged(&self) -> bool {
         self.hosts.values().all(|fake| {
             let members = &fake.membership.view().members;
--- a/crates/savorywood-core/tests/lease_faults.rs
+++ b/crates/savorywood-core/tests/lease_faults.rs
@@ -1,4 +1,5 @@
-//! Failures of leases, brought about with several reducers on clocks of their own.
+//! Checks leases under faults: several reducers share one in-memory table, each with a clock of its
+//! own rate.
 
 #[path = "support/fake_table.rs"]
 mod fake_table;
@@ -13,14 +14,15 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// In the order of real time a fencing number never goes back, and belongs to one node.
+/// Checks that, in the order of real time, the fencing number never decreases and each number
+/// belongs to one node, and that no node reported a breach.
 fn check_exclusive_holders(cluster: &LeaseCluster) -> Result<(), String> {
     for pair in cluster.actions.windows(2) {
         let [before, after] = pair else { continue };
         let same_number = before.fencing == after.fencing;
         let is_transfer = after.fencing > before.fencing;
         if !(is_transfer || (same_number && before.node == after.node)) {
-            return Err(format!("{before:?} was followed by {after:?}"));
+            return Err(format!("action {before:?} was followed by {after:?}"));
         }
     }
     match cluster.breaches.first() {
@@ -29,11 +31,11 @@
     }
 }
 
-/// Three daemons want one lease. Their clocks run up to a tenth apart from real time, they are
-/// frozen for long at any moment, and the table loses answers, delays them or lets writes land
-/// seconds late. Were two to act at once, an engine would get two contradicting orders, or a move
-/// would be called done and taken back. And when the faults end, one of them must hold it soon, or
-/// a move would stand still past its deadline.
+/// Three daemons compete for one lease. Their clocks run up to 10 % fast or slow, they are paused
+/// at any moment, and the table loses responses, delays them or applies writes seconds late. Two
+/// holders at once would send contradicting orders to an engine, or report a move as completed and
+/// then roll it back. Once the faults end, exactly one daemon must hold the lease, or a move would
+/// stall past its deadline.
 fn contended_lease(seed: u64) -> Result<(), String> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let clock_rates: Vec<_> = (0..3).map(|_| rng.random_range(900..1_100)).collect();
@@ -61,9 +63,9 @@
     }
 }
 
-/// The holder is frozen, as by a stopped virtual machine, for longer than the term. Another daemon
-/// takes over. When the first one goes on it must notice before it does anything, or both would
-/// drive the same move.
+/// The holder is paused for longer than the lease term, like a suspended virtual machine, and
+/// another daemon takes over. When the first one resumes, it must detect the expiry before it acts,
+/// or both would drive the same move.
 #[test]
 fn a_paused_holder_detects_the_expiry_before_it_acts() {
     let mut cluster = LeaseCluster::new(&[1_000, 1_000], 3);
@@ -72,14 +74,19 @@
     assert_eq!(first.len(), 1);
     cluster.pause(first[0], 40 * SECOND);
     cluster.run(39 * SECOND);
-    let second = cluster.actions.last().expect("somebody acts").node;
+    let second = cluster
+        .actions
+        .last()
+        .expect("an action under the lease")
+        .node;
     assert_ne!(second, first[0]);
     cluster.run(10 * SECOND);
     assert_eq!(cluster.holders(), [second]);
     check_exclusive_holders(&cluster).expect("one holder at a time");
 }
 
-/// A daemon is stopped as planned. Its lease must not hold up work for a whole term.
+/// A daemon that is stopped as planned releases its lease, so that work under the lease does not
+/// wait for the end of the term.
 #[test]
 fn a_leaving_holder_releases_the_lease_at_once() {
     let mut cluster = LeaseCluster::new(&[1_000, 1_000], 5);
@@ -92,8 +99,8 @@
     check_exclusive_holders(&cluster).expect("one holder at a time");
 }
 
-/// The table is down for longer than the term. Nobody can renew, so nobody may act: the work under
-/// the lease waits. It goes on when the table is back.
+/// The table is unavailable for longer than the lease term. No daemon can renew the lease, so none
+/// may act until the table is back.
 #[test]
 fn nobody_acts_while_the_table_is_down_for_long() {
     let mut cluster = LeaseCluster::new(&[1_000, 1_000, 1_000], 7);
--- a/crates/savorywood-core/tests/membership_schedules.rs
+++ b/crates/savorywood-core/tests/membership_schedules.rs
@@ -1,4 +1,4 @@
-//! Random schedules of failures, after which all daemons must agree again.
+//! Runs membership in random schedules of faults, after which all daemons must agree again.
 
 #[path = "fleet/network.rs"]
 #[allow(dead_code)]
@@ -17,6 +17,8 @@
 const REGIONS: usize = 2;
 const ZONES: usize = 2;
 
+/// A fault of the schedule. The first number selects the host or its zone; the second of `Pause` is
+/// in seconds, and `Loss` is in percent.
 #[derive(Debug, Clone, Copy)]
 enum FleetFault {
     Kill(u8),
@@ -47,6 +49,7 @@
     }
 }
 
+/// Injects a fault. `leaving` tracks the hosts that are leaving.
 fn inject(network: &mut FakeNetwork, fault: FleetFault, leaving: &mut BTreeSet<HostName>) {
     match fault {
         FleetFault::Kill(number) => network.crash(&host_name(number.into())),
@@ -89,8 +92,9 @@
     }
 }
 
-/// Whether all know who serves, in every region where somebody is left to serve: a region that
-/// is gone as a whole can't be told from one that is cut off, and is kept on purpose.
+/// Returns whether every daemon lists exactly the serving hosts as alive, in every region that has
+/// a serving host. A region without any looks the same as an unreachable one, so its members are
+/// kept on purpose.
 fn views_converged(network: &FakeNetwork, leaving: &BTreeSet<HostName>) -> bool {
     let serving = || {
         network
@@ -122,9 +126,9 @@
     }
 }
 
-/// Hosts die, come back, leave, stand still and lose one another in any order, while datagrams
-/// are lost, doubled and reordered. Once the network is whole, every daemon must again know
-/// exactly who serves; otherwise callers are sent to dead hosts or a live one stands idle.
+/// Hosts crash, restart, leave, pause and are partitioned in any order, while datagrams are lost,
+/// duplicated and reordered. Once the network has recovered, every daemon must list exactly the
+/// serving hosts; otherwise callers are sent to dead hosts, or a live host gets no callers.
 #[test]
 fn all_views_converge_once_the_network_recovers() {
     fn holds(seed: u64, faults: Vec<FleetFault>) -> bool {
@@ -158,8 +162,8 @@
         .quickcheck(holds as fn(u64, Vec<FleetFault>) -> bool);
 }
 
-/// News of a member takes many ways and comes in any order. Whatever a daemon hears first, once
-/// it has heard that a member leaves, nothing of the same life may make it serve again.
+/// Updates of a member arrive over several paths in any order. Once a daemon has received that a
+/// member leaves, no update of the same incarnation may list it as serving again.
 #[test]
 fn leaving_is_never_undone_within_an_incarnation() {
     fn holds(states: Vec<u8>, refutations: Vec<u32>) -> bool {
@@ -172,8 +176,8 @@
                 _ => MemberState::Dead,
             };
             let received = member_update(state, refutation);
-            // What comes after death is another matter: only a refutation brings a member back,
-            // and a leaving one refutes as leaving.
+            // Updates after `Dead` are left out: only a refutation brings a member back, and a
+            // leaving member refutes as leaving.
             if current.state == MemberState::Leaving && supersedes(&received, &current) {
                 current = received;
             }
--- a/crates/savorywood-core/tests/membership_spread.rs
+++ b/crates/savorywood-core/tests/membership_spread.rs
@@ -1,4 +1,4 @@
-//! Failures of daemons and of the network between them, as the membership duty meets them.
+//! Checks membership when daemons fail and when the network between them fails.
 
 #[path = "fleet/network.rs"]
 #[allow(dead_code)]
@@ -9,15 +9,16 @@
 use savorywood_protocol::{ConfigRevision, peer::membership::MemberState};
 use std::{collections::BTreeSet, time::Duration};
 
+/// Returns a fleet whose daemons agree on the members.
 fn converged_fleet(seed: u64, count: usize, regions: usize) -> FakeNetwork {
     let mut network = FakeNetwork::fleet(seed, count, regions, 4);
     let took = network.run_until(Duration::from_secs(20), FakeNetwork::has_converged);
-    assert!(took.is_some(), "the fleet never agreed");
+    assert!(took.is_some(), "the fleet did not converge within 20 s");
     network
 }
 
-/// A host dies without a word, as when its power goes. Its callers get no answer, and until the
-/// others notice, new callers are sent to it.
+/// A host crashes without a message, as on a power failure. Until the others detect it, new callers
+/// are sent to it and get no response.
 #[test]
 fn a_crashed_host_is_detected() {
     let mut network = converged_fleet(1, 40, 2);
@@ -25,11 +26,11 @@
     network.crash(&host);
     let limit = Duration::from_secs(12);
     let took = network.run_until(limit, |net| net.all_observe(&host, MemberState::Dead));
-    assert!(took.is_some(), "some still hold {host} for alive");
+    assert!(took.is_some(), "some daemons still list {host} as alive");
 }
 
-/// A daemon is told to stop while the host list still calls it live and one datagram in ten is
-/// lost. Callers that are sent to it meanwhile would meet a closed port.
+/// A daemon begins to leave while the host list still lists it as live and one datagram in ten is
+/// lost. Callers that are still sent to it would find a closed port.
 #[test]
 fn a_leaving_state_reaches_all_within_three_seconds() {
     for seed in 0..5 {
@@ -41,19 +42,20 @@
         let took = network.run_until(limit, |net| net.all_observe(&host, MemberState::Leaving));
         assert!(
             took.is_some(),
-            "seed {seed}: some still send callers to {host}"
+            "seed {seed}: some daemons do not list {host} as leaving"
         );
         network.list_hosts(&BTreeSet::new());
         network.run(Duration::from_secs(20));
         assert!(
             network.all_observe(&host, MemberState::Leaving),
-            "the mark was taken back"
+            "the leaving state was undone"
         );
     }
 }
 
-/// The platform's list comes back empty, or as it was before half of the hosts were started.
-/// Were it believed, callers would get no address, or crowd onto the few that it names.
+/// The platform returns an empty host list, or one from before half of the hosts were started.
+/// Following it would leave callers without an address, or send all of them to the few hosts that
+/// it lists.
 #[test]
 fn a_wrong_host_list_does_not_empty_the_fleet() {
     let mut network = converged_fleet(3, 12, 1);
@@ -69,8 +71,9 @@
     assert!(network.has_converged());
 }
 
-/// The platform announces that it takes a host away. Its daemon has not been told yet, and
-/// callers that are still sent there lose their answers when the host goes.
+/// The platform lists a host as leaving before its daemon begins to leave. Callers that are still
+/// sent there lose their responses when the host is removed. A list that marks all hosts as leaving
+/// must not be followed.
 #[test]
 fn a_host_listed_as_leaving_is_marked_leaving() {
     let mut network = converged_fleet(4, 8, 1);
@@ -81,13 +84,13 @@
     network.list_hosts(&all);
     assert!(
         network.all_observe(&host, MemberState::Alive),
-        "a list that empties the fleet"
+        "a list that marks all hosts as leaving was followed"
     );
 }
 
-/// The two regions lose each other for an hour, as happens now and then, and meanwhile a host
-/// on the far side is replaced. If each side forgot the other, both would relearn half of the
-/// fleet at once when the line comes back, and callers would see addresses come and go.
+/// Two regions are partitioned for an hour, and meanwhile a host on the far side is removed. If
+/// each side removed the other, both would have to add half of the fleet again at once when the
+/// partition ends, and the addresses that callers get would change twice.
 #[test]
 fn a_partition_between_regions_causes_no_churn() {
     let mut network = converged_fleet(5, 24, 2);
@@ -118,9 +121,9 @@
     );
 }
 
-/// A switch cuts one zone off from the rest for a minute, and then only one way: the zone hears
-/// but is not heard. Afterwards all must be members again, though each side took the other for
-/// dead.
+/// One zone is partitioned from the others for a minute, then one way only: the zone receives but
+/// its messages are lost. Afterwards all must be members again, although each side took the other
+/// for dead.
 #[test]
 fn a_partitioned_zone_rejoins() {
     let mut network = converged_fleet(6, 24, 1);
@@ -132,11 +135,11 @@
     network.run(Duration::from_secs(60));
     network.faults.partitions.clear();
     let took = network.run_until(Duration::from_secs(90), FakeNetwork::has_converged);
-    assert!(took.is_some(), "the zone is still held for dead");
+    assert!(took.is_some(), "the zone is still listed as dead");
 }
 
-/// A process stands still for twenty seconds, as under SIGSTOP or on a starved machine, and
-/// wakes up with old news and overdue timers. It must not take the others for dead.
+/// A process is paused for 20 s, as by SIGSTOP or on an overloaded machine, and resumes with stale
+/// messages and overdue timers. It must not declare the others dead.
 #[test]
 fn a_resumed_daemon_declares_nobody_dead() {
     let mut network = converged_fleet(7, 20, 1);
@@ -149,11 +152,12 @@
     let dead = others.filter(|other| network.state_at(&host, other) == Some(MemberState::Dead));
     assert_eq!(dead.count(), 0);
     let took = network.run_until(Duration::from_secs(15), FakeNetwork::has_converged);
-    assert!(took.is_some(), "the paused daemon is still held for dead");
+    assert!(took.is_some(), "the paused daemon is still listed as dead");
 }
 
-/// A host is started anew after its clock went back, so its incarnation is smaller than the one
-/// that the others know. Nobody would believe it, and no caller would be sent there.
+/// A host restarts after its clock went back, so its incarnation is smaller than the one that the
+/// others have recorded. Unless it is raised, the others ignore the host and no caller is sent
+/// there.
 #[test]
 fn a_smaller_incarnation_is_raised() {
     let mut network = converged_fleet(8, 10, 1);
@@ -163,14 +167,14 @@
     network.now.wall.0 -= 3_600_000;
     network.start(2, 1, 4);
     network.list_hosts(&BTreeSet::new());
-    // The replay guard of a real daemon drops what comes under the old incarnation, so the
-    // answer to this daemon's first ping is what tells it.
+    // The replay guard drops what arrives under the old incarnation, so the daemon learns of it
+    // from the response to its first ping.
     let took = network.run_until(Duration::from_secs(30), FakeNetwork::has_converged);
     assert!(took.is_some(), "the restarted daemon is not a member");
 }
 
-/// An operator's change is accepted on one daemon. All others must hear of it at once: the new
-/// configuration has to be in force everywhere within four seconds.
+/// One daemon puts an accepted change in force. All others must receive its revision within 1.5 s,
+/// since the configuration has to be in force everywhere within 4 s.
 #[test]
 fn a_new_revision_spreads_at_once() {
     let mut network = converged_fleet(9, 60, 2);
@@ -184,13 +188,13 @@
     let took = network.run_until(Duration::from_millis(1_500), revision_received);
     assert!(
         took.is_some(),
-        "some have not heard of the new configuration"
+        "some daemons have not received the new revision"
     );
 }
 
-/// One host loses its own network for a minute: to it, everybody else is silent. If it judged,
-/// it would come back with a table full of dead members, and callers that still reach it would
-/// be sent to nobody else.
+/// One host loses its network for a minute and receives no message. If it declared the others dead,
+/// it would return with a table of dead members, and callers that still reach it would be sent to
+/// no other host.
 #[test]
 fn an_isolated_daemon_declares_nobody_dead() {
     let mut network = converged_fleet(10, 16, 1);
@@ -209,9 +213,9 @@
     );
 }
 
-/// After a power cut all daemons start within a moment and read the member table from one
-/// another. If that used up their byte budgets, the pings that show them alive would be dropped,
-/// and healthy daemons would be suspected by the dozen just when callers come back.
+/// After a power failure all daemons start within a moment and read the member table from each
+/// other. If that used up their byte budgets, pings would be dropped, and live daemons would be
+/// suspected just when callers return.
 #[test]
 fn a_whole_fleet_starts_at_once_without_suspicions() {
     let mut network = FakeNetwork::fleet(11, 100, 2, 4);
@@ -223,5 +227,8 @@
         }
     }
     let took = network.run_until(Duration::from_secs(30), FakeNetwork::has_converged);
-    assert!(took.is_some(), "some never learned of all");
+    assert!(
+        took.is_some(),
+        "some daemons did not list all members within 30 s"
+    );
 }
--- a/crates/savorywood-core/tests/move_faults.rs
+++ b/crates/savorywood-core/tests/move_faults.rs
@@ -1,4 +1,5 @@
-//! Failures of moves, brought about with several reducers, a fake table and a seeded workload.
+//! Checks traffic moves under faults: several reducers share one in-memory table and serve a seeded
+//! workload.
 
 #[path = "support/fake_table.rs"]
 mod fake_table;
@@ -23,8 +24,8 @@
     }
 }
 
-/// A version is good and the room grows hot while it takes over: all engines slow down, and for
-/// some seconds both versions fail. Taking it back would cost the users their release for nothing.
+/// All engines slow down during the move, as in a machine room that gets hot, and for some seconds
+/// both versions fail. Rolling the new version back would cost the users a release without cause.
 #[test]
 fn a_good_version_completes_in_time_while_engines_slow_down() {
     let mut simulation = MoveSimulation::new(MoveScenario::default(), 2);
@@ -38,8 +39,8 @@
     assert_eq!(simulation.result.breaches, 0);
 }
 
-/// Guards against a good version that is taken back since fewer callers come than while the move
-/// measured them.
+/// Guards against rolling a good version back because fewer requests arrive than when the move
+/// measured the rate.
 #[test]
 fn a_good_version_completes_in_time_when_traffic_drops() {
     let scenario = MoveScenario {
@@ -59,7 +60,8 @@
     }
 }
 
-/// Guards against a first share that takes the time which larger shares need for their proof.
+/// Guards against a first stage that uses up the time which the larger shares need to prove the
+/// version.
 #[test]
 fn a_good_version_completes_in_time_in_a_short_move() {
     let scenario = MoveScenario {
@@ -86,9 +88,9 @@
     );
 }
 
-/// A version turns bad in one of the ways that the users name, at any time. Callers get errors or
-/// slow answers. It must be taken back by the deadline with few requests having met it, and get
-/// none a second after the first daemon saw it.
+/// A version becomes bad at any time in one of the ways that users name, and returns errors or slow
+/// responses. It must be rolled back by the deadline, fewer than 2 % of the requests may reach it
+/// while it is bad, and none may a second after the first daemon detected it.
 fn check_bad_version(seed: u64) -> Result<(), String> {
     let onsets = [
         FaultOnset::Immediate,
@@ -118,7 +120,9 @@
     if is_acceptable {
         Ok(())
     } else {
-        Err(format!("{scenario:?}: {result:?}, met {bad_fraction}"))
+        Err(format!(
+            "{scenario:?}: {result:?}, fraction of requests to the bad version {bad_fraction}"
+        ))
     }
 }
 
@@ -129,9 +133,9 @@
         .quickcheck(check_bad_version as fn(u64) -> Result<(), String>);
 }
 
-/// The version fails while the table is down. Nobody can write that it is taken back, yet no
-/// caller may get it any longer, and no operator may be told that it was taken back before it is
-/// so in the table.
+/// The version fails while the table is unavailable, so no daemon can write the rollback. Every
+/// daemon must still stop sending requests to the version, and none may report the move as rolled
+/// back before the table does.
 #[test]
 fn a_stop_works_without_the_table() {
     let mut simulation = MoveSimulation::new(failing_version(FaultOnset::After(40.0)), 3);
@@ -145,8 +149,8 @@
     assert!((0..7).all(|node| simulation.state(node) == MoveState::TakenBack));
 }
 
-/// The holder is cut off from the table and the others for good. The others still see the version
-/// fail and must stop it by themselves.
+/// The lease holder is cut off from the table and the other daemons for good. The others must
+/// detect the failing version and stop it on their own.
 #[test]
 fn daemons_stop_a_version_without_the_holder() {
     let mut simulation = MoveSimulation::new(failing_version(FaultOnset::After(40.0)), 5);
@@ -156,9 +160,9 @@
     assert!((1..7).all(|node| simulation.share(node) == 0));
 }
 
-/// The holder dies in the middle of a move and another daemon takes over, knowing only the rows.
-/// Were it to begin anew, the move would not be done in time; were it to go on without a proof of
-/// its own, it could push a bad version through.
+/// The lease holder is cut off during a move, and another daemon takes over with nothing but the
+/// rows. Starting over would miss the deadline; going on without evidence of its own could push a
+/// bad version through.
 #[test]
 fn a_new_lease_holder_continues_the_move() {
     let mut good = MoveSimulation::new(MoveScenario::default(), 13);
@@ -178,8 +182,8 @@
     assert_eq!(good.result.breaches + bad.result.breaches, 0);
 }
 
-/// The table loses every other answer, also the one to the row that says "completed". Operators
-/// must not be told that the move is done before the row says so, nor may it stand still.
+/// The table loses half of its responses, including the one to the write that completes the move.
+/// No daemon may report the move as completed before the table does, and the move must not stall.
 #[test]
 fn lost_responses_neither_delay_nor_anticipate_the_table() {
     let mut simulation = MoveSimulation::new(MoveScenario::default(), 17);
@@ -193,8 +197,8 @@
     assert_eq!(simulation.result.breaches, 0);
 }
 
-/// Table and holder are gone until after the deadline, and the version is not proved. Were each
-/// daemon to wait for a row, it would keep its share for as long as the outage lasts.
+/// The table and the lease holder are unavailable until after the deadline, and the version is not
+/// proven. A daemon that waited for a row would keep its share for as long as the outage lasts.
 #[test]
 fn an_unproven_version_has_no_share_after_the_deadline() {
     let mut simulation = MoveSimulation::new(MoveScenario::default(), 7);
@@ -206,8 +210,8 @@
     assert_ne!(simulation.state(0), MoveState::Completed);
 }
 
-/// A service gets hardly any requests, so nothing can be proved in the time that there is. The
-/// version must be taken back by the deadline with a reason, rather than pushed through.
+/// A service gets too few requests to prove the version in the given time. The version must be
+/// rolled back by the deadline with a reason, not pushed through.
 #[test]
 fn an_unproven_version_is_rolled_back_by_the_deadline() {
     let scenario = MoveScenario {
@@ -238,8 +242,8 @@
 }
 
 quickcheck! {
-    /// Something that both versions need is down for minutes, and both fail at whatever rate. The
-    /// new one is not to blame and must not be taken back.
+    /// A dependency of both versions is down for minutes, and both fail at the same rate, whatever
+    /// it is. The new version must not be rolled back for it.
     fn shared_failures_do_not_reject_the_new_version(rates: Vec<u8>) -> bool {
         let mut evaluator = VersionJudge::new(Duration::from_secs(1));
         for (second, rate) in rates.iter().enumerate() {
--- a/crates/savorywood-core/tests/support/config_cluster.rs
+++ b/crates/savorywood-core/tests/support/config_cluster.rs
@@ -1,4 +1,4 @@
-//! Several configuration reducers in one thread around one fake table, with faults.
+//! Simulates several configuration reducers over one in-memory table in one thread, with faults.
 
 use crate::fake_table::FakeTable;
 use rand::{Rng, SeedableRng};
@@ -19,21 +19,22 @@
 };
 use std::{collections::BTreeMap, time::Duration};
 
-/// Deadlines of written services begin above this, since a deadline of zero is refused.
+/// Added to the mark that a written service carries as its deadline, since a deadline of zero is
+/// refused.
 const FIRST_DEADLINE_MS: u32 = 60_000;
 
-/// Chances of faults, in percent of table calls.
+/// Percentages of faulty table calls and dropped peer messages, each from 0 to 100.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct FaultRates {
-    /// The answer is lost after the call took effect.
+    /// The table executes the call, but its response is lost.
     pub lost_responses: u32,
-    /// The call is lost before it took effect.
+    /// The call is lost before the table executes it.
     pub lost_requests: u32,
-    /// The caller is told that the answer was lost, and the call takes effect later.
+    /// The response is reported as lost, and the table executes the call up to 3 s later.
     pub late_writes: u32,
-    /// The call is refused.
+    /// The table reports itself as unavailable.
     pub refused_calls: u32,
-    /// A peer message is dropped.
+    /// Percentage of peer messages that are dropped.
     pub dropped_messages: u32,
 }
 
@@ -43,32 +44,32 @@
     TableCall(usize, u64, TableRequest),
 }
 
-/// An operator's call and what it was told.
+/// A call of an operator and the reply that it got.
 #[derive(Debug)]
 pub struct OperatorRecord {
-    /// Mark that the written service carries: tells each change from all others.
+    /// Unique number that the written service carries in its deadline.
     pub mark: u32,
-    /// Answer; `None` while there is none.
+    /// Reply; `None` until it arrives.
     pub reply: Option<OperatorReply>,
 }
 
-/// The reducers, the table and what is on its way between them.
+/// The reducers, their table, and the events scheduled between them.
 pub struct ConfigCluster {
-    /// The table.
+    /// Table that all nodes share.
     pub table: FakeTable,
-    /// The reducers.
+    /// Reducers by node number.
     pub nodes: Vec<ConfigState>,
-    /// Chances of faults.
+    /// Current rates of faults.
     pub fault_rates: FaultRates,
-    /// The table refuses everything.
+    /// Whether the table refuses every call.
     pub outage: bool,
-    /// Nodes that neither peers nor the table reach.
+    /// Nodes that reach neither the table nor the nodes outside this list.
     pub cut_off: Vec<usize>,
-    /// Calls of operators by number.
+    /// Operator calls by call number.
     pub operators: BTreeMap<u64, OperatorRecord>,
-    /// Breaches reported by any node.
+    /// Details of invariant breaches reported by any node.
     pub breaches: Vec<String>,
-    /// Calls that reached the table.
+    /// Number of table calls, including those refused during an outage.
     pub table_calls: usize,
     incarnations: Vec<u64>,
     revisions: Vec<ConfigRevision>,
@@ -82,7 +83,7 @@
 const START_WALL_MS: u64 = 1_800_000_000_000;
 
 impl ConfigCluster {
-    /// So many nodes that have all begun.
+    /// Creates a cluster whose nodes all start at the current time.
     pub fn new(nodes: usize, seed: u64, fault_rates: FaultRates) -> Self {
         let mut cluster = Self {
             table: FakeTable::default(),
@@ -113,7 +114,8 @@
         ConfigOptions::new(host(node), self.rng.random())
     }
 
-    /// Replaces a node by a new life that knows nothing.
+    /// Replaces a node by a new incarnation with empty state, and discards its pending events,
+    /// calls and timers.
     pub fn restart(&mut self, node: usize) {
         self.incarnations[node] += 1;
         self.scheduled.retain(|_, pending| match pending {
@@ -128,7 +130,7 @@
         self.schedule(0, Pending::NodeEvent(node, ConfigEvent::Started));
     }
 
-    /// The time on all clocks.
+    /// Returns the time, which is the same on all nodes.
     pub fn now(&self) -> CoreTime {
         CoreTime {
             monotonic: MonotonicTime(self.now),
@@ -136,7 +138,7 @@
         }
     }
 
-    /// An operator writes a service through a node.
+    /// Schedules an operator's write of a service through a node; returns the number of the call.
     pub fn write_service(
         &mut self,
         node: usize,
@@ -158,7 +160,7 @@
         number
     }
 
-    /// Runs until a duration has passed.
+    /// Runs for a duration of simulated time.
     pub fn run(&mut self, duration: Duration) {
         let end = self.now + duration.as_micros() as u64;
         loop {
@@ -189,19 +191,19 @@
         }
     }
 
-    /// A peer's snapshot comes in, however old.
+    /// Delivers a peer's snapshot to a node at once, whatever its revision.
     pub fn deliver_snapshot(&mut self, node: usize, from: usize, snapshot: Option<ConfigSnapshot>) {
         let from = host(from);
         let snapshot = snapshot.map(Box::new);
         self.step(node, ConfigEvent::SnapshotFetched { from, snapshot });
     }
 
-    /// Revisions in force, by node.
+    /// Returns the revision in force at each node.
     pub fn in_force(&self) -> Vec<ConfigRevision> {
         self.nodes.iter().map(|node| node.view().revision).collect()
     }
 
-    /// Marks of all changes that took effect, in order.
+    /// Returns the marks of all committed changes in commit order.
     pub fn committed_marks(&self) -> Vec<u32> {
         let commits = self.table.history.iter();
         let values = commits.flat_map(|commit| commit.writes.iter());
@@ -214,7 +216,7 @@
         marks.map(|mark| mark as u32 - FIRST_DEADLINE_MS).collect()
     }
 
-    /// Members as a node sees them: those that it is cut off from are dead.
+    /// Returns the members as a node sees them: the nodes that it can't reach are dead.
     pub fn members_of(&self, node: usize) -> MemberView {
         let mut view = MemberView::default();
         for (other, revision) in self.revisions.iter().enumerate() {
@@ -314,7 +316,7 @@
             }
             DaemonEffect::ReplyOperator { call, reply } => {
                 let operator = self.operators.get_mut(&call.0).expect("a known call");
-                assert!(operator.reply.is_none(), "an operator was answered twice");
+                assert!(operator.reply.is_none(), "an operator call got two replies");
                 operator.reply = Some(*reply);
             }
             DaemonEffect::Breach(breach) => self.breaches.push(breach.detail),
@@ -337,7 +339,7 @@
     }
 }
 
-/// Name of a node's host.
+/// Returns the host name of a node.
 pub fn host(node: usize) -> HostName {
     format!("host-{node}").parse().expect("a name")
 }
@@ -363,8 +365,8 @@
     }
 }
 
-/// A service whose deadline carries `mark`. It names no other resource, so that nothing but the
-/// race itself decides whether it is accepted.
+/// Returns a service whose deadline carries `mark`. It refers to no other resource, so that only
+/// the race decides whether it is accepted.
 pub fn service_document(name: &str, mark: u32) -> ResourceDocument {
     ResourceDocument {
         name: name.into(),
--- a/crates/savorywood-core/tests/support/fake_table.rs
+++ b/crates/savorywood-core/tests/support/fake_table.rs
@@ -1,21 +1,21 @@
-//! A transactional table in memory with the semantics that `savorywood_protocol::table` states.
+//! An in-memory transactional table with the semantics that `savorywood_protocol::table` defines.
 
 use savorywood_protocol::table::{
     CommitRevision, TableAnswer, TableCommit, TableRequest, TableRow,
 };
 use std::collections::BTreeMap;
 
-/// Rows and the revision of the newest commit.
+/// Rows by key, the revision of the newest commit and the history of commits.
 #[derive(Debug, Default)]
 pub struct FakeTable {
     rows: BTreeMap<String, TableRow>,
     revision: CommitRevision,
-    /// Every commit that took effect, oldest first.
+    /// Every committed transaction, oldest first.
     pub history: Vec<TableCommit>,
 }
 
 impl FakeTable {
-    /// Executes one request to its end.
+    /// Executes a request and returns its response, without faults.
     pub fn execute(&mut self, request: &TableRequest) -> TableAnswer {
         match request {
             TableRequest::Get { keys } => {
--- a/crates/savorywood-core/tests/support/lease_cluster.rs
+++ b/crates/savorywood-core/tests/support/lease_cluster.rs
@@ -1,4 +1,5 @@
-//! Several lease reducers around one fake table, each on a clock that runs at its own rate.
+//! Simulates several lease reducers over one in-memory table, each on a clock that runs at its own
+//! rate.
 
 use crate::fake_table::FakeTable;
 use rand::{Rng, SeedableRng};
@@ -20,25 +21,25 @@
     TableCall(usize, u64, TableRequest),
 }
 
-/// Something done under the lease.
+/// An action taken while holding the lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseAction {
-    /// Who did it.
+    /// Node that acted.
     pub node: usize,
-    /// Under which fencing number.
+    /// Fencing number of the grant that it held.
     pub fencing: u64,
 }
 
-/// The reducers, their clocks, the table and what is on its way.
+/// The reducers, their clocks, their table and the scheduled events.
 pub struct LeaseCluster {
-    /// Everything that was done, in the order of real time.
+    /// Actions under the lease, in the order of real time.
     pub actions: Vec<LeaseAction>,
-    /// Breaches reported by any node.
+    /// Details of invariant breaches reported by any node.
     pub breaches: Vec<String>,
-    /// Faults of the table in percent of calls.
+    /// Percentage of table calls that fail, and of responses that are delayed by up to 4 s.
     pub fault_percent: u32,
     nodes: Vec<LeaseState>,
-    /// Rate of each clock in thousandths.
+    /// Rate of each node's clock, in thousandths of real time.
     clock_rates: Vec<u64>,
     paused_until: Vec<u64>,
     table: FakeTable,
@@ -51,7 +52,8 @@
 }
 
 impl LeaseCluster {
-    /// So many nodes that all want the lease. Rates of clocks are in thousandths.
+    /// Creates a cluster whose nodes all request the lease. `clock_rates` are in thousandths of
+    /// real time.
     pub fn new(clock_rates: &[u64], seed: u64) -> Self {
         let mut members = MemberView::default();
         let options = clock_rates.iter().enumerate().map(|(node, _)| {
@@ -84,12 +86,12 @@
         cluster
     }
 
-    /// Freezes a node.
+    /// Pauses a node: until the duration has passed it handles no event and fires no timer.
     pub fn pause(&mut self, node: usize, duration: Duration) {
         self.paused_until[node] = self.now + duration.as_micros() as u64;
     }
 
-    /// Which node may act now.
+    /// Returns the nodes that may act under the lease now, by their own clocks.
     pub fn holders(&self) -> Vec<usize> {
         let all = 0..self.nodes.len();
         all.filter(|node| {
@@ -100,18 +102,18 @@
         .collect()
     }
 
-    /// A node leaves on purpose.
+    /// Starts a planned stop of a node's daemon.
     pub fn leave(&mut self, node: usize) {
         self.step(node, LeaseEvent::Leaving);
     }
 
-    /// Runs for a duration of real time. Every holder acts all the time.
+    /// Runs for a duration of real time in steps of 20 ms. Every holder acts in every step.
     pub fn run(&mut self, duration: Duration) {
         let end = self.now + duration.as_micros() as u64;
         while self.now < end {
             self.now += 20_000;
-            // A node that was frozen may be in the middle of acting when it goes on: before any
-            // timer or answer has told it how late it is.
+            // Holders act before timers and events are handled, since a resumed node may be in the
+            // middle of an action and has not yet handled an event that shows how late it is.
             for node in 0..self.nodes.len() {
                 self.record_action(node);
             }
--- a/crates/savorywood-core/tests/support/move_simulation.rs
+++ b/crates/savorywood-core/tests/support/move_simulation.rs
@@ -1,4 +1,5 @@
-//! One move of traffic over several reducers, with a seeded workload and versions of each kind.
+//! Simulates one move of traffic over several reducers, with a seeded workload and good or bad
+//! versions.
 
 use crate::fake_table::FakeTable;
 use rand::{Rng, SeedableRng};
@@ -19,42 +20,43 @@
     time::Duration,
 };
 
-/// When a version is bad.
+/// When the new version is bad.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum FaultOnset {
-    /// Never.
+    /// Never bad.
     Never,
-    /// From its first request.
+    /// Bad from its first request.
     Immediate,
-    /// From so many seconds after the beginning.
+    /// Bad from this many seconds after the start of the run.
     After(f64),
-    /// While its share is at least so many thousandths.
+    /// Bad while its share is at least this many thousandths.
     UnderLoad(u16),
-    /// On the rarest of three routes, a tenth of the traffic.
+    /// Bad on the least used of three routes, a tenth of the traffic.
     OneRoute,
 }
 
-/// What one run is about.
+/// Workload, version and limits of one run.
 #[derive(Debug, Clone, Copy)]
 pub struct MoveScenario {
     /// When the new version is bad.
     pub onset: FaultOnset,
-    /// Failure rate while it is bad.
+    /// Failure rate of the new version while it is bad, from 0 to 1.
     pub failure_rate: f64,
-    /// Factor by which it is slower while it is bad.
+    /// Factor by which the latency of the new version grows while it is bad.
     pub slowdown: f64,
-    /// Whether the room grows hot: all engines slow down by up to 60%, unevenly, and there are
-    /// seconds in which both versions fail.
+    /// Whether all engines gradually slow down by 60 %, with peaks of up to 82 %, as in a hot
+    /// machine room. Engines differ a little, and there are seconds in which both versions fail.
     pub thermal_slowdown: bool,
-    /// Requests a second.
+    /// Requests per second to the service.
     pub requests_per_second: f64,
-    /// Requests a second from the twelfth second on, once the rate was measured.
+    /// Requests per second from second 12 on, when the move has measured the rate. Absent if the
+    /// rate does not change.
     pub later_requests_per_second: Option<f64>,
-    /// Seconds from the beginning to the deadline.
+    /// Seconds from the start of the run to the deadline of the move.
     pub deadline_seconds: f64,
-    /// Seconds with all traffic on the new version before the move is done.
+    /// Seconds with all traffic on the new version before the move completes.
     pub soak_seconds: u32,
-    /// Peer messages lost, in percent.
+    /// Percentage of peer messages that are dropped.
     pub dropped_percent: u32,
 }
 
@@ -74,22 +76,24 @@
     }
 }
 
-/// What came out of a run.
+/// Measurements of a run.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct SimulationResult {
-    /// By the table, at the deadline.
+    /// State of the move at the end of the run, as node 0 reports it.
     pub state: Option<MoveState>,
-    /// Requests of the service up to the deadline.
+    /// Requests to the service.
     pub requests: u32,
     /// Requests that the new version got while it was bad.
     pub bad_requests: u32,
     /// Requests that the new version got.
     pub new_requests: u32,
-    /// From when the version was bad to when the first daemon stopped it, in seconds.
+    /// Seconds from the first bad request to the first daemon's stop of the version. Absent if
+    /// either did not happen.
     pub detected_after_seconds: Option<f64>,
-    /// From the first daemon's stop to the last request that any daemon gave the new version.
+    /// Seconds from the first daemon's stop to the last request that any daemon sent to the new
+    /// version.
     pub stop_spread_seconds: f64,
-    /// Breaches of invariants.
+    /// Number of invariant breaches.
     pub breaches: u32,
 }
 
@@ -104,17 +108,17 @@
     TableCall(usize, u64, TableRequest),
 }
 
-/// The reducers, the table and the engines.
+/// The reducers, their table, the engines and the scheduled events.
 pub struct MoveSimulation {
-    /// Nodes that neither peers nor the table reach.
+    /// Nodes that reach neither the table nor the nodes outside this set.
     pub cut_off: BTreeSet<usize>,
-    /// The table refuses everything.
+    /// Whether the table refuses every call.
     pub outage: bool,
-    /// Calls of the table whose answer is lost after they took effect, in percent.
+    /// Percentage of table calls whose response is lost after they took effect.
     pub lost_percent: u32,
-    /// Node that holds the lease.
+    /// Node that holds the lease while it is not cut off.
     pub holder: usize,
-    /// What came out so far.
+    /// Measurements so far.
     pub result: SimulationResult,
     scenario: MoveScenario,
     nodes: Vec<MovesState>,
@@ -134,7 +138,7 @@
 }
 
 impl MoveSimulation {
-    /// A move that is about to begin.
+    /// Creates a simulation in which every node has started and the move has not.
     pub fn new(scenario: MoveScenario, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut members = MemberView::default();
@@ -177,24 +181,24 @@
         simulation
     }
 
-    /// Seconds since the beginning.
+    /// Returns the seconds since the start of the run.
     pub fn elapsed(&self) -> f64 {
         (self.now - START_MICROS) as f64 / 1e6
     }
 
-    /// Share of the new version at a node, in thousandths.
+    /// Returns the share of the new version at a node, in thousandths.
     pub fn share(&self, node: usize) -> u16 {
         let mut splits = self.nodes[node].splits().values();
         splits.next().map_or(0, |split| split.new_per_mille)
     }
 
-    /// Where the move stands as a node tells operators.
+    /// Returns the state of the move that a node reports to operators.
     pub fn state(&self, node: usize) -> MoveState {
         let name = "m".parse().expect("a name");
         self.nodes[node].state_of(&name, &self.config)
     }
 
-    /// Why the move stands where it stands, as a node tells operators.
+    /// Returns the reason for the state of the move that a node reports to operators.
     pub fn reason(&self, node: usize) -> String {
         let name = "m".parse().expect("a name");
         let conditions = self.nodes[node].conditions_of(&name, &self.config);
@@ -202,7 +206,7 @@
         messages.next().unwrap_or_default()
     }
 
-    /// Runs until so many seconds after the beginning.
+    /// Runs until this many seconds after the start.
     pub fn run_until(&mut self, seconds: f64) {
         while self.elapsed() < seconds {
             self.now += STEP_MICROS;
@@ -228,7 +232,7 @@
         self.result.state = Some(self.state(0));
     }
 
-    /// Nobody is told that the move ended before the table says so.
+    /// Counts a breach for each node that reports the move as ended before the table does.
     fn check_reported_state(&mut self) {
         let keys = vec!["move/m".to_owned()];
         let answer = self.table.execute(&TableRequest::Get { keys });
@@ -395,7 +399,7 @@
             }
             DaemonEffect::SendPeer { to, message, .. } => self.send(node, &to, message),
             DaemonEffect::Breach(breach) => {
-                eprintln!("breach: {breach:?}");
+                eprintln!("invariant breach: {breach:?}");
                 self.result.breaches += 1;
             }
             DaemonEffect::Log(line)
@@ -462,7 +466,7 @@
     ];
     let mut view = ConfigView::default();
     for text in texts {
-        let document: ResourceDocument = serde_json::from_str(&text).expect("a resource");
+        let document: ResourceDocument = serde_json::from_str(&text).expect("a resource document");
         view.insert(document).expect("a name");
     }
     view
