--- a/crates/savorywood-core/tests/claim/cluster.rs
+++ b/crates/savorywood-core/tests/claim/cluster.rs
@@ -239,13 +239,13 @@
         self.last_request += 1;
         let request = RequestId(self.last_request);
         self.key_by_request.insert(request, key);
-        let wish = ClaimWish {
+        let claim = ClaimWish {
             request: queued_request(request, self.now.monotonic),
             key: self.keys[key].clone(),
             fingerprint: [7; 32],
             retention: ClaimRetention::Seconds(86_400),
         };
-        self.step(daemon, ClaimEvent::Wanted(Box::new(wish)));
+        self.step(daemon, ClaimEvent::Wanted(Box::new(claim)));
     }
 
     fn deliver(&mut self) {
@@ -348,8 +348,8 @@
             members: &self.members,
         };
         let claims = &mut self.daemons[daemon].claims;
-        let verdicts = claims.step(self.now, event, view, &mut effects);
-        for ClaimVerdict::Granted(request) in verdicts {
+        let decisions = claims.step(self.now, event, view, &mut effects);
+        for ClaimVerdict::Granted(request) in decisions {
             self.dispatch(daemon, request.request, &mut effects);
         }
         let incarnation = self.daemons[daemon].incarnation;
--- a/crates/savorywood-core/tests/fleet/network.rs
+++ b/crates/savorywood-core/tests/fleet/network.rs
@@ -160,7 +160,7 @@
 
     pub fn start_with(&mut self, options: MembershipOptions) {
         let host = options.host.clone();
-        let fake = FakeHost {
+        let fake_host = FakeHost {
             place: options.place.clone(),
             membership: MembershipState::new(options),
             budget: PeerBudget::default(),
@@ -172,7 +172,7 @@
             timers: BTreeMap::new(),
             sequence: 0,
         };
-        self.hosts.insert(host.clone(), fake);
+        self.hosts.insert(host.clone(), fake_host);
         self.step(&host, MembershipEvent::Started);
     }
 
@@ -184,19 +184,19 @@
     /// Pauses a host, which handles its datagrams and timers when the duration has passed.
     pub fn pause(&mut self, host: &HostName, duration: Duration) {
         let until = self.now.monotonic + duration;
-        if let Some(fake) = self.hosts.get_mut(host) {
-            fake.paused_until = Some(until);
+        if let Some(fake_host) = self.hosts.get_mut(host) {
+            fake_host.paused_until = Some(until);
         }
     }
 
     /// Returns the platform's list of the hosts that run.
     pub fn host_list(&self, leaving: &BTreeSet<HostName>) -> Vec<HostEntry> {
-        let entries = self.hosts.iter().map(|(host, fake)| HostEntry {
+        let entries = self.hosts.iter().map(|(host, fake_host)| HostEntry {
             host: host.clone(),
-            peer_address: fake.place.peer_address,
-            caller_address: fake.place.caller_address,
-            zone: fake.place.zone.clone(),
-            region: fake.place.region.clone(),
+            peer_address: fake_host.place.peer_address,
+            caller_address: fake_host.place.caller_address,
+            zone: fake_host.place.zone.clone(),
+            region: fake_host.place.region.clone(),
             leaving: leaving.contains(host),
         });
         entries.collect()
@@ -212,12 +212,12 @@
     }
 
     pub fn step(&mut self, host: &HostName, event: MembershipEvent) {
-        let Some(fake) = self.hosts.get_mut(host) else {
+        let Some(fake_host) = self.hosts.get_mut(host) else {
             return;
         };
         self.steps += 1;
         let mut effects = EffectQueue::new();
-        fake.membership.step(self.now, event, &mut effects);
+        fake_host.membership.step(self.now, event, &mut effects);
         let effects: Vec<_> = effects.drain().collect();
         for effect in effects {
             self.execute(host, effect);
@@ -228,8 +228,8 @@
         match effect {
             DaemonEffect::SendPeer { to, message, .. } => self.send(host, to, message),
             DaemonEffect::SetTimer { key, at } => {
-                if let Some(fake) = self.hosts.get_mut(host) {
-                    fake.timers.insert(key, at);
+                if let Some(fake_host) = self.hosts.get_mut(host) {
+                    fake_host.timers.insert(key, at);
                 }
                 let host = host.clone();
                 self.push(at, NetworkEvent::Timer { host, key, at });
@@ -240,7 +240,7 @@
     }
 
     fn send(&mut self, from: &HostName, to: HostName, message: PeerMessage) {
-        let Some(fake) = self.hosts.get_mut(from) else {
+        let Some(fake_host) = self.hosts.get_mut(from) else {
             return;
         };
         let bytes = message.wire_bytes(from);
@@ -249,17 +249,17 @@
             "{bytes}: {message:?}"
         );
         let class = BudgetClass::of(&message);
-        if !fake.budget.admit(self.now.monotonic, class, bytes) {
+        if !fake_host.budget.admit(self.now.monotonic, class, bytes) {
             return;
         }
-        fake.sent_bytes += bytes as u64;
-        fake.sent_datagrams += 1;
-        fake.sequence += 1;
+        fake_host.sent_bytes += bytes as u64;
+        fake_host.sent_datagrams += 1;
+        fake_host.sequence += 1;
         let event = NetworkEvent::Datagram {
             to,
             from: from.clone(),
-            incarnation: fake.membership.incarnation(),
-            sequence: fake.sequence,
+            incarnation: fake_host.membership.incarnation(),
+            sequence: fake_host.sequence,
             bytes,
             message,
         };
@@ -283,7 +283,7 @@
         let region = |host| {
             self.hosts
                 .get(host)
-                .map(|fake: &FakeHost| &fake.place.region)
+                .map(|fake_host: &FakeHost| &fake_host.place.region)
         };
         let base_micros = if region(to) == region(from) {
             1_500
@@ -341,20 +341,20 @@
             NetworkEvent::Datagram { to, .. } => to.clone(),
             NetworkEvent::Timer { host, .. } => host.clone(),
         };
-        let Some(fake) = self.hosts.get_mut(&host) else {
+        let Some(fake_host) = self.hosts.get_mut(&host) else {
             return;
         };
-        if let Some(until) = fake.paused_until {
+        if let Some(until) = fake_host.paused_until {
             if until > self.now.monotonic {
                 self.push(until, event);
                 return;
             }
-            fake.paused_until = None;
+            fake_host.paused_until = None;
         }
         match event {
             NetworkEvent::Timer { key, at, .. } => {
-                if fake.timers.get(&key) == Some(&at) {
-                    fake.timers.remove(&key);
+                if fake_host.timers.get(&key) == Some(&at) {
+                    fake_host.timers.remove(&key);
                     self.step(&host, MembershipEvent::TimerFired);
                 }
             }
@@ -369,11 +369,11 @@
                 if self.is_partitioned(&from, &host) {
                     return;
                 }
-                let Some(fake) = self.hosts.get_mut(&host) else {
+                let Some(fake_host) = self.hosts.get_mut(&host) else {
                     return;
                 };
-                fake.received_bytes += bytes as u64;
-                if fake.guard.judge(&from, incarnation, sequence) != ReplayVerdict::Fresh {
+                fake_host.received_bytes += bytes as u64;
+                if fake_host.guard.judge(&from, incarnation, sequence) != ReplayVerdict::Fresh {
                     return;
                 }
                 if let PeerMessage::Membership(message) = message {
@@ -398,7 +398,10 @@
     }
 
     pub fn hosts_where(&self, predicate: impl Fn(&MemberPlace) -> bool) -> BTreeSet<HostName> {
-        let hosts = self.hosts.iter().filter(|(_, fake)| predicate(&fake.place));
+        let hosts = self
+            .hosts
+            .iter()
+            .filter(|(_, fake_host)| predicate(&fake_host.place));
         hosts.map(|(host, _)| host.clone()).collect()
     }
 
@@ -423,12 +426,12 @@
 
     /// Returns whether every host lists exactly the running hosts as alive.
     pub fn has_converged(&self) -> bool {
-        self.hosts.values().all(|fake| {
-            let members = &fake.membership.view().members;
-            let alive = members
+        self.hosts.values().all(|fake_host| {
+            let members = &fake_host.membership.view().members;
+            let live_members = members
                 .iter()
                 .filter(|(_, record)| record.state == MemberState::Alive);
-            alive.map(|(host, _)| host).eq(self.hosts.keys())
+            live_members.map(|(host, _)| host).eq(self.hosts.keys())
         })
     }
 }
--- a/crates/savorywood-core/tests/membership_schedules.rs
+++ b/crates/savorywood-core/tests/membership_schedules.rs
@@ -21,7 +21,7 @@
 /// in seconds, and `Loss` is in percent.
 #[derive(Debug, Clone, Copy)]
 enum FleetFault {
-    Kill(u8),
+    Crash(u8),
     Restart(u8),
     Leave(u8),
     Pause(u8, u8),
@@ -36,7 +36,7 @@
     fn arbitrary(g: &mut Gen) -> Self {
         let host = u8::arbitrary(g) % HOSTS as u8;
         match u8::arbitrary(g) % 9 {
-            0 => Self::Kill(host),
+            0 => Self::Crash(host),
             1 => Self::Restart(host),
             2 => Self::Leave(host),
             3 => Self::Pause(host, u8::arbitrary(g) % 20),
@@ -52,7 +52,7 @@
 /// Injects a fault. `leaving` tracks the hosts that are leaving.
 fn inject(network: &mut FakeNetwork, fault: FleetFault, leaving: &mut BTreeSet<HostName>) {
     match fault {
-        FleetFault::Kill(number) => network.crash(&host_name(number.into())),
+        FleetFault::Crash(number) => network.crash(&host_name(number.into())),
         FleetFault::Restart(number) => {
             let host = network.start(number.into(), REGIONS, ZONES);
             leaving.remove(&host);
@@ -102,14 +102,16 @@
             .iter()
             .filter(|(host, _)| !leaving.contains(*host))
     };
-    let regions: BTreeSet<_> = serving().map(|(_, fake)| &fake.place.region).collect();
-    network.hosts.values().all(|fake| {
-        let members = fake.membership.view().members.iter();
+    let regions: BTreeSet<_> = serving()
+        .map(|(_, fake_host)| &fake_host.place.region)
+        .collect();
+    network.hosts.values().all(|fake_host| {
+        let members = fake_host.membership.view().members.iter();
         let mut observed = members.filter(|(_, member)| regions.contains(&member.region));
-        let live = observed
+        let live_members = observed
             .clone()
             .filter(|(_, m)| m.state == MemberState::Alive);
-        let same_hosts = live
+        let same_hosts = live_members
             .map(|(host, _)| host)
             .eq(serving().map(|(host, _)| host));
         same_hosts && !observed.any(|(_, member)| member.state == MemberState::Suspect)
@@ -117,12 +119,12 @@
 }
 
 fn print_views(network: &FakeNetwork) {
-    for (host, fake) in &network.hosts {
-        let members = fake.membership.view().members.iter();
+    for (host, fake_host) in &network.hosts {
+        let members = fake_host.membership.view().members.iter();
         let states: Vec<_> = members
             .map(|(other, m)| format!("{other}:{}", m.state))
             .collect();
-        println!("at={host} zone={} states={states:?}", fake.place.zone);
+        println!("at={host} zone={} states={states:?}", fake_host.place.zone);
     }
 }
 
