--- a/crates/savorywood-core/tests/claim/cluster.rs
+++ b/crates/savorywood-core/tests/claim/cluster.rs
@@ -125,6 +125,7 @@
 #[derive(Debug)]
 struct FakeDaemon {
     claims: ClaimState,
+    /// Incarnation of the daemon; calls of an earlier one get no response.
     incarnation: u64,
     timers: BTreeMap<TimerKey, MonotonicTime>,
     running: BTreeMap<RequestId, AttemptNumber>,
@@ -149,9 +150,12 @@
     pub replays: BTreeSet<RequestId>,
     daemons: Vec<FakeDaemon>,
     pending_calls: Vec<PendingCall>,
+    /// Calls reported as lost that may still take effect.
     delayed_writes: Vec<TableRequest>,
     keys: Vec<String>,
+    /// Index of the key that each request carries.
     key_by_request: BTreeMap<RequestId, usize>,
+    /// Dispatches of each request that may have reached the upstream.
     possible_executions: BTreeMap<RequestId, usize>,
     last_request: u128,
     rng: ChaCha8Rng,
--- a/crates/savorywood-core/tests/support/config_cluster.rs
+++ b/crates/savorywood-core/tests/support/config_cluster.rs
@@ -38,9 +38,13 @@
     pub dropped_messages: u32,
 }
 
+/// An event that is scheduled for a later time.
 enum Pending {
+    /// An event for a node.
     NodeEvent(usize, ConfigEvent),
+    /// A table call whose response was reported as lost already.
     LateWrite(TableRequest),
+    /// A table call of a node, with its number.
     TableCall(usize, u64, TableRequest),
 }
 
@@ -73,8 +77,11 @@
     pub table_calls: usize,
     incarnations: Vec<u64>,
     revisions: Vec<ConfigRevision>,
+    /// Pending events by time in microseconds and by order of scheduling.
     scheduled: BTreeMap<(u64, u64), Pending>,
+    /// Times in microseconds at which timers fire, by node and timer number.
     timers: BTreeMap<(usize, u64), u64>,
+    /// Simulated time in microseconds.
     now: u64,
     last_sequence: u64,
     rng: ChaCha8Rng,
--- a/crates/savorywood-core/tests/support/lease_cluster.rs
+++ b/crates/savorywood-core/tests/support/lease_cluster.rs
@@ -15,9 +15,13 @@
 };
 use std::{collections::BTreeMap, time::Duration};
 
+/// An event that is scheduled for a later time.
 enum Pending {
+    /// An event for a node.
     NodeEvent(usize, LeaseEvent),
+    /// A table call whose response was reported as lost already.
     LateWrite(TableRequest),
+    /// A table call of a node, with its number.
     TableCall(usize, u64, TableRequest),
 }
 
@@ -41,11 +45,15 @@
     nodes: Vec<LeaseState>,
     /// Rate of each node's clock, in thousandths of real time.
     clock_rates: Vec<u64>,
+    /// Real time in microseconds until which each node is paused.
     paused_until: Vec<u64>,
     table: FakeTable,
+    /// Pending events by real time in microseconds and by order of scheduling.
     scheduled: BTreeMap<(u64, u64), Pending>,
+    /// Time in microseconds at which each node's timer fires, by the node's own clock.
     timers: BTreeMap<usize, u64>,
     members: MemberView,
+    /// Real time in microseconds.
     now: u64,
     last_sequence: u64,
     rng: ChaCha8Rng,
--- a/crates/savorywood-core/tests/support/move_simulation.rs
+++ b/crates/savorywood-core/tests/support/move_simulation.rs
@@ -103,8 +103,11 @@
 const START_MICROS: u64 = 1_000_000;
 const START_WALL_MS: u64 = 1_800_000_000_000;
 
+/// An event that is scheduled for a later time.
 enum Pending {
+    /// An event for a node.
     NodeEvent(usize, Box<MoveEvent>),
+    /// A table call of a node, with its number.
     TableCall(usize, u64, TableRequest),
 }
 
@@ -125,13 +128,22 @@
     config: ConfigView,
     members: MemberView,
     table: FakeTable,
+    /// Pending events by time in microseconds and by order of scheduling.
     scheduled: BTreeMap<(u64, u64), Pending>,
+    /// Times in microseconds at which timers fire, by node and timer number.
     timers: BTreeMap<(usize, u64), u64>,
+    /// Latency offset of each engine, in units of the natural logarithm: the engines of the old
+    /// version first.
     engine_noise: Vec<f64>,
+    /// Latency offset of all engines, in units of the natural logarithm.
     shared_slowdown: f64,
+    /// Time in microseconds until which both versions fail.
     shared_failure_until: u64,
+    /// Time in microseconds of the first request to the bad version.
     bad_since: Option<u64>,
+    /// Time in microseconds at which the first daemon stopped the version.
     stopped_at: Option<u64>,
+    /// Simulated time in microseconds.
     now: u64,
     last_sequence: u64,
     rng: ChaCha8Rng,
@@ -248,6 +260,7 @@
         }
     }
 
+    /// Updates the thermal slowdown of all engines and starts shared failures at random.
     fn update_slowdown(&mut self) {
         if !self.scenario.thermal_slowdown {
             return;
@@ -430,6 +443,7 @@
     }
 }
 
+/// Samples an approximately standard normal distribution as a sum of uniform samples.
 fn standard_normal(rng: &mut ChaCha8Rng) -> f64 {
     let sum: f64 = (0..12).map(|_| rng.random::<f64>()).sum();
     sum - 6.0
