--- a/crates/savorywood-core/examples/membership_figures.rs
+++ b/crates/savorywood-core/examples/membership_figures.rs
@@ -76,7 +76,7 @@
     println!("members={members} regions={regions} zones={zones}");
     let mut network = FakeNetwork::fleet(1, members, regions, zones);
     let limit = Duration::from_secs(120);
-    let joined = network.run_until(limit, FakeNetwork::agrees);
+    let joined = network.run_until(limit, FakeNetwork::has_converged);
     println!("  all started at once agree after {joined:?}");
     network.run(Duration::from_secs(60));
     measure_steady(&mut network);
@@ -91,9 +91,9 @@
 fn measure_steady(network: &mut FakeNetwork) {
     let steps = network.steps;
     let time = Duration::from_secs(60);
-    let began = Instant::now();
+    let started = Instant::now();
     let rates = rates_over(network, time, |network| network.run(time));
-    let spent = began.elapsed();
+    let spent = started.elapsed();
     let steps = network.steps - steps;
     let hosts = network.hosts.len() as f64;
     let core = spent.as_secs_f64() / (hosts * time.as_secs_f64());
@@ -166,13 +166,13 @@
     for _ in 0..REPEATS {
         let host = network.random_host();
         match state {
-            MemberState::Dead => network.kill(&host),
+            MemberState::Dead => network.crash(&host),
             _ => network.step(&host, MembershipEvent::Leave),
         }
         let limit = Duration::from_secs(60);
         let took = network.run_until(limit, |net| all_know(net, &host, state));
         times.push(took.unwrap_or(limit));
-        network.kill(&host);
+        network.crash(&host);
         network.run(Duration::from_secs(15));
         restart(network, &host, size);
     }
@@ -191,7 +191,7 @@
 }
 
 fn all_know(network: &FakeNetwork, host: &HostName, state: MemberState) -> bool {
-    network.all_hold(host, state)
+    network.all_observe(host, state)
 }
 
 fn measure_join(network: &mut FakeNetwork, size: FleetSize) {
@@ -201,7 +201,7 @@
     network.step(&host, MembershipEvent::HostsListed(list));
     let limit = Duration::from_secs(60);
     let read = network.run_until(limit, |net| net.hosts[&host].membership.has_joined());
-    let known = network.run_until(limit, |net| net.all_hold(&host, MemberState::Alive));
+    let known = network.run_until(limit, |net| net.all_observe(&host, MemberState::Alive));
     println!("  one more: has read the table after {read:?}, known to all {known:?} later");
 }
 
@@ -213,7 +213,7 @@
     let zone = network::place_of(0, size.regions, size.zones).zone;
     let lost = network.hosts_where(|place| place.zone == zone);
     for host in &lost {
-        network.kill(host);
+        network.crash(host);
     }
     let time = Duration::from_secs(60);
     let mut took = None;
@@ -221,7 +221,7 @@
         let end = network.now.monotonic + time;
         took = network.run_until(time, |net| {
             lost.iter()
-                .all(|host| net.all_hold(host, MemberState::Dead))
+                .all(|host| net.all_observe(host, MemberState::Dead))
         });
         network.run(end.since(network.now.monotonic));
     });
@@ -283,12 +283,12 @@
     fleet.run(Duration::from_secs(3), |fleet| arrive(fleet, rush, flood));
     fleet.run(Duration::from_secs(7), |fleet| arrive(fleet, rush, steady));
     let before: Vec<_> = fleet.daemons.values().map(|d| d.sent_bytes).collect();
-    fleet.inversions.clear();
+    fleet.priority_inversions.clear();
     let time = Duration::from_secs(10);
-    let (spent, steps) = (fleet.spent, fleet.steps);
-    let alone = fleet.total(0).shed_alone;
+    let (spent, steps) = (fleet.step_time, fleet.steps);
+    let alone = fleet.total(0).shed_locally;
     fleet.run(time, |fleet| arrive(fleet, rush, steady));
-    let spent = fleet.spent - spent;
+    let spent = fleet.step_time - spent;
     let steps = fleet.steps - steps;
     let after = fleet.daemons.values().map(|d| d.sent_bytes);
     let sent = before.iter().zip(after);
@@ -308,11 +308,11 @@
     println!("  lowest tier {:?}", fleet.total(3));
     println!(
         "  of these, highest tier shed alone in the measured time: {}",
-        fleet.total(0).shed_alone - alone
+        fleet.total(0).shed_locally - alone
     );
     println!(
         "  sheds while lower work waited in the zone: {}",
-        fleet.inversions.len()
+        fleet.priority_inversions.len()
     );
 }
 
@@ -321,13 +321,13 @@
     let expected = jobs_per_second * credit::STEP.as_secs_f64();
     for number in 0..rush.daemons {
         let mut jobs = expected.trunc() as u64;
-        jobs += u64::from(fleet.chance(expected.fract()));
+        jobs += u64::from(fleet.random_chance(expected.fract()));
         let rank = match (number / rush.zones) % 2 {
             0 => TierRank(0),
             _ => TierRank(3),
         };
         for _ in 0..jobs {
-            fleet.arrive(&credit::host_name(number), rank);
+            fleet.submit_job(&credit::host_name(number), rank);
         }
     }
 }
--- a/crates/savorywood-core/tests/credit/fleet.rs
+++ b/crates/savorywood-core/tests/credit/fleet.rs
@@ -1,5 +1,5 @@
-//! A few daemons that share upstreams, each with a plain scheduler: strict tiers, no more than
-//! its own limit and its grant, and a question to the credit duty before it sheds.
+//! Simulates daemons that share upstreams. Each has a minimal scheduler: strict tier order, no more
+//! slots than its own limit and its grant, and a query to the credit state before it sheds.
 
 mod daemon;
 
@@ -26,26 +26,29 @@
     time::{Duration, Instant},
 };
 
-/// Length of a step.
+/// Simulated time per step.
 pub const STEP: Duration = Duration::from_millis(5);
 
-/// Time that a job takes.
-const JOB_TIME: Duration = Duration::from_millis(400);
+/// Time that a job occupies a slot.
+const JOB_DURATION: Duration = Duration::from_millis(400);
 
-/// Time that a job may wait.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Time after which a waiting job expires.
+const MAX_QUEUE_TIME: Duration = Duration::from_secs(5);
 
-/// Time before a job's end of patience at which the daemon wants to shed it.
-const SHED_AHEAD: Duration = Duration::from_secs(3);
+/// Remaining wait from which the daemon tries to shed a job.
+const SHED_LEAD_TIME: Duration = Duration::from_secs(3);
 
+/// A credit message that is delivered at `at`.
 #[derive(Debug, Clone)]
-struct CreditFlight {
+struct InFlightMessage {
     at: MonotonicTime,
     from: HostName,
     to: HostName,
     message: CreditMessage,
 }
 
+/// Faults of the network. `loss` and `duplicates` are probabilities from 0 to 1 per message;
+/// `jitter_ms` is the largest extra delay.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct FleetFaults {
     pub loss: f64,
@@ -53,6 +56,7 @@
     pub jitter_ms: u64,
 }
 
+/// The daemons, their configuration and the network between them.
 #[derive(Debug)]
 pub struct CreditFleet {
     pub now: CoreTime,
@@ -60,15 +64,18 @@
     pub members: MemberView,
     pub daemons: BTreeMap<HostName, FakeDaemon>,
     pub faults: FleetFaults,
+    /// Limit of each daemon on each upstream, in slots.
     pub limit: u32,
-    pub peak: BTreeMap<UpstreamName, u32>,
-    /// Sheds of a tier while a lower one waited at some daemon.
-    pub inversions: Vec<String>,
-    /// Processor time that the credit duties took, and in how many steps.
-    pub spent: Duration,
+    /// Most slots in use at once at each upstream.
+    pub peak_in_use: BTreeMap<UpstreamName, u32>,
+    /// Descriptions of jobs shed while a job of a lower tier waited at a daemon of the same zone.
+    pub priority_inversions: Vec<String>,
+    /// Wall-clock time spent in the credit reducers.
+    pub step_time: Duration,
+    /// Number of steps that `step_time` covers.
     pub steps: u64,
-    flights: Vec<CreditFlight>,
-    near: BTreeMap<ZoneName, Vec<UpstreamName>>,
+    in_flight: Vec<InFlightMessage>,
+    upstreams_by_zone: BTreeMap<ZoneName, Vec<UpstreamName>>,
     rng: ChaCha8Rng,
 }
 
@@ -81,7 +88,8 @@
 }
 
 impl CreditFleet {
-    /// Daemons and upstreams spread over zones; each upstream takes `limit` jobs at once.
+    /// Creates daemons and upstreams distributed over the zones. `limit` is the limit of each
+    /// daemon on each upstream.
     pub fn new(seed: u64, daemons: usize, upstreams: usize, zones: usize, limit: u32) -> Self {
         let now = CoreTime {
             monotonic: MonotonicTime(1_000_000),
@@ -89,22 +97,25 @@
         };
         let mut fleet = Self {
             now,
-            config: config_of(upstreams, zones),
+            config: build_config(upstreams, zones),
             members: MemberView::default(),
             daemons: BTreeMap::new(),
             faults: FleetFaults::default(),
             limit,
-            peak: BTreeMap::new(),
-            inversions: Vec::new(),
-            spent: Duration::ZERO,
+            peak_in_use: BTreeMap::new(),
+            priority_inversions: Vec::new(),
+            step_time: Duration::ZERO,
             steps: 0,
-            flights: Vec::new(),
-            near: BTreeMap::new(),
+            in_flight: Vec::new(),
+            upstreams_by_zone: BTreeMap::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
         };
         for (name, spec) in &fleet.config.upstreams {
-            let near = fleet.near.entry(spec.zone.clone()).or_default();
-            near.push(name.clone());
+            let zone_upstreams = fleet
+                .upstreams_by_zone
+                .entry(spec.zone.clone())
+                .or_default();
+            zone_upstreams.push(name.clone());
         }
         for number in 0..daemons {
             fleet.start(number, zones);
@@ -127,11 +138,11 @@
         self.members.members.insert(host.clone(), record);
         let daemon = FakeDaemon::new(host.clone());
         self.daemons.insert(host.clone(), daemon);
-        self.event(&host, CreditEvent::Started);
+        self.step(&host, CreditEvent::Started);
     }
 
-    /// A job arrives and waits.
-    pub fn arrive(&mut self, host: &HostName, rank: TierRank) {
+    /// Submits a job to a daemon, which refuses it if its tier is below the floor.
+    pub fn submit_job(&mut self, host: &HostName, rank: TierRank) {
         let Some(daemon) = self.daemons.get_mut(host) else {
             return;
         };
@@ -139,23 +150,23 @@
         let floors = daemon.credits.floors();
         let floor = floors.get(&service()).copied().unwrap_or(NO_FLOOR);
         if rank > floor {
-            daemon.tallies.entry(rank).or_default().floored += 1;
+            daemon.tallies.entry(rank).or_default().below_floor += 1;
             return;
         }
-        let deadline = self.now.monotonic + PATIENCE;
+        let deadline = self.now.monotonic + MAX_QUEUE_TIME;
         daemon.queues.entry(rank).or_default().push_back(deadline);
         let was_idle = daemon.queues.values().map(VecDeque::len).sum::<usize>() == 1;
         self.dispatch(host);
-        let waits = self.daemons[host]
+        let is_waiting = self.daemons[host]
             .queues
             .values()
             .any(|queue| !queue.is_empty());
-        if waits && was_idle {
-            self.event(host, CreditEvent::QueueFormed);
+        if is_waiting && was_idle {
+            self.step(host, CreditEvent::QueueFormed);
         }
     }
 
-    /// Lets time pass; `arrivals` says who gets jobs in each step.
+    /// Runs for a duration of simulated time. `arrivals` submits the jobs of each step.
     pub fn run(&mut self, duration: Duration, mut arrivals: impl FnMut(&mut Self)) {
         let end = self.now.monotonic + duration;
         while self.now.monotonic < end {
@@ -172,25 +183,26 @@
             for host in &hosts {
                 self.shed(host);
             }
-            self.note_peak();
+            self.record_peak();
         }
     }
 
-    pub fn chance(&mut self, chance: f64) -> bool {
+    /// Returns true with this probability, from 0 to 1.
+    pub fn random_chance(&mut self, chance: f64) -> bool {
         self.rng.random_bool(chance)
     }
 
     fn deliver(&mut self) {
         let now = self.now.monotonic;
-        let flights = std::mem::take(&mut self.flights);
-        let (mut due, kept): (Vec<_>, Vec<_>) = flights.into_iter().partition(|f| f.at <= now);
-        self.flights = kept;
-        due.sort_by_key(|flight| flight.at);
-        for flight in due {
-            let CreditFlight {
+        let in_flight = std::mem::take(&mut self.in_flight);
+        let (mut due, later): (Vec<_>, Vec<_>) = in_flight.into_iter().partition(|f| f.at <= now);
+        self.in_flight = later;
+        due.sort_by_key(|delivery| delivery.at);
+        for delivery in due {
+            let InFlightMessage {
                 from, to, message, ..
-            } = flight;
-            self.event(&to, CreditEvent::Peer { from, message });
+            } = delivery;
+            self.step(&to, CreditEvent::Peer { from, message });
         }
     }
 
@@ -206,7 +218,7 @@
             let timers = &mut self.daemons.get_mut(host).expect("a daemon").timers;
             timers.remove(&key);
             let number = key.number;
-            self.event(host, CreditEvent::TimerFired { number });
+            self.step(host, CreditEvent::TimerFired { number });
         }
     }
 
@@ -218,13 +230,13 @@
             .partition(|job| job.ends_at <= now);
         daemon.running = running;
         for job in done {
-            let seats = daemon.seats.get_mut(&job.upstream).expect("seats");
-            *seats.get_mut(&job.rank).expect("a seat") -= 1;
+            let slots = daemon.slots.get_mut(&job.upstream).expect("slots in use");
+            *slots.get_mut(&job.rank).expect("a slot in use") -= 1;
             daemon.tallies.entry(job.rank).or_default().done += 1;
         }
     }
 
-    /// Work below the floor is shed.
+    /// Sheds the waiting jobs whose tier is below the floor.
     fn apply_floor(&mut self, host: &HostName) {
         let daemon = self.daemons.get_mut(host).expect("a daemon");
         let floors = daemon.credits.floors();
@@ -233,17 +245,20 @@
             if *rank > floor {
                 let count = queue.len() as u64;
                 queue.clear();
-                daemon.tallies.entry(*rank).or_default().floored += count;
+                daemon.tallies.entry(*rank).or_default().below_floor += count;
             }
         }
     }
 
     fn dispatch(&mut self, host: &HostName) {
         let zone = self.members.members[host].zone.clone();
-        let near = self.near.get(&zone).map_or(&[][..], Vec::as_slice);
+        let zone_upstreams = self
+            .upstreams_by_zone
+            .get(&zone)
+            .map_or(&[][..], Vec::as_slice);
         let daemon = self.daemons.get_mut(host).expect("a daemon");
         loop {
-            let free = near.iter().find(|name| {
+            let free = zone_upstreams.iter().find(|name| {
                 let granted = daemon.credits.grants().get(*name).map(|grant| grant.seats);
                 let allowed = granted.unwrap_or(self.limit).min(self.limit);
                 daemon.in_use(name) < allowed
@@ -256,12 +271,12 @@
                 return;
             };
             queue.pop_front();
-            let seats = daemon.seats.entry(upstream.clone()).or_default();
-            *seats.entry(*rank).or_default() += 1;
+            let slots = daemon.slots.entry(upstream.clone()).or_default();
+            *slots.entry(*rank).or_default() += 1;
             daemon.running.push(RunningJob {
                 rank: *rank,
                 upstream: upstream.clone(),
-                ends_at: self.now.monotonic + JOB_TIME,
+                ends_at: self.now.monotonic + JOB_DURATION,
             });
         }
     }
@@ -275,7 +290,7 @@
                 let Some(deadline) = queue.front().copied() else {
                     break;
                 };
-                if now + SHED_AHEAD < deadline {
+                if now + SHED_LEAD_TIME < deadline {
                     break;
                 }
                 let late = deadline <= now;
@@ -283,29 +298,35 @@
                 if advice == ShedAdvice::Wait && !late {
                     break;
                 }
-                self.note_inversion(host, rank, advice, late);
+                self.record_priority_inversion(host, rank, advice, late);
                 let daemon = self.daemons.get_mut(host).expect("a daemon");
                 daemon.queues.get_mut(&rank).expect("a queue").pop_front();
                 let tally = daemon.tallies.entry(rank).or_default();
                 match advice {
                     ShedAdvice::Shed => tally.shed += 1,
-                    ShedAdvice::Alone => tally.shed_alone += 1,
-                    ShedAdvice::Wait => tally.late += 1,
+                    ShedAdvice::Alone => tally.shed_locally += 1,
+                    ShedAdvice::Wait => tally.expired += 1,
                 }
             }
         }
     }
 
-    fn note_inversion(&mut self, host: &HostName, rank: TierRank, advice: ShedAdvice, late: bool) {
+    fn record_priority_inversion(
+        &mut self,
+        host: &HostName,
+        rank: TierRank,
+        advice: ShedAdvice,
+        late: bool,
+    ) {
         for (other, daemon) in &self.daemons {
             let mut queues = daemon.queues.iter();
-            let shares = self.members.members[other].zone == self.members.members[host].zone;
-            if shares && queues.any(|(lower, queue)| *lower > rank && !queue.is_empty()) {
+            let same_zone = self.members.members[other].zone == self.members.members[host].zone;
+            if same_zone && queues.any(|(lower, queue)| *lower > rank && !queue.is_empty()) {
                 let at = self.now.monotonic.0 / 1_000;
                 let text = format!(
-                    "{at} ms: {host} shed {rank} ({advice:?}, late={late}) while {other} had lower"
+                    "{at} ms: {host} shed {rank} ({advice:?}, late={late}) while a lower tier waited at {other}"
                 );
-                self.inversions.push(text);
+                self.priority_inversions.push(text);
             }
         }
     }
@@ -327,7 +348,7 @@
         advice
     }
 
-    pub fn event(&mut self, host: &HostName, event: CreditEvent) {
+    pub fn step(&mut self, host: &HostName, event: CreditEvent) {
         if !self.daemons.contains_key(host) {
             return;
         }
@@ -339,9 +360,9 @@
         };
         let daemon = self.daemons.get_mut(host).expect("a daemon");
         let mut effects = EffectQueue::new();
-        let began = Instant::now();
+        let started = Instant::now();
         daemon.credits.step(self.now, event, view, &mut effects);
-        self.spent += began.elapsed();
+        self.step_time += started.elapsed();
         self.steps += 1;
         self.execute(host, &mut effects);
     }
@@ -375,7 +396,7 @@
                 continue;
             }
             let delay = 2 + self.rng.random_range(0..=self.faults.jitter_ms);
-            self.flights.push(CreditFlight {
+            self.in_flight.push(InFlightMessage {
                 at: self.now.monotonic + Duration::from_millis(delay),
                 from: from.clone(),
                 to: to.clone(),
@@ -384,21 +405,24 @@
         }
     }
 
-    /// Demand of a daemon on the upstreams of its zone.
+    /// Returns the demand of a daemon on the upstreams of its zone.
     fn demands_of(&self, host: &HostName) -> BTreeMap<UpstreamName, LocalDemand> {
         let zone = &self.members.members[host].zone;
         let daemon = &self.daemons[host];
-        let names = self.near.get(zone).map_or(&[][..], Vec::as_slice);
+        let zone_upstreams = self
+            .upstreams_by_zone
+            .get(zone)
+            .map_or(&[][..], Vec::as_slice);
         let waiting: BTreeMap<_, _> = daemon
             .queues
             .iter()
             .filter(|(_, queue)| !queue.is_empty())
-            .map(|(rank, queue)| (*rank, queue.len().div_ceil(names.len().max(1))))
+            .map(|(rank, queue)| (*rank, queue.len().div_ceil(zone_upstreams.len().max(1))))
             .collect();
         let mut demands = BTreeMap::new();
-        for name in names {
-            let mut tiers = daemon.seats.get(name).cloned().unwrap_or_default();
-            tiers.retain(|_, seats| *seats > 0);
+        for name in zone_upstreams {
+            let mut tiers = daemon.slots.get(name).cloned().unwrap_or_default();
+            tiers.retain(|_, slots| *slots > 0);
             for (rank, count) in &waiting {
                 *tiers.entry(*rank).or_default() += u32::try_from(*count).unwrap_or(u32::MAX);
             }
@@ -419,20 +443,20 @@
         demands
     }
 
-    fn note_peak(&mut self) {
+    fn record_peak(&mut self) {
         for name in self.config.upstreams.keys() {
             let used: u32 = self.daemons.values().map(|d| d.in_use(name)).sum();
-            let peak = self.peak.entry(name.clone()).or_default();
+            let peak = self.peak_in_use.entry(name.clone()).or_default();
             *peak = used.max(*peak);
         }
     }
 
-    /// A host dies; the others still hold it for alive.
-    pub fn kill(&mut self, host: &HostName) {
+    /// Removes a daemon without a message; the members still list it as alive.
+    pub fn crash(&mut self, host: &HostName) {
         self.daemons.remove(host);
     }
 
-    pub fn mark(&mut self, host: &HostName, state: MemberState) {
+    pub fn set_member_state(&mut self, host: &HostName, state: MemberState) {
         self.members.members.get_mut(host).expect("a member").state = state;
     }
 
@@ -447,9 +471,9 @@
             arrived: sum.arrived + one.arrived,
             done: sum.done + one.done,
             shed: sum.shed + one.shed,
-            shed_alone: sum.shed_alone + one.shed_alone,
-            floored: sum.floored + one.floored,
-            late: sum.late + one.late,
+            shed_locally: sum.shed_locally + one.shed_locally,
+            below_floor: sum.below_floor + one.below_floor,
+            expired: sum.expired + one.expired,
         })
     }
 
@@ -457,15 +481,15 @@
         self.daemons.values().map(|daemon| daemon.sent_bytes).sum()
     }
 
-    /// Hosts that hold a grant on this upstream.
-    pub fn granted(&self, upstream: &str) -> BTreeSet<&HostName> {
+    /// Returns the hosts that hold a grant for this upstream.
+    pub fn grant_holders(&self, upstream: &str) -> BTreeSet<&HostName> {
         let daemons = self.daemons.iter();
         let held = daemons.filter(|(_, d)| d.credits.grants().contains_key(upstream));
         held.map(|(host, _)| host).collect()
     }
 }
 
-fn config_of(upstreams: usize, zones: usize) -> ConfigView {
+fn build_config(upstreams: usize, zones: usize) -> ConfigView {
     let mut texts =
         vec![r#"{"kind":"service","name":"notes","spec":{"protocol":"model"}}"#.to_owned()];
     for rank in 0..4 {
--- a/crates/savorywood-core/tests/fleet/network.rs
+++ b/crates/savorywood-core/tests/fleet/network.rs
@@ -1,5 +1,5 @@
-//! Many membership reducers in one thread, over a network that delays, loses, doubles and
-//! reorders datagrams, with hosts that crash, restart and stand still.
+//! Simulates many membership reducers in one thread, over a network that delays, loses, duplicates
+//! and reorders datagrams, with hosts that crash, restart and pause.
 
 use rand::{Rng, SeedableRng, seq::IteratorRandom};
 use rand_chacha::ChaCha8Rng;
@@ -20,32 +20,40 @@
     time::Duration,
 };
 
-/// Heads of IPv4 and UDP, which count for the budget but not for the length of a datagram.
-const HEAD_BYTES: usize = 28;
+/// Size of the IPv4 and UDP headers, which count towards the byte budget but not towards the length
+/// of a datagram.
+const HEADER_BYTES: usize = 28;
 
-/// How the network treats datagrams.
+/// Faults of the network. `loss` and `duplicates` are probabilities from 0 to 1 per datagram;
+/// `jitter` is the largest extra delay.
 #[derive(Debug, Clone, Default)]
 pub struct NetworkFaults {
     pub loss: f64,
     pub duplicates: f64,
     pub jitter: Duration,
-    /// Datagrams from a host of the first set to one of the second are lost.
-    pub cuts: Vec<NetworkCut>,
+    /// Datagrams from a host in `from` to one in `to` are lost.
+    pub partitions: Vec<NetworkPartition>,
 }
 
+/// One direction of a partition.
+
 #[derive(Debug, Clone, Default)]
-pub struct NetworkCut {
+pub struct NetworkPartition {
     pub from: BTreeSet<HostName>,
     pub to: BTreeSet<HostName>,
 }
 
+/// A host with its membership reducer, byte budget, replay guard and timers.
+
 #[derive(Debug)]
 pub struct FakeHost {
     pub membership: MembershipState,
     pub budget: PeerBudget,
+    /// Bytes sent, with the IPv4 and UDP headers.
     pub sent_bytes: u64,
     pub sent_datagrams: u64,
     pub received_bytes: u64,
+    /// Time until which the host handles nothing; absent while it runs.
     pub paused_until: Option<MonotonicTime>,
     pub place: MemberLocation,
     guard: ReplayGuard,
@@ -70,13 +78,15 @@
     },
 }
 
+/// Time of an event and the order in which it was scheduled.
+
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct EventOrder {
     at: MonotonicTime,
     number: u64,
 }
 
-/// The fleet and its network.
+/// The hosts and the network between them.
 #[derive(Debug)]
 pub struct FakeNetwork {
     pub now: CoreTime,
@@ -85,14 +95,15 @@
     pub steps: u64,
     rng: ChaCha8Rng,
     queue: BTreeMap<EventOrder, NetworkEvent>,
-    number: u64,
+    last_number: u64,
 }
 
 pub fn host_name(number: usize) -> HostName {
     HostName::new(&format!("entry-{number:03}")).expect("a name")
 }
 
-/// Zones of the first region are `a0..`, those of the second `b0..`.
+/// Returns the addresses, zone and region of a host. Zones of the first region are `a0..`, those of
+/// the second `b0..`.
 pub fn place_of(number: usize, regions: usize, zones: usize) -> MemberLocation {
     let region = if number.is_multiple_of(regions) {
         "a"
@@ -125,11 +136,11 @@
             steps: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
             queue: BTreeMap::new(),
-            number: 0,
+            last_number: 0,
         }
     }
 
-    /// Hosts `0..count`, all started and all listed.
+    /// Creates hosts `0..count`, all started and all in the host list.
     pub fn fleet(seed: u64, count: usize, regions: usize, zones: usize) -> Self {
         let mut network = Self::new(seed);
         for number in 0..count {
@@ -139,7 +150,7 @@
         network
     }
 
-    /// Starts a host, or starts it anew under a larger incarnation.
+    /// Starts a host, or restarts it under the incarnation of the current wall clock.
     pub fn start(&mut self, number: usize, regions: usize, zones: usize) -> HostName {
         let host = host_name(number);
         let place = place_of(number, regions, zones);
@@ -152,7 +163,7 @@
 
     pub fn start_with(&mut self, options: MembershipOptions) {
         let host = options.host.clone();
-        let fake = FakeHost {
+        let fake_host = FakeHost {
             place: options.place.clone(),
             membership: MembershipState::new(options),
             budget: PeerBudget::default(),
@@ -164,35 +175,39 @@
             timers: BTreeMap::new(),
             sequence: 0,
         };
-        self.hosts.insert(host.clone(), fake);
+        self.hosts.insert(host.clone(), fake_host);
         self.step(&host, MembershipEvent::Started);
     }
 
-    /// Ends a process without a word.
-    pub fn kill(&mut self, host: &HostName) {
+    /// Ends a daemon without a message.
+    pub fn crash(&mut self, host: &HostName) {
         self.hosts.remove(host);
     }
 
+    /// Pauses a host, which handles its datagrams and timers when the duration has passed.
+
     pub fn pause(&mut self, host: &HostName, duration: Duration) {
         let until = self.now.monotonic + duration;
-        if let Some(fake) = self.hosts.get_mut(host) {
-            fake.paused_until = Some(until);
+        if let Some(fake_host) = self.hosts.get_mut(host) {
+            fake_host.paused_until = Some(until);
         }
     }
 
-    /// The list as the platform would give it of the hosts that run.
+    /// Returns the platform's list of the hosts that run.
     pub fn host_list(&self, leaving: &BTreeSet<HostName>) -> Vec<HostEntry> {
-        let entries = self.hosts.iter().map(|(host, fake)| HostEntry {
+        let entries = self.hosts.iter().map(|(host, fake_host)| HostEntry {
             host: host.clone(),
-            peer_address: fake.place.peer_address,
-            caller_address: fake.place.caller_address,
-            zone: fake.place.zone.clone(),
-            region: fake.place.region.clone(),
+            peer_address: fake_host.place.peer_address,
+            caller_address: fake_host.place.caller_address,
+            zone: fake_host.place.zone.clone(),
+            region: fake_host.place.region.clone(),
             leaving: leaving.contains(host),
         });
         entries.collect()
     }
 
+    /// Delivers the platform's host list to all hosts.
+
     pub fn list_hosts(&mut self, leaving: &BTreeSet<HostName>) {
         let list = self.host_list(leaving);
         let hosts: Vec<_> = self.hosts.keys().cloned().collect();
@@ -202,12 +217,12 @@
     }
 
     pub fn step(&mut self, host: &HostName, event: MembershipEvent) {
-        let Some(fake) = self.hosts.get_mut(host) else {
+        let Some(fake_host) = self.hosts.get_mut(host) else {
             return;
         };
         self.steps += 1;
         let mut effects = EffectQueue::new();
-        fake.membership.step(self.now, event, &mut effects);
+        fake_host.membership.step(self.now, event, &mut effects);
         let effects: Vec<_> = effects.drain().collect();
         for effect in effects {
             self.execute(host, effect);
@@ -218,8 +233,8 @@
         match effect {
             DaemonEffect::SendPeer { to, message, .. } => self.send(host, to, message),
             DaemonEffect::SetTimer { key, at } => {
-                if let Some(fake) = self.hosts.get_mut(host) {
-                    fake.timers.insert(key, at);
+                if let Some(fake_host) = self.hosts.get_mut(host) {
+                    fake_host.timers.insert(key, at);
                 }
                 let host = host.clone();
                 self.push(at, NetworkEvent::Timer { host, key, at });
@@ -230,26 +245,26 @@
     }
 
     fn send(&mut self, from: &HostName, to: HostName, message: PeerMessage) {
-        let Some(fake) = self.hosts.get_mut(from) else {
+        let Some(fake_host) = self.hosts.get_mut(from) else {
             return;
         };
         let bytes = message.wire_bytes(from);
         assert!(
-            bytes <= MAX_DATAGRAM_BYTES + HEAD_BYTES,
+            bytes <= MAX_DATAGRAM_BYTES + HEADER_BYTES,
             "{bytes}: {message:?}"
         );
         let class = BudgetClass::of(&message);
-        if !fake.budget.admit(self.now.monotonic, class, bytes) {
+        if !fake_host.budget.admit(self.now.monotonic, class, bytes) {
             return;
         }
-        fake.sent_bytes += bytes as u64;
-        fake.sent_datagrams += 1;
-        fake.sequence += 1;
+        fake_host.sent_bytes += bytes as u64;
+        fake_host.sent_datagrams += 1;
+        fake_host.sequence += 1;
         let event = NetworkEvent::Datagram {
             to,
             from: from.clone(),
-            incarnation: fake.membership.incarnation(),
-            sequence: fake.sequence,
+            incarnation: fake_host.membership.incarnation(),
+            sequence: fake_host.sequence,
             bytes,
             message,
         };
@@ -273,20 +288,20 @@
         let region = |host| {
             self.hosts
                 .get(host)
-                .map(|fake: &FakeHost| &fake.place.region)
+                .map(|fake_host: &FakeHost| &fake_host.place.region)
         };
-        let base = if region(to) == region(from) {
+        let base_micros = if region(to) == region(from) {
             1_500
         } else {
             40_000
         };
-        let jitter = u64::try_from(self.faults.jitter.as_micros()).unwrap_or(0);
-        Duration::from_micros(base + self.rng.random_range(0..=500 + jitter))
+        let jitter_micros = u64::try_from(self.faults.jitter.as_micros()).unwrap_or(0);
+        Duration::from_micros(base_micros + self.rng.random_range(0..=500 + jitter_micros))
     }
 
     fn push(&mut self, at: MonotonicTime, event: NetworkEvent) {
-        self.number += 1;
-        let number = self.number;
+        self.last_number += 1;
+        let number = self.last_number;
         self.queue.insert(EventOrder { at, number }, event);
     }
 
@@ -303,7 +318,8 @@
         self.advance(end);
     }
 
-    /// Runs until `done`, at most for `limit`; gives the time it took.
+    /// Runs until `done` returns true, for `limit` at most; returns the time that it took, or
+    /// `None` at the limit.
     pub fn run_until(
         &mut self,
         limit: Duration,
@@ -330,20 +346,20 @@
             NetworkEvent::Datagram { to, .. } => to.clone(),
             NetworkEvent::Timer { host, .. } => host.clone(),
         };
-        let Some(fake) = self.hosts.get_mut(&host) else {
+        let Some(fake_host) = self.hosts.get_mut(&host) else {
             return;
         };
-        if let Some(until) = fake.paused_until {
+        if let Some(until) = fake_host.paused_until {
             if until > self.now.monotonic {
                 self.push(until, event);
                 return;
             }
-            fake.paused_until = None;
+            fake_host.paused_until = None;
         }
         match event {
             NetworkEvent::Timer { key, at, .. } => {
-                if fake.timers.get(&key) == Some(&at) {
-                    fake.timers.remove(&key);
+                if fake_host.timers.get(&key) == Some(&at) {
+                    fake_host.timers.remove(&key);
                     self.step(&host, MembershipEvent::TimerFired);
                 }
             }
@@ -355,14 +371,14 @@
                 message,
                 ..
             } => {
-                if self.is_cut(&from, &host) {
+                if self.is_partitioned(&from, &host) {
                     return;
                 }
-                let Some(fake) = self.hosts.get_mut(&host) else {
+                let Some(fake_host) = self.hosts.get_mut(&host) else {
                     return;
                 };
-                fake.received_bytes += bytes as u64;
-                if fake.guard.check_and_record(&from, incarnation, sequence)
+                fake_host.received_bytes += bytes as u64;
+                if fake_host.guard.check_and_record(&from, incarnation, sequence)
                     != ReplayDecision::Fresh
                 {
                     return;
@@ -374,22 +390,22 @@
         }
     }
 
-    fn is_cut(&self, from: &HostName, to: &HostName) -> bool {
-        let mut cuts = self.faults.cuts.iter();
-        cuts.any(|cut| cut.from.contains(from) && cut.to.contains(to))
+    fn is_partitioned(&self, from: &HostName, to: &HostName) -> bool {
+        let mut partitions = self.faults.partitions.iter();
+        partitions.any(|partition| partition.from.contains(from) && partition.to.contains(to))
     }
 
-    /// Cuts two sets of hosts off from each other, both ways.
-    pub fn cut(&mut self, one: &BTreeSet<HostName>, other: &BTreeSet<HostName>) {
+    /// Partitions two sets of hosts from each other in both directions.
+    pub fn partition(&mut self, one: &BTreeSet<HostName>, other: &BTreeSet<HostName>) {
         for (from, to) in [(one, other), (other, one)] {
             let from = from.clone();
             let to = to.clone();
-            self.faults.cuts.push(NetworkCut { from, to });
+            self.faults.partitions.push(NetworkPartition { from, to });
         }
     }
 
-    pub fn hosts_where(&self, keep: impl Fn(&MemberLocation) -> bool) -> BTreeSet<HostName> {
-        let hosts = self.hosts.iter().filter(|(_, fake)| keep(&fake.place));
+    pub fn hosts_where(&self, predicate: impl Fn(&MemberLocation) -> bool) -> BTreeSet<HostName> {
+        let hosts = self.hosts.iter().filter(|(_, fake_host)| predicate(&fake_host.place));
         hosts.map(|(host, _)| host.clone()).collect()
     }
 
@@ -398,28 +414,28 @@
         host.cloned().expect("a host")
     }
 
-    /// What one host holds another for.
-    pub fn state_at(&self, at: &HostName, about: &HostName) -> Option<MemberState> {
-        let view = self.hosts.get(at)?.membership.view();
-        view.members.get(about).map(|record| record.state)
+    /// Returns the state of a member as one host sees it.
+    pub fn state_at(&self, observer: &HostName, member: &HostName) -> Option<MemberState> {
+        let view = self.hosts.get(observer)?.membership.view();
+        view.members.get(member).map(|record| record.state)
     }
 
-    /// Whether all that run hold the member for this state.
-    pub fn all_hold(&self, about: &HostName, state: MemberState) -> bool {
-        let others = self.hosts.keys().filter(|host| *host != about);
+    /// Returns whether all other running hosts see the member in this state.
+    pub fn all_observe(&self, member: &HostName, state: MemberState) -> bool {
+        let others = self.hosts.keys().filter(|host| *host != member);
         others
-            .map(|host| self.state_at(host, about))
-            .all(|held| held == Some(state))
+            .map(|host| self.state_at(host, member))
+            .all(|observed| observed == Some(state))
     }
 
-    /// Whether everybody holds everybody that runs, and nobody else, for alive.
-    pub fn agrees(&self) -> bool {
-        self.hosts.values().all(|fake| {
-            let members = &fake.membership.view().members;
-            let alive = members
+    /// Returns whether every host lists exactly the running hosts as alive.
+    pub fn has_converged(&self) -> bool {
+        self.hosts.values().all(|fake_host| {
+            let members = &fake_host.membership.view().members;
+            let live_members = members
                 .iter()
                 .filter(|(_, record)| record.state == MemberState::Alive);
-            alive.map(|(host, _)| host).eq(self.hosts.keys())
+            live_members.map(|(host, _)| host).eq(self.hosts.keys())
         })
     }
 }
--- a/crates/savorywood-core/tests/support/fake_table.rs
+++ b/crates/savorywood-core/tests/support/fake_table.rs
@@ -1,26 +1,26 @@
-//! A transactional table in memory with the semantics that `savorywood_protocol::table` states.
+//! An in-memory transactional table with the semantics that `savorywood_protocol::table` defines.
 
 use savorywood_protocol::table::{
     CommitRevision, TableCommit, TableRequest, TableResponse, TableRow,
 };
 use std::collections::BTreeMap;
 
-/// Rows and the revision of the newest commit.
+/// Rows by key, the revision of the newest commit and the history of commits.
 #[derive(Debug, Default)]
 pub struct FakeTable {
     rows: BTreeMap<String, TableRow>,
     revision: CommitRevision,
-    /// Every commit that took effect, oldest first.
+    /// Every committed transaction, oldest first.
     pub history: Vec<TableCommit>,
 }
 
 impl FakeTable {
-    /// Executes one request to its end.
+    /// Executes a request and returns its response, without faults.
     pub fn execute(&mut self, request: &TableRequest) -> TableResponse {
         match request {
             TableRequest::Get { keys } => {
                 let rows = keys.iter().filter_map(|key| self.rows.get(key).cloned());
-                self.rows_answer(rows.collect(), false)
+                self.rows_response(rows.collect(), false)
             }
             TableRequest::Scan {
                 prefix,
@@ -35,13 +35,13 @@
                 rows.sort_by(|a, b| (a.revision, &a.key).cmp(&(b.revision, &b.key)));
                 let more = rows.len() > *limit as usize;
                 rows.truncate(*limit as usize);
-                self.rows_answer(rows, more)
+                self.rows_response(rows, more)
             }
             TableRequest::Commit(commit) => self.commit(commit),
         }
     }
 
-    fn rows_answer(&self, rows: Vec<TableRow>, more: bool) -> TableResponse {
+    fn rows_response(&self, rows: Vec<TableRow>, more: bool) -> TableResponse {
         let revision = self.revision;
         TableResponse::Rows {
             rows,
@@ -52,13 +52,13 @@
 
     fn commit(&mut self, commit: &TableCommit) -> TableResponse {
         let live = |row: &&TableRow| row.value.is_some();
-        let broken = commit.conditions.iter().filter(|condition| {
+        let failed_keys = commit.conditions.iter().filter(|condition| {
             let row = self.rows.get(&condition.key).filter(live);
             row.map(|row| row.revision) != condition.revision
         });
-        let broken: Vec<_> = broken.map(|condition| condition.key.clone()).collect();
-        if !broken.is_empty() {
-            let rows = broken.iter().filter_map(|key| self.rows.get(key).cloned());
+        let failed_keys: Vec<_> = failed_keys.map(|condition| condition.key.clone()).collect();
+        if !failed_keys.is_empty() {
+            let rows = failed_keys.iter().filter_map(|key| self.rows.get(key).cloned());
             return TableResponse::Conflict {
                 rows: rows.collect(),
             };
