--- a/crates/savorywood-core/tests/claim/cluster.rs
+++ b/crates/savorywood-core/tests/claim/cluster.rs
@@ -293,7 +293,10 @@
         if self.rng.random_bool(self.faults.broken_requests) {
             let is_unsent = self.rng.random_bool(0.5);
             if is_unsent {
-                *self.possible_executions.get_mut(&request).expect("a dispatch count") -= 1;
+                *self
+                    .possible_executions
+                    .get_mut(&request)
+                    .expect("a dispatch count") -= 1;
                 let event = UpstreamEvent::NotSent { request, attempt };
                 self.step(daemon, ClaimEvent::Upstream(event));
                 self.step(daemon, ClaimEvent::Closed { request });
@@ -404,7 +407,10 @@
             assert!(executions <= 1, "key {key} ran {executions} times");
         }
         for (request, refusal) in &self.refusals {
-            let ran = self.possible_executions.get(request).is_some_and(|count| *count > 0);
+            let ran = self
+                .possible_executions
+                .get(request)
+                .is_some_and(|count| *count > 0);
             let not_run = refusal.outcome == OutcomeKind::NotRun;
             assert!(!(not_run && ran), "{request} ran: {refusal:?}");
         }
@@ -413,7 +419,10 @@
     /// Returns the number of keys that may have been executed.
 
     pub fn executed_keys(&self) -> usize {
-        self.executions().values().filter(|executions| **executions > 0).count()
+        self.executions()
+            .values()
+            .filter(|executions| **executions > 0)
+            .count()
     }
 
     pub fn requested_keys(&self) -> usize {
--- a/crates/savorywood-core/tests/fleet/network.rs
+++ b/crates/savorywood-core/tests/fleet/network.rs
@@ -378,7 +378,9 @@
                     return;
                 };
                 fake_host.received_bytes += bytes as u64;
-                if fake_host.guard.check_and_record(&from, incarnation, sequence)
+                if fake_host
+                    .guard
+                    .check_and_record(&from, incarnation, sequence)
                     != ReplayDecision::Fresh
                 {
                     return;
@@ -405,7 +407,10 @@
     }
 
     pub fn hosts_where(&self, predicate: impl Fn(&MemberLocation) -> bool) -> BTreeSet<HostName> {
-        let hosts = self.hosts.iter().filter(|(_, fake_host)| predicate(&fake_host.place));
+        let hosts = self
+            .hosts
+            .iter()
+            .filter(|(_, fake_host)| predicate(&fake_host.place));
         hosts.map(|(host, _)| host.clone()).collect()
     }
 
--- a/crates/savorywood-core/tests/move_faults.rs
+++ b/crates/savorywood-core/tests/move_faults.rs
@@ -78,11 +78,14 @@
         let is_completed = simulation.result.state == Some(MoveState::Completed);
         (seed, is_completed, simulation.reason(0))
     });
-    let incomplete: Vec<_> = outcomes.filter(|(_, is_completed, _)| !is_completed).collect();
+    let incomplete: Vec<_> = outcomes
+        .filter(|(_, is_completed, _)| !is_completed)
+        .collect();
     assert!(
         incomplete.is_empty(),
         "{} of 20: {incomplete:?}",
-        incomplete.len());
+        incomplete.len()
+    );
 }
 
 /// A version becomes bad at any time in one of the ways that users name, and returns errors or slow
@@ -102,8 +105,10 @@
         ..MoveScenario::default()
     };
     let scenario = if seed % 8 < 4 {
-        failing_version(onset) } else {
-        slow_version };
+        failing_version(onset)
+    } else {
+        slow_version
+    };
     let mut simulation = MoveSimulation::new(scenario, seed);
     simulation.run_until(600.0);
     let result = simulation.result;
@@ -116,7 +121,8 @@
         Ok(())
     } else {
         Err(format!(
-            "{scenario:?}: {result:?}, fraction of requests to the bad version {bad_fraction}"))
+            "{scenario:?}: {result:?}, fraction of requests to the bad version {bad_fraction}"
+        ))
     }
 }
 
--- a/crates/savorywood-core/tests/support/config_cluster.rs
+++ b/crates/savorywood-core/tests/support/config_cluster.rs
@@ -235,16 +235,18 @@
             } else {
                 MemberState::Dead
             };
-            view.members
-                .insert(host(other),
-                member_record(self.incarnations[other], state, *revision),);
+            view.members.insert(
+                host(other),
+                member_record(self.incarnations[other], state, *revision),
+            );
         }
         view
     }
 
     fn schedule(&mut self, delay: u64, pending: Pending) {
         self.last_sequence += 1;
-        self.scheduled.insert((self.now + delay, self.last_sequence), pending);
+        self.scheduled
+            .insert((self.now + delay, self.last_sequence), pending);
     }
 
     fn process(&mut self, pending: Pending) {
@@ -356,7 +358,10 @@
 }
 
 fn member_record(
-    incarnation: u64, state: MemberState, config_revision: ConfigRevision,) -> MemberRecord {
+    incarnation: u64,
+    state: MemberState,
+    config_revision: ConfigRevision,
+) -> MemberRecord {
     MemberRecord {
         incarnation: HostIncarnation(incarnation),
         state,
--- a/crates/savorywood-core/tests/support/fake_table.rs
+++ b/crates/savorywood-core/tests/support/fake_table.rs
@@ -58,7 +58,9 @@
         });
         let failed_keys: Vec<_> = failed_keys.map(|condition| condition.key.clone()).collect();
         if !failed_keys.is_empty() {
-            let rows = failed_keys.iter().filter_map(|key| self.rows.get(key).cloned());
+            let rows = failed_keys
+                .iter()
+                .filter_map(|key| self.rows.get(key).cloned());
             return TableResponse::Conflict {
                 rows: rows.collect(),
             };
--- a/crates/savorywood-core/tests/support/lease_cluster.rs
+++ b/crates/savorywood-core/tests/support/lease_cluster.rs
@@ -185,7 +185,8 @@
 
     fn schedule(&mut self, delay: u64, pending: Pending) {
         self.last_sequence += 1;
-        self.scheduled.insert((self.now + delay, self.last_sequence), pending);
+        self.scheduled
+            .insert((self.now + delay, self.last_sequence), pending);
     }
 
     fn execute(&mut self, node: usize, number: u64, request: TableRequest) {
--- a/crates/savorywood-core/tests/support/move_simulation.rs
+++ b/crates/savorywood-core/tests/support/move_simulation.rs
@@ -163,7 +163,9 @@
             }
         });
         let nodes = options.map(MovesState::new).collect();
-        let engine_noise = (0..2 * ENGINES_PER_VERSION).map(|_| 0.04 * standard_normal(&mut rng)).collect();
+        let engine_noise = (0..2 * ENGINES_PER_VERSION)
+            .map(|_| 0.04 * standard_normal(&mut rng))
+            .collect();
         let mut simulation = Self {
             cut_off: BTreeSet::new(),
             outage: false,
@@ -227,7 +229,10 @@
             if self.now.is_multiple_of(100_000) {
                 self.check_reported_state();
             }
-            let later_rate = self.scenario.later_requests_per_second.filter(|_| self.elapsed() >= 12.0);
+            let later_rate = self
+                .scenario
+                .later_requests_per_second
+                .filter(|_| self.elapsed() >= 12.0);
             let mut due =
                 later_rate.unwrap_or(self.scenario.requests_per_second) * STEP_MICROS as f64 / 1e6;
             while due > 0.0 {
@@ -316,11 +321,17 @@
         } else {
             base_rate
         };
-        let engine = self.rng.random_range(0..ENGINES_PER_VERSION) + if is_new { ENGINES_PER_VERSION } else { 0 };
-        let version_offset = if bad { self.scenario.slowdown.ln() } else { 0.0 };
+        let engine = self.rng.random_range(0..ENGINES_PER_VERSION)
+            + if is_new { ENGINES_PER_VERSION } else { 0 };
+        let version_offset = if bad {
+            self.scenario.slowdown.ln()
+        } else {
+            0.0
+        };
         let route_offset = [0.0, 0.3, -0.2][route];
         let noise = self.engine_noise[engine] + 0.25 * standard_normal(&mut self.rng);
-        let log_micros = 30_000f64.ln() + route_offset + self.shared_slowdown + version_offset + noise;
+        let log_micros =
+            30_000f64.ln() + route_offset + self.shared_slowdown + version_offset + noise;
         MoveSample {
             service: "map".parse().expect("a name"),
             route: format!("/route-{route}"),
@@ -342,7 +353,8 @@
                         TableResponse::Unavailable
                     } else {
                         let answer = self.table.execute(&request);
-                        let is_lost = self.lost_percent > 0 && self.rng.random_range(0..100) < self.lost_percent;
+                        let is_lost = self.lost_percent > 0
+                            && self.rng.random_range(0..100) < self.lost_percent;
                         if is_lost { TableResponse::Lost } else { answer }
                     };
                     let event = Box::new(MoveEvent::Table { number, answer });
@@ -364,7 +376,8 @@
 
     fn schedule(&mut self, delay: u64, pending: Pending) {
         self.last_sequence += 1;
-        self.scheduled.insert((self.now + delay, self.last_sequence), pending);
+        self.scheduled
+            .insert((self.now + delay, self.last_sequence), pending);
     }
 
     fn step(&mut self, node: usize, event: MoveEvent) {
