--- a/crates/savorywood-core/src/claims.rs
+++ b/crates/savorywood-core/src/claims.rs
@@ -61,7 +61,7 @@
 
 /// A call that must be claimed before it runs.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ClaimWish {
+pub struct ClaimRequest {
     /// The call.
     pub request: QueuedRequest,
     /// Value of `Idempotency-Key`.
@@ -78,7 +78,7 @@
     /// The daemon begins.
     Started,
     /// A call that may not be repeated arrived.
-    Wanted(Box<ClaimWish>),
+    Requested(Box<ClaimRequest>),
     /// One of its timers fired.
     TimerFired {
         /// Number of the timer.
@@ -94,7 +94,7 @@
     /// An upstream did something with a claimed call; handed in before the scheduler sees it.
     Upstream(UpstreamEvent),
     /// The whole answer of a claimed call came.
-    AnswerKept {
+    ResponseReceived {
         /// Call that was answered.
         request: RequestId,
         /// Its answer.
@@ -109,7 +109,7 @@
 
 /// What the claim duty decided for other duties. Refusals and replays are effects already.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ClaimVerdict {
+pub enum ClaimDecision {
     /// The claim is held: the call goes to the scheduler.
     Granted(Box<QueuedRequest>),
 }
@@ -158,7 +158,7 @@
     /// Repeats that were refused.
     pub repeats: u64,
     /// Outcomes that could not be recorded.
-    pub lost_outcomes: u64,
+    pub unrecorded_outcomes: u64,
     /// Old claims deleted.
     pub swept: u64,
 }
@@ -177,7 +177,7 @@
     pace: CommitPace,
     sweep: SweepState,
     counters: ClaimCounters,
-    verdicts: Vec<ClaimVerdict>,
+    verdicts: Vec<ClaimDecision>,
 }
 
 /// What a call of the table is for.
@@ -239,16 +239,16 @@
         event: ClaimEvent,
         view: ClaimView<'_>,
         effects: &mut EffectQueue,
-    ) -> Vec<ClaimVerdict> {
+    ) -> Vec<ClaimDecision> {
         match event {
             ClaimEvent::Started => self.start_sweep(now.monotonic, effects),
-            ClaimEvent::Wanted(wish) => self.want(now, *wish, view, effects),
+            ClaimEvent::Requested(wish) => self.want(now, *wish, view, effects),
             ClaimEvent::TimerFired { number } => self.timer_fired(now, number, view, effects),
             ClaimEvent::Table { number, answer } => {
                 self.table_answered(now, number, answer, view, effects);
             }
             ClaimEvent::Upstream(event) => self.upstream(now, &event, view, effects),
-            ClaimEvent::AnswerKept { request, answer } => self.answer_kept(request, &answer),
+            ClaimEvent::ResponseReceived { request, answer } => self.answer_kept(request, &answer),
             ClaimEvent::Closed { request } => self.close(now, request, view, effects),
         }
         std::mem::take(&mut self.verdicts)
@@ -257,7 +257,7 @@
     /// Notes that a call is about to be dispatched, and says whether it may be. Called for each
     /// dispatch, whatever the call.
     #[must_use]
-    pub fn may_dispatch(
+    pub fn authorize_dispatch(
         &mut self,
         request: RequestId,
         idempotent: bool,
@@ -281,7 +281,7 @@
     fn want(
         &mut self,
         now: CoreTime,
-        wish: ClaimWish,
+        wish: ClaimRequest,
         view: ClaimView<'_>,
         effects: &mut EffectQueue,
     ) {
@@ -332,7 +332,7 @@
     fn record_of(
         &self,
         now: CoreTime,
-        wish: &ClaimWish,
+        wish: &ClaimRequest,
         key: &ClaimKey,
         nonce: ClaimNonce,
     ) -> ClaimRecord {
--- a/crates/savorywood-core/src/claims/settle.rs
+++ b/crates/savorywood-core/src/claims/settle.rs
@@ -1,7 +1,7 @@
 //! What the table's answers mean for claims.
 
 use super::{
-    ClaimRecord, ClaimStage, ClaimState, ClaimVerdict, ClaimView, RETRY_TIMER, TableTask,
+    ClaimDecision, ClaimRecord, ClaimStage, ClaimState, ClaimView, RETRY_TIMER, TableTask,
     batch::{BatchItem, WriteKind},
     repeat::RepeatedCall,
 };
@@ -93,7 +93,7 @@
             ClaimStage::Wanted => {
                 claim.stage = ClaimStage::Held;
                 let request = Box::new(claim.request.clone());
-                self.verdicts.push(ClaimVerdict::Granted(request));
+                self.verdicts.push(ClaimDecision::Granted(request));
             }
             // Refused while the answer was on its way: nothing ran, so the row goes.
             ClaimStage::Releasing => {
@@ -305,7 +305,7 @@
                 .with("row", &claim.row)
                 .with("request", item.request);
             effects.log(line);
-            self.counters.lost_outcomes += 1;
+            self.counters.unrecorded_outcomes += 1;
             self.forget(item.request);
             return None;
         }
--- a/crates/savorywood-core/src/daemon.rs
+++ b/crates/savorywood-core/src/daemon.rs
@@ -234,7 +234,11 @@
             DaemonEvent::HostsListed(hosts) => self.list_hosts(now, hosts, effects),
             DaemonEvent::StopRequested => self.leave(now, StopEvent::Requested, effects),
             DaemonEvent::AnswerKept { request, answer } => {
-                self.claim(now, ClaimEvent::AnswerKept { request, answer }, effects);
+                self.claim(
+                    now,
+                    ClaimEvent::ResponseReceived { request, answer },
+                    effects,
+                );
             }
             DaemonEvent::OrderAnswered { call, answer } => {
                 self.order(now, OrderEvent::Answered { call, answer }, effects);
--- a/crates/savorywood-core/src/daemon/callers.rs
+++ b/crates/savorywood-core/src/daemon/callers.rs
@@ -2,7 +2,7 @@
 
 use super::DaemonCore;
 use crate::{
-    claims::{ClaimEvent, ClaimWish},
+    claims::{ClaimEvent, ClaimRequest},
     effect::EffectQueue,
     intake,
     request::RequestArrival,
@@ -37,13 +37,13 @@
         if request.idempotent {
             return self.admit(now, request, effects);
         }
-        let wish = ClaimWish {
+        let wish = ClaimRequest {
             request,
             key: arrival.idempotency_key.clone().unwrap_or_default(),
             fingerprint: arrival.fingerprint,
             retention,
         };
-        self.claim(now, ClaimEvent::Wanted(Box::new(wish)), effects);
+        self.claim(now, ClaimEvent::Requested(Box::new(wish)), effects);
     }
 
     /// A daemon that is cut off from table and peers may not know that a team was shut out or an
--- a/crates/savorywood-core/src/daemon/deciding.rs
+++ b/crates/savorywood-core/src/daemon/deciding.rs
@@ -2,7 +2,7 @@
 
 use super::DaemonCore;
 use crate::{
-    claims::{ClaimEvent, ClaimVerdict, ClaimView},
+    claims::{ClaimDecision, ClaimEvent, ClaimView},
     effect::{DaemonEffect, DispatchOrder, EffectQueue},
     event::{CallerEvent, UpstreamEvent},
     invariant::{self, InvariantName},
@@ -59,7 +59,7 @@
         let takes_work = self.takes_work(&order.upstream);
         self.check_version(&order, effects);
         let passes = self.gate.dispatch(&order, takes_work, effects)
-            && self.claims.may_dispatch(request, idempotent, effects);
+            && self.claims.authorize_dispatch(request, idempotent, effects);
         if passes {
             effects.push(DaemonEffect::Dispatch(order));
             return;
@@ -154,7 +154,7 @@
                 other => effects.push(other),
             }
         }
-        for ClaimVerdict::Granted(request) in verdicts {
+        for ClaimDecision::Granted(request) in verdicts {
             self.admit(now, *request, effects);
         }
     }
--- a/crates/savorywood-core/tests/claim/store.rs
+++ b/crates/savorywood-core/tests/claim/store.rs
@@ -5,7 +5,7 @@
 use savorywood_core::{
     AnswerReport, BreakCause, DaemonEffect, EffectQueue, KeptAnswer, MemberView, PromptShape,
     QueuedRequest, TimerKey, UpstreamEvent,
-    claims::{ClaimEvent, ClaimOptions, ClaimState, ClaimVerdict, ClaimView, ClaimWish},
+    claims::{ClaimDecision, ClaimEvent, ClaimOptions, ClaimRequest, ClaimState, ClaimView},
 };
 use savorywood_protocol::{
     AttemptNumber, CoreTime, HostIncarnation, HostName, MonotonicTime, OutcomeKind, RequestId,
@@ -236,13 +236,13 @@
         self.last_request += 1;
         let request = RequestId(self.last_request);
         self.key_of.insert(request, key);
-        let wish = ClaimWish {
+        let wish = ClaimRequest {
             request: call(request, self.now.monotonic),
             key: self.keys[key].clone(),
             fingerprint: [7; 32],
             retention: ClaimRetention::Seconds(86_400),
         };
-        self.step(daemon, ClaimEvent::Wanted(Box::new(wish)));
+        self.step(daemon, ClaimEvent::Requested(Box::new(wish)));
     }
 
     fn deliver(&mut self) {
@@ -305,7 +305,7 @@
             content_type: "text/plain".to_owned(),
             body: Some(b"charged".to_vec()),
         });
-        self.step(daemon, ClaimEvent::AnswerKept { request, answer });
+        self.step(daemon, ClaimEvent::ResponseReceived { request, answer });
         let report = AnswerReport {
             status: 201,
             ..AnswerReport::default()
@@ -343,7 +343,7 @@
         };
         let claims = &mut self.daemons[daemon].claims;
         let verdicts = claims.step(self.now, event, view, &mut effects);
-        for ClaimVerdict::Granted(request) in verdicts {
+        for ClaimDecision::Granted(request) in verdicts {
             self.dispatch(daemon, request.request, &mut effects);
         }
         let life = self.daemons[daemon].life;
@@ -373,7 +373,7 @@
 
     fn dispatch(&mut self, daemon: usize, request: RequestId, effects: &mut EffectQueue) {
         let claims = &mut self.daemons[daemon].claims;
-        assert!(claims.may_dispatch(request, false, effects));
+        assert!(claims.authorize_dispatch(request, false, effects));
         *self.bytes_left.entry(request).or_default() += 1;
         let running = &mut self.daemons[daemon].running;
         running.insert(request, AttemptNumber(0));
--- a/crates/savorywood-core/tests/claim_keys.rs
+++ b/crates/savorywood-core/tests/claim_keys.rs
@@ -6,7 +6,7 @@
 
 use savorywood_core::{
     AnswerReport, DaemonEffect, EffectQueue, KeptAnswer, MemberRecord, MemberView, UpstreamEvent,
-    claims::{ClaimEvent, ClaimKey, ClaimOptions, ClaimState, ClaimView, ClaimWish},
+    claims::{ClaimEvent, ClaimKey, ClaimOptions, ClaimRequest, ClaimState, ClaimView},
 };
 use savorywood_protocol::{
     AttemptNumber, ConfigRevision, CoreTime, HostIncarnation, MonotonicTime, OutcomeKind,
@@ -53,13 +53,13 @@
     }
 
     fn want(&mut self, request: u128, key: &str, fingerprint: u8) {
-        let wish = ClaimWish {
+        let wish = ClaimRequest {
             request: call(RequestId(request), self.now.monotonic),
             key: key.to_owned(),
             fingerprint: [fingerprint; 32],
             retention: ClaimRetention::Seconds(3_600),
         };
-        self.step(ClaimEvent::Wanted(Box::new(wish)));
+        self.step(ClaimEvent::Requested(Box::new(wish)));
     }
 
     fn pass(&mut self, duration: Duration) {
@@ -76,7 +76,7 @@
         };
         let verdicts = self.claims.step(self.now, event, view, &mut effects);
         let granted = verdicts.into_iter().map(|verdict| match verdict {
-            savorywood_core::claims::ClaimVerdict::Granted(request) => request.request,
+            savorywood_core::claims::ClaimDecision::Granted(request) => request.request,
         });
         self.granted.extend(granted);
         let mut answers = Vec::new();
@@ -99,7 +99,7 @@
     fn dispatch(&mut self, request: u128) -> bool {
         let mut effects = EffectQueue::new();
         self.claims
-            .may_dispatch(RequestId(request), false, &mut effects)
+            .authorize_dispatch(RequestId(request), false, &mut effects)
     }
 
     fn finish(&mut self, request: u128, body: Vec<u8>) {
@@ -109,7 +109,7 @@
             content_type: String::new(),
             body: Some(body),
         });
-        self.step(ClaimEvent::AnswerKept { request, answer });
+        self.step(ClaimEvent::ResponseReceived { request, answer });
         self.step(ClaimEvent::Upstream(UpstreamEvent::Finished {
             request,
             attempt: AttemptNumber(0),
@@ -286,7 +286,9 @@
 fn a_dispatch_without_a_claim_is_a_breach() {
     let mut desk = Desk::new(1);
     let mut effects = EffectQueue::new();
-    let may = desk.claims.may_dispatch(RequestId(9), false, &mut effects);
+    let may = desk
+        .claims
+        .authorize_dispatch(RequestId(9), false, &mut effects);
     assert!(!may);
     assert!(matches!(effects.as_slice(), [DaemonEffect::Breach(_)]));
 }
@@ -297,7 +299,7 @@
 fn without_the_store_nothing_runs() {
     let mut desk = Desk::new(1);
     let mut effects = EffectQueue::new();
-    let wish = ClaimWish {
+    let wish = ClaimRequest {
         request: call(RequestId(1), desk.now.monotonic),
         key: key(1),
         fingerprint: [7; 32],
@@ -305,7 +307,7 @@
     };
     let members = MemberView::default();
     let view = ClaimView { members: &members };
-    let event = ClaimEvent::Wanted(Box::new(wish));
+    let event = ClaimEvent::Requested(Box::new(wish));
     desk.claims.step(desk.now, event, view, &mut effects);
     let later = desk.now.after(Duration::from_millis(10));
     let event = ClaimEvent::TimerFired { number: 0 };
--- a/crates/savorywood-daemon/src/metrics/core.rs
+++ b/crates/savorywood-daemon/src/metrics/core.rs
@@ -123,7 +123,7 @@
             ("store-refusals", counters.store_refusals),
             ("replays", counters.replays),
             ("repeats", counters.repeats),
-            ("lost-outcomes", counters.lost_outcomes),
+            ("lost-outcomes", counters.unrecorded_outcomes),
             ("swept", counters.swept),
         ];
         for (kind, count) in kinds {
