--- a/crates/savorywood-core/src/credits.rs
+++ b/crates/savorywood-core/src/credits.rs
@@ -97,20 +97,20 @@
         message: CreditMessage,
     },
     /// The daemon has nothing left to send: it gives all seats back.
-    HandBack,
+    ReleaseAll,
 }
 
 /// Counters for metrics.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct CreditCounters {
     /// Sheds that were judged by the own queues, since no arbiter answered.
-    pub sheds_alone: u64,
+    pub local_sheds: u64,
     /// Demands sent.
     pub demands: u64,
     /// Grants sent.
     pub grants: u64,
     /// Messages dropped as older than one that came before.
-    pub outdated: u64,
+    pub stale_messages: u64,
 }
 
 /// State of the credit duty.
@@ -224,7 +224,7 @@
                 self.pull_round_forward(now, effects);
             }
             CreditEvent::Peer { from, message } => self.receive(now, &from, message, view, effects),
-            CreditEvent::HandBack => self.hand_back(view, effects),
+            CreditEvent::ReleaseAll => self.hand_back(view, effects),
         }
         self.publish(now, view)
     }
--- a/crates/savorywood-core/src/credits/allocate.rs
+++ b/crates/savorywood-core/src/credits/allocate.rs
@@ -17,7 +17,7 @@
 /// the declared seats where all are smaller. What is still too high shows as latency, which cuts
 /// the limits themselves.
 #[must_use]
-pub fn capacity_of(demands: &BTreeMap<HostName, UpstreamDemand>, declared: u32) -> u32 {
+pub fn upstream_capacity(demands: &BTreeMap<HostName, UpstreamDemand>, declared: u32) -> u32 {
     let users = || demands.values().filter(|demand| !demand.tiers.is_empty());
     let sum = users().fold(0_u32, |sum, demand| sum.saturating_add(demand.limit));
     let largest = users().map(|demand| demand.limit).max().unwrap_or_default();
--- a/crates/savorywood-core/src/credits/arbiter.rs
+++ b/crates/savorywood-core/src/credits/arbiter.rs
@@ -95,13 +95,13 @@
             .demands
             .values()
             .any(|demand| demand.shedding.is_some());
-        sheds || wanted > allocate::capacity_of(&self.demands, declared)
+        sheds || wanted > allocate::upstream_capacity(&self.demands, declared)
     }
 
     /// Seats for each daemon. `declared` are the seats that the upstream's resource names.
     #[must_use]
     pub fn shares(&self, declared: u32) -> allocate::SeatShares {
-        let capacity = allocate::capacity_of(&self.demands, declared);
+        let capacity = allocate::upstream_capacity(&self.demands, declared);
         allocate::allocate(&self.demands, capacity)
     }
 
--- a/crates/savorywood-core/src/credits/rounds.rs
+++ b/crates/savorywood-core/src/credits/rounds.rs
@@ -376,7 +376,7 @@
         let newer = sequence > *newest;
         match newer {
             true => *newest = sequence,
-            false => self.counters.outdated += 1,
+            false => self.counters.stale_messages += 1,
         }
         newer
     }
--- a/crates/savorywood-core/src/credits/shed.rs
+++ b/crates/savorywood-core/src/credits/shed.rs
@@ -12,7 +12,7 @@
     /// Others are being asked; come back when grants or floors change, or after a tick.
     Wait,
     /// No arbiter answers: judge by the own queues.
-    Alone,
+    DecideLocally,
 }
 
 /// A daemon that is about to shed.
@@ -69,7 +69,7 @@
             return ShedAdvice::Wait;
         }
         self.note_alone(now, service, rank, effects);
-        ShedAdvice::Alone
+        ShedAdvice::DecideLocally
     }
 
     fn floor_reached(&self, now: MonotonicTime, used: &[UpstreamName], rank: TierRank) -> bool {
@@ -122,7 +122,7 @@
         rank: TierRank,
         effects: &mut EffectQueue,
     ) {
-        self.counters.sheds_alone += 1;
+        self.counters.local_sheds += 1;
         // One line a second tells it; a line a request would drown the log just when all is
         // busy.
         if self
@@ -133,7 +133,7 @@
             let line = LogLine::new(LogLevel::Warn, "shed_without_arbiter")
                 .with("service", service)
                 .with("rank", rank)
-                .with("total", self.counters.sheds_alone);
+                .with("total", self.counters.local_sheds);
             effects.log(line);
         }
     }
--- a/crates/savorywood-core/src/daemon/leaving.rs
+++ b/crates/savorywood-core/src/daemon/leaving.rs
@@ -25,7 +25,7 @@
             match verdict {
                 StopVerdict::AnnounceLeaving => self.join(now, MembershipEvent::Leave, effects),
                 StopVerdict::ReleaseLeases => self.lease(now, LeaseEvent::Leaving, effects),
-                StopVerdict::HandBackCredits => self.share(now, CreditEvent::HandBack, effects),
+                StopVerdict::HandBackCredits => self.share(now, CreditEvent::ReleaseAll, effects),
                 StopVerdict::SayFarewell => self.join(now, MembershipEvent::Farewell, effects),
             }
         }
--- a/crates/savorywood-core/tests/credit/fleet.rs
+++ b/crates/savorywood-core/tests/credit/fleet.rs
@@ -289,7 +289,7 @@
                 let tally = daemon.tallies.entry(rank).or_default();
                 match advice {
                     ShedAdvice::Shed => tally.shed += 1,
-                    ShedAdvice::Alone => tally.shed_alone += 1,
+                    ShedAdvice::DecideLocally => tally.shed_alone += 1,
                     ShedAdvice::Wait => tally.late += 1,
                 }
             }
--- a/crates/savorywood-core/tests/credit_messages.rs
+++ b/crates/savorywood-core/tests/credit_messages.rs
@@ -222,7 +222,7 @@
     assert_eq!(desk.credits.grants()[&upstream()].seats, 2);
     desk.grant(11, 3);
     assert_eq!(desk.credits.grants()[&upstream()].seats, 3);
-    assert_eq!(desk.credits.counters().outdated, 2);
+    assert_eq!(desk.credits.counters().stale_messages, 2);
 }
 
 /// A grant lapses, since the arbiter or the way to it is gone. Seats that may have been given to
--- a/crates/savorywood-core/tests/credit_uneven.rs
+++ b/crates/savorywood-core/tests/credit_uneven.rs
@@ -177,7 +177,7 @@
     let alone: u64 = fleet
         .daemons
         .values()
-        .map(|d| d.credits.counters().sheds_alone)
+        .map(|d| d.credits.counters().local_sheds)
         .sum();
     assert!(alone > 0);
     let total = fleet.total(0);
--- a/crates/savorywood-experiment/src/arbiter.rs
+++ b/crates/savorywood-experiment/src/arbiter.rs
@@ -2,7 +2,7 @@
 
 use crate::{daemon_host::DaemonHost, names::NameBook};
 use savorywood_core::{
-    credits::allocate::{allocate, capacity_of},
+    credits::allocate::{allocate, upstream_capacity},
     scheduler::SeatGrant,
 };
 use savorywood_protocol::{HostName, MonotonicTime, UpstreamName, peer::credits::UpstreamDemand};
@@ -51,7 +51,7 @@
     let demands: BTreeMap<HostName, UpstreamDemand> = demands
         .map(|(host, name)| (name.clone(), demand_of(host, upstream)))
         .collect();
-    let shares = allocate(&demands, capacity_of(&demands, declared));
+    let shares = allocate(&demands, upstream_capacity(&demands, declared));
     for (host, name) in hosts.iter_mut().zip(&names.hosts) {
         let seats = shares.get(name).copied().unwrap_or_default();
         host.grants.insert(upstream.clone(), SeatGrant { seats });
