--- a/crates/savorywood-core/src/daemon/holding.rs
+++ b/crates/savorywood-core/src/daemon/holding.rs
@@ -3,7 +3,7 @@
 use super::DaemonCore;
 use crate::{
     effect::EffectQueue,
-    leases::{LeaseEvent, LeaseName, LeaseVerdict},
+    leases::{LeaseChange, LeaseEvent, LeaseName},
     moves::MoveEvent,
     orders::{OrderEvent, OrderView, OrdersState},
 };
@@ -23,14 +23,14 @@
         let verdicts = self.leases.step(now, event, members, effects);
         for verdict in verdicts {
             match verdict {
-                LeaseVerdict::Gained(LeaseName::Orders) => {
+                LeaseChange::Acquired(LeaseName::Orders) => {
                     self.order(now, OrderEvent::ViewChanged, effects);
                 }
-                LeaseVerdict::Gained(LeaseName::Moves) => {
+                LeaseChange::Acquired(LeaseName::Moves) => {
                     self.move_on(now, MoveEvent::ConfigChanged, effects);
                 }
                 // Both duties ask for their grant at each step.
-                LeaseVerdict::Dropped(_) => {}
+                LeaseChange::Lost(_) => {}
             }
         }
     }
@@ -51,7 +51,7 @@
     }
 
     fn want(&mut self, now: CoreTime, name: LeaseName, wanted: bool, effects: &mut EffectQueue) {
-        self.lease(now, LeaseEvent::Wanted { name, wanted }, effects);
+        self.lease(now, LeaseEvent::DemandChanged { name, wanted }, effects);
     }
 
     /// Steps the order duty.
--- a/crates/savorywood-core/src/leases.rs
+++ b/crates/savorywood-core/src/leases.rs
@@ -58,7 +58,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseEvent {
     /// There is work to do under a lease, or no longer.
-    Wanted {
+    DemandChanged {
         /// Which lease.
         name: LeaseName,
         /// Whether there is work.
@@ -86,18 +86,18 @@
     /// Carried by everything that is done under the lease.
     pub fencing: FencingNumber,
     /// Since when this daemon holds it.
-    pub gained_at: MonotonicTime,
+    pub acquired_at: MonotonicTime,
     /// Nothing may be done under it from then on, unless it is renewed.
-    pub acts_until: MonotonicTime,
+    pub valid_until: MonotonicTime,
 }
 
 /// What a step did to the leases that this daemon holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LeaseVerdict {
+pub enum LeaseChange {
     /// This daemon holds the lease from now on.
-    Gained(LeaseName),
+    Acquired(LeaseName),
     /// This daemon holds it no longer.
-    Dropped(LeaseName),
+    Lost(LeaseName),
 }
 
 /// A row as this daemon saw it first.
@@ -165,7 +165,7 @@
     #[must_use]
     pub fn grant(&self, now: CoreTime, name: LeaseName) -> Option<LeaseGrant> {
         let grant = self.records.get(&name)?.grant?;
-        (now.monotonic < grant.acts_until).then_some(grant)
+        (now.monotonic < grant.valid_until).then_some(grant)
     }
 
     /// Handles one event.
@@ -175,11 +175,11 @@
         event: LeaseEvent,
         members: &MemberView,
         effects: &mut EffectQueue,
-    ) -> Vec<LeaseVerdict> {
+    ) -> Vec<LeaseChange> {
         let before = self.held();
         self.expire(now, effects);
         match event {
-            LeaseEvent::Wanted { name, wanted } => self.want(now, name, wanted, effects),
+            LeaseEvent::DemandChanged { name, wanted } => self.want(now, name, wanted, effects),
             LeaseEvent::TimerFired { number } => self.timer(now, number, members, effects),
             LeaseEvent::Table { number, answer } => self.answered(now, number, answer, effects),
             LeaseEvent::Leaving => self.leave(now, effects),
@@ -188,8 +188,8 @@
         let after = self.held();
         let gained = after.iter().filter(|name| !before.contains(name));
         let dropped = before.iter().filter(|name| !after.contains(name));
-        let gained = gained.copied().map(LeaseVerdict::Gained);
-        let dropped = dropped.copied().map(LeaseVerdict::Dropped);
+        let gained = gained.copied().map(LeaseChange::Acquired);
+        let dropped = dropped.copied().map(LeaseChange::Lost);
         dropped.chain(gained).collect()
     }
 
@@ -204,7 +204,7 @@
         for (name, record) in &mut self.records {
             let over = record
                 .grant
-                .is_some_and(|grant| now.monotonic >= grant.acts_until);
+                .is_some_and(|grant| now.monotonic >= grant.valid_until);
             if over {
                 record.grant = None;
                 let line = LogLine::new(LogLevel::Warn, "lease-expired").with("lease", name);
--- a/crates/savorywood-core/src/leases/contending.rs
+++ b/crates/savorywood-core/src/leases/contending.rs
@@ -175,11 +175,11 @@
         };
         if *row == found.row {
             let acting_time = self.options.acting_time();
-            let gained_at = record.grant.map_or(lost.sent_at, |grant| grant.gained_at);
+            let acquired_at = record.grant.map_or(lost.sent_at, |grant| grant.acquired_at);
             record.grant = Some(LeaseGrant {
                 fencing: row.fencing,
-                gained_at,
-                acts_until: lost.sent_at + acting_time,
+                acquired_at,
+                valid_until: lost.sent_at + acting_time,
             });
             let line = LogLine::new(LogLevel::Info, "lease-found").with("lease", name);
             effects.log(line.with("fencing", row.fencing));
--- a/crates/savorywood-core/src/leases/holding.rs
+++ b/crates/savorywood-core/src/leases/holding.rs
@@ -44,11 +44,11 @@
             self.release(now, name, effects);
             return;
         }
-        let gained_at = record.grant.map_or(call.sent_at, |grant| grant.gained_at);
+        let acquired_at = record.grant.map_or(call.sent_at, |grant| grant.acquired_at);
         record.grant = Some(LeaseGrant {
             fencing: row.fencing,
-            gained_at,
-            acts_until: call.sent_at + acting_time,
+            acquired_at,
+            valid_until: call.sent_at + acting_time,
         });
         if matches!(call.purpose, CallPurpose::Take { .. }) {
             let line = LogLine::new(LogLevel::Info, "lease-taken").with("lease", name);
--- a/crates/savorywood-core/src/moves/driving.rs
+++ b/crates/savorywood-core/src/moves/driving.rs
@@ -309,7 +309,7 @@
         if known.is_some_and(|known| known.row.fencing > lease.fencing) {
             return;
         }
-        let alone = now.monotonic < lease.acts_until;
+        let alone = now.monotonic < lease.valid_until;
         invariant::check(effects, InvariantName::HolderActsAlone, alone, || {
             format!("move={} fencing={}", planned.name, lease.fencing)
         });
--- a/crates/savorywood-core/src/orders/giving.rs
+++ b/crates/savorywood-core/src/orders/giving.rs
@@ -59,7 +59,7 @@
         // An engine that ignores fencing numbers takes an order of the last holder that arrives
         // late, after ours, and would end with the wrong version. So the first order waits until
         // none of the last holder's can be under way any more.
-        let waited = now.monotonic.since(lease.gained_at) >= self.options.longest_order;
+        let waited = now.monotonic.since(lease.acquired_at) >= self.options.longest_order;
         if !plan.spec.checks_fencing && !waited {
             return false;
         }
@@ -95,7 +95,7 @@
         version: Option<VersionName>,
         effects: &mut EffectQueue,
     ) {
-        let alone = now.monotonic < lease.acts_until;
+        let alone = now.monotonic < lease.valid_until;
         invariant::check(effects, InvariantName::HolderActsAlone, alone, || {
             format!("upstream={} fencing={}", plan.name, lease.fencing)
         });
@@ -120,7 +120,7 @@
             order: UpstreamOrder {
                 fencing: lease.fencing,
                 version,
-                act_by: lease.acts_until,
+                act_by: lease.valid_until,
             },
         });
     }
--- a/crates/savorywood-core/tests/order_faults.rs
+++ b/crates/savorywood-core/tests/order_faults.rs
@@ -106,15 +106,15 @@
     }
 
     fn lease(&self, holder: usize) -> Option<LeaseGrant> {
-        let (gained_at, acts_until) = match holder {
+        let (acquired_at, valid_until) = match holder {
             0 => (0, self.handed_over_at),
             _ => (self.handed_over_at, u64::MAX),
         };
-        let held = (gained_at..acts_until).contains(&self.now);
+        let held = (acquired_at..valid_until).contains(&self.now);
         held.then_some(LeaseGrant {
             fencing: FencingNumber(holder as u64 + 1),
-            gained_at: MonotonicTime(gained_at),
-            acts_until: MonotonicTime(acts_until),
+            acquired_at: MonotonicTime(acquired_at),
+            valid_until: MonotonicTime(valid_until),
         })
     }
 
@@ -267,8 +267,8 @@
     let config = config(1);
     let lease = LeaseGrant {
         fencing: FencingNumber(7),
-        gained_at: MonotonicTime(0),
-        acts_until: MonotonicTime(5 * SECOND),
+        acquired_at: MonotonicTime(0),
+        valid_until: MonotonicTime(5 * SECOND),
     };
     let mut effects = EffectQueue::new();
     let view = OrderView {
@@ -287,5 +287,5 @@
     });
     let orders: Vec<_> = orders.collect();
     assert_eq!(orders.len(), ENGINES);
-    assert!(orders.iter().all(|order| order.act_by == lease.acts_until));
+    assert!(orders.iter().all(|order| order.act_by == lease.valid_until));
 }
--- a/crates/savorywood-core/tests/support/lease_cluster.rs
+++ b/crates/savorywood-core/tests/support/lease_cluster.rs
@@ -75,7 +75,7 @@
             rng: ChaCha8Rng::seed_from_u64(seed),
         };
         for node in 0..rates.len() {
-            let event = LeaseEvent::Wanted {
+            let event = LeaseEvent::DemandChanged {
                 name: LeaseName::Moves,
                 wanted: true,
             };
--- a/crates/savorywood-core/tests/support/move_lab.rs
+++ b/crates/savorywood-core/tests/support/move_lab.rs
@@ -355,8 +355,8 @@
         let holds = node == self.holder && !self.cut_off.contains(&node);
         let lease = holds.then_some(LeaseGrant {
             fencing: FencingNumber(1 + self.holder as u64),
-            gained_at: MonotonicTime(0),
-            acts_until: now.monotonic + Duration::from_secs(1),
+            acquired_at: MonotonicTime(0),
+            valid_until: now.monotonic + Duration::from_secs(1),
         });
         let mut effects = EffectQueue::new();
         let view = MoveView {
