--- a/crates/savorywood-core/examples/membership_figures.rs
+++ b/crates/savorywood-core/examples/membership_figures.rs
@@ -167,7 +167,7 @@
         let host = network.random_host();
         match state {
             MemberState::Dead => network.kill(&host),
-            _ => network.step(&host, MembershipEvent::Leave),
+            _ => network.step(&host, MembershipEvent::Leaving),
         }
         let limit = Duration::from_secs(60);
         let took = network.run_until(limit, |net| all_know(net, &host, state));
--- a/crates/savorywood-core/src/credits.rs
+++ b/crates/savorywood-core/src/credits.rs
@@ -37,7 +37,7 @@
 };
 
 /// Time between two looks at what is due.
-pub const TICK: Duration = Duration::from_millis(100);
+pub const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 const TICK_TIMER: TimerKey = TimerKey {
     duty: DutyKind::Credits,
@@ -210,10 +210,10 @@
         self.sequence = self.sequence.max(now.wall.0);
         let now = now.monotonic;
         match event {
-            CreditEvent::Started => effects.set_timer(TICK_TIMER, now + TICK),
+            CreditEvent::Started => effects.set_timer(TICK_TIMER, now + TICK_INTERVAL),
             CreditEvent::TimerFired { number } => {
                 if number == TICK_TIMER.number {
-                    effects.set_timer(TICK_TIMER, now + TICK);
+                    effects.set_timer(TICK_TIMER, now + TICK_INTERVAL);
                 } else {
                     self.soon_at = None;
                 }
@@ -246,7 +246,7 @@
 
     /// Looks at what is due before the next tick.
     fn look_again(&mut self, now: MonotonicTime, at: MonotonicTime, effects: &mut EffectQueue) {
-        if at < now + TICK && self.soon_at.is_none_or(|soon| at < soon) {
+        if at < now + TICK_INTERVAL && self.soon_at.is_none_or(|soon| at < soon) {
             self.soon_at = Some(at);
             effects.set_timer(SOON_TIMER, at);
         }
--- a/crates/savorywood-core/src/credits/floors.rs
+++ b/crates/savorywood-core/src/credits/floors.rs
@@ -5,7 +5,7 @@
 //! asking all of them would take seconds of the byte budget at the planned size, and requests
 //! would be shed alone meanwhile.
 
-use super::{ArbiterRecord, CreditState, CreditView, TICK, arbiter_of};
+use super::{ArbiterRecord, CreditState, CreditView, TICK_INTERVAL, arbiter_of};
 use crate::{effect::EffectQueue, rendezvous};
 use savorywood_protocol::{
     HostName, MonotonicTime, ServiceName, TierRank, UpstreamName,
@@ -33,7 +33,7 @@
         service: &ServiceName,
         view: CreditView<'_>,
     ) -> Vec<UpstreamName> {
-        if now.since(self.floor_names.found_at) >= TICK {
+        if now.since(self.floor_names.found_at) >= TICK_INTERVAL {
             self.floor_names.names.clear();
             self.floor_names.found_at = now;
         }
--- a/crates/savorywood-core/src/daemon/leaving.rs
+++ b/crates/savorywood-core/src/daemon/leaving.rs
@@ -23,10 +23,10 @@
         }
         for verdict in verdicts {
             match verdict {
-                StopVerdict::AnnounceLeaving => self.join(now, MembershipEvent::Leave, effects),
+                StopVerdict::AnnounceLeaving => self.join(now, MembershipEvent::Leaving, effects),
                 StopVerdict::ReleaseLeases => self.lease(now, LeaseEvent::Leaving, effects),
                 StopVerdict::HandBackCredits => self.share(now, CreditEvent::ReleaseAll, effects),
-                StopVerdict::SayFarewell => self.join(now, MembershipEvent::Farewell, effects),
+                StopVerdict::SayFarewell => self.join(now, MembershipEvent::Exiting, effects),
             }
         }
         self.stop.finish(effects);
--- a/crates/savorywood-core/src/membership.rs
+++ b/crates/savorywood-core/src/membership.rs
@@ -47,7 +47,7 @@
 use table::{MemberTable, NewsSource};
 
 /// Time between two looks at what is due.
-pub const TICK: Duration = Duration::from_millis(100);
+pub const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The duty's only timer.
 const TICK_TIMER: TimerKey = TimerKey {
@@ -74,9 +74,9 @@
     /// A configuration is in force here.
     RevisionInForce(ConfigRevision),
     /// The daemon begins its planned stop.
-    Leave,
+    Leaving,
     /// The daemon is about to exit.
-    Farewell,
+    Exiting,
 }
 
 /// What a step changed that other duties must know.
@@ -207,8 +207,8 @@
             MembershipEvent::RevisionInForce(revision) => {
                 self.revision_in_force(now, revision, effects);
             }
-            MembershipEvent::Leave => self.announce(now, MemberState::Leaving, effects),
-            MembershipEvent::Farewell => self.announce(now, MemberState::Dead, effects),
+            MembershipEvent::Leaving => self.announce(now, MemberState::Leaving, effects),
+            MembershipEvent::Exiting => self.announce(now, MemberState::Dead, effects),
         }
         std::mem::take(&mut self.change)
     }
@@ -224,7 +224,7 @@
         };
         let update = self.own_update(MemberState::Alive, 0);
         self.accept(now, &update, NewsSource::Member, effects);
-        effects.set_timer(TICK_TIMER, now + TICK);
+        effects.set_timer(TICK_TIMER, now + TICK_INTERVAL);
     }
 
     fn own_update(&self, state: MemberState, refutation: u32) -> MemberUpdate {
--- a/crates/savorywood-core/src/membership/round.rs
+++ b/crates/savorywood-core/src/membership/round.rs
@@ -1,7 +1,7 @@
 //! What recurs: probes, bridges between regions, pulls and judgements that fall due.
 
 use super::{
-    MembershipState, PullProgress, TICK, TICK_TIMER,
+    MembershipState, PullProgress, TICK_INTERVAL, TICK_TIMER,
     outbox::PingPurpose,
     table::{TABLE_PARTS, is_live},
 };
@@ -71,7 +71,7 @@
             self.pull(now, effects);
         }
         self.spread(effects);
-        effects.set_timer(TICK_TIMER, now + TICK);
+        effects.set_timer(TICK_TIMER, now + TICK_INTERVAL);
     }
 
     /// The process stood still. Others took it for dead, and its own probes and suspicions are
--- a/crates/savorywood-core/tests/membership_schedules.rs
+++ b/crates/savorywood-core/tests/membership_schedules.rs
@@ -59,7 +59,7 @@
         FleetMishap::Leave(number) => {
             let host = host_name(number.into());
             if network.hosts.contains_key(&host) {
-                network.step(&host, MembershipEvent::Leave);
+                network.step(&host, MembershipEvent::Leaving);
                 leaving.insert(host);
             }
         }
--- a/crates/savorywood-core/tests/membership_spread.rs
+++ b/crates/savorywood-core/tests/membership_spread.rs
@@ -36,7 +36,7 @@
         let mut network = settled(seed, 60, 2);
         network.faults.loss = 0.1;
         let host = network.random_host();
-        network.step(&host, MembershipEvent::Leave);
+        network.step(&host, MembershipEvent::Leaving);
         let limit = Duration::from_secs(3);
         let took = network.run_until(limit, |net| net.all_hold(&host, MemberState::Leaving));
         assert!(
