--- a/crates/savorywood-core/src/claims.rs
+++ b/crates/savorywood-core/src/claims.rs
@@ -12,12 +12,12 @@
 mod outcome;
 mod record;
 mod repeat;
-mod settle;
 mod sweep;
+mod table_results;
 
 pub use key::{CLAIM_PREFIX, ClaimKey};
 pub use options::ClaimOptions;
-pub use record::{ClaimNonce, ClaimOutcome, ClaimRecord, RecordedAnswer};
+pub use record::{ClaimNonce, ClaimOutcome, ClaimRecord, RecordedResponse};
 
 use crate::{
     effect::EffectQueue,
@@ -26,7 +26,7 @@
     request::{KeptAnswer, QueuedRequest},
     view::MemberView,
 };
-use batch::{BatchItem, CommitPace, WriteKind};
+use batch::{BatchItem, CommitPacer, RowOperation};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use repeat::RepeatedCall;
@@ -118,7 +118,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ClaimStage {
     /// The row is not yet known to be ours; the call waits.
-    Wanted,
+    Pending,
     /// The row is ours and no byte of the call can have left.
     Held,
     /// The row is ours and the call may have reached an upstream.
@@ -139,9 +139,9 @@
     stage: ClaimStage,
     /// Revision of our row, once known.
     revision: Option<CommitRevision>,
-    wanted_at: MonotonicTime,
-    answer: Option<RecordedAnswer>,
-    tries: u32,
+    requested_at: MonotonicTime,
+    response: Option<RecordedResponse>,
+    attempts: u32,
 }
 
 /// Counters for metrics.
@@ -170,14 +170,14 @@
     rng: ChaCha8Rng,
     open: BTreeMap<RequestId, OpenClaim>,
     rows: BTreeMap<RowKey, RequestId>,
-    waiting: VecDeque<BatchItem>,
-    unsure: Vec<BatchItem>,
+    queued: VecDeque<BatchItem>,
+    in_doubt: Vec<BatchItem>,
     calls: BTreeMap<u64, TableTask>,
     last_call: u64,
-    pace: CommitPace,
+    pacer: CommitPacer,
     sweep: SweepState,
     counters: ClaimCounters,
-    verdicts: Vec<ClaimDecision>,
+    decisions: Vec<ClaimDecision>,
 }
 
 /// What a call of the table is for.
@@ -202,21 +202,22 @@
     pub fn new(options: ClaimOptions) -> Self {
         // The nonce decides who runs a call, so two lives must never draw the same one, even if
         // somebody gives both the same seed.
-        let life = crate::rendezvous::hash_parts(&[options.host.as_str()]);
-        let seed = options.seed ^ crate::rendezvous::mix_bits(life ^ options.incarnation.0);
+        let incarnation_hash = crate::rendezvous::hash_parts(&[options.host.as_str()]);
+        let seed =
+            options.seed ^ crate::rendezvous::mix_bits(incarnation_hash ^ options.incarnation.0);
         Self {
             rng: ChaCha8Rng::seed_from_u64(seed),
             options,
             open: BTreeMap::new(),
             rows: BTreeMap::new(),
-            waiting: VecDeque::new(),
-            unsure: Vec::new(),
+            queued: VecDeque::new(),
+            in_doubt: Vec::new(),
             calls: BTreeMap::new(),
             last_call: 0,
-            pace: CommitPace::default(),
+            pacer: CommitPacer::default(),
             sweep: SweepState::default(),
             counters: ClaimCounters::default(),
-            verdicts: Vec::new(),
+            decisions: Vec::new(),
         }
     }
 
@@ -242,16 +243,18 @@
     ) -> Vec<ClaimDecision> {
         match event {
             ClaimEvent::Started => self.start_sweep(now.monotonic, effects),
-            ClaimEvent::Requested(wish) => self.want(now, *wish, view, effects),
+            ClaimEvent::Requested(requested) => self.request_claim(now, *requested, view, effects),
             ClaimEvent::TimerFired { number } => self.timer_fired(now, number, view, effects),
             ClaimEvent::Table { number, answer } => {
                 self.table_answered(now, number, answer, view, effects);
             }
             ClaimEvent::Upstream(event) => self.upstream(now, &event, view, effects),
-            ClaimEvent::ResponseReceived { request, answer } => self.answer_kept(request, &answer),
+            ClaimEvent::ResponseReceived { request, answer } => {
+                self.response_received(request, &answer)
+            }
             ClaimEvent::Closed { request } => self.close(now, request, view, effects),
         }
-        std::mem::take(&mut self.verdicts)
+        std::mem::take(&mut self.decisions)
     }
 
     /// Notes that a call is about to be dispatched, and says whether it may be. Called for each
@@ -278,18 +281,18 @@
         may
     }
 
-    fn want(
+    fn request_claim(
         &mut self,
         now: CoreTime,
-        wish: ClaimRequest,
+        requested: ClaimRequest,
         view: ClaimView<'_>,
         effects: &mut EffectQueue,
     ) {
-        let request = wish.request.request;
+        let request = requested.request.request;
         let key = ClaimKey::parse(
-            &wish.key,
-            &wish.request.team,
-            wish.retention,
+            &requested.key,
+            &requested.request.team,
+            requested.retention,
             now.wall,
             self.options.clock_skew,
         );
@@ -298,7 +301,7 @@
             Err(refusal) => return effects.refuse(request, refusal),
         };
         let nonce = ClaimNonce(self.rng.random());
-        let record = self.record_of(now, &wish, &key, nonce);
+        let record = self.new_record(now, &requested, &key, nonce);
         if let Some(first) = self.rows.get(&key.row).and_then(|id| self.open.get(id)) {
             let first = first.record.clone();
             let repeat = RepeatedCall {
@@ -306,42 +309,42 @@
                 ours: &record,
                 first: &first,
             };
-            return self.answer_repeat(now, &repeat, view, effects);
+            return self.respond_to_repeat(now, &repeat, view, effects);
         }
-        if self.waiting.len() >= self.options.max_waiting {
+        if self.queued.len() >= self.options.max_queued {
             let detail = "too many calls wait for their claims; nothing has run";
             let refusal = RequestRefusal::not_run(RefusalCode::Overloaded, detail);
             return effects.refuse(request, refusal.with_retry_after(Duration::from_secs(1)));
         }
         let claim = OpenClaim {
-            request: wish.request,
+            request: requested.request,
             row: key.row.clone(),
             nonce,
             record,
-            stage: ClaimStage::Wanted,
+            stage: ClaimStage::Pending,
             revision: None,
-            wanted_at: now.monotonic,
-            answer: None,
-            tries: 0,
+            requested_at: now.monotonic,
+            response: None,
+            attempts: 0,
         };
         self.rows.insert(key.row, request);
         self.open.insert(request, claim);
-        self.enqueue(now.monotonic, request, WriteKind::Insert, view, effects);
+        self.enqueue(now.monotonic, request, RowOperation::Insert, view, effects);
     }
 
-    fn record_of(
+    fn new_record(
         &self,
         now: CoreTime,
-        wish: &ClaimRequest,
+        requested: &ClaimRequest,
         key: &ClaimKey,
         nonce: ClaimNonce,
     ) -> ClaimRecord {
         let host = self.options.host.clone();
-        let draft = ClaimRecord::draft(nonce, host, self.options.incarnation);
+        let owner = ClaimRecord::owned_by(nonce, host, self.options.incarnation);
         let margin = self.options.sweep_margin;
-        draft.of_call(
-            wish.request.service.clone(),
-            record::fingerprint_text(&wish.fingerprint),
+        owner.into_record(
+            requested.request.service.clone(),
+            record::hex_digest(&requested.fingerprint),
             now.wall,
             key.expires_at.map(|at| at + margin),
         )
@@ -362,7 +365,7 @@
     }
 
     /// Forgets a claim that needs nothing more.
-    fn forget(&mut self, request: RequestId) {
+    fn remove_claim(&mut self, request: RequestId) {
         if let Some(claim) = self.open.remove(&request) {
             self.rows.remove(&claim.row);
         }
--- a/crates/savorywood-core/src/claims/batch.rs
+++ b/crates/savorywood-core/src/claims/batch.rs
@@ -12,7 +12,7 @@
 
 /// What a row is written for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum WriteKind {
+pub enum RowOperation {
     /// Inserts the claim.
     Insert,
     /// Records the outcome.
@@ -27,12 +27,12 @@
     /// Call that the row is about.
     pub request: RequestId,
     /// What for.
-    pub kind: WriteKind,
+    pub kind: RowOperation,
 }
 
 /// Keeps commits apart, so that all daemons together stay within the store's write budget.
 #[derive(Debug, Default)]
-pub struct CommitPace {
+pub struct CommitPacer {
     next_at: MonotonicTime,
     timer_at: Option<MonotonicTime>,
 }
@@ -43,23 +43,23 @@
         &mut self,
         now: MonotonicTime,
         request: RequestId,
-        kind: WriteKind,
+        kind: RowOperation,
         view: ClaimView<'_>,
         effects: &mut EffectQueue,
     ) {
-        self.waiting.push_back(BatchItem { request, kind });
-        if self.waiting.len() >= self.options.max_rows {
+        self.queued.push_back(BatchItem { request, kind });
+        if self.queued.len() >= self.options.max_batch_rows {
             self.flush(now, view, effects);
         }
         self.arm_batch(now, effects);
     }
 
     fn arm_batch(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
-        if self.waiting.is_empty() || self.pace.timer_at.is_some() {
+        if self.queued.is_empty() || self.pacer.timer_at.is_some() {
             return;
         }
-        let at = self.pace.next_at.max(now + self.options.window);
-        self.pace.timer_at = Some(at);
+        let at = self.pacer.next_at.max(now + self.options.batch_window);
+        self.pacer.timer_at = Some(at);
         effects.set_timer(BATCH_TIMER, at);
     }
 
@@ -70,14 +70,14 @@
         view: ClaimView<'_>,
         effects: &mut EffectQueue,
     ) {
-        if self.pace.timer_at.is_some_and(|at| at <= now) {
-            self.pace.timer_at = None;
+        if self.pacer.timer_at.is_some_and(|at| at <= now) {
+            self.pacer.timer_at = None;
         }
-        if self.pace.next_at <= now && !self.waiting.is_empty() {
-            let count = self.waiting.len().min(self.options.max_rows);
-            let items: Vec<_> = self.waiting.drain(..count).collect();
-            let gap = self.options.commit_gap(view.members.serving().count());
-            self.pace.next_at = now + gap;
+        if self.pacer.next_at <= now && !self.queued.is_empty() {
+            let count = self.queued.len().min(self.options.max_batch_rows);
+            let items: Vec<_> = self.queued.drain(..count).collect();
+            let gap = self.options.commit_interval(view.members.serving().count());
+            self.pacer.next_at = now + gap;
             self.commit(now, items, effects);
         }
         self.arm_batch(now, effects);
@@ -96,7 +96,7 @@
                     commit.writes.push(row.write);
                     sent.push(item);
                 }
-                None => self.drop_unwanted(now, item, effects),
+                None => self.skip_abandoned(now, item, effects),
             }
         }
         if sent.is_empty() {
@@ -112,35 +112,35 @@
     /// nothing remains to be done; else the row is read and deleted. Without the timer nobody would
     /// read it if no other claim is in doubt: the claim would stay open, and a planned stop would
     /// wait for it for good.
-    fn drop_unwanted(&mut self, now: MonotonicTime, item: BatchItem, effects: &mut EffectQueue) {
+    fn skip_abandoned(&mut self, now: MonotonicTime, item: BatchItem, effects: &mut EffectQueue) {
         let Some(claim) = self.open.get(&item.request) else {
             return;
         };
-        if item.kind != WriteKind::Insert || claim.stage != ClaimStage::Releasing {
+        if item.kind != RowOperation::Insert || claim.stage != ClaimStage::Releasing {
             return;
         }
-        match claim.tries {
-            0 => self.forget(item.request),
+        match claim.attempts {
+            0 => self.remove_claim(item.request),
             _ => {
-                let kind = WriteKind::Release;
-                self.unsure.push(BatchItem { kind, ..item });
-                effects.set_timer(RETRY_TIMER, now + self.options.retry_period);
+                let kind = RowOperation::Release;
+                self.in_doubt.push(BatchItem { kind, ..item });
+                effects.set_timer(RETRY_TIMER, now + self.options.retry_interval);
             }
         }
     }
 
     fn row_write(&self, item: BatchItem) -> Option<ConditionalWrite> {
         let claim = self.open.get(&item.request)?;
-        let still_wanted = match item.kind {
-            WriteKind::Insert => claim.stage == ClaimStage::Wanted,
-            WriteKind::Record => claim.stage == ClaimStage::Recording,
-            WriteKind::Release => claim.stage == ClaimStage::Releasing,
+        let is_current = match item.kind {
+            RowOperation::Insert => claim.stage == ClaimStage::Pending,
+            RowOperation::Record => claim.stage == ClaimStage::Recording,
+            RowOperation::Release => claim.stage == ClaimStage::Releasing,
         };
         let value = match item.kind {
-            WriteKind::Insert | WriteKind::Record => Some(claim.record.write()),
-            WriteKind::Release => None,
+            RowOperation::Insert | RowOperation::Record => Some(claim.record.to_json()),
+            RowOperation::Release => None,
         };
-        still_wanted.then(|| ConditionalWrite {
+        is_current.then(|| ConditionalWrite {
             condition: RowCondition {
                 key: claim.row.clone(),
                 revision: claim.revision,
--- a/crates/savorywood-core/src/claims/key.rs
+++ b/crates/savorywood-core/src/claims/key.rs
@@ -47,11 +47,11 @@
                 expires_at: None,
             }),
             ClaimRetention::Seconds(seconds) => {
-                let kept = Duration::from_secs(seconds.into());
-                let made_at = check_age(uuid, kept, now, skew)?;
+                let validity = Duration::from_secs(seconds.into());
+                let created_at = check_age(uuid, validity, now, skew)?;
                 Ok(Self {
                     row,
-                    expires_at: Some(made_at + kept),
+                    expires_at: Some(created_at + validity),
                 })
             }
         }
@@ -70,7 +70,7 @@
 /// When the key was made, if its claim is still sure to be kept.
 fn check_age(
     uuid: Option<Uuid>,
-    kept: Duration,
+    validity: Duration,
     now: WallTime,
     skew: Duration,
 ) -> Result<WallTime, RequestRefusal> {
@@ -80,20 +80,20 @@
                       the same one when you retry";
         return Err(RequestRefusal::not_run(RefusalCode::BadRequest, detail));
     };
-    let made_at = WallTime(u64::try_from(uuid.as_u128() >> 80).unwrap_or(u64::MAX));
-    if made_at > now + skew {
-        let detail = format!("the key is from the future ({made_at}); check the caller's clock");
+    let created_at = WallTime(u64::try_from(uuid.as_u128() >> 80).unwrap_or(u64::MAX));
+    if created_at > now + skew {
+        let detail = format!("the key is from the future ({created_at}); check the caller's clock");
         return Err(RequestRefusal::not_run(RefusalCode::BadRequest, detail));
     }
     // The claim of an older key may have been deleted, so a repeat could not be told from a
     // first call and would run twice.
-    if now.since(made_at) > kept {
+    if now.since(created_at) > validity {
         let detail = format!(
-            "the key was made at {made_at}; keys are good for {} s. This call was not run; \
+            "the key was made at {created_at}; keys are good for {} s. This call was not run; \
              whether an earlier one with this key ran is no longer known here",
-            kept.as_secs()
+            validity.as_secs()
         );
         return Err(RequestRefusal::not_run(RefusalCode::KeyExpired, detail));
     }
-    Ok(made_at)
+    Ok(created_at)
 }
--- a/crates/savorywood-core/src/claims/outcome.rs
+++ b/crates/savorywood-core/src/claims/outcome.rs
@@ -1,6 +1,8 @@
 //! How claimed calls end, and what is recorded of it.
 
-use super::{ClaimOutcome, ClaimStage, ClaimState, ClaimView, RecordedAnswer, batch::WriteKind};
+use super::{
+    ClaimOutcome, ClaimStage, ClaimState, ClaimView, RecordedResponse, batch::RowOperation,
+};
 use crate::{effect::EffectQueue, event::UpstreamEvent, request::KeptAnswer};
 use savorywood_protocol::{CoreTime, RequestId};
 
@@ -38,17 +40,17 @@
         }
     }
 
-    pub(super) fn answer_kept(&mut self, request: RequestId, answer: &KeptAnswer) {
-        let max_body = self.options.max_kept_body;
+    pub(super) fn response_received(&mut self, request: RequestId, answer: &KeptAnswer) {
+        let max_body = self.options.max_recorded_body_bytes;
         if let Some(claim) = self.open.get_mut(&request) {
-            claim.answer = Some(RecordedAnswer::from_kept(answer, max_body));
+            claim.response = Some(RecordedResponse::from_response(answer, max_body));
         }
     }
 
     fn outcome_of(&self, request: RequestId, status: u16) -> ClaimOutcome {
         let claim = self.open.get(&request);
-        let answer = claim.and_then(|claim| claim.answer.clone());
-        ClaimOutcome::Answered(answer.unwrap_or_else(|| RecordedAnswer {
+        let answer = claim.and_then(|claim| claim.response.clone());
+        ClaimOutcome::Answered(answer.unwrap_or_else(|| RecordedResponse {
             status,
             content_type: String::new(),
             body: None,
@@ -69,8 +71,8 @@
         };
         claim.stage = ClaimStage::Recording;
         claim.record.outcome = outcome;
-        claim.tries = 0;
-        let kind = WriteKind::Record;
+        claim.attempts = 0;
+        let kind = RowOperation::Record;
         self.enqueue(now.monotonic, request, kind, view, effects);
     }
 
@@ -89,10 +91,10 @@
         match claim.stage {
             ClaimStage::Held => {
                 claim.stage = ClaimStage::Releasing;
-                let kind = WriteKind::Release;
+                let kind = RowOperation::Release;
                 self.enqueue(now.monotonic, request, kind, view, effects);
             }
-            ClaimStage::Wanted => claim.stage = ClaimStage::Releasing,
+            ClaimStage::Pending => claim.stage = ClaimStage::Releasing,
             ClaimStage::Dispatched => {
                 self.record(now, request, ClaimOutcome::Unknown, view, effects);
             }
--- a/crates/savorywood-core/src/claims/record.rs
+++ b/crates/savorywood-core/src/claims/record.rs
@@ -37,14 +37,14 @@
     /// It waits or runs, or its daemon died before it could say.
     Running,
     /// It ran and was answered.
-    Answered(RecordedAnswer),
+    Answered(RecordedResponse),
     /// It broke off: it may or may not have run.
     Unknown,
 }
 
 /// An answer as it stands in the row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RecordedAnswer {
+pub struct RecordedResponse {
     /// HTTP status.
     pub status: u16,
     /// Value of `Content-Type`; empty when there was none.
@@ -56,8 +56,8 @@
 impl ClaimRecord {
     /// Begins the record of an attempt.
     #[must_use]
-    pub fn draft(nonce: ClaimNonce, host: HostName, incarnation: HostIncarnation) -> ClaimDraft {
-        ClaimDraft {
+    pub fn owned_by(nonce: ClaimNonce, host: HostName, incarnation: HostIncarnation) -> ClaimOwner {
+        ClaimOwner {
             nonce,
             host,
             incarnation,
@@ -72,29 +72,29 @@
 
     /// Reads a row.
     #[must_use]
-    pub fn read(value: &str) -> Option<Self> {
+    pub fn parse(value: &str) -> Option<Self> {
         serde_json::from_str(value).ok()
     }
 
     /// The row's content.
     #[must_use]
-    pub fn write(&self) -> String {
+    pub fn to_json(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
 }
 
 /// The part of a record that says who claims.
 #[derive(Debug, Clone)]
-pub struct ClaimDraft {
+pub struct ClaimOwner {
     nonce: ClaimNonce,
     host: HostName,
     incarnation: HostIncarnation,
 }
 
-impl ClaimDraft {
+impl ClaimOwner {
     /// The record of a call that is about to be dispatched.
     #[must_use]
-    pub fn of_call(
+    pub fn into_record(
         self,
         service: ServiceName,
         fingerprint: String,
@@ -114,10 +114,10 @@
     }
 }
 
-impl RecordedAnswer {
+impl RecordedResponse {
     /// Takes down an answer; a body over the limit is left out.
     #[must_use]
-    pub fn from_kept(answer: &KeptAnswer, max_body: usize) -> Self {
+    pub fn from_response(answer: &KeptAnswer, max_body: usize) -> Self {
         let body = answer.body.as_ref().filter(|body| body.len() <= max_body);
         Self {
             status: answer.status,
@@ -128,7 +128,7 @@
 
     /// The answer as it was.
     #[must_use]
-    pub fn to_kept(&self) -> KeptAnswer {
+    pub fn to_response(&self) -> KeptAnswer {
         let body = self.body.as_ref();
         KeptAnswer {
             status: self.status,
@@ -140,7 +140,7 @@
 
 /// A SHA-256 as hexadecimal digits.
 #[must_use]
-pub fn fingerprint_text(fingerprint: &[u8; 32]) -> String {
+pub fn hex_digest(fingerprint: &[u8; 32]) -> String {
     fingerprint
         .iter()
         .map(|byte| format!("{byte:02x}"))
--- a/crates/savorywood-core/src/claims/repeat.rs
+++ b/crates/savorywood-core/src/claims/repeat.rs
@@ -26,7 +26,7 @@
 
 impl ClaimState {
     /// Answers a call whose key was claimed by another attempt.
-    pub(super) fn answer_repeat(
+    pub(super) fn respond_to_repeat(
         &mut self,
         now: CoreTime,
         repeat: &RepeatedCall<'_>,
@@ -41,16 +41,16 @@
         let same_call = ours.service == first.service && ours.fingerprint == first.fingerprint;
         if same_call && let ClaimOutcome::Answered(answer) = &first.outcome {
             self.counters.replays += 1;
-            let answer = Box::new(answer.to_kept());
+            let answer = Box::new(answer.to_response());
             effects.push(DaemonEffect::Replay { request, answer });
             return;
         }
         self.counters.repeats += 1;
         let refusal = match &first.outcome {
-            _ if !same_call => other_call(first),
-            ClaimOutcome::Running if has_ended(now, first, view) => died(first),
-            ClaimOutcome::Running => running(first),
-            ClaimOutcome::Unknown | ClaimOutcome::Answered(_) => broken(first),
+            _ if !same_call => key_reused(first),
+            ClaimOutcome::Running if cannot_complete(now, first, view) => holder_stopped(first),
+            ClaimOutcome::Running => still_running(first),
+            ClaimOutcome::Unknown | ClaimOutcome::Answered(_) => interrupted(first),
         };
         effects.refuse(request, refusal);
     }
@@ -58,17 +58,17 @@
 
 /// Whether the daemon that holds a claim can't end it any more: it is gone, it has begun a new
 /// life, or the longest deadline has passed.
-fn has_ended(now: CoreTime, first: &ClaimRecord, view: ClaimView<'_>) -> bool {
+fn cannot_complete(now: CoreTime, first: &ClaimRecord, view: ClaimView<'_>) -> bool {
     let holder = view.members.members.get(&first.host);
-    let gone = holder.is_some_and(|holder| {
+    let holder_gone = holder.is_some_and(|holder| {
         let dead = holder.state == MemberState::Dead && holder.incarnation == first.incarnation;
         dead || holder.incarnation > first.incarnation
     });
-    gone || now.wall.since(first.claimed_at) > MAX_DEADLINE
+    holder_gone || now.wall.since(first.claimed_at) > MAX_DEADLINE
 }
 
 /// This call, unlike the first, can't have run: it is another one.
-fn other_call(first: &ClaimRecord) -> RequestRefusal {
+fn key_reused(first: &ClaimRecord) -> RequestRefusal {
     let detail = format!(
         "this key was used at {} for another call (another service, path or body); nothing has \
          run, send this call with a key of its own",
@@ -77,7 +77,7 @@
     RequestRefusal::not_run(RefusalCode::KeyUsed, detail)
 }
 
-fn running(first: &ClaimRecord) -> RequestRefusal {
+fn still_running(first: &ClaimRecord) -> RequestRefusal {
     let detail = format!(
         "the first call with this key began at {} and has not ended; ask again with the same key",
         first.claimed_at
@@ -85,7 +85,7 @@
     RequestRefusal::unknown(RefusalCode::KeyUsed, detail).with_retry_after(RUNNING_RETRY_AFTER)
 }
 
-fn died(first: &ClaimRecord) -> RequestRefusal {
+fn holder_stopped(first: &ClaimRecord) -> RequestRefusal {
     let detail = format!(
         "the first call with this key began at {} on {}, which stopped before it recorded how \
          the call ended. It may have run and is never run again under this key: check with the \
@@ -95,7 +95,7 @@
     RequestRefusal::unknown(RefusalCode::KeyUsed, detail)
 }
 
-fn broken(first: &ClaimRecord) -> RequestRefusal {
+fn interrupted(first: &ClaimRecord) -> RequestRefusal {
     let detail = format!(
         "the first call with this key began at {} and broke off. It may have run and is never \
          run again under this key: check with the service itself",
--- a/crates/savorywood-core/src/claims/sweep.rs
+++ b/crates/savorywood-core/src/claims/sweep.rs
@@ -17,7 +17,7 @@
 
 impl ClaimState {
     pub(super) fn start_sweep(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
-        effects.set_timer(SWEEP_TIMER, now + self.options.sweep_period);
+        effects.set_timer(SWEEP_TIMER, now + self.options.sweep_interval);
     }
 
     pub(super) fn sweep_due(
@@ -27,11 +27,11 @@
         effects: &mut EffectQueue,
     ) {
         self.start_sweep(now.monotonic, effects);
-        if self.sweeps(view) {
+        if self.is_sweeper(view) {
             let request = TableRequest::Scan {
                 prefix: CLAIM_PREFIX.to_owned(),
                 after: self.sweep.after,
-                limit: self.options.sweep_rows,
+                limit: self.options.max_sweep_rows,
             };
             self.call_table(TableTask::SweepScan, request, effects);
         }
@@ -39,10 +39,10 @@
 
     /// Whether this daemon is the one that sweeps. Two that think so do no harm: each row is
     /// deleted on condition that nobody has touched it.
-    fn sweeps(&self, view: ClaimView<'_>) -> bool {
-        let thing = rendezvous::hash_parts(&["claim-sweep"]);
+    fn is_sweeper(&self, view: ClaimView<'_>) -> bool {
+        let subject = rendezvous::hash_parts(&["claim-sweep"]);
         let hosts = view.members.serving().map(|(host, _)| host);
-        let first = hosts.max_by_key(|host| rendezvous::score(thing, host.as_str()));
+        let first = hosts.max_by_key(|host| rendezvous::score(subject, host.as_str()));
         first.is_none_or(|host| *host == self.options.host)
     }
 
@@ -57,16 +57,16 @@
         };
         let last = rows.last().map(|row| row.revision);
         self.sweep.after = last.filter(|_| more).unwrap_or_default();
-        let old: Vec<_> = rows
+        let expired: Vec<_> = rows
             .iter()
-            .filter(|row| is_old(row, now.wall))
-            .take(self.options.max_rows)
+            .filter(|row| is_expired(row, now.wall))
+            .take(self.options.max_batch_rows)
             .collect();
-        if old.is_empty() {
+        if expired.is_empty() {
             return;
         }
-        let commit = delete_rows(&old);
-        let rows = old.len() as u64;
+        let commit = delete_rows(&expired);
+        let rows = expired.len() as u64;
         let request = TableRequest::Commit(commit);
         self.call_table(TableTask::SweepDelete { rows }, request, effects);
     }
@@ -78,8 +78,8 @@
     }
 }
 
-fn is_old(row: &TableRow, now: WallTime) -> bool {
-    let record = row.value.as_deref().and_then(ClaimRecord::read);
+fn is_expired(row: &TableRow, now: WallTime) -> bool {
+    let record = row.value.as_deref().and_then(ClaimRecord::parse);
     let delete_after = record.and_then(|record| record.delete_after);
     delete_after.is_some_and(|at| now > at)
 }
--- a/crates/savorywood-core/src/claims/settle.rs
+++ b/crates/savorywood-core/src/claims/table_results.rs
@@ -2,7 +2,7 @@
 
 use super::{
     ClaimDecision, ClaimRecord, ClaimStage, ClaimState, ClaimView, RETRY_TIMER, TableTask,
-    batch::{BatchItem, WriteKind},
+    batch::{BatchItem, RowOperation},
     repeat::RepeatedCall,
 };
 use crate::effect::{EffectQueue, LogLevel, LogLine};
@@ -25,15 +25,17 @@
         effects: &mut EffectQueue,
     ) {
         match self.calls.remove(&number) {
-            Some(TableTask::Commit(items)) => self.committed(now, &items, answer, view, effects),
-            Some(TableTask::ReadBack(items)) => self.was_read(now, items, answer, view, effects),
+            Some(TableTask::Commit(items)) => {
+                self.commit_answered(now, &items, answer, view, effects)
+            }
+            Some(TableTask::ReadBack(items)) => self.rows_read(now, items, answer, view, effects),
             Some(TableTask::SweepScan) => self.scanned(now, answer, effects),
             Some(TableTask::SweepDelete { rows }) => self.swept(rows, &answer),
             None => {}
         }
     }
 
-    fn committed(
+    fn commit_answered(
         &mut self,
         now: CoreTime,
         items: &[BatchItem],
@@ -44,24 +46,24 @@
         match answer {
             TableAnswer::Committed { revision } => {
                 for item in items {
-                    self.took_effect(now, *item, revision, view, effects);
+                    self.row_written(now, *item, revision, view, effects);
                 }
             }
             TableAnswer::Conflict { rows } => {
-                self.conflicted(now, items, rows, view, effects);
+                self.handle_conflict(now, items, rows, view, effects);
             }
             TableAnswer::Unavailable => {
                 for item in items {
-                    self.not_written(now, *item, effects);
+                    self.write_refused(now, *item, effects);
                 }
             }
             // The commit may have taken effect. Taking it for failed would let a repeat of the
             // call run elsewhere; taking it for done would run the call under another's claim.
-            TableAnswer::Lost | TableAnswer::Rows { .. } => self.doubt(now, items, effects),
+            TableAnswer::Lost | TableAnswer::Rows { .. } => self.mark_in_doubt(now, items, effects),
         }
     }
 
-    fn took_effect(
+    fn row_written(
         &mut self,
         now: CoreTime,
         item: BatchItem,
@@ -70,13 +72,13 @@
         effects: &mut EffectQueue,
     ) {
         match item.kind {
-            WriteKind::Insert => self.hold(now, item.request, revision, view, effects),
-            WriteKind::Record | WriteKind::Release => self.forget(item.request),
+            RowOperation::Insert => self.mark_held(now, item.request, revision, view, effects),
+            RowOperation::Record | RowOperation::Release => self.remove_claim(item.request),
         }
     }
 
     /// The row is ours.
-    fn hold(
+    fn mark_held(
         &mut self,
         now: CoreTime,
         request: RequestId,
@@ -88,16 +90,16 @@
             return;
         };
         claim.revision = Some(revision);
-        claim.tries = 0;
+        claim.attempts = 0;
         match claim.stage {
-            ClaimStage::Wanted => {
+            ClaimStage::Pending => {
                 claim.stage = ClaimStage::Held;
                 let request = Box::new(claim.request.clone());
-                self.verdicts.push(ClaimDecision::Granted(request));
+                self.decisions.push(ClaimDecision::Granted(request));
             }
             // Refused while the answer was on its way: nothing ran, so the row goes.
             ClaimStage::Releasing => {
-                let kind = WriteKind::Release;
+                let kind = RowOperation::Release;
                 self.enqueue(now.monotonic, request, kind, view, effects);
             }
             ClaimStage::Held | ClaimStage::Dispatched | ClaimStage::Recording => {}
@@ -106,7 +108,7 @@
 
     /// One condition did not hold, and with it the whole transaction. Only the calls whose rows
     /// were given back have a conflict; the others are committed again.
-    fn conflicted(
+    fn handle_conflict(
         &mut self,
         now: CoreTime,
         items: &[BatchItem],
@@ -123,21 +125,21 @@
             match rows.get(&claim.row) {
                 Some(row) => {
                     matched = true;
-                    self.compare(now, *item, Some(row), view, effects);
+                    self.reconcile(now, *item, Some(row), view, effects);
                 }
-                None => self.waiting.push_back(*item),
+                None => self.queued.push_back(*item),
             }
         }
         if !matched {
             // The answer names none of our rows: only reading them tells.
-            self.waiting.retain(|waiting| !items.contains(waiting));
-            self.doubt(now, items, effects);
+            self.queued.retain(|queued| !items.contains(queued));
+            self.mark_in_doubt(now, items, effects);
         }
         self.flush(now.monotonic, view, effects);
     }
 
     /// Compares a row as it stands with what we meant to write.
-    fn compare(
+    fn reconcile(
         &mut self,
         now: CoreTime,
         item: BatchItem,
@@ -149,23 +151,25 @@
             return;
         };
         let value = row.and_then(|row| row.value.as_deref());
-        let found = value.and_then(ClaimRecord::read);
+        let found = value.and_then(ClaimRecord::parse);
         let revision = row.map(|row| row.revision);
         let ours = found.as_ref().filter(|f| f.is_held_by(claim.nonce));
         match (item.kind, ours, revision) {
-            (WriteKind::Insert, Some(_), Some(revision)) => {
-                self.hold(now, item.request, revision, view, effects);
+            (RowOperation::Insert, Some(_), Some(revision)) => {
+                self.mark_held(now, item.request, revision, view, effects);
             }
-            (WriteKind::Record, Some(ours), _) if ours.outcome == claim.record.outcome => {
-                self.forget(item.request);
+            (RowOperation::Record, Some(ours), _) if ours.outcome == claim.record.outcome => {
+                self.remove_claim(item.request);
             }
-            (WriteKind::Record | WriteKind::Release, Some(_), Some(revision)) => {
+            (RowOperation::Record | RowOperation::Release, Some(_), Some(revision)) => {
                 claim.revision = Some(revision);
                 self.enqueue(now.monotonic, item.request, item.kind, view, effects);
             }
             _ if value.is_none() => self.row_absent(now, item, view, effects),
-            (WriteKind::Insert, ..) => self.taken(now, item.request, found, view, effects),
-            _ => self.forget(item.request),
+            (RowOperation::Insert, ..) => {
+                self.claimed_elsewhere(now, item.request, found, view, effects)
+            }
+            _ => self.remove_claim(item.request),
         }
     }
 
@@ -179,18 +183,18 @@
         effects: &mut EffectQueue,
     ) {
         let claim = self.open.get(&item.request);
-        let wanted = claim.is_some_and(|claim| claim.stage == ClaimStage::Wanted);
+        let wanted = claim.is_some_and(|claim| claim.stage == ClaimStage::Pending);
         match item.kind {
-            WriteKind::Insert if wanted => {
+            RowOperation::Insert if wanted => {
                 self.enqueue(now.monotonic, item.request, item.kind, view, effects);
             }
-            WriteKind::Insert | WriteKind::Record | WriteKind::Release => {
-                self.forget(item.request);
+            RowOperation::Insert | RowOperation::Record | RowOperation::Release => {
+                self.remove_claim(item.request);
             }
         }
     }
 
-    fn taken(
+    fn claimed_elsewhere(
         &mut self,
         now: CoreTime,
         request: RequestId,
@@ -201,8 +205,8 @@
         let Some(claim) = self.open.get(&request) else {
             return;
         };
-        let (ours, waits) = (claim.record.clone(), claim.stage == ClaimStage::Wanted);
-        self.forget(request);
+        let (ours, waits) = (claim.record.clone(), claim.stage == ClaimStage::Pending);
+        self.remove_claim(request);
         if !waits {
             return;
         }
@@ -213,7 +217,7 @@
                     ours: &ours,
                     first: &found,
                 };
-                self.answer_repeat(now, &repeat, view, effects);
+                self.respond_to_repeat(now, &repeat, view, effects);
             }
             None => {
                 let detail = "the claim of this key can't be read; its first call may have run";
@@ -224,26 +228,26 @@
     }
 
     /// The store took nothing.
-    fn not_written(&mut self, now: CoreTime, item: BatchItem, effects: &mut EffectQueue) {
+    fn write_refused(&mut self, now: CoreTime, item: BatchItem, effects: &mut EffectQueue) {
         let Some(claim) = self.open.get(&item.request) else {
             return;
         };
-        let (never_sent, waits) = (claim.tries == 0, claim.stage == ClaimStage::Wanted);
+        let (never_sent, waits) = (claim.attempts == 0, claim.stage == ClaimStage::Pending);
         match item.kind {
-            WriteKind::Insert if never_sent => {
+            RowOperation::Insert if never_sent => {
                 if waits {
-                    self.refuse_for_store(item.request, effects);
+                    self.refuse_store_unavailable(item.request, effects);
                 }
-                self.forget(item.request);
+                self.remove_claim(item.request);
             }
             // An earlier write of the row may have taken effect, so it must be read first.
-            WriteKind::Insert | WriteKind::Record | WriteKind::Release => {
-                self.doubt(now, &[item], effects);
+            RowOperation::Insert | RowOperation::Record | RowOperation::Release => {
+                self.mark_in_doubt(now, &[item], effects);
             }
         }
     }
 
-    fn refuse_for_store(&mut self, request: RequestId, effects: &mut EffectQueue) {
+    fn refuse_store_unavailable(&mut self, request: RequestId, effects: &mut EffectQueue) {
         self.counters.store_refusals += 1;
         let detail = "the table service, without which this call could run twice, does not \
                       answer; nothing has run, send it again with the same key";
@@ -252,22 +256,22 @@
     }
 
     /// Notes rows that must be read before anything is decided about them.
-    fn doubt(&mut self, now: CoreTime, items: &[BatchItem], effects: &mut EffectQueue) {
-        effects.set_timer(RETRY_TIMER, now.monotonic + self.options.retry_period);
+    fn mark_in_doubt(&mut self, now: CoreTime, items: &[BatchItem], effects: &mut EffectQueue) {
+        effects.set_timer(RETRY_TIMER, now.monotonic + self.options.retry_interval);
         for item in items {
             if let Some(claim) = self.open.get_mut(&item.request) {
-                claim.tries += 1;
-                self.unsure.push(*item);
+                claim.attempts += 1;
+                self.in_doubt.push(*item);
             }
         }
     }
 
     /// Reads the rows in doubt, and gives up those that took too long.
     pub(super) fn read_back(&mut self, now: CoreTime, effects: &mut EffectQueue) {
-        let unsure = std::mem::take(&mut self.unsure);
+        let in_doubt = std::mem::take(&mut self.in_doubt);
         let mut items = Vec::new();
-        for item in unsure {
-            if let Some(item) = self.give_up_if_late(now, item, effects) {
+        for item in in_doubt {
+            if let Some(item) = self.expire_if_late(now, item, effects) {
                 items.push(item);
             }
         }
@@ -285,34 +289,35 @@
     /// Refuses a call that waited too long. Nothing ran, so the refusal is true; if the row was
     /// written after all, it is deleted once the store answers, or the caller's next try with
     /// the same key would be told that the outcome is unknown.
-    fn give_up_if_late(
+    fn expire_if_late(
         &mut self,
         now: CoreTime,
         item: BatchItem,
         effects: &mut EffectQueue,
     ) -> Option<BatchItem> {
         let claim = self.open.get_mut(&item.request)?;
-        let waited = now.monotonic.since(claim.wanted_at);
-        let late = waited >= self.options.patience || claim.request.deadline_at <= now.monotonic;
-        if item.kind == WriteKind::Insert && claim.stage == ClaimStage::Wanted && late {
+        let waited = now.monotonic.since(claim.requested_at);
+        let late =
+            waited >= self.options.wait_timeout || claim.request.deadline_at <= now.monotonic;
+        if item.kind == RowOperation::Insert && claim.stage == ClaimStage::Pending && late {
             claim.stage = ClaimStage::Releasing;
-            self.refuse_for_store(item.request, effects);
-            let kind = WriteKind::Release;
+            self.refuse_store_unavailable(item.request, effects);
+            let kind = RowOperation::Release;
             return Some(BatchItem { kind, ..item });
         }
-        if claim.tries > self.options.record_tries {
+        if claim.attempts > self.options.max_record_attempts {
             let line = LogLine::new(LogLevel::Error, "claim_not_recorded")
                 .with("row", &claim.row)
                 .with("request", item.request);
             effects.log(line);
             self.counters.unrecorded_outcomes += 1;
-            self.forget(item.request);
+            self.remove_claim(item.request);
             return None;
         }
         Some(item)
     }
 
-    fn was_read(
+    fn rows_read(
         &mut self,
         now: CoreTime,
         items: Vec<BatchItem>,
@@ -321,7 +326,7 @@
         effects: &mut EffectQueue,
     ) {
         let TableAnswer::Rows { rows, .. } = answer else {
-            self.doubt(now, &items, effects);
+            self.mark_in_doubt(now, &items, effects);
             return;
         };
         let rows: BTreeMap<_, _> = rows.into_iter().map(|row| (row.key.clone(), row)).collect();
@@ -329,7 +334,7 @@
             let Some(claim) = self.open.get(&item.request) else {
                 continue;
             };
-            self.compare(now, item, rows.get(&claim.row), view, effects);
+            self.reconcile(now, item, rows.get(&claim.row), view, effects);
         }
     }
 }
