--- a/crates/savorywood-core/src/credits.rs
+++ b/crates/savorywood-core/src/credits.rs
@@ -24,13 +24,13 @@
     view::{ConfigView, MemberRecord, MemberView},
 };
 use arbiter::ArbiterRecord;
-use floors::FloorNames;
-use holder::HeldUpstream;
+use floors::FloorUpstreamCache;
+use holder::UpstreamHolding;
 use savorywood_protocol::{
     CoreTime, HostName, MonotonicTime, RegionName, ServiceName, TierRank, UpstreamName, ZoneName,
     peer::{CreditMessage, credits::TierDemand, membership::MemberState},
 };
-use shed::ShedAsk;
+use shed::ShedRequest;
 use std::{
     collections::{BTreeMap, BTreeSet},
     time::Duration,
@@ -45,13 +45,13 @@
 };
 
 /// Fires shortly after something urgent, so that what comes with it goes into one message.
-const SOON_TIMER: TimerKey = TimerKey {
+const WAKEUP_TIMER: TimerKey = TimerKey {
     duty: DutyKind::Credits,
     number: 1,
 };
 
 /// Time for which urgent things are gathered.
-const SOON: Duration = Duration::from_millis(5);
+const COALESCE_DELAY: Duration = Duration::from_millis(5);
 
 /// This daemon's demand on one upstream.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -117,20 +117,20 @@
 #[derive(Debug)]
 pub struct CreditState {
     options: CreditOptions,
-    held: BTreeMap<UpstreamName, HeldUpstream>,
-    desk: BTreeMap<UpstreamName, ArbiterRecord>,
-    asks: BTreeMap<ServiceName, ShedAsk>,
-    heard: BTreeMap<HostName, PeerSequences>,
+    holdings: BTreeMap<UpstreamName, UpstreamHolding>,
+    arbitrated: BTreeMap<UpstreamName, ArbiterRecord>,
+    shed_requests: BTreeMap<ServiceName, ShedRequest>,
+    peer_sequences: BTreeMap<HostName, PeerSequences>,
     sequence: u64,
     demand_rounds: RoundClock,
     grant_rounds: RoundClock,
-    soon_at: Option<MonotonicTime>,
-    next_ask: MonotonicTime,
-    floor_names: FloorNames,
+    wakeup_at: Option<MonotonicTime>,
+    next_shed_request: MonotonicTime,
+    floor_cache: FloorUpstreamCache,
     grants: BTreeMap<UpstreamName, SeatGrant>,
     floors: BTreeMap<ServiceName, TierRank>,
     counters: CreditCounters,
-    alone_logged: Option<MonotonicTime>,
+    local_shed_logged_at: Option<MonotonicTime>,
 }
 
 /// When rounds of one kind are due.
@@ -142,10 +142,10 @@
 
 impl RoundClock {
     fn after_round(now: MonotonicTime, bytes: usize, options: &CreditOptions) -> Self {
-        let time = options.time_of(bytes);
+        let time = options.send_duration(bytes);
         Self {
-            regular_at: now + options.round.max(time),
-            urgent_at: now + options.urgent_round.max(time),
+            regular_at: now + options.round_interval.max(time),
+            urgent_at: now + options.urgent_round_interval.max(time),
         }
     }
 }
@@ -163,20 +163,20 @@
     pub fn new(options: CreditOptions) -> Self {
         Self {
             options,
-            held: BTreeMap::new(),
-            desk: BTreeMap::new(),
-            asks: BTreeMap::new(),
-            heard: BTreeMap::new(),
+            holdings: BTreeMap::new(),
+            arbitrated: BTreeMap::new(),
+            shed_requests: BTreeMap::new(),
+            peer_sequences: BTreeMap::new(),
             sequence: 0,
             demand_rounds: RoundClock::default(),
             grant_rounds: RoundClock::default(),
-            soon_at: None,
-            next_ask: MonotonicTime::default(),
-            floor_names: FloorNames::default(),
+            wakeup_at: None,
+            next_shed_request: MonotonicTime::default(),
+            floor_cache: FloorUpstreamCache::default(),
             grants: BTreeMap::new(),
             floors: BTreeMap::new(),
             counters: CreditCounters::default(),
-            alone_logged: None,
+            local_shed_logged_at: None,
         }
     }
 
@@ -215,16 +215,16 @@
                 if number == TICK_TIMER.number {
                     effects.set_timer(TICK_TIMER, now + TICK_INTERVAL);
                 } else {
-                    self.soon_at = None;
+                    self.wakeup_at = None;
                 }
                 self.tick(now, view, effects);
             }
             CreditEvent::QueueFormed => {
-                self.note_queues(now, view);
-                self.pull_round_forward(now, effects);
+                self.mark_queued(now, view);
+                self.expedite_round(now, effects);
             }
             CreditEvent::Peer { from, message } => self.receive(now, &from, message, view, effects),
-            CreditEvent::ReleaseAll => self.hand_back(view, effects),
+            CreditEvent::ReleaseAll => self.release_all(view, effects),
         }
         self.publish(now, view)
     }
@@ -232,30 +232,35 @@
     /// Takes an upstream for contended for a while.
     fn mark_contended(&mut self, now: MonotonicTime, upstream: &UpstreamName, time: Duration) {
         let until = now + time;
-        let held = self.held.entry(upstream.clone());
-        let held = held.or_insert_with(|| HeldUpstream::new(now, until));
+        let held = self.holdings.entry(upstream.clone());
+        let held = held.or_insert_with(|| UpstreamHolding::new(now, until));
         held.contended_until = held.contended_until.max(until);
     }
 
     /// Makes the next round of demands due as soon as the limits allow.
-    fn pull_round_forward(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
-        let at = self.demand_rounds.urgent_at.max(now + SOON);
+    fn expedite_round(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
+        let at = self.demand_rounds.urgent_at.max(now + COALESCE_DELAY);
         self.demand_rounds.regular_at = self.demand_rounds.regular_at.min(at);
-        self.look_again(now, at, effects);
+        self.schedule_wakeup(now, at, effects);
     }
 
     /// Looks at what is due before the next tick.
-    fn look_again(&mut self, now: MonotonicTime, at: MonotonicTime, effects: &mut EffectQueue) {
-        if at < now + TICK_INTERVAL && self.soon_at.is_none_or(|soon| at < soon) {
-            self.soon_at = Some(at);
-            effects.set_timer(SOON_TIMER, at);
+    fn schedule_wakeup(
+        &mut self,
+        now: MonotonicTime,
+        at: MonotonicTime,
+        effects: &mut EffectQueue,
+    ) {
+        if at < now + TICK_INTERVAL && self.wakeup_at.is_none_or(|soon| at < soon) {
+            self.wakeup_at = Some(at);
+            effects.set_timer(WAKEUP_TIMER, at);
         }
     }
 
     fn publish(&mut self, now: MonotonicTime, view: CreditView<'_>) -> bool {
         let mut grants = BTreeMap::new();
-        for (upstream, held) in &self.held {
-            if let Some(seats) = held.usable(now, || standing_share(upstream, view)) {
+        for (upstream, held) in &self.holdings {
+            if let Some(seats) = held.usable(now, || fallback_share(upstream, view)) {
                 grants.insert(upstream.clone(), SeatGrant { seats });
             }
         }
@@ -268,10 +273,10 @@
 }
 
 /// Seats that a daemon may use without a grant: its part of what it could use alone.
-fn standing_share(upstream: &UpstreamName, view: CreditView<'_>) -> u32 {
+fn fallback_share(upstream: &UpstreamName, view: CreditView<'_>) -> u32 {
     let demand = view.demands.get(upstream);
     let limit = demand.map_or(0, |demand| demand.limit);
-    let peers = arbiters(upstream, view).count().max(1);
+    let peers = arbiter_candidates(upstream, view).count().max(1);
     let share = limit.div_ceil(u32::try_from(peers).unwrap_or(u32::MAX));
     share.max(1)
 }
@@ -279,7 +284,7 @@
 /// Members that may arbitrate an upstream: those of its zone; of its region, or all, when its
 /// zone has none. Members near the upstream are the ones that use it most, and the fewer daemons
 /// speak with one another, the fewer messages there are.
-fn arbiters<'a>(
+fn arbiter_candidates<'a>(
     upstream: &UpstreamName,
     view: CreditView<'a>,
 ) -> impl Iterator<Item = &'a HostName> {
@@ -333,8 +338,8 @@
 
 /// The arbiter of an upstream.
 fn arbiter_of<'a>(upstream: &UpstreamName, view: CreditView<'a>) -> Option<&'a HostName> {
-    let thing = rendezvous::hash_parts(&["arbiter", upstream.as_str()]);
-    arbiters(upstream, view).max_by_key(|host| rendezvous::score(thing, host.as_str()))
+    let subject = rendezvous::hash_parts(&["arbiter", upstream.as_str()]);
+    arbiter_candidates(upstream, view).max_by_key(|host| rendezvous::score(subject, host.as_str()))
 }
 
 /// Daemons that may use an upstream without having said so: those of its arbiter's zone, or of
@@ -345,7 +350,7 @@
     view: CreditView<'a>,
 ) -> BTreeSet<&'a HostName> {
     if !wide {
-        return arbiters(upstream, view).collect();
+        return arbiter_candidates(upstream, view).collect();
     }
     let arbiter = arbiter_of(upstream, view);
     let member = arbiter.and_then(|host| view.members.members.get(host));
--- a/crates/savorywood-core/src/credits/allocate.rs
+++ b/crates/savorywood-core/src/credits/allocate.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Seats by daemon.
-pub type SeatShares = BTreeMap<HostName, u32>;
+pub type SlotShares = BTreeMap<HostName, u32>;
 
 /// Seats of an upstream as its daemons see them.
 ///
@@ -29,7 +29,7 @@
 /// Seats that a daemon uses beyond its share are not free yet. The others grow only into what is
 /// free, or the upstream would run both until the first are done.
 #[must_use]
-pub fn allocate(demands: &BTreeMap<HostName, UpstreamDemand>, capacity: u32) -> SeatShares {
+pub fn allocate(demands: &BTreeMap<HostName, UpstreamDemand>, capacity: u32) -> SlotShares {
     let targets = with_headroom(demands, capacity);
     let in_use: u32 = demands.values().map(|demand| demand.in_use).sum();
     let growth: u32 = demands
@@ -40,7 +40,7 @@
     if growth <= free {
         return targets;
     }
-    let grown = by_tier(&unmet(demands, &targets), free);
+    let grown = allocate_by_tier(&unmet(demands, &targets), free);
     let shares = demands.iter().map(|(host, demand)| {
         let kept = targets[host].min(demand.in_use);
         let more = grown.get(host).copied().unwrap_or_default();
@@ -52,7 +52,7 @@
 /// What is still to be given to daemons that use less than their targets.
 fn unmet(
     demands: &BTreeMap<HostName, UpstreamDemand>,
-    targets: &SeatShares,
+    targets: &SlotShares,
 ) -> BTreeMap<HostName, UpstreamDemand> {
     let unmet = demands.iter().map(|(host, demand)| {
         let growth = targets[host].saturating_sub(demand.in_use);
@@ -78,28 +78,28 @@
 
 /// Shares by tier, and what nobody asks for spread evenly, so that a new request need not wait
 /// for a round trip.
-fn with_headroom(demands: &BTreeMap<HostName, UpstreamDemand>, capacity: u32) -> SeatShares {
-    let mut shares = by_tier(demands, capacity);
+fn with_headroom(demands: &BTreeMap<HostName, UpstreamDemand>, capacity: u32) -> SlotShares {
+    let mut shares = allocate_by_tier(demands, capacity);
     let given: u32 = shares.values().sum();
-    let even: SeatShares = demands.keys().map(|host| (host.clone(), 1)).collect();
-    for (host, seats) in proportional(&even, capacity - given) {
+    let even: SlotShares = demands.keys().map(|host| (host.clone(), 1)).collect();
+    for (host, seats) in divide_proportionally(&even, capacity - given) {
         *shares.entry(host).or_default() += seats;
     }
     shares
 }
 
-fn by_tier(demands: &BTreeMap<HostName, UpstreamDemand>, capacity: u32) -> SeatShares {
-    let mut shares: SeatShares = demands.keys().map(|host| (host.clone(), 0)).collect();
+fn allocate_by_tier(demands: &BTreeMap<HostName, UpstreamDemand>, capacity: u32) -> SlotShares {
+    let mut shares: SlotShares = demands.keys().map(|host| (host.clone(), 0)).collect();
     let mut free = capacity;
-    for rank in ranks_of(demands) {
-        let wants: SeatShares = demands
+    for rank in requested_ranks(demands) {
+        let demands_by_host: SlotShares = demands
             .iter()
-            .map(|(host, demand)| (host.clone(), wanted(demand, rank)))
+            .map(|(host, demand)| (host.clone(), demand_at(demand, rank)))
             .collect();
-        let total: u32 = wants
+        let total: u32 = demands_by_host
             .values()
             .fold(0, |sum, want| sum.saturating_add(*want));
-        for (host, seats) in proportional(&wants, free.min(total)) {
+        for (host, seats) in divide_proportionally(&demands_by_host, free.min(total)) {
             *shares.entry(host).or_default() += seats;
             free -= seats;
         }
@@ -109,24 +109,24 @@
 
 /// Tiers that are asked for, highest first.
 #[must_use]
-pub fn ranks_of(demands: &BTreeMap<HostName, UpstreamDemand>) -> BTreeSet<TierRank> {
+pub fn requested_ranks(demands: &BTreeMap<HostName, UpstreamDemand>) -> BTreeSet<TierRank> {
     let tiers = demands.values().flat_map(|demand| &demand.tiers);
     tiers.filter(|t| t.seats > 0).map(|t| t.rank).collect()
 }
 
-fn wanted(demand: &UpstreamDemand, rank: TierRank) -> u32 {
+fn demand_at(demand: &UpstreamDemand, rank: TierRank) -> u32 {
     let tiers = demand.tiers.iter().filter(|tier| tier.rank == rank);
     tiers.map(|tier| tier.seats).sum()
 }
 
 /// Divides `seats` in proportion to the wants, by largest remainders.
-fn proportional(wants: &SeatShares, seats: u32) -> SeatShares {
-    let total: u64 = wants.values().map(|want| u64::from(*want)).sum();
+fn divide_proportionally(demands_by_host: &SlotShares, seats: u32) -> SlotShares {
+    let total: u64 = demands_by_host.values().map(|want| u64::from(*want)).sum();
     if total == 0 || seats == 0 {
-        return SeatShares::new();
+        return SlotShares::new();
     }
     let exact = |want: &u32| u64::from(*want) * u64::from(seats);
-    let mut shares: SeatShares = wants
+    let mut shares: SlotShares = demands_by_host
         .iter()
         .map(|(host, want)| {
             let whole = u32::try_from(exact(want) / total).unwrap_or(u32::MAX);
@@ -134,13 +134,13 @@
         })
         .collect();
     let given: u32 = shares.values().sum();
-    let mut rests: Vec<_> = wants
+    let mut remainders: Vec<_> = demands_by_host
         .iter()
         .map(|(host, want)| (std::cmp::Reverse(exact(want) % total), host))
         .collect();
-    rests.sort();
+    remainders.sort();
     let over = usize::try_from(seats - given).unwrap_or(usize::MAX);
-    for (_, host) in rests.into_iter().take(over) {
+    for (_, host) in remainders.into_iter().take(over) {
         if let Some(share) = shares.get_mut(host) {
             *share += 1;
         }
--- a/crates/savorywood-core/src/credits/arbiter.rs
+++ b/crates/savorywood-core/src/credits/arbiter.rs
@@ -11,11 +11,11 @@
 #[derive(Debug)]
 pub struct ArbiterRecord {
     demands: BTreeMap<HostName, UpstreamDemand>,
-    heard: BTreeMap<HostName, MonotonicTime>,
+    last_reports: BTreeMap<HostName, MonotonicTime>,
     floor: TierRank,
-    floor_moved: bool,
-    last_ask: Option<MonotonicTime>,
-    since: MonotonicTime,
+    floor_unannounced: bool,
+    last_shed_request: Option<MonotonicTime>,
+    created_at: MonotonicTime,
     /// When the next survey of further users is due.
     pub next_survey: MonotonicTime,
     /// Surveys made so far.
@@ -30,11 +30,11 @@
     pub fn new(now: MonotonicTime) -> Self {
         Self {
             demands: BTreeMap::new(),
-            heard: BTreeMap::new(),
+            last_reports: BTreeMap::new(),
             floor: NO_FLOOR,
-            floor_moved: false,
-            last_ask: None,
-            since: now,
+            floor_unannounced: false,
+            last_shed_request: None,
+            created_at: now,
             next_survey: now,
             surveys: 0,
             urgent: true,
@@ -42,9 +42,9 @@
     }
 
     /// Takes in a daemon's demand.
-    pub fn report(&mut self, now: MonotonicTime, from: &HostName, demand: UpstreamDemand) {
+    pub fn record_demand(&mut self, now: MonotonicTime, from: &HostName, demand: UpstreamDemand) {
         if let Some(rank) = demand.shedding {
-            self.last_ask = Some(now);
+            self.last_shed_request = Some(now);
             self.urgent |= rank < self.floor;
         }
         // While a floor is up, daemons that have nothing left are told of it too: they have
@@ -52,27 +52,29 @@
         let floored = self.floor != NO_FLOOR;
         if demand.tiers.is_empty() && demand.in_use == 0 && !floored {
             self.demands.remove(from);
-            self.heard.remove(from);
+            self.last_reports.remove(from);
             return;
         }
-        let before = self.demands.get(from).map_or(0, total_wanted);
-        self.urgent |= total_wanted(&demand) > before;
-        self.heard.insert(from.clone(), now);
+        let before = self.demands.get(from).map_or(0, total_demand);
+        self.urgent |= total_demand(&demand) > before;
+        self.last_reports.insert(from.clone(), now);
         self.demands.insert(from.clone(), demand);
     }
 
     /// Forgets daemons that have not been heard of for a term: their grants have lapsed.
     pub fn expire(&mut self, now: MonotonicTime, term: Duration) {
-        self.heard.retain(|_, heard| now.since(*heard) < term);
-        let heard = &self.heard;
-        self.demands.retain(|host, _| heard.contains_key(host));
+        self.last_reports
+            .retain(|_, reported_at| now.since(*reported_at) < term);
+        let last_reports = &self.last_reports;
+        self.demands
+            .retain(|host, _| last_reports.contains_key(host));
     }
 
     /// Whether those that use the upstream have had time to say so. Granting before gives all
     /// seats to the first that asks, while the others still use theirs.
     #[must_use]
-    pub fn is_settled(&self, now: MonotonicTime, time: Duration) -> bool {
-        now.since(self.since) >= time
+    pub fn has_collected_demands(&self, now: MonotonicTime, time: Duration) -> bool {
+        now.since(self.created_at) >= time
     }
 
     /// Whether nobody asks any longer.
@@ -90,7 +92,7 @@
     /// are the seats that the upstream's resource names.
     #[must_use]
     pub fn is_contended(&self, declared: u32) -> bool {
-        let wanted: u32 = self.demands.values().map(total_wanted).sum();
+        let wanted: u32 = self.demands.values().map(total_demand).sum();
         let sheds = self
             .demands
             .values()
@@ -100,7 +102,7 @@
 
     /// Seats for each daemon. `declared` are the seats that the upstream's resource names.
     #[must_use]
-    pub fn shares(&self, declared: u32) -> allocate::SeatShares {
+    pub fn shares(&self, declared: u32) -> allocate::SlotShares {
         let capacity = allocate::upstream_capacity(&self.demands, declared);
         allocate::allocate(&self.demands, capacity)
     }
@@ -113,23 +115,26 @@
 
     /// Whether the floor rose and the daemons have not been told yet.
     #[must_use]
-    pub fn has_moved_floor(&self) -> bool {
-        self.floor_moved
+    pub fn has_unannounced_floor(&self) -> bool {
+        self.floor_unannounced
     }
 
     /// Notes that the grants went out.
-    pub fn note_granted(&mut self) {
+    pub fn mark_granted(&mut self) {
         self.urgent = false;
-        self.floor_moved = false;
+        self.floor_unannounced = false;
     }
 
     /// Raises the floor by one tier, if somebody is about to shed a tier above the lowest that
     /// is still asked for anywhere. It rises from the bottom, one tier a round: the daemon that
     /// asked sheds only once nothing lower is left.
-    pub fn move_floor(&mut self, now: MonotonicTime, hold: Duration) {
-        let asks = self.demands.values().filter_map(|demand| demand.shedding);
-        let Some(asked) = asks.min() else {
-            if self.last_ask.is_none_or(|at| now.since(at) >= hold) {
+    pub fn update_floor(&mut self, now: MonotonicTime, hold: Duration) {
+        let shed_requests = self.demands.values().filter_map(|demand| demand.shedding);
+        let Some(asked) = shed_requests.min() else {
+            if self
+                .last_shed_request
+                .is_none_or(|at| now.since(at) >= hold)
+            {
                 self.floor = NO_FLOOR;
             }
             return;
@@ -137,7 +142,7 @@
         if self.floor <= asked {
             return;
         }
-        let ranks = allocate::ranks_of(&self.demands);
+        let ranks = allocate::requested_ranks(&self.demands);
         let lower = ranks
             .into_iter()
             .filter(|rank| *rank > asked && *rank <= self.floor);
@@ -146,10 +151,10 @@
             None => asked,
         };
         self.urgent = true;
-        self.floor_moved = true;
+        self.floor_unannounced = true;
     }
 }
 
-fn total_wanted(demand: &UpstreamDemand) -> u32 {
+fn total_demand(demand: &UpstreamDemand) -> u32 {
     demand.tiers.iter().map(|tier| tier.seats).sum()
 }
--- a/crates/savorywood-core/src/credits/floors.rs
+++ b/crates/savorywood-core/src/credits/floors.rs
@@ -20,7 +20,7 @@
 /// Names found lately: finding them hashes all upstreams of a service, which is too much for
 /// each message.
 #[derive(Debug, Default)]
-pub struct FloorNames {
+pub struct FloorUpstreamCache {
     found_at: MonotonicTime,
     names: BTreeMap<ServiceName, Vec<UpstreamName>>,
 }
@@ -33,21 +33,21 @@
         service: &ServiceName,
         view: CreditView<'_>,
     ) -> Vec<UpstreamName> {
-        if now.since(self.floor_names.found_at) >= TICK_INTERVAL {
-            self.floor_names.names.clear();
-            self.floor_names.found_at = now;
+        if now.since(self.floor_cache.found_at) >= TICK_INTERVAL {
+            self.floor_cache.names.clear();
+            self.floor_cache.found_at = now;
         }
-        if let Some(names) = self.floor_names.names.get(service) {
+        if let Some(names) = self.floor_cache.names.get(service) {
             return names.clone();
         }
-        let names = self.find_floor_upstreams(service, view);
-        self.floor_names
+        let names = self.compute_floor_upstreams(service, view);
+        self.floor_cache
             .names
             .insert(service.clone(), names.clone());
         names
     }
 
-    fn find_floor_upstreams(
+    fn compute_floor_upstreams(
         &self,
         service: &ServiceName,
         view: CreditView<'_>,
@@ -70,14 +70,14 @@
             true => names().filter(near).collect(),
             false => names().collect(),
         };
-        let thing = rendezvous::hash_parts(&["floor", service.as_str()]);
-        names.sort_by_cached_key(|name| Reverse(rendezvous::score(thing, name.as_str())));
+        let subject = rendezvous::hash_parts(&["floor", service.as_str()]);
+        names.sort_by_cached_key(|name| Reverse(rendezvous::score(subject, name.as_str())));
         names.into_iter().take(FLOOR_UPSTREAMS).cloned().collect()
     }
 
     /// The same upstreams as far as this daemon uses them; any that it uses when it uses none of
     /// them.
-    pub(super) fn asked_upstreams(
+    pub(super) fn floor_upstreams_in_use(
         &mut self,
         now: MonotonicTime,
         service: &ServiceName,
@@ -94,31 +94,31 @@
     }
 
     /// Tiers that are about to be shed here, by the upstreams whose arbiters are told.
-    pub(super) fn ranks_asked(
+    pub(super) fn shed_ranks(
         &mut self,
         now: MonotonicTime,
         view: CreditView<'_>,
     ) -> BTreeMap<UpstreamName, TierRank> {
         let mut ranks = BTreeMap::new();
-        for (service, ask) in self.asks.clone() {
-            let upstreams = self.asked_upstreams(now, &service, view);
+        for (service, ask) in self.shed_requests.clone() {
+            let upstreams = self.floor_upstreams_in_use(now, &service, view);
             ranks.extend(upstreams.into_iter().map(|name| (name, ask.rank())));
         }
         ranks
     }
 
     /// Tells the arbiters of these upstreams our demand now, whatever the rounds are at.
-    pub(super) fn ask_now(
+    pub(super) fn send_shed_requests(
         &mut self,
         now: MonotonicTime,
         upstreams: &[UpstreamName],
         view: CreditView<'_>,
         effects: &mut EffectQueue,
     ) {
-        if now < self.next_ask {
+        if now < self.next_shed_request {
             return;
         }
-        let asked = self.ranks_asked(now, view);
+        let asked = self.shed_ranks(now, view);
         let mut batches: BTreeMap<HostName, Vec<UpstreamDemand>> = BTreeMap::new();
         for upstream in upstreams {
             let arbiter = arbiter_of(upstream, view).cloned();
@@ -128,7 +128,11 @@
             }
         }
         let bytes = self.send_batches(now, batches, view, effects);
-        self.next_ask = now + self.options.round.max(2 * self.options.time_of(bytes));
+        self.next_shed_request = now
+            + self
+                .options
+                .round_interval
+                .max(2 * self.options.send_duration(bytes));
     }
 
     /// A service's floor is the most lenient of those that count: what one of them still admits
@@ -139,7 +143,7 @@
         view: CreditView<'_>,
     ) -> BTreeMap<ServiceName, TierRank> {
         let mut by_service: BTreeMap<ServiceName, Vec<UpstreamName>> = BTreeMap::new();
-        for (upstream, held) in &self.held {
+        for (upstream, held) in &self.holdings {
             let spec = view.config.upstreams.get(upstream);
             if let Some(spec) = spec.filter(|_| held.floor(now) != NO_FLOOR) {
                 let names = by_service.entry(spec.service.clone()).or_default();
@@ -149,9 +153,9 @@
         let mut floors = BTreeMap::new();
         for (service, floored) in by_service {
             let mut counted = self.floor_upstreams(now, &service, view);
-            counted.retain(|name| self.held.contains_key(name));
+            counted.retain(|name| self.holdings.contains_key(name));
             let names = if counted.is_empty() { floored } else { counted };
-            let held = names.iter().filter_map(|name| self.held.get(name));
+            let held = names.iter().filter_map(|name| self.holdings.get(name));
             let floor = held.map(|held| held.floor(now)).max();
             if let Some(floor) = floor.filter(|floor| *floor != NO_FLOOR) {
                 floors.insert(service, floor);
@@ -161,7 +165,9 @@
     }
 
     /// Whether a floor moved that nobody has been told of yet.
-    pub(super) fn has_moved_floor(&self) -> bool {
-        self.desk.values().any(ArbiterRecord::has_moved_floor)
+    pub(super) fn has_unannounced_floor(&self) -> bool {
+        self.arbitrated
+            .values()
+            .any(ArbiterRecord::has_unannounced_floor)
     }
 }
--- a/crates/savorywood-core/src/credits/holder.rs
+++ b/crates/savorywood-core/src/credits/holder.rs
@@ -8,7 +8,7 @@
 
 /// What this daemon holds on one contended upstream.
 #[derive(Debug)]
-pub struct HeldUpstream {
+pub struct UpstreamHolding {
     seats: Option<u32>,
     floor: TierRank,
     floor_since: MonotonicTime,
@@ -21,12 +21,12 @@
     /// Whether the arbiter knows of a demand of ours.
     pub reported: bool,
     /// First of an unbroken row of demands that said that we are about to shed.
-    pub asked: Option<u64>,
+    pub first_shed_sequence: Option<u64>,
     /// Newest of our demands that the arbiter had seen when it granted.
-    pub answers: u64,
+    pub acknowledged_sequence: u64,
 }
 
-impl HeldUpstream {
+impl UpstreamHolding {
     /// An upstream that has just become contended.
     #[must_use]
     pub fn new(now: MonotonicTime, contended_until: MonotonicTime) -> Self {
@@ -39,8 +39,8 @@
             granted_at: None,
             contended_until,
             reported: false,
-            asked: None,
-            answers: 0,
+            first_shed_sequence: None,
+            acknowledged_sequence: 0,
         }
     }
 
@@ -69,11 +69,11 @@
     /// lapsed, which costs capacity but can't overrun the upstream; `None` before the first
     /// answer, which leaves the daemon's own limit.
     #[must_use]
-    pub fn usable(&self, now: MonotonicTime, standing_share: impl FnOnce() -> u32) -> Option<u32> {
+    pub fn usable(&self, now: MonotonicTime, fallback_share: impl FnOnce() -> u32) -> Option<u32> {
         let seats = self.seats?;
         Some(match now < self.expires_at {
             true => seats,
-            false => standing_share(),
+            false => fallback_share(),
         })
     }
 
@@ -84,8 +84,10 @@
     /// and one that had not heard of it yet would shed while others take in lower work again.
     /// Nor would the floor at once: the arbiter itself knows it before the others do.
     #[must_use]
-    pub fn is_floor_at(&self, now: MonotonicTime, rank: TierRank, spread: Duration) -> bool {
-        let answered = self.asked.is_some_and(|asked| self.answers >= asked);
+    pub fn has_reached_floor(&self, now: MonotonicTime, rank: TierRank, spread: Duration) -> bool {
+        let answered = self
+            .first_shed_sequence
+            .is_some_and(|asked| self.acknowledged_sequence >= asked);
         let spread_out = now.since(self.floor_since) >= spread;
         answered && spread_out && self.floor(now) <= rank
     }
--- a/crates/savorywood-core/src/credits/options.rs
+++ b/crates/savorywood-core/src/credits/options.rs
@@ -9,26 +9,26 @@
     /// Host it runs on.
     pub host: HostName,
     /// Time between two rounds of demands, and of grants.
-    pub round: Duration,
+    pub round_interval: Duration,
     /// Least time between two rounds when something is urgent.
-    pub urgent_round: Duration,
+    pub urgent_round_interval: Duration,
     /// Time that an arbiter listens before its first grants.
-    pub settle_time: Duration,
+    pub collection_window: Duration,
     /// Time that a grant is good for after it was received.
     pub term: Duration,
     /// Time without a queue anywhere after which an upstream is no longer contended.
-    pub calm_time: Duration,
+    pub idle_timeout: Duration,
     /// Time between two surveys of who else uses a contended upstream, among the daemons of
     /// its zone.
-    pub survey_period: Duration,
+    pub survey_interval: Duration,
     /// One survey in so many asks the whole region.
-    pub wide_surveys: u32,
+    pub surveys_per_region_survey: u32,
     /// Time that a shed waits for an arbiter that has not answered at all.
-    pub ask_timeout: Duration,
+    pub arbiter_timeout: Duration,
     /// Time that a shed waits at most while the floor rises from the bottom.
-    pub ask_limit: Duration,
+    pub max_shed_wait: Duration,
     /// Time that a new floor takes to reach all daemons.
-    pub spread_time: Duration,
+    pub propagation_delay: Duration,
     /// Time that a floor stays up after the last daemon that was about to shed.
     pub floor_hold: Duration,
     /// Bytes a second that demands may take, and as many that grants may. Rounds become longer
@@ -42,16 +42,16 @@
     pub fn new(host: HostName) -> Self {
         Self {
             host,
-            round: Duration::from_millis(250),
-            urgent_round: Duration::from_millis(50),
-            settle_time: Duration::from_millis(100),
+            round_interval: Duration::from_millis(250),
+            urgent_round_interval: Duration::from_millis(50),
+            collection_window: Duration::from_millis(100),
             term: Duration::from_secs(3),
-            calm_time: Duration::from_secs(3),
-            survey_period: Duration::from_secs(5),
-            wide_surveys: 4,
-            ask_timeout: Duration::from_millis(400),
-            ask_limit: Duration::from_secs(2),
-            spread_time: Duration::from_millis(50),
+            idle_timeout: Duration::from_secs(3),
+            survey_interval: Duration::from_secs(5),
+            surveys_per_region_survey: 4,
+            arbiter_timeout: Duration::from_millis(400),
+            max_shed_wait: Duration::from_secs(2),
+            propagation_delay: Duration::from_millis(50),
             floor_hold: Duration::from_secs(1),
             bytes_per_second: 2_500,
         }
@@ -59,7 +59,7 @@
 
     /// Time that so many bytes take at the rate that is allowed.
     #[must_use]
-    pub fn time_of(&self, bytes: usize) -> Duration {
+    pub fn send_duration(&self, bytes: usize) -> Duration {
         let micros = bytes as u64 * 1_000_000 / u64::from(self.bytes_per_second.max(1));
         Duration::from_micros(micros)
     }
--- a/crates/savorywood-core/src/credits/rounds.rs
+++ b/crates/savorywood-core/src/credits/rounds.rs
@@ -1,8 +1,8 @@
 //! What is sent in each round, and what arrives.
 
 use super::{
-    ArbiterRecord, CreditState, CreditView, HeldUpstream, PeerSequences, RoundClock, SOON,
-    arbiter_of, possible_users,
+    ArbiterRecord, COALESCE_DELAY, CreditState, CreditView, PeerSequences, RoundClock,
+    UpstreamHolding, arbiter_of, possible_users,
 };
 use crate::effect::{DaemonEffect, EffectQueue};
 use savorywood_protocol::{
@@ -22,7 +22,7 @@
 enum GrantScope {
     All,
     Urgent,
-    MovedFloors,
+    UnannouncedFloors,
 }
 
 impl CreditState {
@@ -32,8 +32,8 @@
         view: CreditView<'_>,
         effects: &mut EffectQueue,
     ) {
-        self.note_queues(now, view);
-        self.forget_calm(now, view);
+        self.mark_queued(now, view);
+        self.expire_idle(now, view);
         if self.demand_rounds.regular_at <= now {
             let bytes = self.send_demands(now, view, effects);
             self.demand_rounds = RoundClock::after_round(now, bytes, &self.options);
@@ -42,21 +42,22 @@
     }
 
     /// Marks upstreams that work waits for.
-    pub(super) fn note_queues(&mut self, now: MonotonicTime, view: CreditView<'_>) {
+    pub(super) fn mark_queued(&mut self, now: MonotonicTime, view: CreditView<'_>) {
         let queued = view.demands.iter().filter(|(_, demand)| demand.queued);
         for (upstream, _) in queued {
-            self.mark_contended(now, upstream, self.options.calm_time);
+            self.mark_contended(now, upstream, self.options.idle_timeout);
         }
     }
 
     /// Upstreams for which nobody has queued for a while are not spoken of any longer.
-    fn forget_calm(&mut self, now: MonotonicTime, view: CreditView<'_>) {
+    fn expire_idle(&mut self, now: MonotonicTime, view: CreditView<'_>) {
         let config = view.config;
-        self.held.retain(|upstream, held| {
+        self.holdings.retain(|upstream, held| {
             now < held.contended_until && config.upstreams.contains_key(upstream)
         });
         let hold = self.options.floor_hold;
-        self.asks.retain(|_, ask| now.since(ask.renewed()) < hold);
+        self.shed_requests
+            .retain(|_, ask| now.since(ask.renewed_at()) < hold);
     }
 
     /// Tells each arbiter our demand; gives the bytes that it took.
@@ -67,8 +68,8 @@
         effects: &mut EffectQueue,
     ) -> usize {
         let mut batches: BTreeMap<HostName, Vec<UpstreamDemand>> = BTreeMap::new();
-        let asked = self.ranks_asked(now, view);
-        let held: Vec<_> = self.held.keys().cloned().collect();
+        let asked = self.shed_ranks(now, view);
+        let held: Vec<_> = self.holdings.keys().cloned().collect();
         for upstream in held {
             let Some(arbiter) = arbiter_of(&upstream, view).cloned() else {
                 continue;
@@ -92,11 +93,11 @@
         for (arbiter, upstreams) in batches {
             for chunk in upstreams.chunks(MAX_UPSTREAMS) {
                 self.sequence += 1;
-                self.note_asks(chunk);
+                self.record_shed_requests(chunk);
                 if arbiter == self.options.host {
-                    let peer = self.heard.entry(arbiter.clone()).or_default();
+                    let peer = self.peer_sequences.entry(arbiter.clone()).or_default();
                     peer.demand = self.sequence;
-                    self.take_demands(now, &arbiter, chunk, view);
+                    self.apply_demands(now, &arbiter, chunk, view);
                     continue;
                 }
                 self.counters.demands += 1;
@@ -111,11 +112,11 @@
     }
 
     /// Notes since when the arbiters are told that we are about to shed.
-    fn note_asks(&mut self, demands: &[UpstreamDemand]) {
+    fn record_shed_requests(&mut self, demands: &[UpstreamDemand]) {
         for demand in demands {
-            if let Some(held) = self.held.get_mut(&demand.upstream) {
-                let since = held.asked.unwrap_or(self.sequence);
-                held.asked = demand.shedding.map(|_| since);
+            if let Some(held) = self.holdings.get_mut(&demand.upstream) {
+                let since = held.first_shed_sequence.unwrap_or(self.sequence);
+                held.first_shed_sequence = demand.shedding.map(|_| since);
             }
         }
     }
@@ -128,7 +129,7 @@
         asked: &BTreeMap<UpstreamName, TierRank>,
         view: CreditView<'_>,
     ) -> Option<UpstreamDemand> {
-        let held = self.held.get_mut(upstream)?;
+        let held = self.holdings.get_mut(upstream)?;
         let local = view.demands.get(upstream);
         let reported = std::mem::replace(&mut held.reported, local.is_some());
         let floored = held.floor(now) != NO_FLOOR;
@@ -145,7 +146,7 @@
         })
     }
 
-    fn take_demands(
+    fn apply_demands(
         &mut self,
         now: MonotonicTime,
         from: &HostName,
@@ -156,9 +157,9 @@
             // A daemon with an older view may ask the wrong one. Answering it all the same gives
             // it seats for a term; refusing would leave it with its standing share.
             if view.config.upstreams.contains_key(&demand.upstream) {
-                let record = self.desk.entry(demand.upstream.clone());
+                let record = self.arbitrated.entry(demand.upstream.clone());
                 let record = record.or_insert_with(|| ArbiterRecord::new(now));
-                record.report(now, from, demand.clone());
+                record.record_demand(now, from, demand.clone());
             }
         }
     }
@@ -167,17 +168,17 @@
     fn arbitrate(&mut self, now: MonotonicTime, view: CreditView<'_>, effects: &mut EffectQueue) {
         let term = self.options.term;
         let hold = self.options.floor_hold;
-        let settle_time = self.options.settle_time;
-        for record in self.desk.values_mut() {
+        let collection_window = self.options.collection_window;
+        for record in self.arbitrated.values_mut() {
             record.expire(now, term);
-            if record.is_settled(now, settle_time) {
-                record.move_floor(now, hold);
+            if record.has_collected_demands(now, collection_window) {
+                record.update_floor(now, hold);
             }
         }
-        self.desk.retain(|_, record| !record.is_idle());
+        self.arbitrated.retain(|_, record| !record.is_idle());
         self.survey(now, view, effects);
-        let mut records = self.desk.values();
-        let urgent = records.any(|r| r.urgent && r.is_settled(now, settle_time));
+        let mut records = self.arbitrated.values();
+        let urgent = records.any(|r| r.urgent && r.has_collected_demands(now, collection_window));
         let rounds = self.grant_rounds;
         if rounds.regular_at <= now {
             let bytes = self.send_grants(now, GrantScope::All, view, effects);
@@ -187,18 +188,18 @@
             self.grant_rounds = RoundClock::after_round(now, bytes, &self.options);
             // Urgent rounds must not put off the others.
             self.grant_rounds.regular_at = rounds.regular_at;
-        } else if self.has_moved_floor() {
-            let bytes = self.send_grants(now, GrantScope::MovedFloors, view, effects);
-            self.make_up_for(now, bytes);
+        } else if self.has_unannounced_floor() {
+            let bytes = self.send_grants(now, GrantScope::UnannouncedFloors, view, effects);
+            self.delay_rounds(now, bytes);
         } else if urgent {
-            self.look_again(now, rounds.urgent_at.max(now + SOON), effects);
+            self.schedule_wakeup(now, rounds.urgent_at.max(now + COALESCE_DELAY), effects);
         }
     }
 
     /// Puts the next rounds off by what was sent outside them, but not for so long that grants
     /// lapse.
-    fn make_up_for(&mut self, now: MonotonicTime, bytes: usize) {
-        let time = self.options.time_of(bytes);
+    fn delay_rounds(&mut self, now: MonotonicTime, bytes: usize) {
+        let time = self.options.send_duration(bytes);
         let latest = now + self.options.term / 2;
         let rounds = &mut self.grant_rounds;
         rounds.regular_at = (rounds.regular_at + time).min(latest);
@@ -213,17 +214,17 @@
         effects: &mut EffectQueue,
     ) -> usize {
         let mut batches: BTreeMap<HostName, Vec<UpstreamGrant>> = BTreeMap::new();
-        for (upstream, record) in &mut self.desk {
-            let settled = record.is_settled(now, self.options.settle_time);
+        for (upstream, record) in &mut self.arbitrated {
+            let settled = record.has_collected_demands(now, self.options.collection_window);
             let due = match scope {
                 GrantScope::All => true,
-                GrantScope::Urgent => record.urgent || record.has_moved_floor(),
-                GrantScope::MovedFloors => record.has_moved_floor(),
+                GrantScope::Urgent => record.urgent || record.has_unannounced_floor(),
+                GrantScope::UnannouncedFloors => record.has_unannounced_floor(),
             };
             if !settled || !due {
                 continue;
             }
-            record.note_granted();
+            record.mark_granted();
             let floor = record.floor();
             let declared = view
                 .config
@@ -244,9 +245,9 @@
         }
         let mut bytes = 0;
         for (host, grants) in batches {
-            let answers = self.heard.get(&host).map_or(0, |peer| peer.demand);
+            let answers = self.peer_sequences.get(&host).map_or(0, |peer| peer.demand);
             if host == self.options.host {
-                self.take_grants(now, &host, &grants, answers, self.options.term);
+                self.apply_grants(now, &host, &grants, answers, self.options.term);
                 continue;
             }
             for chunk in grants.chunks(MAX_UPSTREAMS) {
@@ -267,7 +268,7 @@
     /// Asks those that have not told their demand whether they use a contended upstream too.
     fn survey(&mut self, now: MonotonicTime, view: CreditView<'_>, effects: &mut EffectQueue) {
         let mut batches: BTreeMap<HostName, Vec<UpstreamName>> = BTreeMap::new();
-        for (upstream, record) in &mut self.desk {
+        for (upstream, record) in &mut self.arbitrated {
             let declared = view
                 .config
                 .upstreams
@@ -276,8 +277,8 @@
             if record.next_survey > now || !record.is_contended(declared) {
                 continue;
             }
-            record.next_survey = now + self.options.survey_period;
-            let wide = record.surveys % self.options.wide_surveys == 0;
+            record.next_survey = now + self.options.survey_interval;
+            let wide = record.surveys % self.options.surveys_per_region_survey == 0;
             record.surveys += 1;
             let mut users = possible_users(upstream, wide, view);
             users.remove(&self.options.host);
@@ -313,10 +314,10 @@
                 upstreams,
             } => {
                 if self.is_newer(from, sequence, |peer| &mut peer.demand) {
-                    self.take_demands(now, from, &upstreams, view);
-                    if self.desk.values().any(|record| record.urgent) {
-                        let at = self.grant_rounds.urgent_at.max(now + SOON);
-                        self.look_again(now, at, effects);
+                    self.apply_demands(now, from, &upstreams, view);
+                    if self.arbitrated.values().any(|record| record.urgent) {
+                        let at = self.grant_rounds.urgent_at.max(now + COALESCE_DELAY);
+                        self.schedule_wakeup(now, at, effects);
                     }
                 }
             }
@@ -329,20 +330,20 @@
                 if self.is_newer(from, sequence, |peer| &mut peer.grant) {
                     // A sender with a fault must not give seats away for ever.
                     let term = Duration::from_millis(term_ms.into()).min(self.options.term);
-                    self.take_grants(now, from, &grants, answers, term);
+                    self.apply_grants(now, from, &grants, answers, term);
                 }
             }
             CreditMessage::Survey { upstreams } => {
-                let time = self.options.survey_period + self.options.calm_time;
+                let time = self.options.survey_interval + self.options.idle_timeout;
                 for upstream in &upstreams {
                     self.mark_contended(now, upstream, time);
                 }
-                self.pull_round_forward(now, effects);
+                self.expedite_round(now, effects);
             }
         }
     }
 
-    fn take_grants(
+    fn apply_grants(
         &mut self,
         now: MonotonicTime,
         from: &HostName,
@@ -353,12 +354,12 @@
         for grant in grants {
             // A grant on an upstream that is calm here as well as there would only keep both
             // talking of it.
-            if !grant.contended && !self.held.contains_key(&grant.upstream) {
+            if !grant.contended && !self.holdings.contains_key(&grant.upstream) {
                 continue;
             }
-            let held = self.held.entry(grant.upstream.clone());
-            let held = held.or_insert_with(|| HeldUpstream::new(now, now + term));
-            held.answers = answers;
+            let held = self.holdings.entry(grant.upstream.clone());
+            let held = held.or_insert_with(|| UpstreamHolding::new(now, now + term));
+            held.acknowledged_sequence = answers;
             held.grant(now, from, grant, term);
         }
     }
@@ -371,7 +372,7 @@
         sequence: u64,
         newest: impl Fn(&mut PeerSequences) -> &mut u64,
     ) -> bool {
-        let peer = self.heard.entry(from.clone()).or_default();
+        let peer = self.peer_sequences.entry(from.clone()).or_default();
         let newest = newest(peer);
         let newer = sequence > *newest;
         match newer {
@@ -382,9 +383,9 @@
     }
 
     /// Gives all seats back.
-    pub(super) fn hand_back(&mut self, view: CreditView<'_>, effects: &mut EffectQueue) {
+    pub(super) fn release_all(&mut self, view: CreditView<'_>, effects: &mut EffectQueue) {
         let mut batches: BTreeMap<HostName, Vec<UpstreamDemand>> = BTreeMap::new();
-        for (upstream, held) in &self.held {
+        for (upstream, held) in &self.holdings {
             let arbiter = arbiter_of(upstream, view).filter(|_| held.reported);
             if let Some(arbiter) = arbiter.filter(|host| **host != self.options.host) {
                 let batch = batches.entry(arbiter.clone()).or_default();
@@ -397,8 +398,8 @@
                 });
             }
         }
-        self.held.clear();
-        self.desk.clear();
+        self.holdings.clear();
+        self.arbitrated.clear();
         for (arbiter, upstreams) in batches {
             for chunk in upstreams.chunks(MAX_UPSTREAMS) {
                 self.sequence += 1;
--- a/crates/savorywood-core/src/credits/shed.rs
+++ b/crates/savorywood-core/src/credits/shed.rs
@@ -17,19 +17,19 @@
 
 /// A daemon that is about to shed.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct ShedAsk {
+pub(super) struct ShedRequest {
     rank: TierRank,
     since: MonotonicTime,
-    renewed: MonotonicTime,
+    renewed_at: MonotonicTime,
 }
 
-impl ShedAsk {
+impl ShedRequest {
     pub(super) fn rank(&self) -> TierRank {
         self.rank
     }
 
-    pub(super) fn renewed(&self) -> MonotonicTime {
-        self.renewed
+    pub(super) fn renewed_at(&self) -> MonotonicTime {
+        self.renewed_at
     }
 }
 
@@ -44,64 +44,69 @@
         effects: &mut EffectQueue,
     ) -> ShedAdvice {
         let lower = view.config.tiers.values().any(|tier| tier.rank > rank);
-        let used = self.asked_upstreams(now, service, view);
+        let used = self.floor_upstreams_in_use(now, service, view);
         // What is below the floor is meant to go; the floor rose past all lower tiers first.
         let below = self.floors.get(service).is_some_and(|floor| rank > *floor);
         if !lower || below {
             return ShedAdvice::Shed;
         }
-        let ask = self.note_ask(now, service, rank);
+        let ask = self.record_shed_request(now, service, rank);
         if self.floor_reached(now, &used, rank) {
             return ShedAdvice::Shed;
         }
         let waited = now.since(ask.since);
         let answered = used.iter().any(|upstream| {
-            let held = self.held.get(upstream);
+            let held = self.holdings.get(upstream);
             held.and_then(|held| held.granted_at)
                 .is_some_and(|at| at >= ask.since)
         });
         let limit = match answered {
-            true => self.options.ask_limit,
-            false => self.options.ask_timeout,
+            true => self.options.max_shed_wait,
+            false => self.options.arbiter_timeout,
         };
         if waited < limit && !used.is_empty() {
-            self.request_round(now, &used, view, effects);
+            self.expedite_shed_request(now, &used, view, effects);
             return ShedAdvice::Wait;
         }
-        self.note_alone(now, service, rank, effects);
+        self.record_local_shed(now, service, rank, effects);
         ShedAdvice::DecideLocally
     }
 
     fn floor_reached(&self, now: MonotonicTime, used: &[UpstreamName], rank: TierRank) -> bool {
-        let spread = self.options.spread_time;
+        let spread = self.options.propagation_delay;
         let reached = |upstream: &UpstreamName| {
-            let held = self.held.get(upstream);
-            held.is_some_and(|held| held.is_floor_at(now, rank, spread))
+            let held = self.holdings.get(upstream);
+            held.is_some_and(|held| held.has_reached_floor(now, rank, spread))
         };
         !used.is_empty() && used.iter().all(reached)
     }
 
-    fn note_ask(&mut self, now: MonotonicTime, service: &ServiceName, rank: TierRank) -> ShedAsk {
-        let old = self.asks.get(service).copied();
-        let old = old.filter(|ask| now.since(ask.renewed) < self.options.floor_hold);
+    fn record_shed_request(
+        &mut self,
+        now: MonotonicTime,
+        service: &ServiceName,
+        rank: TierRank,
+    ) -> ShedRequest {
+        let old = self.shed_requests.get(service).copied();
+        let old = old.filter(|ask| now.since(ask.renewed_at) < self.options.floor_hold);
         let ask = match old {
-            Some(old) => ShedAsk {
+            Some(old) => ShedRequest {
                 rank: old.rank.min(rank),
                 since: if rank < old.rank { now } else { old.since },
-                renewed: now,
+                renewed_at: now,
             },
-            None => ShedAsk {
+            None => ShedRequest {
                 rank,
                 since: now,
-                renewed: now,
+                renewed_at: now,
             },
         };
-        self.asks.insert(service.clone(), ask);
+        self.shed_requests.insert(service.clone(), ask);
         ask
     }
 
     /// Demands go out with the next round at the latest; an ask does not wait for it.
-    fn request_round(
+    fn expedite_shed_request(
         &mut self,
         now: MonotonicTime,
         used: &[UpstreamName],
@@ -109,13 +114,13 @@
         effects: &mut EffectQueue,
     ) {
         for upstream in used {
-            self.mark_contended(now, upstream, self.options.calm_time);
+            self.mark_contended(now, upstream, self.options.idle_timeout);
         }
-        self.ask_now(now, used, view, effects);
-        self.pull_round_forward(now, effects);
+        self.send_shed_requests(now, used, view, effects);
+        self.expedite_round(now, effects);
     }
 
-    fn note_alone(
+    fn record_local_shed(
         &mut self,
         now: MonotonicTime,
         service: &ServiceName,
@@ -126,10 +131,10 @@
         // One line a second tells it; a line a request would drown the log just when all is
         // busy.
         if self
-            .alone_logged
+            .local_shed_logged_at
             .is_none_or(|at| now.since(at) >= self.options.floor_hold)
         {
-            self.alone_logged = Some(now);
+            self.local_shed_logged_at = Some(now);
             let line = LogLine::new(LogLevel::Warn, "shed_without_arbiter")
                 .with("service", service)
                 .with("rank", rank)
