--- a/crates/savorywood-core/src/leases.rs
+++ b/crates/savorywood-core/src/leases.rs
@@ -10,8 +10,8 @@
 pub mod options;
 pub mod row;
 
-mod contending;
-mod holding;
+mod acquisition;
+mod renewal;
 
 pub use options::LeaseOptions;
 
@@ -102,24 +102,24 @@
 
 /// A row as this daemon saw it first.
 #[derive(Debug, Clone)]
-struct SeenRow {
+struct ObservedRow {
     row: LeaseRow,
     revision: CommitRevision,
-    seen_at: MonotonicTime,
+    first_seen_at: MonotonicTime,
 }
 
 /// What a call of the table was for.
 #[derive(Debug, Clone)]
 enum CallPurpose {
     Read,
-    Take { row: LeaseRow },
+    Acquire { row: LeaseRow },
     Renew { row: LeaseRow },
     Release,
 }
 
 /// A call under way.
 #[derive(Debug, Clone)]
-struct CallProgress {
+struct PendingCall {
     number: u64,
     sent_at: MonotonicTime,
     purpose: CallPurpose,
@@ -129,11 +129,11 @@
 #[derive(Debug, Clone, Default)]
 struct LeaseRecord {
     wanted: bool,
-    seen: Option<SeenRow>,
+    seen: Option<ObservedRow>,
     grant: Option<LeaseGrant>,
-    call: Option<CallProgress>,
+    call: Option<PendingCall>,
     /// A write of ours whose answer was lost, with the time that it was sent.
-    lost: Option<CallProgress>,
+    unconfirmed: Option<PendingCall>,
 }
 
 /// State of the lease duty.
@@ -179,18 +179,22 @@
         let before = self.held();
         self.expire(now, effects);
         match event {
-            LeaseEvent::DemandChanged { name, wanted } => self.want(now, name, wanted, effects),
-            LeaseEvent::TimerFired { number } => self.timer(now, number, members, effects),
-            LeaseEvent::Table { number, answer } => self.answered(now, number, answer, effects),
+            LeaseEvent::DemandChanged { name, wanted } => {
+                self.set_demand(now, name, wanted, effects)
+            }
+            LeaseEvent::TimerFired { number } => self.timer_fired(now, number, members, effects),
+            LeaseEvent::Table { number, answer } => {
+                self.table_answered(now, number, answer, effects)
+            }
             LeaseEvent::Leaving => self.leave(now, effects),
         }
         self.expire(now, effects);
         let after = self.held();
-        let gained = after.iter().filter(|name| !before.contains(name));
-        let dropped = before.iter().filter(|name| !after.contains(name));
-        let gained = gained.copied().map(LeaseChange::Acquired);
-        let dropped = dropped.copied().map(LeaseChange::Lost);
-        dropped.chain(gained).collect()
+        let acquired = after.iter().filter(|name| !before.contains(name));
+        let lost = before.iter().filter(|name| !after.contains(name));
+        let acquired = acquired.copied().map(LeaseChange::Acquired);
+        let lost = lost.copied().map(LeaseChange::Lost);
+        lost.chain(acquired).collect()
     }
 
     fn held(&self) -> Vec<LeaseName> {
@@ -213,7 +217,7 @@
         }
     }
 
-    fn answered(
+    fn table_answered(
         &mut self,
         now: CoreTime,
         number: u64,
@@ -236,15 +240,15 @@
         };
         match (answer, &call.purpose) {
             (TableAnswer::Committed { revision }, _) => {
-                self.committed(now, name, &call, revision, effects);
+                self.write_committed(now, name, &call, revision, effects);
             }
             (TableAnswer::Rows { rows, .. }, CallPurpose::Read) => {
                 let row = rows.first();
-                self.read(now, name, row, effects);
+                self.row_read(now, name, row, effects);
             }
             // The write may have taken effect: the next read tells by the nonce of the row.
-            (TableAnswer::Lost, CallPurpose::Take { .. } | CallPurpose::Renew { .. }) => {
-                record.lost = Some(call);
+            (TableAnswer::Lost, CallPurpose::Acquire { .. } | CallPurpose::Renew { .. }) => {
+                record.unconfirmed = Some(call);
             }
             (TableAnswer::Conflict { .. }, _) => self.send_read(now, name, effects),
             _ => {}
@@ -253,7 +257,7 @@
 
     /// Another daemon's row with a larger fencing number, read while this one may still act: the
     /// clocks ran further apart than the margins allow, or somebody edited the row.
-    fn check_alone(
+    fn check_exclusive(
         &self,
         now: CoreTime,
         name: LeaseName,
@@ -261,8 +265,8 @@
         effects: &mut EffectQueue,
     ) {
         let grant = self.grant(now, name);
-        let alone = grant.is_none_or(|grant| row.fencing <= grant.fencing);
-        invariant::check(effects, InvariantName::HolderActsAlone, alone, || {
+        let exclusive = grant.is_none_or(|grant| row.fencing <= grant.fencing);
+        invariant::check(effects, InvariantName::HolderActsAlone, exclusive, || {
             format!(
                 "lease={name} holder={} fencing={}",
                 row.holder_text(),
@@ -282,7 +286,7 @@
         self.calls += 1;
         let number = self.calls;
         let record = self.records.entry(name).or_default();
-        record.call = Some(CallProgress {
+        record.call = Some(PendingCall {
             number,
             sent_at: now.monotonic,
             purpose,
--- a/crates/savorywood-core/src/leases/contending.rs
+++ b/crates/savorywood-core/src/leases/acquisition.rs
@@ -1,7 +1,7 @@
 //! Reading a lease's row, and taking the lease once nobody can act under it any more.
 
 use super::{
-    CallPurpose, LeaseGrant, LeaseName, LeaseState, SeenRow,
+    CallPurpose, LeaseGrant, LeaseName, LeaseState, ObservedRow,
     row::{LeaseHolder, LeaseRow, row_key},
 };
 use crate::{
@@ -18,10 +18,10 @@
 /// Daemons that contend for one lease: the first few by rendezvous hash among those alive. Bounds
 /// the reads that waiting costs; others step in when these are gone. Versions of this program
 /// that hash differently only disagree on who contends, never on who holds.
-const CONTENDERS: usize = 3;
+const MAX_CONTENDERS: usize = 3;
 
 impl LeaseState {
-    pub(super) fn want(
+    pub(super) fn set_demand(
         &mut self,
         now: CoreTime,
         name: LeaseName,
@@ -38,7 +38,7 @@
         }
     }
 
-    pub(super) fn timer(
+    pub(super) fn timer_fired(
         &mut self,
         now: CoreTime,
         number: u64,
@@ -56,26 +56,30 @@
             return;
         }
         // An answer that never came must not stop the duty for good.
-        let stuck = |sent_at| now.monotonic.since(sent_at) > self.options.term;
-        if record.call.as_ref().is_some_and(|call| stuck(call.sent_at)) {
-            record.lost = record.call.take();
+        let timed_out = |sent_at| now.monotonic.since(sent_at) > self.options.term;
+        if record
+            .call
+            .as_ref()
+            .is_some_and(|call| timed_out(call.sent_at))
+        {
+            record.unconfirmed = record.call.take();
         }
         let idle = record.call.is_none();
         let holds = record.grant.is_some();
         let period = match holds {
-            true => self.options.renew_period(),
-            false => self.options.watch_period(),
+            true => self.options.renew_interval(),
+            false => self.options.watch_interval(),
         };
         let period = period.mul_f64(self.rng.random_range(0.8..1.0));
         effects.set_timer(Self::timer_key(name), now.monotonic + period);
         match (idle, holds) {
             (true, true) => self.renew(now, name, effects),
-            (true, false) if self.contends(name, members) => self.send_read(now, name, effects),
+            (true, false) if self.is_contender(name, members) => self.send_read(now, name, effects),
             _ => {}
         }
     }
 
-    fn contends(&self, name: LeaseName, members: &MemberView) -> bool {
+    fn is_contender(&self, name: LeaseName, members: &MemberView) -> bool {
         let weight = |host: &str| {
             let mut hasher = DefaultHasher::new();
             (name as u64, host).hash(&mut hasher);
@@ -86,7 +90,7 @@
             .serving()
             .filter(|(host, _)| weight(host.as_str()) > own)
             .count();
-        ahead < CONTENDERS
+        ahead < MAX_CONTENDERS
     }
 
     pub(super) fn send_read(&mut self, now: CoreTime, name: LeaseName, effects: &mut EffectQueue) {
@@ -95,37 +99,37 @@
         self.call_table(now, name, request, CallPurpose::Read, effects);
     }
 
-    pub(super) fn read(
+    pub(super) fn row_read(
         &mut self,
         now: CoreTime,
         name: LeaseName,
         row: Option<&TableRow>,
         effects: &mut EffectQueue,
     ) {
-        let Some(found) = self.note_row(now, name, row, effects) else {
+        let Some(found) = self.record_row(now, name, row, effects) else {
             return;
         };
-        self.check_alone(now, name, &found.row, effects);
-        self.drop_foreign(name, &found);
-        self.settle_lost(name, &found, effects);
+        self.check_exclusive(now, name, &found.row, effects);
+        self.drop_superseded(name, &found);
+        self.resolve_unconfirmed(name, &found, effects);
         let wanted = self.records.get(&name).is_some_and(|record| record.wanted);
         let holds = self.grant(now, name).is_some();
         let free = found.row.holder.is_none();
-        let unchanged = now.monotonic.since(found.seen_at);
-        let expired = unchanged >= self.options.waiting_time();
+        let unchanged = now.monotonic.since(found.first_seen_at);
+        let expired = unchanged >= self.options.takeover_delay();
         if wanted && !self.leaving && !holds && (free || expired) {
-            self.take(now, name, &found, effects);
+            self.acquire(now, name, &found, effects);
         }
     }
 
     /// Remembers a row with the time that it was first seen as it is.
-    fn note_row(
+    fn record_row(
         &mut self,
         now: CoreTime,
         name: LeaseName,
         row: Option<&TableRow>,
         effects: &mut EffectQueue,
-    ) -> Option<SeenRow> {
+    ) -> Option<ObservedRow> {
         let revision = row.map_or(0, |row| row.revision);
         let record = self.records.entry(name).or_default();
         if let Some(seen) = &record.seen
@@ -142,10 +146,10 @@
                 return None;
             }
         };
-        let seen = SeenRow {
+        let seen = ObservedRow {
             row: content,
             revision,
-            seen_at: now.monotonic,
+            first_seen_at: now.monotonic,
         };
         record.seen = Some(seen.clone());
         Some(seen)
@@ -153,8 +157,8 @@
 
     /// A row that names another holder ends this daemon's grant. Renewing it would otherwise
     /// write the other's row again and act beside it under the other's fencing number.
-    fn drop_foreign(&mut self, name: LeaseName, found: &SeenRow) {
-        let own = Some(self.own());
+    fn drop_superseded(&mut self, name: LeaseName, found: &ObservedRow) {
+        let own = Some(self.own_holder());
         if found.row.holder != own
             && let Some(record) = self.records.get_mut(&name)
         {
@@ -163,40 +167,51 @@
     }
 
     /// A write whose answer was lost is found by its nonce: it counts from when it was sent.
-    fn settle_lost(&mut self, name: LeaseName, found: &SeenRow, effects: &mut EffectQueue) {
+    fn resolve_unconfirmed(
+        &mut self,
+        name: LeaseName,
+        found: &ObservedRow,
+        effects: &mut EffectQueue,
+    ) {
         let Some(record) = self.records.get_mut(&name) else {
             return;
         };
-        let Some(lost) = record.lost.take() else {
+        let Some(lost) = record.unconfirmed.take() else {
             return;
         };
-        let (CallPurpose::Take { row } | CallPurpose::Renew { row }) = &lost.purpose else {
+        let (CallPurpose::Acquire { row } | CallPurpose::Renew { row }) = &lost.purpose else {
             return;
         };
         if *row == found.row {
-            let acting_time = self.options.acting_time();
+            let holder_window = self.options.holder_window();
             let acquired_at = record.grant.map_or(lost.sent_at, |grant| grant.acquired_at);
             record.grant = Some(LeaseGrant {
                 fencing: row.fencing,
                 acquired_at,
-                valid_until: lost.sent_at + acting_time,
+                valid_until: lost.sent_at + holder_window,
             });
             let line = LogLine::new(LogLevel::Info, "lease-found").with("lease", name);
             effects.log(line.with("fencing", row.fencing));
         }
     }
 
-    fn take(&mut self, now: CoreTime, name: LeaseName, found: &SeenRow, effects: &mut EffectQueue) {
+    fn acquire(
+        &mut self,
+        now: CoreTime,
+        name: LeaseName,
+        found: &ObservedRow,
+        effects: &mut EffectQueue,
+    ) {
         let row = LeaseRow {
-            holder: Some(self.own()),
+            holder: Some(self.own_holder()),
             fencing: found.row.fencing.next(),
             nonce: self.rng.random(),
         };
-        let purpose = CallPurpose::Take { row: row.clone() };
+        let purpose = CallPurpose::Acquire { row: row.clone() };
         self.write(now, name, &row, purpose, effects);
     }
 
-    fn own(&self) -> LeaseHolder {
+    fn own_holder(&self) -> LeaseHolder {
         LeaseHolder {
             host: self.options.host.clone(),
             incarnation: self.options.incarnation,
--- a/crates/savorywood-core/src/leases/options.rs
+++ b/crates/savorywood-core/src/leases/options.rs
@@ -35,23 +35,23 @@
     }
 
     /// How long a holder may act after it sent a renewal: nine tenths of the term.
-    pub(super) fn acting_time(&self) -> Duration {
+    pub(super) fn holder_window(&self) -> Duration {
         self.term.mul_f64(0.9)
     }
 
     /// How long a row must be seen unchanged before it may be taken. With the acting time this
     /// allows for one clock running a third faster than the other.
-    pub(super) fn waiting_time(&self) -> Duration {
+    pub(super) fn takeover_delay(&self) -> Duration {
         self.term.mul_f64(1.25)
     }
 
     /// Between two renewals: two may be lost before the holder must stop.
-    pub(super) fn renew_period(&self) -> Duration {
+    pub(super) fn renew_interval(&self) -> Duration {
         self.term.mul_f64(0.25)
     }
 
     /// Between two reads of a daemon that waits for the lease.
-    pub(super) fn watch_period(&self) -> Duration {
+    pub(super) fn watch_interval(&self) -> Duration {
         self.term.mul_f64(0.2)
     }
 }
--- a/crates/savorywood-core/src/leases/holding.rs
+++ b/crates/savorywood-core/src/leases/renewal.rs
@@ -1,6 +1,8 @@
 //! Renewing a lease and giving it back.
 
-use super::{CallProgress, CallPurpose, LeaseGrant, LeaseName, LeaseState, SeenRow, row::LeaseRow};
+use super::{
+    CallPurpose, LeaseGrant, LeaseName, LeaseState, ObservedRow, PendingCall, row::LeaseRow,
+};
 use crate::effect::{EffectQueue, LogLevel, LogLine};
 use rand::Rng;
 use savorywood_protocol::{CoreTime, table::CommitRevision};
@@ -9,7 +11,7 @@
     pub(super) fn renew(&mut self, now: CoreTime, name: LeaseName, effects: &mut EffectQueue) {
         let record = self.records.entry(name).or_default();
         // A write whose answer was lost may have moved the row: read before writing again.
-        let Some(seen) = record.seen.clone().filter(|_| record.lost.is_none()) else {
+        let Some(seen) = record.seen.clone().filter(|_| record.unconfirmed.is_none()) else {
             self.send_read(now, name, effects);
             return;
         };
@@ -21,24 +23,24 @@
         self.write(now, name, &row, purpose, effects);
     }
 
-    pub(super) fn committed(
+    pub(super) fn write_committed(
         &mut self,
         now: CoreTime,
         name: LeaseName,
-        call: &CallProgress,
+        call: &PendingCall,
         revision: CommitRevision,
         effects: &mut EffectQueue,
     ) {
-        let acting_time = self.options.acting_time();
+        let holder_window = self.options.holder_window();
         let record = self.records.entry(name).or_default();
-        let (CallPurpose::Take { row } | CallPurpose::Renew { row }) = &call.purpose else {
+        let (CallPurpose::Acquire { row } | CallPurpose::Renew { row }) = &call.purpose else {
             record.seen = None;
             return;
         };
-        record.seen = Some(SeenRow {
+        record.seen = Some(ObservedRow {
             row: row.clone(),
             revision,
-            seen_at: now.monotonic,
+            first_seen_at: now.monotonic,
         });
         if !record.wanted || self.leaving {
             self.release(now, name, effects);
@@ -48,9 +50,9 @@
         record.grant = Some(LeaseGrant {
             fencing: row.fencing,
             acquired_at,
-            valid_until: call.sent_at + acting_time,
+            valid_until: call.sent_at + holder_window,
         });
-        if matches!(call.purpose, CallPurpose::Take { .. }) {
+        if matches!(call.purpose, CallPurpose::Acquire { .. }) {
             let line = LogLine::new(LogLevel::Info, "lease-taken").with("lease", name);
             effects.log(line.with("fencing", row.fencing));
         }
