--- a/crates/savorywood-core/src/membership.rs
+++ b/crates/savorywood-core/src/membership.rs
@@ -7,13 +7,13 @@
 //! else was weighed.
 
 mod budget;
+mod failure_detection;
 mod health;
-mod inbox;
-mod judge;
+mod incoming;
 mod options;
-mod outbox;
+mod outgoing;
+mod periodic;
 mod probe;
-mod round;
 mod rumor;
 mod table;
 
@@ -28,10 +28,10 @@
     event::{DutyKind, HostEntry, TimerKey},
     view::MemberView,
 };
-use probe::ProbeBook;
+use periodic::ProbeOrder;
+use probe::ProbeTracker;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use round::ProbeOrder;
 use rumor::RumorQueue;
 use savorywood_protocol::{
     ConfigRevision, CoreTime, HostIncarnation, HostName, MonotonicTime, RegionName,
@@ -44,7 +44,7 @@
     collections::{BTreeMap, BTreeSet},
     time::Duration,
 };
-use table::{MemberTable, NewsSource};
+use table::{MemberTable, UpdateSource};
 
 /// Time between two looks at what is due.
 pub const TICK_INTERVAL: Duration = Duration::from_millis(100);
@@ -98,18 +98,18 @@
     rng: ChaCha8Rng,
     table: MemberTable,
     rumors: RumorQueue,
-    probes: ProbeBook,
+    probes: ProbeTracker,
     order: ProbeOrder,
     health: LocalHealth,
     seeds: BTreeMap<HostName, HostEntry>,
     unreachable: BTreeSet<RegionName>,
-    region_heard: BTreeMap<RegionName, MonotonicTime>,
+    region_last_seen: BTreeMap<RegionName, MonotonicTime>,
     newest_revision: ConfigRevision,
     pull: PullProgress,
     joined: bool,
     next_part: u8,
-    urgent: BTreeSet<HostName>,
-    revision_unspread: bool,
+    urgent_members: BTreeSet<HostName>,
+    revision_unannounced: bool,
     clock: MembershipClock,
     change: MembershipChange,
 }
@@ -122,7 +122,7 @@
     next_bridge: MonotonicTime,
     next_reconnect: MonotonicTime,
     next_pull: MonotonicTime,
-    last_heard: MonotonicTime,
+    last_received: MonotonicTime,
 }
 
 /// How much of the member table has still to be read from others: at the start, after a pause
@@ -142,18 +142,18 @@
             rng: ChaCha8Rng::seed_from_u64(options.seed),
             table: MemberTable::default(),
             rumors: RumorQueue::default(),
-            probes: ProbeBook::default(),
+            probes: ProbeTracker::default(),
             order: ProbeOrder::default(),
             health: LocalHealth::default(),
             seeds: BTreeMap::new(),
             unreachable: BTreeSet::new(),
-            region_heard: BTreeMap::new(),
+            region_last_seen: BTreeMap::new(),
             newest_revision: ConfigRevision::default(),
             pull: PullProgress::default(),
             joined: false,
             next_part: 0,
-            urgent: BTreeSet::new(),
-            revision_unspread: false,
+            urgent_members: BTreeSet::new(),
+            revision_unannounced: false,
             clock: MembershipClock::default(),
             change: MembershipChange::default(),
             options,
@@ -203,7 +203,7 @@
             MembershipEvent::Started => self.start(now, effects),
             MembershipEvent::TimerFired => self.tick(now, effects),
             MembershipEvent::Peer { from, message } => self.receive(now, &from, message, effects),
-            MembershipEvent::HostsListed(hosts) => self.list_hosts(now, hosts, effects),
+            MembershipEvent::HostsListed(hosts) => self.update_host_list(now, hosts, effects),
             MembershipEvent::RevisionInForce(revision) => {
                 self.revision_in_force(now, revision, effects);
             }
@@ -216,14 +216,14 @@
     fn start(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
         self.clock = MembershipClock {
             last_tick: now,
-            next_probe: now + self.options.probe_period,
+            next_probe: now + self.options.probe_interval,
             next_bridge: now,
-            next_reconnect: now + self.options.reconnect_period,
+            next_reconnect: now + self.options.reconnect_interval,
             next_pull: now,
-            last_heard: now,
+            last_received: now,
         };
         let update = self.own_update(MemberState::Alive, 0);
-        self.accept(now, &update, NewsSource::Member, effects);
+        self.merge_update(now, &update, UpdateSource::Member, effects);
         effects.set_timer(TICK_TIMER, now + TICK_INTERVAL);
     }
 
@@ -253,8 +253,8 @@
     /// are sent here.
     fn announce(&mut self, now: MonotonicTime, state: MemberState, effects: &mut EffectQueue) {
         let update = self.own_update(state, self.own_refutation());
-        self.accept(now, &update, NewsSource::Member, effects);
-        self.spread(effects);
+        self.merge_update(now, &update, UpdateSource::Member, effects);
+        self.send_urgent(effects);
     }
 
     fn revision_in_force(
@@ -270,13 +270,18 @@
         }) else {
             return;
         };
-        self.accept(now, &update, NewsSource::Member, effects);
-        self.spread(effects);
+        self.merge_update(now, &update, UpdateSource::Member, effects);
+        self.send_urgent(effects);
     }
 
     /// Takes in the host list: a seed at the start, later a hint about hosts not yet known.
     /// Hosts that it leaves out stay members, for it lags and may be empty.
-    fn list_hosts(&mut self, now: MonotonicTime, hosts: Vec<HostEntry>, effects: &mut EffectQueue) {
+    fn update_host_list(
+        &mut self,
+        now: MonotonicTime,
+        hosts: Vec<HostEntry>,
+        effects: &mut EffectQueue,
+    ) {
         if hosts.is_empty() {
             return;
         }
@@ -286,7 +291,7 @@
         let own = &self.options.host;
         let others = hosts.into_iter().filter(|entry| entry.host != *own);
         self.seeds = others.map(|entry| (entry.host.clone(), entry)).collect();
-        self.greet_listed(now, effects);
+        self.contact_listed(now, effects);
         self.pull(now, effects);
     }
 }
--- a/crates/savorywood-core/src/membership/budget.rs
+++ b/crates/savorywood-core/src/membership/budget.rs
@@ -18,17 +18,17 @@
 const BURST_SECONDS: u64 = 2;
 
 /// Share of the burst that is kept for more important messages, in thousandths.
-const NORMAL_RESERVE: u64 = 150;
-const LOW_RESERVE: u64 = 400;
+const NORMAL_RESERVE_PER_MILLE: u64 = 150;
+const LOW_RESERVE_PER_MILLE: u64 = 400;
 
 /// Digests that ride along with a probe; a ping that reads a table has fewer.
-const PROBE_PARTS: usize = 4;
+const PROBE_DIGEST_PARTS: usize = 4;
 
 /// Members in an answer from which it is taken for a part of a table.
-const LONG_TABLE: usize = 6;
+const TABLE_PART_MEMBERS: usize = 6;
 
 /// Microseconds of a second.
-const MICROS: u64 = 1_000_000;
+const MICROS_PER_SECOND: u64 = 1_000_000;
 
 /// How important a datagram is; the least important are dropped first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -55,8 +55,8 @@
     /// Reading a table may wait; a sign of life that is not sent makes a suspect.
     fn of_membership(message: &MembershipMessage) -> Self {
         let reads_table = match message {
-            MembershipMessage::Ping { digest, .. } => digest.parts.len() < PROBE_PARTS,
-            MembershipMessage::Ack { table, .. } => table.len() >= LONG_TABLE,
+            MembershipMessage::Ping { digest, .. } => digest.parts.len() < PROBE_DIGEST_PARTS,
+            MembershipMessage::Ack { table, .. } => table.len() >= TABLE_PART_MEMBERS,
             MembershipMessage::PingRequest { .. } | MembershipMessage::Nack { .. } => false,
             MembershipMessage::News { .. } => return Self::Urgent,
         };
@@ -85,8 +85,8 @@
     fn reserve(self) -> u64 {
         match self {
             Self::Urgent => 0,
-            Self::Normal => NORMAL_RESERVE,
-            Self::Low => LOW_RESERVE,
+            Self::Normal => NORMAL_RESERVE_PER_MILLE,
+            Self::Low => LOW_RESERVE_PER_MILLE,
         }
     }
 }
@@ -96,7 +96,7 @@
 pub struct PeerBudget {
     rate: u64,
     /// Byte-microseconds a second that are saved up, so that short steps lose nothing.
-    saved: u64,
+    tokens: u64,
     updated_at: MonotonicTime,
     dropped: u64,
 }
@@ -108,7 +108,7 @@
         let rate = bytes_per_second;
         Self {
             rate,
-            saved: rate * BURST_SECONDS * MICROS,
+            tokens: rate * BURST_SECONDS * MICROS_PER_SECOND,
             updated_at: MonotonicTime::default(),
             dropped: 0,
         }
@@ -117,14 +117,14 @@
     /// Takes `bytes` out if a datagram of this class may be sent now.
     pub fn admit(&mut self, now: MonotonicTime, class: BudgetClass, bytes: usize) -> bool {
         self.refill(now);
-        let full = self.rate * BURST_SECONDS * MICROS;
+        let full = self.rate * BURST_SECONDS * MICROS_PER_SECOND;
         let reserve = full / 1_000 * class.reserve();
         let cost = u64::try_from(bytes)
             .unwrap_or(u64::MAX)
-            .saturating_mul(MICROS);
-        let enough = self.saved >= reserve.saturating_add(cost);
+            .saturating_mul(MICROS_PER_SECOND);
+        let enough = self.tokens >= reserve.saturating_add(cost);
         match enough {
-            true => self.saved -= cost,
+            true => self.tokens -= cost,
             false => self.dropped += 1,
         }
         enough
@@ -141,8 +141,8 @@
             .since(self.updated_at)
             .min(Duration::from_secs(BURST_SECONDS));
         let micros = u64::try_from(elapsed.as_micros()).unwrap_or(u64::MAX);
-        let full = self.rate * BURST_SECONDS * MICROS;
-        self.saved = full.min(self.saved + self.rate * micros);
+        let full = self.rate * BURST_SECONDS * MICROS_PER_SECOND;
+        self.tokens = full.min(self.tokens + self.rate * micros);
         self.updated_at = self.updated_at.max(now);
     }
 }
--- a/crates/savorywood-core/src/membership/judge.rs
+++ b/crates/savorywood-core/src/membership/failure_detection.rs
@@ -4,7 +4,7 @@
     MembershipState,
     probe::PendingProbe,
     rumor::RumorClass,
-    table::{MergeOutcome, NewsSource, is_live, supersedes},
+    table::{MergeOutcome, UpdateSource, is_live, supersedes},
 };
 use crate::effect::{EffectQueue, LogLevel, LogLine};
 use savorywood_protocol::{
@@ -15,42 +15,42 @@
 /// A suspected member of another region is judged there; only when no word of it has come for so
 /// many times the suspicion time is it taken for dead here. Without an end, a daemon that missed
 /// that word would hold a dead member for merely suspected for good.
-const FAR_PATIENCE: u32 = 10;
+const REMOTE_SUSPICION_FACTOR: u32 = 10;
 
 impl MembershipState {
     /// Takes in a piece of news from another daemon and passes it on if it is new.
-    pub(super) fn learn(
+    pub(super) fn apply_update(
         &mut self,
         now: MonotonicTime,
         update: &MemberUpdate,
-        source: NewsSource,
+        source: UpdateSource,
         effects: &mut EffectQueue,
     ) {
         if update.host == self.options.host {
-            self.learn_of_us(now, update, effects);
+            self.apply_update_about_self(now, update, effects);
         } else {
-            self.accept(now, update, source, effects);
+            self.merge_update(now, update, source, effects);
         }
     }
 
     /// Takes in news that contradicts nothing we say of ourselves.
-    pub(super) fn accept(
+    pub(super) fn merge_update(
         &mut self,
         now: MonotonicTime,
         update: &MemberUpdate,
-        source: NewsSource,
+        source: UpdateSource,
         effects: &mut EffectQueue,
     ) {
         let before = self.table.get(&update.host).map(|e| e.update.clone());
-        self.note_revision(update.config_revision);
+        self.observe_revision(update.config_revision);
         let outcome = self.table.merge(now, update, source);
-        self.correct_older(update, outcome, source);
+        self.correct_stale_peer(update, outcome, source);
         if matches!(outcome, MergeOutcome::Stale | MergeOutcome::UnknownPlace) {
             return;
         }
         self.change.view_changed = true;
         // What stands in a table was told long ago; those that missed it read it there too.
-        if source != NewsSource::Table {
+        if source != UpdateSource::Table {
             let class = self.class_of(update, outcome);
             let with_place = outcome == MergeOutcome::Joined;
             self.rumors.push(&update.host, class, with_place);
@@ -60,21 +60,26 @@
 
     /// Tells anew what another daemon's table has an older word of. Whoever asks for a table
     /// learns from it; without this, what only the asker knows would stay with it for good.
-    fn correct_older(&mut self, update: &MemberUpdate, outcome: MergeOutcome, source: NewsSource) {
-        if outcome != MergeOutcome::Stale || source != NewsSource::Table {
+    fn correct_stale_peer(
+        &mut self,
+        update: &MemberUpdate,
+        outcome: MergeOutcome,
+        source: UpdateSource,
+    ) {
+        if outcome != MergeOutcome::Stale || source != UpdateSource::Table {
             return;
         }
         let held = self.table.get(&update.host).map(|entry| &entry.update);
         let older = held.is_some_and(|held| {
-            let same_life = held.incarnation == update.incarnation;
-            held.incarnation > update.incarnation || (same_life && supersedes(held, update))
+            let same_incarnation = held.incarnation == update.incarnation;
+            held.incarnation > update.incarnation || (same_incarnation && supersedes(held, update))
         });
         if older {
             self.rumors.push(&update.host, RumorClass::State, true);
         }
     }
 
-    fn learn_of_us(
+    fn apply_update_about_self(
         &mut self,
         now: MonotonicTime,
         update: &MemberUpdate,
@@ -97,7 +102,7 @@
         } else if newest == own.update.incarnation && supersedes(update, &own.update) {
             self.health.worsen();
             let own = self.own_update(state, update.refutation + 1);
-            self.accept(now, &own, NewsSource::Member, effects);
+            self.merge_update(now, &own, UpdateSource::Member, effects);
         }
     }
 
@@ -117,16 +122,16 @@
             .with("now", self.options.incarnation);
         effects.log(line);
         let own = self.own_update(state, 0);
-        self.accept(now, &own, NewsSource::Member, effects);
+        self.merge_update(now, &own, UpdateSource::Member, effects);
     }
 
     /// Notes the newest configuration revision heard of.
-    pub(super) fn note_revision(&mut self, revision: ConfigRevision) {
+    pub(super) fn observe_revision(&mut self, revision: ConfigRevision) {
         if revision > self.newest_revision {
             self.newest_revision = revision;
             self.change.newer_revision = Some(revision);
             // To a daemon that has just begun, every revision is new.
-            self.revision_unspread = self.joined;
+            self.revision_unannounced = self.joined;
         }
     }
 
@@ -135,7 +140,7 @@
         // To a daemon that has just begun, all is new, and nobody waits to hear it from there.
         let may_spread = self.joined || update.host == self.options.host;
         if may_spread && leaving {
-            self.urgent.insert(update.host.clone());
+            self.urgent_members.insert(update.host.clone());
             return RumorClass::Urgent;
         }
         match outcome {
@@ -151,8 +156,8 @@
         probe: &PendingProbe,
         effects: &mut EffectQueue,
     ) {
-        self.table.set_knows_us(&probe.target, false);
-        if !probe.judges {
+        self.table.set_knows_our_place(&probe.target, false);
+        if !probe.detects_failure {
             return;
         }
         if probe.nacks < probe.relays {
@@ -166,30 +171,30 @@
         // other for dead, both would forget and relearn half the fleet. Only a member of the
         // target's own region can tell that the target alone is gone.
         let far = entry.place.region != *self.options.region();
-        if (far && !probe.near_nack) || entry.update.state != MemberState::Alive {
+        if (far && !probe.target_region_nack) || entry.update.state != MemberState::Alive {
             return;
         }
         let suspicion = MemberUpdate {
             state: MemberState::Suspect,
             ..entry.update.clone()
         };
-        self.accept(now, &suspicion, NewsSource::Rumor, effects);
+        self.merge_update(now, &suspicion, UpdateSource::Rumor, effects);
     }
 
     /// Takes suspected members that did not refute in time for dead.
     pub(super) fn expire_suspicions(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
         // A daemon that hears nobody is itself cut off. Were it to judge, it would come back
         // with a table full of dead members and spread that.
-        if now.since(self.clock.last_heard) > self.options.isolation_time {
+        if now.since(self.clock.last_received) > self.options.isolation_timeout {
             return;
         }
-        let patience = self.health.stretch(self.options.suspicion_time);
+        let timeout = self.health.stretch(self.options.suspicion_timeout);
         let due = self.table.entries().filter(|(_, entry)| {
-            entry.update.state == MemberState::Suspect && now.since(entry.since) >= patience
+            entry.update.state == MemberState::Suspect && now.since(entry.since) >= timeout
         });
         let ours = due.filter(|(_, entry)| {
             let near = entry.place.region == *self.options.region();
-            near || now.since(entry.since) >= patience * FAR_PATIENCE
+            near || now.since(entry.since) >= timeout * REMOTE_SUSPICION_FACTOR
         });
         let dead: Vec<_> = ours
             .map(|(_, entry)| MemberUpdate {
@@ -198,22 +203,22 @@
             })
             .collect();
         for update in &dead {
-            self.accept(now, update, NewsSource::Rumor, effects);
+            self.merge_update(now, update, UpdateSource::Rumor, effects);
         }
     }
 
     /// Forgets members that have been dead, or leaving without a word, for long enough.
-    pub(super) fn forget_dead(&mut self, now: MonotonicTime) {
+    pub(super) fn expire_dead(&mut self, now: MonotonicTime) {
         let retention = self.options.dead_retention;
         let own = self.options.host.clone();
-        let forgot = self.table.retain(|host, entry| {
+        let removed = self.table.retain(|host, entry| {
             *host == own || is_live(entry) || now.since(entry.since) < retention
         });
-        self.change.view_changed |= forgot;
+        self.change.view_changed |= removed;
     }
 
     /// Members of this region that may take part in probes, without ourselves.
-    pub(super) fn near_live(&self) -> Vec<HostName> {
+    pub(super) fn live_in_own_region(&self) -> Vec<HostName> {
         let own = &self.options.host;
         let region = self.options.region();
         let near = self.table.entries().filter(|(host, entry)| {
--- a/crates/savorywood-core/src/membership/inbox.rs
+++ b/crates/savorywood-core/src/membership/incoming.rs
@@ -2,9 +2,9 @@
 
 use super::{
     MembershipState,
-    outbox::{FULL_BYTES, NEWS_BYTES, PingPurpose},
+    outgoing::{MAX_UPDATE_BYTES, PIGGYBACK_BYTES, PingPurpose},
     probe::{PendingProbe, RelayedProbe},
-    table::{NewsSource, TABLE_PARTS},
+    table::{TABLE_PARTS, UpdateSource},
 };
 use crate::effect::{EffectQueue, LogLevel, LogLine};
 use savorywood_protocol::{
@@ -16,10 +16,10 @@
 };
 
 /// An answer this near to a full one may have left something out.
-const NEARLY_FULL_BYTES: usize = FULL_BYTES - NEWS_BYTES - 150;
+const NEARLY_FULL_BYTES: usize = MAX_UPDATE_BYTES - PIGGYBACK_BYTES - 150;
 
 /// Times that the same parts are asked for when answers are nearly full.
-const MAX_REPEATS: u8 = 3;
+const MAX_PULL_REPEATS: u8 = 3;
 
 /// Part of another daemon's table.
 #[derive(Debug, Clone, Copy)]
@@ -37,8 +37,8 @@
         message: MembershipMessage,
         effects: &mut EffectQueue,
     ) {
-        self.clock.last_heard = now;
-        self.heard_region_of(now, from, effects);
+        self.clock.last_received = now;
+        self.record_region_contact(now, from, effects);
         match message {
             MembershipMessage::Ping {
                 sequence,
@@ -46,9 +46,9 @@
                 digest,
                 updates,
             } => {
-                self.note_revision(newest_revision);
-                self.learn_all(now, from, &updates, NewsSource::Rumor, effects);
-                self.pinged(from, sequence, &digest, &updates, effects);
+                self.observe_revision(newest_revision);
+                self.apply_updates(now, from, &updates, UpdateSource::Rumor, effects);
+                self.handle_ping(from, sequence, &digest, &updates, effects);
             }
             MembershipMessage::Ack {
                 sequence,
@@ -57,36 +57,36 @@
                 table,
                 settled,
             } => {
-                self.note_revision(newest_revision);
-                self.learn_all(now, from, &updates, NewsSource::Rumor, effects);
-                self.learn_all(now, from, &table, NewsSource::Table, effects);
+                self.observe_revision(newest_revision);
+                self.apply_updates(now, from, &updates, UpdateSource::Rumor, effects);
+                self.apply_updates(now, from, &table, UpdateSource::Table, effects);
                 let part = TablePart {
                     members: &table,
                     settled,
                 };
-                self.acked(now, from, sequence, part, effects);
+                self.handle_ack(now, from, sequence, part, effects);
             }
             MembershipMessage::PingRequest {
                 sequence,
                 target,
                 updates,
             } => {
-                self.learn_all(now, from, &updates, NewsSource::Rumor, effects);
-                self.ping_for(now, from, sequence, target, effects);
+                self.apply_updates(now, from, &updates, UpdateSource::Rumor, effects);
+                self.relay_ping(now, from, sequence, target, effects);
             }
-            MembershipMessage::Nack { sequence } => self.nacked(from, sequence),
+            MembershipMessage::Nack { sequence } => self.handle_nack(from, sequence),
             MembershipMessage::News {
                 newest_revision,
                 updates,
             } => {
-                self.note_revision(newest_revision);
-                self.learn_all(now, from, &updates, NewsSource::Rumor, effects);
+                self.observe_revision(newest_revision);
+                self.apply_updates(now, from, &updates, UpdateSource::Rumor, effects);
             }
         }
-        self.spread(effects);
+        self.send_urgent(effects);
     }
 
-    fn pinged(
+    fn handle_ping(
         &mut self,
         from: &HostName,
         sequence: u64,
@@ -97,10 +97,10 @@
         // A sender that introduces itself may not know us either.
         let introduced = |update: &MemberUpdate| update.host == *from && update.place.is_some();
         let introduce = updates.iter().any(introduced);
-        self.answer(from, sequence, digest, introduce, effects);
+        self.send_ack(from, sequence, digest, introduce, effects);
     }
 
-    fn acked(
+    fn handle_ack(
         &mut self,
         now: MonotonicTime,
         from: &HostName,
@@ -110,16 +110,16 @@
     ) {
         if let Some(probe) = self.probes.answered(sequence) {
             self.health.improve();
-            self.table.set_knows_us(&probe.target, true);
+            self.table.set_knows_our_place(&probe.target, true);
             if probe.pulls > 0 {
-                self.pulled(now, &probe, part, effects);
+                self.handle_pull(now, &probe, part, effects);
             }
         } else if let Some(relayed) = self.probes.relay_answered(sequence) {
-            self.relay_answer(&relayed.requester, from, relayed.sequence, effects);
+            self.relay_ack(&relayed.requester, from, relayed.sequence, effects);
         }
     }
 
-    fn pulled(
+    fn handle_pull(
         &mut self,
         now: MonotonicTime,
         probe: &PendingProbe,
@@ -127,7 +127,7 @@
         effects: &mut EffectQueue,
     ) {
         let bytes: usize = part.members.iter().map(MemberUpdate::max_wire_bytes).sum();
-        if bytes >= NEARLY_FULL_BYTES && self.pull.repeats < MAX_REPEATS {
+        if bytes >= NEARLY_FULL_BYTES && self.pull.repeats < MAX_PULL_REPEATS {
             self.pull.repeats += 1;
         } else {
             self.pull.repeats = 0;
@@ -146,7 +146,7 @@
         }
     }
 
-    fn ping_for(
+    fn relay_ping(
         &mut self,
         now: MonotonicTime,
         requester: &HostName,
@@ -164,10 +164,10 @@
             fails_at: now + self.options.direct_timeout,
         };
         let number = self.probes.add_relayed(relayed);
-        self.send_ping(&target, address, number, PingPurpose::Greet, effects);
+        self.send_ping(&target, address, number, PingPurpose::Contact, effects);
     }
 
-    fn nacked(&mut self, from: &HostName, sequence: u64) {
+    fn handle_nack(&mut self, from: &HostName, sequence: u64) {
         let region = self.table.get(from).map(|entry| entry.place.region.clone());
         let Some(probe) = self.probes.get_mut(sequence) else {
             return;
@@ -175,6 +175,6 @@
         probe.nacks += 1;
         let target = self.table.get(&probe.target);
         let near = target.is_some_and(|entry| Some(&entry.place.region) == region.as_ref());
-        probe.near_nack |= near;
+        probe.target_region_nack |= near;
     }
 }
--- a/crates/savorywood-core/src/membership/options.rs
+++ b/crates/savorywood-core/src/membership/options.rs
@@ -15,32 +15,32 @@
     /// Seed of its random numbers.
     pub seed: u64,
     /// Time between two probes.
-    pub probe_period: Duration,
+    pub probe_interval: Duration,
     /// Time until a probe that was not answered is tried through others.
     pub direct_timeout: Duration,
     /// Time until a probe has failed.
     pub probe_timeout: Duration,
     /// The same two times for a member of another region are longer by this.
-    pub far_allowance: Duration,
+    pub remote_allowance: Duration,
     /// Others through which a probe is tried.
     pub relays: usize,
     /// Time that a suspected member has to refute.
-    pub suspicion_time: Duration,
+    pub suspicion_timeout: Duration,
     /// Members that urgent news is sent to at once by each that learns it.
-    pub news_fanout: usize,
+    pub urgent_fanout: usize,
     /// Members of each region that talk to the other regions.
     pub bridges: usize,
     /// Time without a word from another region after which it is called unreachable.
-    pub far_silence: Duration,
+    pub region_timeout: Duration,
     /// Time without any message after which this daemon takes itself for cut off.
-    pub isolation_time: Duration,
+    pub isolation_timeout: Duration,
     /// Time that dead members are remembered. It must outlast a cut between regions, or the
     /// other side would bring a member back that is long gone.
     pub dead_retention: Duration,
     /// Time between two tries to reach a member that is taken for dead.
-    pub reconnect_period: Duration,
+    pub reconnect_interval: Duration,
     /// A gap between two ticks longer than this means that the process was paused.
-    pub pause_limit: Duration,
+    pub max_tick_gap: Duration,
 }
 
 impl MembershipOptions {
@@ -52,19 +52,19 @@
             incarnation,
             place,
             seed: 0,
-            probe_period: Duration::from_millis(500),
+            probe_interval: Duration::from_millis(500),
             direct_timeout: Duration::from_millis(150),
             probe_timeout: Duration::from_millis(700),
-            far_allowance: Duration::from_millis(300),
+            remote_allowance: Duration::from_millis(300),
             relays: 3,
-            suspicion_time: Duration::from_secs(4),
-            news_fanout: 4,
+            suspicion_timeout: Duration::from_secs(4),
+            urgent_fanout: 4,
             bridges: 3,
-            far_silence: Duration::from_secs(10),
-            isolation_time: Duration::from_secs(2),
+            region_timeout: Duration::from_secs(10),
+            isolation_timeout: Duration::from_secs(2),
             dead_retention: Duration::from_secs(7_200),
-            reconnect_period: Duration::from_secs(5),
-            pause_limit: Duration::from_secs(10),
+            reconnect_interval: Duration::from_secs(5),
+            max_tick_gap: Duration::from_secs(10),
         }
     }
 
--- a/crates/savorywood-core/src/membership/outbox.rs
+++ b/crates/savorywood-core/src/membership/outgoing.rs
@@ -3,7 +3,7 @@
 use super::{
     MembershipState,
     probe::PendingProbe,
-    table::{NewsSource, is_live},
+    table::{UpdateSource, is_live},
 };
 use crate::effect::{DaemonEffect, EffectQueue};
 use rand::seq::{IndexedRandom, SliceRandom};
@@ -17,25 +17,25 @@
 use std::{net::SocketAddr, time::Duration};
 
 /// Bytes of news that ride along with a probe or its answer.
-pub(super) const NEWS_BYTES: usize = 600;
+pub(super) const PIGGYBACK_BYTES: usize = 600;
 
 /// Bytes of news in a message that has nothing else to say. What remains of a datagram is for
 /// the rest of the message, the sender and the tag.
-pub(super) const FULL_BYTES: usize = 1_000;
+pub(super) const MAX_UPDATE_BYTES: usize = 1_000;
 
 /// Parts of the table whose digests ride along with a probe.
 const DIGEST_PARTS: u8 = 4;
 
 /// Bridges of another region that urgent news is sent to.
-const FAR_FANOUT: usize = 2;
+const REMOTE_FANOUT: usize = 2;
 
 /// What a ping is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum PingPurpose {
     /// A failure counts against the target.
-    Judge,
+    DetectFailure,
     /// Only greets the target.
-    Greet,
+    Contact,
     /// Reads so many parts of the target's table, from this one on.
     Pull {
         /// First part.
@@ -84,26 +84,26 @@
         let Some(address) = self.address_of(target) else {
             return;
         };
-        let far = self.is_far(target);
+        let far = self.is_remote(target);
         let allowance = match far {
-            true => self.options.far_allowance,
+            true => self.options.remote_allowance,
             false => Duration::ZERO,
         };
         let direct = self.health.stretch(self.options.direct_timeout) + allowance;
         let timeout = self.health.stretch(self.options.probe_timeout) + 2 * allowance;
-        let judges = purpose == PingPurpose::Judge;
+        let detects_failure = purpose == PingPurpose::DetectFailure;
         let pulls = match purpose {
             PingPurpose::Pull { count, .. } => count,
-            PingPurpose::Judge | PingPurpose::Greet => 0,
+            PingPurpose::DetectFailure | PingPurpose::Contact => 0,
         };
         let sequence = self.probes.add(PendingProbe {
             target: target.clone(),
-            relay_at: judges.then(|| now + direct),
+            relay_at: detects_failure.then(|| now + direct),
             fails_at: now + timeout,
             relays: 0,
             nacks: 0,
-            near_nack: false,
-            judges,
+            target_region_nack: false,
+            detects_failure,
             pulls,
         });
         self.send_ping(target, address, sequence, purpose, effects);
@@ -120,10 +120,15 @@
     ) {
         let digest = match purpose {
             PingPurpose::Pull { first, count } => self.table.digest(first, count),
-            PingPurpose::Judge | PingPurpose::Greet => self.next_digest(),
+            PingPurpose::DetectFailure | PingPurpose::Contact => self.next_digest(),
         };
-        let knows_us = self.table.get(target).is_some_and(|entry| entry.knows_us);
-        let updates = self.gather(target, !knows_us, NEWS_BYTES).updates;
+        let knows_our_place = self
+            .table
+            .get(target)
+            .is_some_and(|entry| entry.knows_our_place);
+        let updates = self
+            .gather(target, !knows_our_place, PIGGYBACK_BYTES)
+            .updates;
         let message = MembershipMessage::Ping {
             sequence,
             newest_revision: self.newest_revision,
@@ -140,7 +145,7 @@
     }
 
     /// Answers a ping, with what the sender lacks.
-    pub(super) fn answer(
+    pub(super) fn send_ack(
         &mut self,
         to: &HostName,
         sequence: u64,
@@ -151,8 +156,8 @@
         let Some(address) = self.address_of(to) else {
             return;
         };
-        let news = self.gather(to, introduce, NEWS_BYTES);
-        let mut table = UpdateList::new(FULL_BYTES - NEWS_BYTES + news.free);
+        let news = self.gather(to, introduce, PIGGYBACK_BYTES);
+        let mut table = UpdateList::new(MAX_UPDATE_BYTES - PIGGYBACK_BYTES + news.free);
         let mut differing = match self.joined || digest.parts.len() < usize::from(DIGEST_PARTS) {
             true => self.table.differing(digest),
             false => Vec::new(),
@@ -175,7 +180,7 @@
     }
 
     /// Hands the answer that a member gave us to the daemon that asked us to try.
-    pub(super) fn relay_answer(
+    pub(super) fn relay_ack(
         &mut self,
         to: &HostName,
         about: &HostName,
@@ -217,8 +222,8 @@
         }
         // Whoever is suspected hears it from the next one that talks to it, and can refute.
         let entry = self.table.get(to);
-        let accused = entry.is_some_and(|entry| entry.update.state != MemberState::Alive);
-        if accused && let Some(update) = self.table.update_of(to, false) {
+        let disputed = entry.is_some_and(|entry| entry.update.state != MemberState::Alive);
+        if disputed && let Some(update) = self.table.update_of(to, false) {
             list.push(update);
         }
         let members = self.table.count();
@@ -228,7 +233,7 @@
             }
             let update = self.table.update_of(&rumor.host, rumor.with_place);
             if update.is_some_and(|update| list.push(update)) {
-                self.rumors.note_sent(&rumor.host, members);
+                self.rumors.record_sent(&rumor.host, members);
             }
         }
         list
@@ -236,19 +241,19 @@
 
     /// Sends urgent news at once to a few members. Each that learns it does the same, so that it
     /// reaches all in a few round trips instead of a few probe periods.
-    pub(super) fn spread(&mut self, effects: &mut EffectQueue) {
-        let urgent = std::mem::take(&mut self.urgent);
-        let newer = std::mem::take(&mut self.revision_unspread);
+    pub(super) fn send_urgent(&mut self, effects: &mut EffectQueue) {
+        let urgent = std::mem::take(&mut self.urgent_members);
+        let newer = std::mem::take(&mut self.revision_unannounced);
         if urgent.is_empty() && !newer {
             return;
         }
-        let mut list = UpdateList::new(FULL_BYTES);
+        let mut list = UpdateList::new(MAX_UPDATE_BYTES);
         for host in &urgent {
             if let Some(update) = self.table.update_of(host, false) {
                 list.push(update);
             }
         }
-        for target in self.news_targets() {
+        for target in self.urgent_targets() {
             let updates = list.updates.clone();
             let message = MembershipMessage::News {
                 newest_revision: self.newest_revision,
@@ -258,19 +263,19 @@
         }
     }
 
-    fn news_targets(&mut self) -> Vec<HostName> {
-        let near = self.near_live();
-        let fanout = self.options.news_fanout;
+    fn urgent_targets(&mut self) -> Vec<HostName> {
+        let near = self.live_in_own_region();
+        let fanout = self.options.urgent_fanout;
         let mut targets: Vec<_> = near
             .choose_multiple(&mut self.rng, fanout)
             .cloned()
             .collect();
-        for region in self.far_regions() {
+        for region in self.remote_regions() {
             let bridges = match self.is_bridge_to(&region) {
-                true => self.far_bridges(&region),
-                false => self.near_bridges(&region),
+                true => self.remote_bridges(&region),
+                false => self.local_bridges(&region),
             };
-            let some = bridges.choose_multiple(&mut self.rng, FAR_FANOUT);
+            let some = bridges.choose_multiple(&mut self.rng, REMOTE_FANOUT);
             targets.extend(some.cloned());
         }
         targets.sort();
@@ -285,26 +290,26 @@
     }
 
     /// Whether a host stands in another region.
-    pub(super) fn is_far(&self, host: &HostName) -> bool {
+    pub(super) fn is_remote(&self, host: &HostName) -> bool {
         let entry = self.table.get(host);
         entry.is_some_and(|entry| entry.place.region != *self.options.region())
     }
 
     /// Takes in the news of a message.
-    pub(super) fn learn_all(
+    pub(super) fn apply_updates(
         &mut self,
         now: MonotonicTime,
         from: &HostName,
         updates: &[MemberUpdate],
-        source: NewsSource,
+        source: UpdateSource,
         effects: &mut EffectQueue,
     ) {
         for update in updates {
             let source = match update.host == *from {
-                true => NewsSource::Member,
+                true => UpdateSource::Member,
                 false => source,
             };
-            self.learn(now, update, source, effects);
+            self.apply_update(now, update, source, effects);
         }
     }
 
--- a/crates/savorywood-core/src/membership/round.rs
+++ b/crates/savorywood-core/src/membership/periodic.rs
@@ -2,7 +2,7 @@
 
 use super::{
     MembershipState, PullProgress, TICK_INTERVAL, TICK_TIMER,
-    outbox::PingPurpose,
+    outgoing::PingPurpose,
     table::{TABLE_PARTS, is_live},
 };
 use crate::{
@@ -20,16 +20,16 @@
 use std::{collections::BTreeSet, time::Duration};
 
 /// Hosts that are greeted each time the host list names some that are no live members.
-const GREETED_HOSTS: usize = 3;
+const MAX_CONTACTED_HOSTS: usize = 3;
 
 /// Parts of the table that one pull reads.
 const PULL_PARTS: u8 = 2;
 
 /// How often a member of another region is tried in place of one that is taken for dead.
-const FAR_CHECK_CHANCE: f64 = 0.25;
+const REMOTE_CHECK_PROBABILITY: f64 = 0.25;
 
 /// Time until a pull that was not answered is made again.
-const PULL_RETRY: Duration = Duration::from_millis(300);
+const PULL_RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// Order in which members are probed: all of them, shuffled, then all again. Each is reached
 /// within a bounded time, which picking at random would not give.
@@ -40,11 +40,11 @@
 
 impl MembershipState {
     pub(super) fn tick(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
-        if now.since(self.clock.last_tick) > self.options.pause_limit {
+        if now.since(self.clock.last_tick) > self.options.max_tick_gap {
             self.after_pause(now, effects);
         }
         self.clock.last_tick = now;
-        self.ask_relays(now, effects);
+        self.request_relays(now, effects);
         for probe in self.probes.take_failed(now) {
             self.probe_failed(now, &probe, effects);
         }
@@ -55,22 +55,22 @@
         }
         self.expire_suspicions(now, effects);
         if self.clock.next_probe <= now {
-            self.clock.next_probe = now + self.health.stretch(self.options.probe_period);
+            self.clock.next_probe = now + self.health.stretch(self.options.probe_interval);
             self.probe_next(now, effects);
         }
         if self.clock.next_bridge <= now {
-            self.clock.next_bridge = now + 2 * self.options.probe_period;
-            self.bridge(now, effects);
+            self.clock.next_bridge = now + 2 * self.options.probe_interval;
+            self.probe_remote_regions(now, effects);
         }
         if self.clock.next_reconnect <= now {
-            self.clock.next_reconnect = now + self.options.reconnect_period;
+            self.clock.next_reconnect = now + self.options.reconnect_interval;
             self.reconnect(now, effects);
-            self.forget_dead(now);
+            self.expire_dead(now);
         }
         if self.clock.next_pull <= now {
             self.pull(now, effects);
         }
-        self.spread(effects);
+        self.send_urgent(effects);
         effects.set_timer(TICK_TIMER, now + TICK_INTERVAL);
     }
 
@@ -87,7 +87,7 @@
         self.clock.next_pull = now;
     }
 
-    fn ask_relays(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
+    fn request_relays(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
         for sequence in self.probes.relay_due(now) {
             let Some(probe) = self.probes.get_mut(sequence) else {
                 continue;
@@ -126,45 +126,45 @@
 
     fn probe_next(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
         // The last of a region hears nobody there and would take itself for cut off.
-        let alone = now.since(self.clock.last_heard) > self.options.isolation_time;
-        if self.order.targets.is_empty() || alone {
-            self.order.targets = match alone {
+        let isolated = now.since(self.clock.last_received) > self.options.isolation_timeout;
+        if self.order.targets.is_empty() || isolated {
+            self.order.targets = match isolated {
                 true => self.all_live(),
-                false => self.near_live(),
+                false => self.live_in_own_region(),
             };
             self.order.targets.shuffle(&mut self.rng);
         }
         while let Some(target) = self.order.targets.pop() {
             let live = self.table.get(&target).is_some_and(is_live);
             if live && !self.probes.is_probing(&target) {
-                self.ping(now, &target, PingPurpose::Judge, effects);
+                self.ping(now, &target, PingPurpose::DetectFailure, effects);
                 return;
             }
         }
     }
 
     /// Keeps in touch with the other regions, if this daemon is one of the few that do.
-    fn bridge(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
-        for region in self.far_regions() {
+    fn probe_remote_regions(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
+        for region in self.remote_regions() {
             if !self.is_bridge_to(&region) {
                 self.unreachable.remove(&region);
-                self.region_heard.remove(&region);
+                self.region_last_seen.remove(&region);
                 continue;
             }
-            self.judge_region(now, &region, effects);
+            self.check_region(now, &region, effects);
             let candidates = match self.rng.random_bool(0.5) {
-                true => self.far_bridges(&region),
+                true => self.remote_bridges(&region),
                 false => self.live_in(&region).cloned().collect(),
             };
             if let Some(target) = candidates.choose(&mut self.rng).cloned() {
-                self.ping(now, &target, PingPurpose::Judge, effects);
+                self.ping(now, &target, PingPurpose::DetectFailure, effects);
             }
         }
     }
 
-    fn judge_region(&mut self, now: MonotonicTime, region: &RegionName, effects: &mut EffectQueue) {
-        let heard = *self.region_heard.entry(region.clone()).or_insert(now);
-        let silent = now.since(heard) > self.options.far_silence;
+    fn check_region(&mut self, now: MonotonicTime, region: &RegionName, effects: &mut EffectQueue) {
+        let heard = *self.region_last_seen.entry(region.clone()).or_insert(now);
+        let silent = now.since(heard) > self.options.region_timeout;
         if silent && self.unreachable.insert(region.clone()) {
             let line = LogLine::new(LogLevel::Warn, "region_unreachable").with("region", region);
             effects.log(line);
@@ -173,7 +173,7 @@
 
     /// Notes a sign of life from another region. After a cut its whole table is read, since what
     /// was told there meanwhile is told no more.
-    pub(super) fn heard_region_of(
+    pub(super) fn record_region_contact(
         &mut self,
         now: MonotonicTime,
         from: &HostName,
@@ -186,7 +186,7 @@
         if region == *self.options.region() {
             return;
         }
-        self.region_heard.insert(region.clone(), now);
+        self.region_last_seen.insert(region.clone(), now);
         if self.unreachable.remove(&region) {
             let line = LogLine::new(LogLevel::Info, "region_reachable").with("region", &region);
             effects.log(line);
@@ -203,7 +203,7 @@
     /// that is no bridge and holds a member that its whole region has forgotten would otherwise
     /// hold it for alive for good.
     fn reconnect(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
-        let far = self.rng.random_bool(FAR_CHECK_CHANCE);
+        let far = self.rng.random_bool(REMOTE_CHECK_PROBABILITY);
         let region = self.options.region();
         let entries = self.table.entries().filter(|(_, entry)| match far {
             true => is_live(entry) && entry.place.region != *region,
@@ -211,8 +211,8 @@
         });
         let candidates: Vec<_> = entries.map(|(host, _)| host.clone()).collect();
         let purpose = match far {
-            true => PingPurpose::Judge,
-            false => PingPurpose::Greet,
+            true => PingPurpose::DetectFailure,
+            false => PingPurpose::Contact,
         };
         if let Some(target) = candidates.choose(&mut self.rng).cloned() {
             self.ping(now, &target, purpose, effects);
@@ -220,19 +220,19 @@
     }
 
     /// Greets a few hosts that the list names and that are no live members.
-    pub(super) fn greet_listed(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
+    pub(super) fn contact_listed(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
         let seeds = self.seeds.keys();
-        let strangers = seeds.filter(|host| {
+        let unknown = seeds.filter(|host| {
             let entry = self.table.get(host);
             entry.is_none_or(|entry| entry.update.state == MemberState::Dead)
         });
-        let strangers: Vec<_> = strangers.cloned().collect();
-        let chosen: Vec<_> = strangers
-            .choose_multiple(&mut self.rng, GREETED_HOSTS)
+        let unknown: Vec<_> = unknown.cloned().collect();
+        let chosen: Vec<_> = unknown
+            .choose_multiple(&mut self.rng, MAX_CONTACTED_HOSTS)
             .cloned()
             .collect();
         for host in &chosen {
-            self.ping(now, host, PingPurpose::Greet, effects);
+            self.ping(now, host, PingPurpose::Contact, effects);
         }
     }
 
@@ -242,7 +242,7 @@
         if first >= TABLE_PARTS {
             return;
         }
-        self.clock.next_pull = now + PULL_RETRY;
+        self.clock.next_pull = now + PULL_RETRY_DELAY;
         let candidates = self.pull_candidates();
         if let Some(target) = candidates.choose(&mut self.rng).cloned() {
             let count = PULL_PARTS;
@@ -254,7 +254,7 @@
         if let Some(region) = &self.pull.region {
             return self.live_in(region).cloned().collect();
         }
-        let near = self.near_live();
+        let near = self.live_in_own_region();
         match near.is_empty() {
             true => self.seeds.keys().cloned().collect(),
             false => near,
@@ -269,7 +269,7 @@
     }
 
     /// Regions other than our own that have live members.
-    pub(super) fn far_regions(&self) -> BTreeSet<RegionName> {
+    pub(super) fn remote_regions(&self) -> BTreeSet<RegionName> {
         let live = self.table.entries().filter(|(_, entry)| is_live(entry));
         let regions = live.map(|(_, entry)| &entry.place.region);
         let far = regions.filter(|region| *region != self.options.region());
@@ -284,20 +284,20 @@
     }
 
     /// Members of our region that talk to another one.
-    pub(super) fn near_bridges(&self, region: &RegionName) -> Vec<HostName> {
+    pub(super) fn local_bridges(&self, region: &RegionName) -> Vec<HostName> {
         self.bridges_between(self.options.region(), region)
     }
 
     /// Members of another region that talk to ours.
-    pub(super) fn far_bridges(&self, region: &RegionName) -> Vec<HostName> {
+    pub(super) fn remote_bridges(&self, region: &RegionName) -> Vec<HostName> {
         self.bridges_between(region, self.options.region())
     }
 
     fn bridges_between(&self, from: &RegionName, to: &RegionName) -> Vec<HostName> {
-        let thing = rendezvous::hash_parts(&["bridge", from.as_str(), to.as_str()]);
+        let subject = rendezvous::hash_parts(&["bridge", from.as_str(), to.as_str()]);
         let scored = self
             .live_in(from)
-            .map(|host| (rendezvous::score(thing, host.as_str()), host));
+            .map(|host| (rendezvous::score(subject, host.as_str()), host));
         let mut scored: Vec<_> = scored.collect();
         scored.sort_by(|a, b| b.cmp(a));
         let first = scored.into_iter().take(self.options.bridges);
--- a/crates/savorywood-core/src/membership/probe.rs
+++ b/crates/savorywood-core/src/membership/probe.rs
@@ -17,9 +17,9 @@
     /// Others that said that they failed too.
     pub nacks: usize,
     /// Whether one of them stands in the target's region.
-    pub near_nack: bool,
+    pub target_region_nack: bool,
     /// Whether a failure says anything: a ping of a host that only the list names does not.
-    pub judges: bool,
+    pub detects_failure: bool,
     /// Parts of the other's table that were asked for; zero when the ping is no pull.
     pub pulls: u8,
 }
@@ -37,13 +37,13 @@
 
 /// All probes under way.
 #[derive(Debug, Default)]
-pub struct ProbeBook {
+pub struct ProbeTracker {
     last_sequence: u64,
     pending: BTreeMap<u64, PendingProbe>,
     relayed: BTreeMap<u64, RelayedProbe>,
 }
 
-impl ProbeBook {
+impl ProbeTracker {
     /// Notes a ping of our own; gives its number.
     pub fn add(&mut self, probe: PendingProbe) -> u64 {
         self.last_sequence += 1;
--- a/crates/savorywood-core/src/membership/rumor.rs
+++ b/crates/savorywood-core/src/membership/rumor.rs
@@ -23,7 +23,7 @@
 
 /// One piece of news that was chosen for a message.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ChosenRumor {
+pub struct SelectedRumor {
     /// Member that it is about.
     pub host: HostName,
     /// Whether receivers may not know where the member stands.
@@ -50,10 +50,10 @@
 
     /// The news in the order in which it should be sent: urgent first, then the least sent.
     #[must_use]
-    pub fn by_priority(&self) -> Vec<ChosenRumor> {
+    pub fn by_priority(&self) -> Vec<SelectedRumor> {
         let mut order: Vec<_> = self.rumors.iter().collect();
         order.sort_by_key(|(_, record)| (record.class, record.sent));
-        let chosen = order.into_iter().map(|(host, record)| ChosenRumor {
+        let chosen = order.into_iter().map(|(host, record)| SelectedRumor {
             host: host.clone(),
             with_place: record.with_place,
         });
@@ -62,19 +62,19 @@
 
     /// Notes that news was sent once more; it ends after a number of times that grows with the
     /// logarithm of the members.
-    pub fn note_sent(&mut self, host: &HostName, members: usize) {
+    pub fn record_sent(&mut self, host: &HostName, members: usize) {
         let Some(record) = self.rumors.get_mut(host) else {
             return;
         };
         record.sent += 1;
-        if record.sent >= send_limit(record.class, members) {
+        if record.sent >= max_sends(record.class, members) {
             self.rumors.remove(host);
         }
     }
 }
 
 /// Times that one daemon passes a piece of news on.
-fn send_limit(class: RumorClass, members: usize) -> u32 {
+fn max_sends(class: RumorClass, members: usize) -> u32 {
     let doublings = usize::BITS - members.leading_zeros();
     match class {
         RumorClass::Urgent | RumorClass::State => 4 + doublings,
--- a/crates/savorywood-core/src/membership/table.rs
+++ b/crates/savorywood-core/src/membership/table.rs
@@ -23,7 +23,7 @@
     /// When its state last changed.
     pub since: MonotonicTime,
     /// Whether it has answered us, so that it knows where we stand.
-    pub knows_us: bool,
+    pub knows_our_place: bool,
     part: u8,
     digest: u32,
 }
@@ -45,7 +45,7 @@
 
 /// By which way a piece of news came.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NewsSource {
+pub enum UpdateSource {
     /// From the member that it is about.
     Member,
     /// Passed on while it is fresh.
@@ -87,9 +87,9 @@
     }
 
     /// Notes whether a member knows where we stand.
-    pub fn set_knows_us(&mut self, host: &HostName, knows_us: bool) {
+    pub fn set_knows_our_place(&mut self, host: &HostName, knows_our_place: bool) {
         if let Some(entry) = self.entries.get_mut(host) {
-            entry.knows_us = knows_us;
+            entry.knows_our_place = knows_our_place;
         }
     }
 
@@ -98,10 +98,10 @@
         &mut self,
         now: MonotonicTime,
         update: &MemberUpdate,
-        source: NewsSource,
+        source: UpdateSource,
     ) -> MergeOutcome {
         let Some(entry) = self.entries.get(&update.host) else {
-            if !is_worth_adding(update.state, source) {
+            if !should_add(update.state, source) {
                 return MergeOutcome::Stale;
             }
             return self.add(now, update);
@@ -157,7 +157,7 @@
             update,
             place,
             since: now,
-            knows_us: false,
+            knows_our_place: false,
         };
         self.entries.insert(host.clone(), entry);
         self.publish(&host);
@@ -266,10 +266,10 @@
 ///
 /// Daemons forget those that are gone at different times. Were news of an unknown dead member
 /// taken in, or of a leaving one out of a table, they would remind each other of it for ever.
-fn is_worth_adding(state: MemberState, source: NewsSource) -> bool {
+fn should_add(state: MemberState, source: UpdateSource) -> bool {
     match state {
         MemberState::Alive | MemberState::Suspect => true,
-        MemberState::Leaving => source != NewsSource::Table,
+        MemberState::Leaving => source != UpdateSource::Table,
         MemberState::Dead => false,
     }
 }
