--- a/crates/savorywood-core/src/claims.rs
+++ b/crates/savorywood-core/src/claims.rs
@@ -1,10 +1,10 @@
-//! Claims: calls that may not be repeated run at most once.
+//! Claims: at-most-once execution of calls that are not idempotent.
 //!
-//! Before such a call is dispatched, a row named by its team and idempotency key is inserted on
-//! condition that there is none, with a nonce of this attempt alone. Whoever finds another's row
-//! does not run the call. A claim is never taken over, and never released once a byte may have
-//! left, so a daemon's death leaves the outcome unknown, and the row says so.
-//! `docs/design/claims.md` has the reasons and what else was weighed.
+//! Before such a call is dispatched, a row keyed by its team and idempotency key is inserted, on
+//! condition that no such row exists, with a nonce unique to this attempt. A daemon that finds
+//! another attempt's row does not run the call. A claim is never taken over, and it is never
+//! released once a byte of the call may have been sent: if the daemon fails, the row shows that the
+//! outcome is unknown. `docs/design/claims.md` explains the design and the alternatives.
 
 mod batch;
 mod key;
@@ -41,95 +41,97 @@
 };
 use sweep::SweepState;
 
-/// Fires when the gathered rows are committed.
+/// Fires when the queued rows are due to be committed.
 const BATCH_TIMER: TimerKey = TimerKey {
     duty: DutyKind::Claims,
     number: 0,
 };
 
-/// Fires when rows are read back and calls that waited too long are refused.
+/// Fires when rows in doubt are read back and calls that exceeded their wait timeout are refused.
 const RETRY_TIMER: TimerKey = TimerKey {
     duty: DutyKind::Claims,
     number: 1,
 };
 
-/// Fires when old claims are looked for.
+/// Fires when the table is scanned for expired claims.
 const SWEEP_TIMER: TimerKey = TimerKey {
     duty: DutyKind::Claims,
     number: 2,
 };
 
-/// A call that must be claimed before it runs.
+/// A call that must hold a claim before it runs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimRequest {
-    /// The call.
+    /// Request as it goes to the scheduler once the claim is held.
     pub request: QueuedRequest,
-    /// Value of `Idempotency-Key`.
+    /// Value of the `Idempotency-Key` header, as sent by the caller.
     pub key: String,
-    /// SHA-256 over method, path and body.
+    /// SHA-256 over method, path and body; distinguishes a repeat from another call with the same
+    /// key.
     pub fingerprint: [u8; 32],
-    /// How long claims of its service are kept.
+    /// How long the service retains its claims, from its configuration.
     pub retention: ClaimRetention,
 }
 
-/// What happens to the claim duty.
+/// Input events of the claim duty.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimEvent {
-    /// The daemon begins.
+    /// The daemon starts.
     Started,
-    /// A call that may not be repeated arrived.
+    /// A non-idempotent call arrived.
     Requested(Box<ClaimRequest>),
-    /// One of its timers fired.
+    /// One of the timers of this duty fired.
     TimerFired {
-        /// Number of the timer.
+        /// Timer number, as in its `TimerKey`.
         number: u64,
     },
-    /// The table answered one of its calls.
+    /// The table responded to one of this duty's calls.
     Table {
-        /// Number of the call.
+        /// Number of the table call.
         number: u64,
-        /// The answer.
+        /// Response of the table.
         answer: TableAnswer,
     },
-    /// An upstream did something with a claimed call; handed in before the scheduler sees it.
+    /// An upstream event for a claimed call; delivered before the scheduler handles it.
     Upstream(UpstreamEvent),
-    /// The whole answer of a claimed call came.
+    /// The complete response of a claimed call was received.
     ResponseReceived {
-        /// Call that was answered.
+        /// Call that the response belongs to.
         request: RequestId,
-        /// Its answer.
+        /// The response.
         answer: Box<KeptAnswer>,
     },
-    /// The scheduler is done with the call without an answer: refused, or its caller left.
+    /// The scheduler dropped the call without a response: it was refused, or its caller
+    /// disconnected.
     Closed {
-        /// The call.
+        /// Call that was dropped.
         request: RequestId,
     },
 }
 
-/// What the claim duty decided for other duties. Refusals and replays are effects already.
+/// Decisions of the claim duty for other duties. Refusals and replays are emitted as effects.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimDecision {
-    /// The claim is held: the call goes to the scheduler.
+    /// The claim is held and the call goes to the scheduler.
     Granted(Box<QueuedRequest>),
 }
 
-/// How far a claim has come.
+/// Progress of a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ClaimStage {
-    /// The row is not yet known to be ours; the call waits.
+    /// The insert of the row is not confirmed yet; the call waits.
     Pending,
-    /// The row is ours and no byte of the call can have left.
+    /// The row is ours and no byte of the call has been sent.
     Held,
     /// The row is ours and the call may have reached an upstream.
     Dispatched,
-    /// The call is over; its outcome is being recorded.
+    /// The call ended; its outcome is being recorded.
     Recording,
-    /// The call was refused as not run; the row, if there is one, is being deleted.
+    /// The call was refused as not run; its row, if there is one, is being deleted.
     Releasing,
 }
 
-/// One claim that this daemon works on.
+/// A claim in progress on this daemon.
 #[derive(Debug)]
 struct OpenClaim {
     request: QueuedRequest,
@@ -137,29 +139,29 @@
     nonce: ClaimNonce,
     record: ClaimRecord,
     stage: ClaimStage,
-    /// Revision of our row, once known.
+    /// Revision of our row, once the insert is confirmed.
     revision: Option<CommitRevision>,
     requested_at: MonotonicTime,
     response: Option<RecordedResponse>,
     attempts: u32,
 }
 
-/// Counters for metrics.
+/// Counters exported as metrics, since the daemon started.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ClaimCounters {
-    /// Commits sent.
+    /// Table commits sent.
     pub commits: u64,
-    /// Rows in them.
+    /// Rows in those commits.
     pub rows: u64,
-    /// Claims that were refused because the store did not answer.
+    /// Calls refused because the store did not respond.
     pub store_refusals: u64,
-    /// Repeats that got the recorded answer.
+    /// Repeated calls that received the recorded response.
     pub replays: u64,
-    /// Repeats that were refused.
+    /// Repeated calls that were refused.
     pub repeats: u64,
-    /// Outcomes that could not be recorded.
+    /// Outcomes that could not be recorded within the maximum number of attempts.
     pub unrecorded_outcomes: u64,
-    /// Old claims deleted.
+    /// Expired claims deleted by the sweep.
     pub swept: u64,
 }
 
@@ -180,7 +182,7 @@
     decisions: Vec<ClaimDecision>,
 }
 
-/// What a call of the table is for.
+/// Purpose of a table call in progress.
 #[derive(Debug)]
 enum TableTask {
     Commit(Vec<BatchItem>),
@@ -189,19 +191,20 @@
     SweepDelete { rows: u64 },
 }
 
-/// What the claim duty reads of other duties in a step.
+/// State of other duties that the claim duty reads in a step.
 #[derive(Debug, Clone, Copy)]
 pub struct ClaimView<'a> {
-    /// Daemons known: they share the write budget, and a dead one's claim will never end.
+    /// Cluster members. They share the commit budget, and a claim whose holder is dead never
+    /// completes.
     pub members: &'a MemberView,
 }
 
 impl ClaimState {
-    /// A daemon without claims.
+    /// Creates the state of a daemon without claims.
     #[must_use]
     pub fn new(options: ClaimOptions) -> Self {
-        // The nonce decides who runs a call, so two lives must never draw the same one, even if
-        // somebody gives both the same seed.
+        // The nonce decides which attempt runs a call, so two incarnations must never generate the
+        // same nonces, even if both are configured with the same seed.
         let incarnation_hash = crate::rendezvous::hash_parts(&[options.host.as_str()]);
         let seed =
             options.seed ^ crate::rendezvous::mix_bits(incarnation_hash ^ options.incarnation.0);
@@ -221,19 +224,20 @@
         }
     }
 
-    /// Counters since the start.
+    /// Counters since the daemon started.
     #[must_use]
     pub fn counters(&self) -> ClaimCounters {
         self.counters
     }
 
-    /// Claims whose call or record is not finished: a planned stop waits for them.
+    /// Number of claims whose call or outcome record is not complete. A planned stop waits for
+    /// them.
     #[must_use]
     pub fn open_claims(&self) -> usize {
         self.open.len()
     }
 
-    /// Handles one event.
+    /// Handles one event and returns the resulting decisions.
     pub fn step(
         &mut self,
         now: CoreTime,
@@ -257,8 +261,8 @@
         std::mem::take(&mut self.decisions)
     }
 
-    /// Notes that a call is about to be dispatched, and says whether it may be. Called for each
-    /// dispatch, whatever the call.
+    /// Marks a call as dispatched and returns whether the dispatch is permitted. Called before
+    /// every dispatch; idempotent calls are always permitted.
     #[must_use]
     pub fn authorize_dispatch(
         &mut self,
@@ -312,7 +316,7 @@
             return self.respond_to_repeat(now, &repeat, view, effects);
         }
         if self.queued.len() >= self.options.max_queued {
-            let detail = "too many calls wait for their claims; nothing has run";
+            let detail = "too many calls are waiting for their claims; this call was not run";
             let refusal = RequestRefusal::not_run(RefusalCode::Overloaded, detail);
             return effects.refuse(request, refusal.with_retry_after(Duration::from_secs(1)));
         }
@@ -364,7 +368,7 @@
         }
     }
 
-    /// Forgets a claim that needs nothing more.
+    /// Removes a claim that needs no further work.
     fn remove_claim(&mut self, request: RequestId) {
         if let Some(claim) = self.open.remove(&request) {
             self.rows.remove(&claim.row);
--- a/crates/savorywood-core/src/claims/batch.rs
+++ b/crates/savorywood-core/src/claims/batch.rs
@@ -1,4 +1,4 @@
-//! Gathers rows of many claims into one transaction, within the write budget.
+//! Batches the rows of many claims into one transaction, within the commit budget.
 
 use super::{BATCH_TIMER, ClaimStage, ClaimState, ClaimView, RETRY_TIMER, TableTask};
 use crate::{
@@ -10,27 +10,27 @@
     table::{RowCondition, RowWrite, TableCommit, TableRequest},
 };
 
-/// What a row is written for.
+/// Operation on the row of a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RowOperation {
-    /// Inserts the claim.
+    /// Inserts the row, which makes the claim.
     Insert,
-    /// Records the outcome.
+    /// Updates the row with the outcome of the call.
     Record,
-    /// Deletes a claim under which nothing can have run.
+    /// Deletes the row of a call that cannot have run.
     Release,
 }
 
-/// One row to be written.
+/// A row write that waits for a transaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BatchItem {
-    /// Call that the row is about.
+    /// Call whose row is written.
     pub request: RequestId,
-    /// What for.
+    /// Operation to apply to the row.
     pub kind: RowOperation,
 }
 
-/// Keeps commits apart, so that all daemons together stay within the store's write budget.
+/// Spaces commits so that all daemons together stay within the store's write budget.
 #[derive(Debug, Default)]
 pub struct CommitPacer {
     next_at: MonotonicTime,
@@ -38,7 +38,7 @@
 }
 
 impl ClaimState {
-    /// Puts a row into the next transaction.
+    /// Queues a row write for the next transaction; commits at once when the batch is full.
     pub(super) fn enqueue(
         &mut self,
         now: MonotonicTime,
@@ -63,7 +63,7 @@
         effects.set_timer(BATCH_TIMER, at);
     }
 
-    /// Commits what was gathered, if the budget allows it now.
+    /// Commits one batch of queued writes if the budget allows it now.
     pub(super) fn flush(
         &mut self,
         now: MonotonicTime,
@@ -108,10 +108,10 @@
         self.call_table(TableTask::Commit(sent), request, effects);
     }
 
-    /// A caller left before its claim was sent. If no earlier try can have written the row,
-    /// nothing remains to be done; else the row is read and deleted. Without the timer nobody would
-    /// read it if no other claim is in doubt: the claim would stay open, and a planned stop would
-    /// wait for it for good.
+    /// Handles a queued insert whose call was dropped before the insert was sent. If no earlier
+    /// attempt can have written the row, the claim is removed; otherwise the row is read back and
+    /// deleted. The retry timer must be set here: if no other claim is in doubt, the row would
+    /// never be read, the claim would stay open and a planned stop would wait for it forever.
     fn skip_abandoned(&mut self, now: MonotonicTime, item: BatchItem, effects: &mut EffectQueue) {
         let Some(claim) = self.open.get(&item.request) else {
             return;
--- a/crates/savorywood-core/src/claims/key.rs
+++ b/crates/savorywood-core/src/claims/key.rs
@@ -1,4 +1,4 @@
-//! Idempotency keys as callers send them.
+//! Validation of the idempotency keys that callers send.
 
 use base64::{Engine, engine::general_purpose::URL_SAFE_NO_PAD};
 use savorywood_protocol::{
@@ -7,27 +7,27 @@
 use std::time::Duration;
 use uuid::Uuid;
 
-/// Longest accepted key, in bytes.
+/// Maximum length of a key.
 const MAX_KEY_BYTES: usize = 128;
 
-/// Prefix of all rows of claims.
+/// Key prefix of all claim rows.
 pub const CLAIM_PREFIX: &str = "claim/";
 
-/// A key that may be claimed.
+/// A validated idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimKey {
-    /// Row of the claim.
+    /// Key of the claim's table row.
     pub row: RowKey,
-    /// From when on the claim may be deleted, margin not counted; `None` for never.
+    /// Time at which the claim expires, without the sweep margin; `None` if it is retained forever.
     pub expires_at: Option<WallTime>,
 }
 
 impl ClaimKey {
-    /// Checks a key against the retention of its service.
+    /// Validates a key against the claim retention of its service.
     ///
     /// # Errors
     ///
-    /// The refusal to give at once; nothing has run.
+    /// Returns the refusal for the caller; the call has not run.
     pub fn parse(
         text: &str,
         team: &TeamName,
@@ -58,8 +58,8 @@
     }
 }
 
-/// Row of a key. The same UUID in capitals or without hyphens is the same key: a client library
-/// that changes its spelling between two tries must not run a call twice.
+/// Returns the row key for an idempotency key. UUIDs are normalised: a client library that changes
+/// case or hyphens between two attempts must not cause a second execution.
 fn row_of(team: &TeamName, text: &str, uuid: Option<Uuid>) -> RowKey {
     match uuid {
         Some(uuid) => format!("{CLAIM_PREFIX}{team}/{}", uuid.hyphenated()),
@@ -67,7 +67,7 @@
     }
 }
 
-/// When the key was made, if its claim is still sure to be kept.
+/// Returns the creation time of the key if its claim is guaranteed to be retained still.
 fn check_age(
     uuid: Option<Uuid>,
     validity: Duration,
@@ -76,21 +76,22 @@
 ) -> Result<WallTime, RequestRefusal> {
     let uuid = uuid.filter(|uuid| uuid.get_version_num() == 7);
     let Some(uuid) = uuid else {
-        let detail = "the key carries no time: send a version 7 UUID as `Idempotency-Key`, and \
-                      the same one when you retry";
+        let detail = "the key has no timestamp: send a version 7 UUID as `Idempotency-Key`, and \
+                      reuse it for retries";
         return Err(RequestRefusal::not_run(RefusalCode::BadRequest, detail));
     };
     let created_at = WallTime(u64::try_from(uuid.as_u128() >> 80).unwrap_or(u64::MAX));
     if created_at > now + skew {
-        let detail = format!("the key is from the future ({created_at}); check the caller's clock");
+        let detail =
+            format!("the key's timestamp {created_at} is in the future; check the caller's clock");
         return Err(RequestRefusal::not_run(RefusalCode::BadRequest, detail));
     }
-    // The claim of an older key may have been deleted, so a repeat could not be told from a
-    // first call and would run twice.
+    // The claim of an older key may have been deleted already, so a repeat would be treated as a
+    // first call and run twice.
     if now.since(created_at) > validity {
         let detail = format!(
-            "the key was made at {created_at}; keys are good for {} s. This call was not run; \
-             whether an earlier one with this key ran is no longer known here",
+            "the key was created at {created_at} and keys are valid for {} s. This call was not \
+             run; whether an earlier call with this key ran is no longer recorded",
             validity.as_secs()
         );
         return Err(RequestRefusal::not_run(RefusalCode::KeyExpired, detail));
--- a/crates/savorywood-core/src/claims/options.rs
+++ b/crates/savorywood-core/src/claims/options.rs
@@ -1,47 +1,47 @@
-//! Settings of the claim duty.
+//! Options of the claim duty.
 
 use savorywood_protocol::{HostIncarnation, HostName};
 use std::time::Duration;
 
-/// Who claims, and the times and limits of claims.
+/// Identity of the claiming daemon, with the timeouts and limits of claims.
 #[derive(Debug, Clone)]
 pub struct ClaimOptions {
-    /// Host it runs on.
+    /// Host that the daemon runs on.
     pub host: HostName,
-    /// Its life.
+    /// Incarnation of the host.
     pub incarnation: HostIncarnation,
-    /// Seed of its random numbers. It must differ between lives, or two lives draw the same
-    /// nonces and the second takes the first one's claims for its own.
+    /// Seed of the random number generator. Must differ between incarnations: otherwise two of them
+    /// generate the same nonces, and the second treats the first one's claims as its own.
     pub seed: u64,
-    /// Time for which claims are gathered into one transaction.
+    /// How long row writes are collected before they are committed together.
     pub batch_window: Duration,
-    /// Rows of one transaction at most.
+    /// Maximum number of rows in one transaction.
     pub max_batch_rows: usize,
-    /// Claims that may wait for a transaction.
+    /// Maximum number of row writes that wait for a transaction; further calls are refused.
     pub max_queued: usize,
-    /// Commits a second of claims by all daemons together; each takes its even part.
+    /// Commits per second for claims over all daemons; each daemon takes an equal share.
     pub fleet_commits_per_second: u32,
-    /// Time that a call waits for its claim before it is refused.
+    /// How long a call waits for its claim before it is refused.
     pub wait_timeout: Duration,
-    /// Time between two tries to read a row back.
+    /// Delay before rows in doubt are read back.
     pub retry_interval: Duration,
-    /// Tries to record an outcome, or to release a claim, before it is given up.
+    /// Maximum number of attempts to record an outcome or to release a claim.
     pub max_record_attempts: u32,
-    /// How far the clocks of callers may be ahead.
+    /// How far a caller's clock may be ahead of this daemon's.
     pub clock_skew: Duration,
-    /// Time that a claim is kept beyond the age at which its key is refused. It must outlast
-    /// the patience and the difference between any two daemons' clocks.
+    /// How long a claim is retained after its key has expired. Must exceed `wait_timeout` plus the
+    /// clock difference between any two daemons.
     pub sweep_margin: Duration,
-    /// Time between two looks for claims to delete.
+    /// Interval between two scans for expired claims.
     pub sweep_interval: Duration,
-    /// Rows that one look reads at most.
+    /// Maximum number of rows that one scan reads.
     pub max_sweep_rows: u32,
-    /// Largest body that is kept for repeats, in bytes.
+    /// Maximum size of a response body that is recorded for replay.
     pub max_recorded_body_bytes: usize,
 }
 
 impl ClaimOptions {
-    /// Options with the usual times and limits.
+    /// Creates options with the default timeouts and limits.
     #[must_use]
     pub fn new(host: HostName, incarnation: HostIncarnation, seed: u64) -> Self {
         Self {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Least time between two commits when so many daemons share the budget.
+    /// Minimum interval between two commits of one daemon when `daemons` share the budget.
     #[must_use]
     pub fn commit_interval(&self, daemons: usize) -> Duration {
         let daemons = u32::try_from(daemons.max(1)).unwrap_or(u32::MAX);
--- a/crates/savorywood-core/src/claims/outcome.rs
+++ b/crates/savorywood-core/src/claims/outcome.rs
@@ -1,4 +1,4 @@
-//! How claimed calls end, and what is recorded of it.
+//! Outcomes of claimed calls and their recording.
 
 use super::{
     ClaimOutcome, ClaimStage, ClaimState, ClaimView, RecordedResponse, batch::RowOperation,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// No byte left, so the claim is as if the call had never been dispatched.
+    /// Returns the claim to `Held` when no byte of the call was sent.
     fn not_sent(&mut self, request: RequestId) {
         let claim = self.open.get_mut(&request);
         if let Some(claim) = claim.filter(|claim| claim.stage == ClaimStage::Dispatched) {
@@ -76,8 +76,8 @@
         self.enqueue(now.monotonic, request, kind, view, effects);
     }
 
-    /// The scheduler is done with a call. If no byte of it can have left, its claim is deleted,
-    /// so that the same key may be tried again; otherwise it stays for good.
+    /// Handles a call that the scheduler dropped. If no byte of it was sent, its claim is deleted
+    /// so that the key can be used again; otherwise the claim stays.
     pub(super) fn close(
         &mut self,
         now: CoreTime,
--- a/crates/savorywood-core/src/claims/record.rs
+++ b/crates/savorywood-core/src/claims/record.rs
@@ -1,60 +1,60 @@
-//! What a claim's row holds.
+//! Content of a claim's table row.
 
 use crate::request::KeptAnswer;
 use base64::{Engine, engine::general_purpose::STANDARD};
 use savorywood_protocol::{HostIncarnation, HostName, ServiceName, WallTime};
 use serde::{Deserialize, Serialize};
 
-/// One attempt's own mark: whoever reads it in the row knows who holds the claim.
+/// Random number unique to one attempt. The attempt whose nonce is in the row holds the claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClaimNonce(pub u128);
 
-/// Content of a claim's row.
+/// Content of a claim's row, stored as JSON.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRecord {
-    /// Mark of the attempt that holds the claim, 32 hexadecimal digits.
+    /// Nonce of the attempt that holds the claim, as 32 hexadecimal digits.
     nonce: String,
-    /// Daemon that holds it.
+    /// Host that holds the claim.
     pub host: HostName,
-    /// Life of that daemon.
+    /// Incarnation of that host.
     pub incarnation: HostIncarnation,
-    /// Service that was called.
+    /// Service of the call.
     pub service: ServiceName,
-    /// SHA-256 over method, path and body of the call, 64 hexadecimal digits.
+    /// SHA-256 over method, path and body of the call, as 64 hexadecimal digits.
     pub fingerprint: String,
-    /// When the claim was made.
+    /// Wall-clock time of the claim.
     pub claimed_at: WallTime,
-    /// From when on the row may be deleted; `None` for never.
+    /// Time after which the row may be deleted; `None` for never.
     pub delete_after: Option<WallTime>,
-    /// What became of the call.
+    /// Outcome of the call.
     pub outcome: ClaimOutcome,
 }
 
-/// What became of a claimed call.
+/// Outcome of a claimed call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ClaimOutcome {
-    /// It waits or runs, or its daemon died before it could say.
+    /// The call is waiting or running, or its daemon failed before it recorded an outcome.
     Running,
-    /// It ran and was answered.
+    /// The call ran and its response was received.
     Answered(RecordedResponse),
-    /// It broke off: it may or may not have run.
+    /// The call was interrupted: it may or may not have run.
     Unknown,
 }
 
-/// An answer as it stands in the row.
+/// A response as stored in the claim's row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordedResponse {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Value of `Content-Type`; empty when there was none.
+    /// Value of `Content-Type`; empty if the response had none.
     pub content_type: String,
-    /// Body in base64; `None` when it was too large to keep.
+    /// Body in base64; `None` if it exceeded the recorded size limit.
     pub body: Option<String>,
 }
 
 impl ClaimRecord {
-    /// Begins the record of an attempt.
+    /// Identifies the attempt that makes the claim; `into_record` completes the record.
     #[must_use]
     pub fn owned_by(nonce: ClaimNonce, host: HostName, incarnation: HostIncarnation) -> ClaimOwner {
         ClaimOwner {
@@ -70,20 +70,20 @@
         self.nonce == nonce_text(nonce)
     }
 
-    /// Reads a row.
+    /// Parses a row; `None` if it is not a valid record.
     #[must_use]
     pub fn parse(value: &str) -> Option<Self> {
         serde_json::from_str(value).ok()
     }
 
-    /// The row's content.
+    /// Serialises the record as JSON.
     #[must_use]
     pub fn to_json(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
 }
 
-/// The part of a record that says who claims.
+/// Identity of the attempt that makes a claim.
 #[derive(Debug, Clone)]
 pub struct ClaimOwner {
     nonce: ClaimNonce,
@@ -92,7 +92,7 @@
 }
 
 impl ClaimOwner {
-    /// The record of a call that is about to be dispatched.
+    /// Creates the record of a call that has not been dispatched yet.
     #[must_use]
     pub fn into_record(
         self,
@@ -115,7 +115,7 @@
 }
 
 impl RecordedResponse {
-    /// Takes down an answer; a body over the limit is left out.
+    /// Records a response; omits a body larger than `max_body` bytes.
     #[must_use]
     pub fn from_response(answer: &KeptAnswer, max_body: usize) -> Self {
         let body = answer.body.as_ref().filter(|body| body.len() <= max_body);
@@ -126,7 +126,7 @@
         }
     }
 
-    /// The answer as it was.
+    /// Restores the response for replay.
     #[must_use]
     pub fn to_response(&self) -> KeptAnswer {
         let body = self.body.as_ref();
@@ -138,7 +138,7 @@
     }
 }
 
-/// A SHA-256 as hexadecimal digits.
+/// Encodes a SHA-256 digest as hexadecimal digits.
 #[must_use]
 pub fn hex_digest(fingerprint: &[u8; 32]) -> String {
     fingerprint
--- a/crates/savorywood-core/src/claims/repeat.rs
+++ b/crates/savorywood-core/src/claims/repeat.rs
@@ -1,4 +1,4 @@
-//! What a repeat of a claimed call is told.
+//! Responses to repeats of a claimed call.
 
 use super::{ClaimOutcome, ClaimRecord, ClaimState, ClaimView};
 use crate::{
@@ -10,22 +10,22 @@
 };
 use std::time::Duration;
 
-/// When a caller should ask again while its first call runs.
+/// Retry-after delay for a repeat while the first call is running.
 const RUNNING_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A call whose key was claimed by another attempt.
 #[derive(Debug, Clone, Copy)]
 pub struct RepeatedCall<'a> {
-    /// The call that waits for an answer.
+    /// The repeated call, which waits for a response.
     pub request: RequestId,
-    /// Record that it would have written.
+    /// Record that the repeat would have written.
     pub ours: &'a ClaimRecord,
     /// Record of the first call.
     pub first: &'a ClaimRecord,
 }
 
 impl ClaimState {
-    /// Answers a call whose key was claimed by another attempt.
+    /// Replays the recorded response, or refuses the repeat with the reason.
     pub(super) fn respond_to_repeat(
         &mut self,
         now: CoreTime,
@@ -56,8 +56,8 @@
     }
 }
 
-/// Whether the daemon that holds a claim can't end it any more: it is gone, it has begun a new
-/// life, or the longest deadline has passed.
+/// Whether the claim's holder can no longer complete it: the host is dead or has a newer
+/// incarnation, or the maximum deadline has passed.
 fn cannot_complete(now: CoreTime, first: &ClaimRecord, view: ClaimView<'_>) -> bool {
     let holder = view.members.members.get(&first.host);
     let holder_gone = holder.is_some_and(|holder| {
@@ -67,11 +67,12 @@
     holder_gone || now.wall.since(first.claimed_at) > MAX_DEADLINE
 }
 
-/// This call, unlike the first, can't have run: it is another one.
+/// Refuses a call that reuses the key of a different call; unlike the first call, it cannot have
+/// run.
 fn key_reused(first: &ClaimRecord) -> RequestRefusal {
     let detail = format!(
-        "this key was used at {} for another call (another service, path or body); nothing has \
-         run, send this call with a key of its own",
+        "this key was used at {} for a different call (another service, path or body); this call \
+         was not run, send it with its own key",
         first.claimed_at
     );
     RequestRefusal::not_run(RefusalCode::KeyUsed, detail)
@@ -79,7 +80,7 @@
 
 fn still_running(first: &ClaimRecord) -> RequestRefusal {
     let detail = format!(
-        "the first call with this key began at {} and has not ended; ask again with the same key",
+        "the first call with this key started at {} and is still running; retry with the same key",
         first.claimed_at
     );
     RequestRefusal::unknown(RefusalCode::KeyUsed, detail).with_retry_after(RUNNING_RETRY_AFTER)
@@ -87,9 +88,9 @@
 
 fn holder_stopped(first: &ClaimRecord) -> RequestRefusal {
     let detail = format!(
-        "the first call with this key began at {} on {}, which stopped before it recorded how \
-         the call ended. It may have run and is never run again under this key: check with the \
-         service itself",
+        "the first call with this key started at {} on {}, which stopped before it recorded an \
+         outcome. The call may have run and is never run again under this key: check with the \
+         service",
         first.claimed_at, first.host
     );
     RequestRefusal::unknown(RefusalCode::KeyUsed, detail)
@@ -97,8 +98,8 @@
 
 fn interrupted(first: &ClaimRecord) -> RequestRefusal {
     let detail = format!(
-        "the first call with this key began at {} and broke off. It may have run and is never \
-         run again under this key: check with the service itself",
+        "the first call with this key started at {} and was interrupted. It may have run and is \
+         never run again under this key: check with the service",
         first.claimed_at
     );
     RequestRefusal::unknown(RefusalCode::KeyUsed, detail)
--- a/crates/savorywood-core/src/claims/sweep.rs
+++ b/crates/savorywood-core/src/claims/sweep.rs
@@ -1,4 +1,4 @@
-//! Deletes claims that are older than any key that is still accepted.
+//! Deletion of claims that are older than any key still accepted.
 
 use super::{CLAIM_PREFIX, ClaimRecord, ClaimState, ClaimView, SWEEP_TIMER, TableTask};
 use crate::{effect::EffectQueue, rendezvous};
@@ -9,7 +9,7 @@
     },
 };
 
-/// How far the sweep has come.
+/// Progress of the table scan.
 #[derive(Debug, Default)]
 pub struct SweepState {
     after: CommitRevision,
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Whether this daemon is the one that sweeps. Two that think so do no harm: each row is
-    /// deleted on condition that nobody has touched it.
+    /// Whether this daemon is the one that runs the sweep. Two sweepers at once are harmless, since
+    /// each row is deleted on condition that it is unchanged.
     fn is_sweeper(&self, view: ClaimView<'_>) -> bool {
         let subject = rendezvous::hash_parts(&["claim-sweep"]);
         let hosts = view.members.serving().map(|(host, _)| host);
--- a/crates/savorywood-core/src/claims/table_results.rs
+++ b/crates/savorywood-core/src/claims/table_results.rs
@@ -1,4 +1,4 @@
-//! What the table's answers mean for claims.
+//! Handling of table responses to claim writes and reads.
 
 use super::{
     ClaimDecision, ClaimRecord, ClaimStage, ClaimState, ClaimView, RETRY_TIMER, TableTask,
@@ -12,7 +12,7 @@
 };
 use std::{collections::BTreeMap, time::Duration};
 
-/// When a caller should come back after the store was not reached.
+/// Retry-after delay when the store did not respond.
 const STORE_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 impl ClaimState {
@@ -57,8 +57,9 @@
                     self.write_refused(now, *item, effects);
                 }
             }
-            // The commit may have taken effect. Taking it for failed would let a repeat of the
-            // call run elsewhere; taking it for done would run the call under another's claim.
+            // The commit may have taken effect. Treating it as failed would let a repeat run the
+            // call elsewhere; treating it as successful would run the call under another attempt's
+            // claim.
             TableAnswer::Lost | TableAnswer::Rows { .. } => self.mark_in_doubt(now, items, effects),
         }
     }
@@ -77,7 +78,7 @@
         }
     }
 
-    /// The row is ours.
+    /// Marks the claim as held after its insert is confirmed.
     fn mark_held(
         &mut self,
         now: CoreTime,
@@ -97,7 +98,8 @@
                 let request = Box::new(claim.request.clone());
                 self.decisions.push(ClaimDecision::Granted(request));
             }
-            // Refused while the answer was on its way: nothing ran, so the row goes.
+            // The call was refused while the insert was in progress. It did not run, so the row is
+            // deleted.
             ClaimStage::Releasing => {
                 let kind = RowOperation::Release;
                 self.enqueue(now.monotonic, request, kind, view, effects);
@@ -106,8 +108,8 @@
         }
     }
 
-    /// One condition did not hold, and with it the whole transaction. Only the calls whose rows
-    /// were given back have a conflict; the others are committed again.
+    /// Handles a transaction that failed because one of its conditions did not hold. Only calls
+    /// whose rows are in the response have a conflict; the others are committed again.
     fn handle_conflict(
         &mut self,
         now: CoreTime,
@@ -131,14 +133,14 @@
             }
         }
         if !matched {
-            // The answer names none of our rows: only reading them tells.
+            // The response contains none of our rows, so they must be read.
             self.queued.retain(|queued| !items.contains(queued));
             self.mark_in_doubt(now, items, effects);
         }
         self.flush(now.monotonic, view, effects);
     }
 
-    /// Compares a row as it stands with what we meant to write.
+    /// Compares the stored row with the one this daemon tried to write, and continues accordingly.
     fn reconcile(
         &mut self,
         now: CoreTime,
@@ -173,8 +175,9 @@
         }
     }
 
-    /// There is no row: what was lost has not been written, so far. It is written again, under
-    /// the same nonce; should the lost write still arrive, it finds ours and has no effect.
+    /// Handles a row that does not exist: the unconfirmed write has not taken effect so far. An
+    /// insert is sent again with the same nonce; if the earlier write still arrives, its condition
+    /// fails on the new row and it has no effect.
     fn row_absent(
         &mut self,
         now: CoreTime,
@@ -220,14 +223,14 @@
                 self.respond_to_repeat(now, &repeat, view, effects);
             }
             None => {
-                let detail = "the claim of this key can't be read; its first call may have run";
+                let detail = "the claim row of this key is unreadable; the first call may have run";
                 let refusal = RequestRefusal::unknown(RefusalCode::KeyUsed, detail);
                 effects.refuse(request, refusal);
             }
         }
     }
 
-    /// The store took nothing.
+    /// Handles a write that the store refused completely.
     fn write_refused(&mut self, now: CoreTime, item: BatchItem, effects: &mut EffectQueue) {
         let Some(claim) = self.open.get(&item.request) else {
             return;
@@ -249,13 +252,13 @@
 
     fn refuse_store_unavailable(&mut self, request: RequestId, effects: &mut EffectQueue) {
         self.counters.store_refusals += 1;
-        let detail = "the table service, without which this call could run twice, does not \
-                      answer; nothing has run, send it again with the same key";
+        let detail = "the table service, which prevents duplicate execution of this call, did not \
+                      respond; the call was not run, retry with the same key";
         let refusal = RequestRefusal::not_run(RefusalCode::StoreUnavailable, detail);
         effects.refuse(request, refusal.with_retry_after(STORE_RETRY_AFTER));
     }
 
-    /// Notes rows that must be read before anything is decided about them.
+    /// Marks rows that must be read before their claims can proceed, and schedules the read.
     fn mark_in_doubt(&mut self, now: CoreTime, items: &[BatchItem], effects: &mut EffectQueue) {
         effects.set_timer(RETRY_TIMER, now.monotonic + self.options.retry_interval);
         for item in items {
@@ -266,7 +269,7 @@
         }
     }
 
-    /// Reads the rows in doubt, and gives up those that took too long.
+    /// Reads the rows in doubt; first expires the claims that exceeded their limits.
     pub(super) fn read_back(&mut self, now: CoreTime, effects: &mut EffectQueue) {
         let in_doubt = std::mem::take(&mut self.in_doubt);
         let mut items = Vec::new();
@@ -286,9 +289,10 @@
         }
     }
 
-    /// Refuses a call that waited too long. Nothing ran, so the refusal is true; if the row was
-    /// written after all, it is deleted once the store answers, or the caller's next try with
-    /// the same key would be told that the outcome is unknown.
+    /// Refuses a call that exceeded its wait timeout, or drops a record after the maximum number of
+    /// attempts. A refused call has not run. If its row was written after all, the row is deleted
+    /// once the store responds; otherwise the caller's next attempt with the same key would be
+    /// refused with an unknown outcome.
     fn expire_if_late(
         &mut self,
         now: CoreTime,
--- a/crates/savorywood-core/src/leases.rs
+++ b/crates/savorywood-core/src/leases.rs
@@ -1,11 +1,11 @@
-//! Leases: at most one daemon acts under a name at a time, without any clock in common.
+//! Leases: at most one daemon acts under a name at a time, without synchronised clocks.
 //!
-//! A row `lease/NAME` names the holder and its fencing number. A holder may act until its own
-//! monotonic clock says that the term, counted from when it *sent* the last renewal that took
-//! effect, is over, less a margin. Another daemon may take the lease once its own monotonic clock
-//! has seen the row unchanged for a whole term and a margin, counted from when it *read* the row.
-//! The renewal was sent before it was read, so the holder stops first; only the rates of the two
-//! clocks matter, and the margins allow for a difference of a tenth.
+//! A row `lease/NAME` records the holder and its fencing number. A holder may act for nine tenths
+//! of the term, measured on its own monotonic clock from when it *sent* the last renewal that took
+//! effect. Another daemon may acquire the lease once its own monotonic clock shows that the row has
+//! been unchanged for a term and a quarter, measured from when it first *read* the row. A renewal
+//! is sent before it can be read, so the holder stops first. Only the relative rates of the two
+//! clocks matter; the margins tolerate a clock that runs a third faster than the other.
 
 pub mod options;
 pub mod row;
@@ -31,7 +31,7 @@
 use std::collections::BTreeMap;
 use strum::{Display, EnumIter, EnumString, IntoStaticStr};
 
-/// What a lease is for.
+/// The work that a lease protects.
 #[derive(
     Debug,
     Clone,
@@ -48,59 +48,59 @@
 )]
 #[strum(serialize_all = "kebab-case")]
 pub enum LeaseName {
-    /// Driving all moves of traffic.
+    /// Driving traffic moves.
     Moves,
     /// Giving orders to engines.
     Orders,
 }
 
-/// What happens to leases.
+/// Input events of the lease duty.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseEvent {
-    /// There is work to do under a lease, or no longer.
+    /// Work under a lease became available, or ended.
     DemandChanged {
-        /// Which lease.
+        /// Lease that the work needs.
         name: LeaseName,
         /// Whether there is work.
         wanted: bool,
     },
-    /// One of its timers fired.
+    /// One of the timers of this duty fired.
     TimerFired {
-        /// Number of the timer.
+        /// Timer number, as in its `TimerKey`.
         number: u64,
     },
-    /// The table answered.
+    /// The table responded to one of this duty's calls.
     Table {
-        /// Number of the call.
+        /// Number of the table call.
         number: u64,
-        /// Its answer.
+        /// Response of the table.
         answer: TableAnswer,
     },
-    /// This daemon leaves: all its leases are given back.
+    /// This daemon is leaving: it releases all its leases.
     Leaving,
 }
 
-/// What a holder may do.
+/// Permission of a holder to act under a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseGrant {
-    /// Carried by everything that is done under the lease.
+    /// Fencing number, attached to every action under the lease.
     pub fencing: FencingNumber,
-    /// Since when this daemon holds it.
+    /// When this daemon sent the write that acquired the lease.
     pub acquired_at: MonotonicTime,
-    /// Nothing may be done under it from then on, unless it is renewed.
+    /// The holder must not act from this time on unless the lease is renewed.
     pub valid_until: MonotonicTime,
 }
 
-/// What a step did to the leases that this daemon holds.
+/// A change of the leases that this daemon holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseChange {
-    /// This daemon holds the lease from now on.
+    /// This daemon acquired the lease.
     Acquired(LeaseName),
-    /// This daemon holds it no longer.
+    /// This daemon no longer holds the lease: it was released, expired or taken over.
     Lost(LeaseName),
 }
 
-/// A row as this daemon saw it first.
+/// A lease row, with the time at which this daemon first read that revision.
 #[derive(Debug, Clone)]
 struct ObservedRow {
     row: LeaseRow,
@@ -108,7 +108,7 @@
     first_seen_at: MonotonicTime,
 }
 
-/// What a call of the table was for.
+/// Purpose of a table call.
 #[derive(Debug, Clone)]
 enum CallPurpose {
     Read,
@@ -117,7 +117,7 @@
     Release,
 }
 
-/// A call under way.
+/// A table call in progress.
 #[derive(Debug, Clone)]
 struct PendingCall {
     number: u64,
@@ -125,14 +125,14 @@
     purpose: CallPurpose,
 }
 
-/// One lease as this daemon knows it.
+/// State of one lease on this daemon.
 #[derive(Debug, Clone, Default)]
 struct LeaseRecord {
     wanted: bool,
     seen: Option<ObservedRow>,
     grant: Option<LeaseGrant>,
     call: Option<PendingCall>,
-    /// A write of ours whose answer was lost, with the time that it was sent.
+    /// A write that got no response and may have taken effect.
     unconfirmed: Option<PendingCall>,
 }
 
@@ -147,7 +147,7 @@
 }
 
 impl LeaseState {
-    /// A daemon that holds nothing.
+    /// Creates the state of a daemon that holds no lease.
     #[must_use]
     pub fn new(options: LeaseOptions) -> Self {
         Self {
@@ -159,16 +159,16 @@
         }
     }
 
-    /// What this daemon may do under a lease at this moment. To be asked again at each effect: a
-    /// holder that was paused would otherwise act beside its successor, which shows as two orders
-    /// or two decisions that contradict each other.
+    /// Returns the current grant of a lease, if this daemon holds it. Call this for every effect: a
+    /// holder that was paused could otherwise act concurrently with its successor and issue
+    /// duplicate orders or contradictory decisions.
     #[must_use]
     pub fn grant(&self, now: CoreTime, name: LeaseName) -> Option<LeaseGrant> {
         let grant = self.records.get(&name)?.grant?;
         (now.monotonic < grant.valid_until).then_some(grant)
     }
 
-    /// Handles one event.
+    /// Handles one event and returns the changes of held leases.
     pub fn step(
         &mut self,
         now: CoreTime,
@@ -203,7 +203,7 @@
         held.map(|(name, _)| *name).collect()
     }
 
-    /// Forgets grants whose time is over.
+    /// Removes expired grants.
     fn expire(&mut self, now: CoreTime, effects: &mut EffectQueue) {
         for (name, record) in &mut self.records {
             let over = record
@@ -246,7 +246,7 @@
                 let row = rows.first();
                 self.row_read(now, name, row, effects);
             }
-            // The write may have taken effect: the next read tells by the nonce of the row.
+            // The write may have taken effect; the nonce of the row shows it at the next read.
             (TableAnswer::Lost, CallPurpose::Acquire { .. } | CallPurpose::Renew { .. }) => {
                 record.unconfirmed = Some(call);
             }
@@ -255,8 +255,9 @@
         }
     }
 
-    /// Another daemon's row with a larger fencing number, read while this one may still act: the
-    /// clocks ran further apart than the margins allow, or somebody edited the row.
+    /// Checks that no other daemon holds the lease with a larger fencing number while the local
+    /// grant is valid. A violation means that the clock rates differ by more than the margins
+    /// allow, or that the row was edited.
     fn check_exclusive(
         &self,
         now: CoreTime,
--- a/crates/savorywood-core/src/leases/acquisition.rs
+++ b/crates/savorywood-core/src/leases/acquisition.rs
@@ -1,4 +1,4 @@
-//! Reading a lease's row, and taking the lease once nobody can act under it any more.
+//! Reading of lease rows, and acquisition once the previous holder can no longer act.
 
 use super::{
     CallPurpose, LeaseGrant, LeaseName, LeaseState, ObservedRow,
@@ -15,9 +15,10 @@
 };
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Daemons that contend for one lease: the first few by rendezvous hash among those alive. Bounds
-/// the reads that waiting costs; others step in when these are gone. Versions of this program
-/// that hash differently only disagree on who contends, never on who holds.
+/// Maximum number of daemons that contend for one lease: the first by rendezvous hash among the
+/// serving members. Bounds the reads caused by waiting; other daemons take their place when these
+/// fail. Program versions that hash differently disagree only on who contends, never on who holds
+/// the lease.
 const MAX_CONTENDERS: usize = 3;
 
 impl LeaseState {
@@ -55,7 +56,7 @@
         if !record.wanted || self.leaving {
             return;
         }
-        // An answer that never came must not stop the duty for good.
+        // A call without a response must not block the duty forever.
         let timed_out = |sent_at| now.monotonic.since(sent_at) > self.options.term;
         if record
             .call
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Remembers a row with the time that it was first seen as it is.
+    /// Records a row with the time at which its revision was first read.
     fn record_row(
         &mut self,
         now: CoreTime,
@@ -155,8 +156,8 @@
         Some(seen)
     }
 
-    /// A row that names another holder ends this daemon's grant. Renewing it would otherwise
-    /// write the other's row again and act beside it under the other's fencing number.
+    /// Drops this daemon's grant if the row names another holder. Renewing would write the other
+    /// holder's row again, and this daemon would act concurrently with it under its fencing number.
     fn drop_superseded(&mut self, name: LeaseName, found: &ObservedRow) {
         let own = Some(self.own_holder());
         if found.row.holder != own
@@ -166,7 +167,8 @@
         }
     }
 
-    /// A write whose answer was lost is found by its nonce: it counts from when it was sent.
+    /// Recognises by its nonce an unconfirmed write that took effect. Its grant is valid from when
+    /// it was sent.
     fn resolve_unconfirmed(
         &mut self,
         name: LeaseName,
@@ -218,7 +220,7 @@
         }
     }
 
-    /// Writes the row on the condition that it is still as it was seen.
+    /// Writes the row on condition that its revision is the last one read.
     pub(super) fn write(
         &mut self,
         now: CoreTime,
--- a/crates/savorywood-core/src/leases/options.rs
+++ b/crates/savorywood-core/src/leases/options.rs
@@ -1,13 +1,13 @@
-//! Settings of the lease duty.
+//! Options of the lease duty.
 
 use savorywood_protocol::{HostIncarnation, HostName};
 use std::time::Duration;
 
-/// Term of a lease. A successor acts at the earliest a term and a quarter after the last renewal,
-/// so the work of a holder that died goes on within some 20 s.
+/// Term of a lease. A successor acquires the lease at the earliest a term and a quarter after the
+/// last renewal, so work resumes within about 20 s after the holder fails.
 const DEFAULT_TERM: Duration = Duration::from_secs(12);
 
-/// Settings of the lease duty.
+/// Identity of the daemon, and the lease term.
 #[derive(Debug, Clone)]
 pub struct LeaseOptions {
     pub(super) host: HostName,
@@ -17,7 +17,8 @@
 }
 
 impl LeaseOptions {
-    /// Defaults for one life of a host. `seed` must differ between lives and hosts.
+    /// Creates options for one incarnation of a host. `seed` must differ between incarnations and
+    /// between hosts.
     #[must_use]
     pub fn new(host: HostName, incarnation: HostIncarnation, seed: u64) -> Self {
         Self {
@@ -34,23 +35,23 @@
         Self { term, ..self }
     }
 
-    /// How long a holder may act after it sent a renewal: nine tenths of the term.
+    /// How long a holder may act after it sent a renewal.
     pub(super) fn holder_window(&self) -> Duration {
         self.term.mul_f64(0.9)
     }
 
-    /// How long a row must be seen unchanged before it may be taken. With the acting time this
-    /// allows for one clock running a third faster than the other.
+    /// How long a row must be unchanged before the lease may be acquired. Together with
+    /// `holder_window`, this tolerates a clock that runs a third faster than the other.
     pub(super) fn takeover_delay(&self) -> Duration {
         self.term.mul_f64(1.25)
     }
 
-    /// Between two renewals: two may be lost before the holder must stop.
+    /// Interval between renewals. Two may be lost before the holder must stop.
     pub(super) fn renew_interval(&self) -> Duration {
         self.term.mul_f64(0.25)
     }
 
-    /// Between two reads of a daemon that waits for the lease.
+    /// Interval between the reads of a daemon that contends for the lease.
     pub(super) fn watch_interval(&self) -> Duration {
         self.term.mul_f64(0.2)
     }
--- a/crates/savorywood-core/src/leases/renewal.rs
+++ b/crates/savorywood-core/src/leases/renewal.rs
@@ -1,4 +1,4 @@
-//! Renewing a lease and giving it back.
+//! Renewal and release of held leases.
 
 use super::{
     CallPurpose, LeaseGrant, LeaseName, LeaseState, ObservedRow, PendingCall, row::LeaseRow,
@@ -10,7 +10,7 @@
 impl LeaseState {
     pub(super) fn renew(&mut self, now: CoreTime, name: LeaseName, effects: &mut EffectQueue) {
         let record = self.records.entry(name).or_default();
-        // A write whose answer was lost may have moved the row: read before writing again.
+        // An unconfirmed write may have changed the row, so it is read before the next write.
         let Some(seen) = record.seen.clone().filter(|_| record.unconfirmed.is_none()) else {
             self.send_read(now, name, effects);
             return;
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Gives a lease back at once, so that a successor need not wait out the term. A lost answer
-    /// costs only that wait.
+    /// Releases a lease, so that a successor does not have to wait for the term to pass. If the
+    /// response is lost, the only cost is that wait.
     pub(super) fn release(&mut self, now: CoreTime, name: LeaseName, effects: &mut EffectQueue) {
         let record = self.records.entry(name).or_default();
         record.grant = None;
--- a/crates/savorywood-core/src/leases/row.rs
+++ b/crates/savorywood-core/src/leases/row.rs
@@ -1,31 +1,31 @@
-//! The row of a lease.
+//! Content and key of a lease's table row.
 
 use crate::leases::LeaseName;
 use savorywood_protocol::{FencingNumber, HostIncarnation, HostName};
 use serde::{Deserialize, Serialize};
 
-/// One life of a host.
+/// The host and incarnation that hold a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseHolder {
-    /// Host.
+    /// Host name.
     pub host: HostName,
-    /// Its life.
+    /// Incarnation of the host.
     pub incarnation: HostIncarnation,
 }
 
-/// Content of a lease's row.
+/// Content of a lease's row, stored as JSON.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRow {
-    /// Who holds it; `None` once it was given back.
+    /// Current holder; `None` after a release.
     pub holder: Option<LeaseHolder>,
-    /// Raised by each daemon that takes it, never lowered, kept when it is given back.
+    /// Incremented by each acquisition and never lowered; kept on release.
     pub fencing: FencingNumber,
-    /// Differs in each write: by it a writer whose answer was lost knows its own write.
+    /// Random number of the write, by which a daemon recognises its own unconfirmed write.
     pub nonce: u64,
 }
 
 impl LeaseRow {
-    /// The holder's host for logs.
+    /// Host name of the holder for log lines; `none` after a release.
     #[must_use]
     pub fn holder_text(&self) -> &str {
         self.holder
@@ -34,7 +34,7 @@
     }
 }
 
-/// Key of a lease's row.
+/// Key of the lease's row.
 #[must_use]
 pub fn row_key(name: LeaseName) -> String {
     format!("lease/{name}")
