--- a/crates/savorywood-core/src/credits.rs
+++ b/crates/savorywood-core/src/credits.rs
@@ -1,9 +1,10 @@
-//! Credits: how the daemons share the seats of contended upstreams.
+//! Credits: division of the slots of contended upstreams between daemons.
 //!
-//! While nobody queues for an upstream, nobody speaks of it. When a queue forms, its daemon tells
-//! the upstream's arbiter, which is the first of the upstream's zone by rendezvous hash; the
-//! arbiter asks who else uses the upstream, and grants seats for a short term, highest tier
-//! first over all daemons. `docs/design/credits.md` has the reasons and what else was weighed.
+//! An upstream without queued work causes no messages. When a queue forms, the daemon reports its
+//! demand to the upstream's arbiter, which is the first candidate in the upstream's zone by
+//! rendezvous hash. The arbiter surveys the other daemons that may use the upstream, and grants
+//! slots for a short term, highest tier first over all daemons. `docs/design/credits.md` explains
+//! the design and the alternatives.
 
 pub mod allocate;
 mod arbiter;
@@ -36,7 +37,7 @@
     time::Duration,
 };
 
-/// Time between two looks at what is due.
+/// Interval between the duty's regular ticks.
 pub const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 const TICK_TIMER: TimerKey = TimerKey {
@@ -44,72 +45,72 @@
     number: 0,
 };
 
-/// Fires shortly after something urgent, so that what comes with it goes into one message.
+/// Fires shortly after an urgent event, so that related changes share one message.
 const WAKEUP_TIMER: TimerKey = TimerKey {
     duty: DutyKind::Credits,
     number: 1,
 };
 
-/// Time for which urgent things are gathered.
+/// How long urgent changes are collected before they are sent.
 const COALESCE_DELAY: Duration = Duration::from_millis(5);
 
-/// This daemon's demand on one upstream.
+/// Demand of this daemon on one upstream.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct LocalDemand {
-    /// Seats that the own limit would allow.
+    /// Slots that this daemon's own concurrency limit allows.
     pub limit: u32,
-    /// Seats in use.
+    /// Slots in use by this daemon.
     pub in_use: u32,
-    /// Seats in use and wanted by tier, highest first.
+    /// Slots in use or requested, by tier, highest tier first.
     pub tiers: Vec<TierDemand>,
-    /// Whether work waits that could go there.
+    /// Whether queued work could be dispatched to this upstream.
     pub queued: bool,
 }
 
-/// What the credit duty reads of other duties in a step.
+/// State of other duties that the credit duty reads in a step.
 #[derive(Debug, Clone, Copy)]
 pub struct CreditView<'a> {
     /// Configuration in force.
     pub config: &'a ConfigView,
-    /// Daemons known.
+    /// Cluster members.
     pub members: &'a MemberView,
-    /// Own demand on the upstreams that are in use or wanted.
+    /// This daemon's demand on each upstream that it uses or requests.
     pub demands: &'a BTreeMap<UpstreamName, LocalDemand>,
 }
 
-/// What happens to the credit duty.
+/// Input events of the credit duty.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CreditEvent {
-    /// The daemon begins.
+    /// The daemon starts.
     Started,
-    /// One of its timers fired.
+    /// One of the timers of this duty fired.
     TimerFired {
-        /// Number of the timer.
+        /// Timer number, as in its `TimerKey`.
         number: u64,
     },
-    /// Work began to wait for a seat of these upstreams.
+    /// Work started to queue for a slot; the affected upstreams are marked in the demands.
     QueueFormed,
-    /// A message of another daemon came.
+    /// A message from another daemon arrived.
     Peer {
-        /// Who sent it.
+        /// Sender of the message.
         from: HostName,
-        /// What it says.
+        /// Content of the message.
         message: CreditMessage,
     },
-    /// The daemon has nothing left to send: it gives all seats back.
+    /// The daemon has nothing left to dispatch: it releases all slots.
     ReleaseAll,
 }
 
-/// Counters for metrics.
+/// Counters exported as metrics, since the daemon started.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct CreditCounters {
-    /// Sheds that were judged by the own queues, since no arbiter answered.
+    /// Shed decisions made from the local queues because no arbiter responded.
     pub local_sheds: u64,
-    /// Demands sent.
+    /// Demand messages sent.
     pub demands: u64,
-    /// Grants sent.
+    /// Grant messages sent.
     pub grants: u64,
-    /// Messages dropped as older than one that came before.
+    /// Messages dropped because their sequence number was not newer than the last one received.
     pub stale_messages: u64,
 }
 
@@ -133,7 +134,7 @@
     local_shed_logged_at: Option<MonotonicTime>,
 }
 
-/// When rounds of one kind are due.
+/// Due times of one kind of round.
 #[derive(Debug, Clone, Copy, Default)]
 struct RoundClock {
     regular_at: MonotonicTime,
@@ -150,7 +151,7 @@
     }
 }
 
-/// Newest sequence numbers that a peer has used.
+/// Highest sequence numbers received from a peer, by message kind.
 #[derive(Debug, Clone, Copy, Default)]
 struct PeerSequences {
     demand: u64,
@@ -158,7 +159,7 @@
 }
 
 impl CreditState {
-    /// A daemon that holds nothing.
+    /// Creates the state of a daemon without grants.
     #[must_use]
     pub fn new(options: CreditOptions) -> Self {
         Self {
@@ -180,25 +181,25 @@
         }
     }
 
-    /// Seats granted on contended upstreams; an absent upstream is not contended.
+    /// Slots granted on contended upstreams. An upstream without an entry is not contended.
     #[must_use]
     pub fn grants(&self) -> &BTreeMap<UpstreamName, SeatGrant> {
         &self.grants
     }
 
-    /// Lowest tier that a service admits; absent when all are.
+    /// Lowest tier that each service admits. A service without an entry admits all tiers.
     #[must_use]
     pub fn floors(&self) -> &BTreeMap<ServiceName, TierRank> {
         &self.floors
     }
 
-    /// Counters since the start.
+    /// Counters since the daemon started.
     #[must_use]
     pub fn counters(&self) -> CreditCounters {
         self.counters
     }
 
-    /// Handles one event; says whether grants or floors changed.
+    /// Handles one event; returns whether grants or floors changed.
     pub fn step(
         &mut self,
         now: CoreTime,
@@ -206,7 +207,8 @@
         view: CreditView<'_>,
         effects: &mut EffectQueue,
     ) -> bool {
-        // Larger than in an earlier life of this daemon, whose numbers others remember.
+        // Sequence numbers start at the wall-clock time, so that they exceed those of the daemon's
+        // previous incarnation, which peers still track.
         self.sequence = self.sequence.max(now.wall.0);
         let now = now.monotonic;
         match event {
@@ -229,7 +231,7 @@
         self.publish(now, view)
     }
 
-    /// Takes an upstream for contended for a while.
+    /// Marks an upstream as contended for at least `time`.
     fn mark_contended(&mut self, now: MonotonicTime, upstream: &UpstreamName, time: Duration) {
         let until = now + time;
         let held = self.holdings.entry(upstream.clone());
@@ -237,14 +239,14 @@
         held.contended_until = held.contended_until.max(until);
     }
 
-    /// Makes the next round of demands due as soon as the limits allow.
+    /// Schedules the next demand round as early as the rate limits allow.
     fn expedite_round(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
         let at = self.demand_rounds.urgent_at.max(now + COALESCE_DELAY);
         self.demand_rounds.regular_at = self.demand_rounds.regular_at.min(at);
         self.schedule_wakeup(now, at, effects);
     }
 
-    /// Looks at what is due before the next tick.
+    /// Schedules a check of due rounds before the next tick.
     fn schedule_wakeup(
         &mut self,
         now: MonotonicTime,
@@ -272,7 +274,7 @@
     }
 }
 
-/// Seats that a daemon may use without a grant: its part of what it could use alone.
+/// Slots that a daemon may use after its grant expired: an equal share of its own limit.
 fn fallback_share(upstream: &UpstreamName, view: CreditView<'_>) -> u32 {
     let demand = view.demands.get(upstream);
     let limit = demand.map_or(0, |demand| demand.limit);
@@ -281,9 +283,9 @@
     share.max(1)
 }
 
-/// Members that may arbitrate an upstream: those of its zone; of its region, or all, when its
-/// zone has none. Members near the upstream are the ones that use it most, and the fewer daemons
-/// speak with one another, the fewer messages there are.
+/// Members that may arbitrate an upstream: those of its zone, else those of its region, else all.
+/// Members near the upstream are its main users, and fewer participating daemons send fewer
+/// messages.
 fn arbiter_candidates<'a>(
     upstream: &UpstreamName,
     view: CreditView<'a>,
@@ -321,7 +323,7 @@
     }
 }
 
-/// The region of a zone without live members, known from those that were there.
+/// Scope for a zone without live members; its region is taken from its former members.
 fn region_scope(zone: &ZoneName, view: CreditView<'_>) -> ArbiterScope {
     let mut members = view.members.members.values();
     let known = members.find(|member| member.zone == *zone);
@@ -336,14 +338,14 @@
     }
 }
 
-/// The arbiter of an upstream.
+/// Returns the arbiter of an upstream; `None` if there are no live members.
 fn arbiter_of<'a>(upstream: &UpstreamName, view: CreditView<'a>) -> Option<&'a HostName> {
     let subject = rendezvous::hash_parts(&["arbiter", upstream.as_str()]);
     arbiter_candidates(upstream, view).max_by_key(|host| rendezvous::score(subject, host.as_str()))
 }
 
-/// Daemons that may use an upstream without having said so: those of its arbiter's zone, or of
-/// the arbiter's whole region.
+/// Daemons that may use an upstream without having reported demand: the arbiter candidates, or with
+/// `wide` all daemons of the arbiter's region that are not dead.
 fn possible_users<'a>(
     upstream: &UpstreamName,
     wide: bool,
--- a/crates/savorywood-core/src/credits/allocate.rs
+++ b/crates/savorywood-core/src/credits/allocate.rs
@@ -1,4 +1,4 @@
-//! Divides the seats of one upstream between daemons.
+//! Allocation of the slots of one upstream to daemons.
 
 use savorywood_protocol::{
     HostName, TierRank,
@@ -6,16 +6,16 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Seats by daemon.
+/// Slots per daemon.
 pub type SlotShares = BTreeMap<HostName, u32>;
 
-/// Seats of an upstream as its daemons see them.
+/// Estimates the total slots of an upstream from its daemons' limits.
 ///
-/// While an upstream is shared without grants, each daemon's limit settles at what it may add to
-/// the load of the others, so the limits of those that use it add up to what it bears. Under
-/// grants a limit is hardly tried and grows, so the sum is bounded by the largest of them, or by
-/// the declared seats where all are smaller. What is still too high shows as latency, which cuts
-/// the limits themselves.
+/// While an upstream is shared without grants, each daemon's limit converges to the load that it
+/// can add to that of the others, so the limits of its users add up to its capacity. Under grants,
+/// a limit is rarely reached and grows, so the sum is capped at the largest single limit or at the
+/// declared slots, whichever is greater. A cap that is too high shows as latency, which lowers the
+/// limits themselves.
 #[must_use]
 pub fn upstream_capacity(demands: &BTreeMap<HostName, UpstreamDemand>, declared: u32) -> u32 {
     let users = || demands.values().filter(|demand| !demand.tiers.is_empty());
@@ -24,10 +24,10 @@
     sum.min(largest.max(declared))
 }
 
-/// Shares of a capacity: highest tier first over all daemons, within a tier by demand.
+/// Divides a capacity: highest tier first over all daemons, and by demand within a tier.
 ///
-/// Seats that a daemon uses beyond its share are not free yet. The others grow only into what is
-/// free, or the upstream would run both until the first are done.
+/// Slots that a daemon uses beyond its share are not free yet. Other daemons grow only into free
+/// slots; otherwise the upstream would serve both until the running requests complete.
 #[must_use]
 pub fn allocate(demands: &BTreeMap<HostName, UpstreamDemand>, capacity: u32) -> SlotShares {
     let targets = with_headroom(demands, capacity);
@@ -49,7 +49,7 @@
     shares.collect()
 }
 
-/// What is still to be given to daemons that use less than their targets.
+/// Returns the demand of each daemon that its target covers but its slots in use do not.
 fn unmet(
     demands: &BTreeMap<HostName, UpstreamDemand>,
     targets: &SlotShares,
@@ -59,7 +59,7 @@
         let mut skipped = demand.in_use;
         let mut left = growth;
         let tiers = demand.tiers.iter().map(|tier| {
-            // What is in use is taken for the highest tiers, which were served first.
+            // Slots in use are attributed to the highest tiers, which were served first.
             let covered = tier.seats.min(skipped);
             skipped -= covered;
             let seats = (tier.seats - covered).min(left);
@@ -76,8 +76,8 @@
     unmet.collect()
 }
 
-/// Shares by tier, and what nobody asks for spread evenly, so that a new request need not wait
-/// for a round trip.
+/// Allocates by tier and spreads unrequested slots evenly, so that a new request can start without
+/// a round trip to the arbiter.
 fn with_headroom(demands: &BTreeMap<HostName, UpstreamDemand>, capacity: u32) -> SlotShares {
     let mut shares = allocate_by_tier(demands, capacity);
     let given: u32 = shares.values().sum();
@@ -107,7 +107,7 @@
     shares
 }
 
-/// Tiers that are asked for, highest first.
+/// Tiers with demand, highest first.
 #[must_use]
 pub fn requested_ranks(demands: &BTreeMap<HostName, UpstreamDemand>) -> BTreeSet<TierRank> {
     let tiers = demands.values().flat_map(|demand| &demand.tiers);
@@ -119,7 +119,7 @@
     tiers.map(|tier| tier.seats).sum()
 }
 
-/// Divides `seats` in proportion to the wants, by largest remainders.
+/// Divides `seats` in proportion to the demands, by the largest-remainder method.
 fn divide_proportionally(demands_by_host: &SlotShares, seats: u32) -> SlotShares {
     let total: u64 = demands_by_host.values().map(|want| u64::from(*want)).sum();
     if total == 0 || seats == 0 {
--- a/crates/savorywood-core/src/credits/arbiter.rs
+++ b/crates/savorywood-core/src/credits/arbiter.rs
@@ -1,4 +1,4 @@
-//! The arbiter's side: gathers demands on an upstream and grants its seats.
+//! Arbiter role: collects the demands on an upstream and grants its slots.
 
 use super::allocate;
 use savorywood_protocol::{
@@ -7,7 +7,7 @@
 };
 use std::{collections::BTreeMap, time::Duration};
 
-/// What an arbiter knows of one upstream.
+/// Demands, floor and schedule of one upstream at its arbiter.
 #[derive(Debug)]
 pub struct ArbiterRecord {
     demands: BTreeMap<HostName, UpstreamDemand>,
@@ -16,16 +16,16 @@
     floor_unannounced: bool,
     last_shed_request: Option<MonotonicTime>,
     created_at: MonotonicTime,
-    /// When the next survey of further users is due.
+    /// When the next survey for further users is due.
     pub next_survey: MonotonicTime,
-    /// Surveys made so far.
+    /// Number of surveys made so far.
     pub surveys: u32,
-    /// Whether the grants must go out before their round.
+    /// Whether grants must be sent before the next regular round.
     pub urgent: bool,
 }
 
 impl ArbiterRecord {
-    /// A record without demands.
+    /// Creates a record without demands.
     #[must_use]
     pub fn new(now: MonotonicTime) -> Self {
         Self {
@@ -41,14 +41,15 @@
         }
     }
 
-    /// Takes in a daemon's demand.
+    /// Records the demand that a daemon reported.
     pub fn record_demand(&mut self, now: MonotonicTime, from: &HostName, demand: UpstreamDemand) {
         if let Some(rank) = demand.shedding {
             self.last_shed_request = Some(now);
             self.urgent |= rank < self.floor;
         }
-        // While a floor is up, daemons that have nothing left are told of it too: they have
-        // nothing just because of it, and would take lower work in again.
+        // While a floor is set, daemons without demand are kept, so that they receive it too: their
+        // demand may be empty only because of the floor, and without it they would admit lower
+        // tiers again.
         let floored = self.floor != NO_FLOOR;
         if demand.tiers.is_empty() && demand.in_use == 0 && !floored {
             self.demands.remove(from);
@@ -61,7 +62,7 @@
         self.demands.insert(from.clone(), demand);
     }
 
-    /// Forgets daemons that have not been heard of for a term: their grants have lapsed.
+    /// Removes daemons that have not reported for a term; their grants have expired.
     pub fn expire(&mut self, now: MonotonicTime, term: Duration) {
         self.last_reports
             .retain(|_, reported_at| now.since(*reported_at) < term);
@@ -70,26 +71,26 @@
             .retain(|host, _| last_reports.contains_key(host));
     }
 
-    /// Whether those that use the upstream have had time to say so. Granting before gives all
-    /// seats to the first that asks, while the others still use theirs.
+    /// Whether the users of the upstream have had time to report their demand. Earlier grants would
+    /// give all slots to the first daemon that reports, while others still use theirs.
     #[must_use]
     pub fn has_collected_demands(&self, now: MonotonicTime, time: Duration) -> bool {
         now.since(self.created_at) >= time
     }
 
-    /// Whether nobody asks any longer.
+    /// Whether no daemon has demand.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.demands.is_empty()
     }
 
-    /// Daemons that have told their demand.
+    /// Daemons that have reported demand.
     pub fn reporters(&self) -> impl Iterator<Item = &HostName> {
         self.demands.keys()
     }
 
-    /// Whether all daemons together want more than there is, or one is about to shed. `declared`
-    /// are the seats that the upstream's resource names.
+    /// Whether the total demand exceeds the capacity, or a daemon is about to shed load. `declared`
+    /// is the number of slots in the upstream's resource.
     #[must_use]
     pub fn is_contended(&self, declared: u32) -> bool {
         let wanted: u32 = self.demands.values().map(total_demand).sum();
@@ -100,34 +101,36 @@
         sheds || wanted > allocate::upstream_capacity(&self.demands, declared)
     }
 
-    /// Seats for each daemon. `declared` are the seats that the upstream's resource names.
+    /// Returns the slots of each daemon. `declared` is the number of slots in the upstream's
+    /// resource.
     #[must_use]
     pub fn shares(&self, declared: u32) -> allocate::SlotShares {
         let capacity = allocate::upstream_capacity(&self.demands, declared);
         allocate::allocate(&self.demands, capacity)
     }
 
-    /// Lowest tier still admitted.
+    /// Lowest tier admitted; `NO_FLOOR` if all are.
     #[must_use]
     pub fn floor(&self) -> TierRank {
         self.floor
     }
 
-    /// Whether the floor rose and the daemons have not been told yet.
+    /// Whether the floor rose and has not been sent to the daemons yet.
     #[must_use]
     pub fn has_unannounced_floor(&self) -> bool {
         self.floor_unannounced
     }
 
-    /// Notes that the grants went out.
+    /// Records that the current grants and floor were sent.
     pub fn mark_granted(&mut self) {
         self.urgent = false;
         self.floor_unannounced = false;
     }
 
-    /// Raises the floor by one tier, if somebody is about to shed a tier above the lowest that
-    /// is still asked for anywhere. It rises from the bottom, one tier a round: the daemon that
-    /// asked sheds only once nothing lower is left.
+    /// Raises the floor by one tier if a daemon is about to shed a tier above the lowest one with
+    /// demand; clears the floor `hold` after the last such report. The floor rises from the lowest
+    /// tier, one tier per round, so that the reporting daemon sheds only when no lower tier is
+    /// left.
     pub fn update_floor(&mut self, now: MonotonicTime, hold: Duration) {
         let shed_requests = self.demands.values().filter_map(|demand| demand.shedding);
         let Some(asked) = shed_requests.min() else {
--- a/crates/savorywood-core/src/credits/floors.rs
+++ b/crates/savorywood-core/src/credits/floors.rs
@@ -1,9 +1,9 @@
-//! Whose floor counts for a service, and how those that set it are asked.
+//! Selection of the upstreams that set a service's admission floor, and requests to their arbiters.
 //!
-//! Every daemon spreads its waiting work over the upstreams of its zone, so the arbiter of any one
-//! of them knows which tiers wait anywhere in the zone. A few are asked, the same by all daemons:
-//! asking all of them would take seconds of the byte budget at the planned size, and requests
-//! would be shed alone meanwhile.
+//! Every daemon spreads its queued work over the upstreams of its zone, so the arbiter of any one
+//! of them knows which tiers are queued in the zone. All daemons use the same few upstreams: asking
+//! all arbiters would use several seconds of the byte budget at the planned cluster size, and
+//! requests would be shed by local decision in the meantime.
 
 use super::{ArbiterRecord, CreditState, CreditView, TICK_INTERVAL, arbiter_of};
 use crate::{effect::EffectQueue, rendezvous};
@@ -13,12 +13,12 @@
 };
 use std::{cmp::Reverse, collections::BTreeMap};
 
-/// Upstreams of a service whose arbiters are asked. More than one, since one may be out of use at
-/// some daemons, which then hear nothing of its floor.
+/// Number of upstreams of a service that set its floor. More than one, since one upstream may be
+/// out of use at some daemons, which then do not receive its floor.
 const FLOOR_UPSTREAMS: usize = 3;
 
-/// Names found lately: finding them hashes all upstreams of a service, which is too much for
-/// each message.
+/// Cached floor upstreams by service. Computing them hashes all upstreams of a service, which is
+/// too expensive for every message.
 #[derive(Debug, Default)]
 pub struct FloorUpstreamCache {
     found_at: MonotonicTime,
@@ -26,7 +26,7 @@
 }
 
 impl CreditState {
-    /// Upstreams whose floors count for a service here: the first few of the zone by hash.
+    /// Upstreams that set the floor of a service in this zone: the first few by rendezvous hash.
     fn floor_upstreams(
         &mut self,
         now: MonotonicTime,
@@ -75,8 +75,7 @@
         names.into_iter().take(FLOOR_UPSTREAMS).cloned().collect()
     }
 
-    /// The same upstreams as far as this daemon uses them; any that it uses when it uses none of
-    /// them.
+    /// The floor upstreams that this daemon uses; if it uses none of them, others that it uses.
     pub(super) fn floor_upstreams_in_use(
         &mut self,
         now: MonotonicTime,
@@ -93,7 +92,7 @@
         names.take(FLOOR_UPSTREAMS).cloned().collect()
     }
 
-    /// Tiers that are about to be shed here, by the upstreams whose arbiters are told.
+    /// Tier that is about to be shed here, for each upstream whose arbiter is asked.
     pub(super) fn shed_ranks(
         &mut self,
         now: MonotonicTime,
@@ -107,7 +106,7 @@
         ranks
     }
 
-    /// Tells the arbiters of these upstreams our demand now, whatever the rounds are at.
+    /// Sends this daemon's demand to the arbiters of these upstreams outside the regular rounds.
     pub(super) fn send_shed_requests(
         &mut self,
         now: MonotonicTime,
@@ -135,8 +134,8 @@
                 .max(2 * self.options.send_duration(bytes));
     }
 
-    /// A service's floor is the most lenient of those that count: what one of them still admits
-    /// need not be shed.
+    /// Returns the floor of each service: the most lenient among its floor upstreams, since a tier
+    /// that one of them still admits need not be shed.
     pub(super) fn service_floors(
         &mut self,
         now: MonotonicTime,
@@ -164,7 +163,7 @@
         floors
     }
 
-    /// Whether a floor moved that nobody has been told of yet.
+    /// Whether any floor rose and has not been sent yet.
     pub(super) fn has_unannounced_floor(&self) -> bool {
         self.arbitrated
             .values()
--- a/crates/savorywood-core/src/credits/holder.rs
+++ b/crates/savorywood-core/src/credits/holder.rs
@@ -1,4 +1,4 @@
-//! The asking side: which upstreams are contended, and what was granted.
+//! Holder role: contended upstreams and the slots granted to this daemon.
 
 use savorywood_protocol::{
     HostName, MonotonicTime, TierRank,
@@ -6,7 +6,7 @@
 };
 use std::time::Duration;
 
-/// What this daemon holds on one contended upstream.
+/// State of one contended upstream at a daemon that uses it.
 #[derive(Debug)]
 pub struct UpstreamHolding {
     seats: Option<u32>,
@@ -14,20 +14,21 @@
     floor_since: MonotonicTime,
     expires_at: MonotonicTime,
     granted_by: Option<HostName>,
-    /// When the latest grant came.
+    /// When the latest grant was received; `None` before the first.
     pub granted_at: Option<MonotonicTime>,
-    /// Until when it is taken for contended.
+    /// The upstream counts as contended until this time.
     pub contended_until: MonotonicTime,
-    /// Whether the arbiter knows of a demand of ours.
+    /// Whether the arbiter has been sent a demand that is not empty.
     pub reported: bool,
-    /// First of an unbroken row of demands that said that we are about to shed.
+    /// Sequence number of the first demand in the current unbroken series that requests to shed;
+    /// `None` if the latest demand did not.
     pub first_shed_sequence: Option<u64>,
-    /// Newest of our demands that the arbiter had seen when it granted.
+    /// Latest demand that the arbiter had received when it sent the grant.
     pub acknowledged_sequence: u64,
 }
 
 impl UpstreamHolding {
-    /// An upstream that has just become contended.
+    /// Creates the state of an upstream that has just become contended.
     #[must_use]
     pub fn new(now: MonotonicTime, contended_until: MonotonicTime) -> Self {
         Self {
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Takes in a grant.
+    /// Applies a grant, valid for `term` from now.
     pub fn grant(
         &mut self,
         now: MonotonicTime,
@@ -65,9 +66,9 @@
         }
     }
 
-    /// Seats that may be used: those granted; an even share of the own limit when the grant has
-    /// lapsed, which costs capacity but can't overrun the upstream; `None` before the first
-    /// answer, which leaves the daemon's own limit.
+    /// Slots that may be used: those granted, or the fallback share once the grant has expired,
+    /// which loses capacity but cannot overload the upstream. `None` before the first grant, when
+    /// only the daemon's own limit applies.
     #[must_use]
     pub fn usable(&self, now: MonotonicTime, fallback_share: impl FnOnce() -> u32) -> Option<u32> {
         let seats = self.seats?;
@@ -77,12 +78,13 @@
         })
     }
 
-    /// Whether the arbiter knows that we are about to shed, and has admitted nothing below the
-    /// tier for a while.
+    /// Whether the arbiter has received the shed request, and its floor has admitted nothing below
+    /// `rank` for at least `spread`.
     ///
-    /// The floor alone would not do: it is let down some time after the last daemon that asked,
-    /// and one that had not heard of it yet would shed while others take in lower work again.
-    /// Nor would the floor at once: the arbiter itself knows it before the others do.
+    /// The floor alone is not sufficient: it is lowered some time after the last shed request, and
+    /// a daemon that has not received the change yet would shed while others admit lower tiers
+    /// again. A floor that has just risen is not sufficient either, since the arbiter applies it
+    /// before the other daemons receive it.
     #[must_use]
     pub fn has_reached_floor(&self, now: MonotonicTime, rank: TierRank, spread: Duration) -> bool {
         let answered = self
@@ -92,7 +94,7 @@
         answered && spread_out && self.floor(now) <= rank
     }
 
-    /// Lowest tier admitted, while the grant that says so is good.
+    /// Lowest tier admitted, while the grant is valid; `NO_FLOOR` afterwards.
     #[must_use]
     pub fn floor(&self, now: MonotonicTime) -> TierRank {
         match now < self.expires_at {
--- a/crates/savorywood-core/src/credits/options.rs
+++ b/crates/savorywood-core/src/credits/options.rs
@@ -1,43 +1,43 @@
-//! Settings of the credit duty.
+//! Options of the credit duty.
 
 use savorywood_protocol::HostName;
 use std::time::Duration;
 
-/// Who a daemon is, and the times and limits of its credit duty.
+/// Identity of the daemon, with the intervals and limits of its credit duty.
 #[derive(Debug, Clone)]
 pub struct CreditOptions {
-    /// Host it runs on.
+    /// Host that the daemon runs on.
     pub host: HostName,
-    /// Time between two rounds of demands, and of grants.
+    /// Interval between regular rounds of demands, and of grants.
     pub round_interval: Duration,
-    /// Least time between two rounds when something is urgent.
+    /// Minimum interval between two urgent rounds.
     pub urgent_round_interval: Duration,
-    /// Time that an arbiter listens before its first grants.
+    /// How long an arbiter collects demands before its first grants.
     pub collection_window: Duration,
-    /// Time that a grant is good for after it was received.
+    /// How long a grant is valid after it is received.
     pub term: Duration,
-    /// Time without a queue anywhere after which an upstream is no longer contended.
+    /// How long after the last queue an upstream stops being contended.
     pub idle_timeout: Duration,
-    /// Time between two surveys of who else uses a contended upstream, among the daemons of
-    /// its zone.
+    /// Interval between surveys for further users of a contended upstream, among the daemons of its
+    /// zone.
     pub survey_interval: Duration,
-    /// One survey in so many asks the whole region.
+    /// Every survey whose number is a multiple of this covers the whole region.
     pub surveys_per_region_survey: u32,
-    /// Time that a shed waits for an arbiter that has not answered at all.
+    /// How long a shed waits for an arbiter that has not responded at all.
     pub arbiter_timeout: Duration,
-    /// Time that a shed waits at most while the floor rises from the bottom.
+    /// Maximum time that a shed waits while the floor rises from the lowest tier.
     pub max_shed_wait: Duration,
     /// Time that a new floor takes to reach all daemons.
     pub propagation_delay: Duration,
-    /// Time that a floor stays up after the last daemon that was about to shed.
+    /// How long a floor is held after the last shed request.
     pub floor_hold: Duration,
-    /// Bytes a second that demands may take, and as many that grants may. Rounds become longer
-    /// when there is more to say.
+    /// Bytes per second for demands, and as many for grants. Rounds are spaced further apart when
+    /// their messages exceed it.
     pub bytes_per_second: u32,
 }
 
 impl CreditOptions {
-    /// Options with the usual times.
+    /// Creates options with the default intervals and limits.
     #[must_use]
     pub fn new(host: HostName) -> Self {
         Self {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Time that so many bytes take at the rate that is allowed.
+    /// Time that sending `bytes` takes at the permitted rate.
     #[must_use]
     pub fn send_duration(&self, bytes: usize) -> Duration {
         let micros = bytes as u64 * 1_000_000 / u64::from(self.bytes_per_second.max(1));
--- a/crates/savorywood-core/src/credits/rounds.rs
+++ b/crates/savorywood-core/src/credits/rounds.rs
@@ -1,4 +1,4 @@
-//! What is sent in each round, and what arrives.
+//! Demand, grant and survey rounds, and handling of received messages.
 
 use super::{
     ArbiterRecord, COALESCE_DELAY, CreditState, CreditView, PeerSequences, RoundClock,
@@ -14,10 +14,10 @@
 };
 use std::{collections::BTreeMap, time::Duration};
 
-/// Upstreams in one message at most; more would not fit into a datagram.
+/// Maximum number of upstreams in one message; more do not fit into a datagram.
 const MAX_UPSTREAMS: usize = 10;
 
-/// Upstreams whose grants go out in a round.
+/// Which upstreams a grant round covers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum GrantScope {
     All,
@@ -41,7 +41,7 @@
         self.arbitrate(now, view, effects);
     }
 
-    /// Marks upstreams that work waits for.
+    /// Marks upstreams with queued work as contended.
     pub(super) fn mark_queued(&mut self, now: MonotonicTime, view: CreditView<'_>) {
         let queued = view.demands.iter().filter(|(_, demand)| demand.queued);
         for (upstream, _) in queued {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Upstreams for which nobody has queued for a while are not spoken of any longer.
+    /// Removes upstreams that are no longer contended or configured, and expired shed requests.
     fn expire_idle(&mut self, now: MonotonicTime, view: CreditView<'_>) {
         let config = view.config;
         self.holdings.retain(|upstream, held| {
@@ -60,7 +60,7 @@
             .retain(|_, ask| now.since(ask.renewed_at()) < hold);
     }
 
-    /// Tells each arbiter our demand; gives the bytes that it took.
+    /// Sends this daemon's demand to each arbiter; returns the bytes sent.
     fn send_demands(
         &mut self,
         now: MonotonicTime,
@@ -81,7 +81,7 @@
         self.send_batches(now, batches, view, effects)
     }
 
-    /// Sends each arbiter what it is to know; gives the bytes that it took.
+    /// Sends batches of demands to their arbiters; returns the bytes sent.
     pub(super) fn send_batches(
         &mut self,
         now: MonotonicTime,
@@ -111,7 +111,7 @@
         bytes
     }
 
-    /// Notes since when the arbiters are told that we are about to shed.
+    /// Records with which sequence number the arbiters were first sent a shed request.
     fn record_shed_requests(&mut self, demands: &[UpstreamDemand]) {
         for demand in demands {
             if let Some(held) = self.holdings.get_mut(&demand.upstream) {
@@ -121,7 +121,8 @@
         }
     }
 
-    /// Our demand, or once, when there is none any longer, the word that there is none.
+    /// Returns this daemon's demand on an upstream. When the demand ends, returns one empty demand,
+    /// and further ones while a floor is in effect; otherwise `None`.
     pub(super) fn demand_on(
         &mut self,
         now: MonotonicTime,
@@ -154,8 +155,8 @@
         view: CreditView<'_>,
     ) {
         for demand in upstreams {
-            // A daemon with an older view may ask the wrong one. Answering it all the same gives
-            // it seats for a term; refusing would leave it with its standing share.
+            // A daemon with an older member view may report to the wrong arbiter. It is granted
+            // slots for a term all the same; refusing would leave it with its fallback share.
             if view.config.upstreams.contains_key(&demand.upstream) {
                 let record = self.arbitrated.entry(demand.upstream.clone());
                 let record = record.or_insert_with(|| ArbiterRecord::new(now));
@@ -164,7 +165,7 @@
         }
     }
 
-    /// The arbiter's round.
+    /// Runs the arbiter role: expires demands, updates floors and sends due grants.
     fn arbitrate(&mut self, now: MonotonicTime, view: CreditView<'_>, effects: &mut EffectQueue) {
         let term = self.options.term;
         let hold = self.options.floor_hold;
@@ -186,7 +187,7 @@
         } else if urgent && rounds.urgent_at <= now {
             let bytes = self.send_grants(now, GrantScope::Urgent, view, effects);
             self.grant_rounds = RoundClock::after_round(now, bytes, &self.options);
-            // Urgent rounds must not put off the others.
+            // Urgent rounds must not delay regular ones.
             self.grant_rounds.regular_at = rounds.regular_at;
         } else if self.has_unannounced_floor() {
             let bytes = self.send_grants(now, GrantScope::UnannouncedFloors, view, effects);
@@ -196,8 +197,8 @@
         }
     }
 
-    /// Puts the next rounds off by what was sent outside them, but not for so long that grants
-    /// lapse.
+    /// Delays the next rounds to offset bytes sent outside them, but not so long that grants
+    /// expire.
     fn delay_rounds(&mut self, now: MonotonicTime, bytes: usize) {
         let time = self.options.send_duration(bytes);
         let latest = now + self.options.term / 2;
@@ -265,7 +266,7 @@
         bytes
     }
 
-    /// Asks those that have not told their demand whether they use a contended upstream too.
+    /// Asks daemons that have not reported demand whether they use a contended upstream.
     fn survey(&mut self, now: MonotonicTime, view: CreditView<'_>, effects: &mut EffectQueue) {
         let mut batches: BTreeMap<HostName, Vec<UpstreamName>> = BTreeMap::new();
         for (upstream, record) in &mut self.arbitrated {
@@ -328,7 +329,7 @@
                 grants,
             } => {
                 if self.is_newer(from, sequence, |peer| &mut peer.grant) {
-                    // A sender with a fault must not give seats away for ever.
+                    // A faulty sender must not be able to grant slots without an expiry.
                     let term = Duration::from_millis(term_ms.into()).min(self.options.term);
                     self.apply_grants(now, from, &grants, answers, term);
                 }
@@ -352,8 +353,8 @@
         term: Duration,
     ) {
         for grant in grants {
-            // A grant on an upstream that is calm here as well as there would only keep both
-            // talking of it.
+            // A grant on an upstream that is contended neither here nor at the arbiter would only
+            // keep both sending messages about it.
             if !grant.contended && !self.holdings.contains_key(&grant.upstream) {
                 continue;
             }
@@ -364,8 +365,8 @@
         }
     }
 
-    /// Whether a message is newer than all of its kind from that peer. Datagrams come twice and
-    /// out of order; an older grant must not undo a newer one.
+    /// Whether a message is newer than all messages of its kind from that peer. Datagrams may be
+    /// duplicated or reordered; an older grant must not replace a newer one.
     fn is_newer(
         &mut self,
         from: &HostName,
@@ -382,7 +383,7 @@
         newer
     }
 
-    /// Gives all seats back.
+    /// Releases all slots by sending empty demands to the arbiters.
     pub(super) fn release_all(&mut self, view: CreditView<'_>, effects: &mut EffectQueue) {
         let mut batches: BTreeMap<HostName, Vec<UpstreamDemand>> = BTreeMap::new();
         for (upstream, held) in &self.holdings {
--- a/crates/savorywood-core/src/credits/shed.rs
+++ b/crates/savorywood-core/src/credits/shed.rs
@@ -1,21 +1,21 @@
-//! Asking before shedding: no daemon sheds a tier while a lower one waits elsewhere.
+//! Coordination of load shedding: no daemon sheds a tier while a lower one is queued elsewhere.
 
 use super::{CreditState, CreditView};
 use crate::effect::{EffectQueue, LogLevel, LogLine};
 use savorywood_protocol::{MonotonicTime, ServiceName, TierRank, UpstreamName};
 
-/// Whether a tier may be shed here now.
+/// Whether this daemon may shed a tier now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ShedAdvice {
-    /// Nothing lower waits anywhere: shed.
+    /// No lower tier is queued elsewhere: shed.
     Shed,
-    /// Others are being asked; come back when grants or floors change, or after a tick.
+    /// The arbiters have been asked; ask again when grants or floors change, or after a tick.
     Wait,
-    /// No arbiter answers: judge by the own queues.
+    /// No arbiter responded in time: decide from the local queues.
     DecideLocally,
 }
 
-/// A daemon that is about to shed.
+/// A pending request to shed a tier of one service.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ShedRequest {
     rank: TierRank,
@@ -34,7 +34,8 @@
 }
 
 impl CreditState {
-    /// Says whether work of a tier may be shed, and asks the arbiters if that is not known yet.
+    /// Returns whether work of a tier may be shed, and asks the arbiters if they have not confirmed
+    /// it yet.
     pub fn shed_advice(
         &mut self,
         now: MonotonicTime,
@@ -45,7 +46,7 @@
     ) -> ShedAdvice {
         let lower = view.config.tiers.values().any(|tier| tier.rank > rank);
         let used = self.floor_upstreams_in_use(now, service, view);
-        // What is below the floor is meant to go; the floor rose past all lower tiers first.
+        // Work below the floor is to be shed: the floor has already risen past all lower tiers.
         let below = self.floors.get(service).is_some_and(|floor| rank > *floor);
         if !lower || below {
             return ShedAdvice::Shed;
@@ -105,7 +106,7 @@
         ask
     }
 
-    /// Demands go out with the next round at the latest; an ask does not wait for it.
+    /// Sends the shed request at once instead of with the next round.
     fn expedite_shed_request(
         &mut self,
         now: MonotonicTime,
@@ -128,8 +129,8 @@
         effects: &mut EffectQueue,
     ) {
         self.counters.local_sheds += 1;
-        // One line a second tells it; a line a request would drown the log just when all is
-        // busy.
+        // Limited to one line per `floor_hold` (1 s by default): a line per request would flood the log
+        // under overload.
         if self
             .local_shed_logged_at
             .is_none_or(|at| now.since(at) >= self.options.floor_hold)
