--- a/crates/savorywood-core/src/membership.rs
+++ b/crates/savorywood-core/src/membership.rs
@@ -1,10 +1,10 @@
-//! Who is alive: heartbeats between daemons in the SWIM manner.
+//! Membership: SWIM failure detection and gossip between daemons.
 //!
-//! Each daemon probes one other a period, first directly and then through a few others, and
-//! suspects one that no way reaches. A suspected member has time to refute. News travels with
-//! probes and answers; news that can't wait (a member leaves, a configuration is new) is passed
-//! on at once by everyone who learns it. `docs/design/membership.md` has the reasons and what
-//! else was weighed.
+//! Each daemon probes one other member per interval, first directly and then through a few relays,
+//! and suspects a member that no path reaches. A suspected member has time to refute. Updates are
+//! piggybacked on probes and their acknowledgements. Urgent updates (a member is leaving, a
+//! configuration is new) are forwarded at once by every daemon that receives them.
+//! `docs/design/membership.md` explains the design and the alternatives.
 
 mod budget;
 mod failure_detection;
@@ -46,48 +46,49 @@
 };
 use table::{MemberTable, UpdateSource};
 
-/// Time between two looks at what is due.
+/// Interval between the duty's ticks.
 pub const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The duty's only timer.
+/// The only timer of this duty.
 const TICK_TIMER: TimerKey = TimerKey {
     duty: DutyKind::Membership,
     number: 0,
 };
 
-/// What happens to the membership duty.
+/// Input events of the membership duty.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MembershipEvent {
-    /// The daemon begins.
+    /// The daemon starts.
     Started,
-    /// Its timer fired.
+    /// The tick timer fired.
     TimerFired,
-    /// A message of another daemon came.
+    /// A message from another daemon arrived.
     Peer {
-        /// Who sent it.
+        /// Sender of the message.
         from: HostName,
-        /// What it says.
+        /// Content of the message.
         message: MembershipMessage,
     },
     /// The host list was read.
     HostsListed(Vec<HostEntry>),
-    /// A configuration is in force here.
+    /// A configuration revision took effect on this daemon.
     RevisionInForce(ConfigRevision),
     /// The daemon begins its planned stop.
     Leaving,
-    /// The daemon is about to exit.
+    /// The daemon is about to exit; it announces itself as dead.
     Exiting,
 }
 
-/// What a step changed that other duties must know.
+/// Changes made by a step that other duties act on.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct MembershipChange {
-    /// The member view is another one.
+    /// The member view changed.
     pub view_changed: bool,
-    /// A configuration newer than any before is in force somewhere.
+    /// Configuration revision in force on some member, if it is newer than any seen before.
     pub newer_revision: Option<ConfigRevision>,
-    /// Others know a life of this host that is not older than ours: the clock went back between
-    /// two starts. The daemon goes on under this life; datagrams must be sealed with it.
+    /// New incarnation of this daemon, if members had recorded one that is not older than its own
+    /// because the clock went back between two starts. Datagrams must be sealed with it from now
+    /// on.
     pub new_incarnation: Option<HostIncarnation>,
 }
 
@@ -114,7 +115,7 @@
     change: MembershipChange,
 }
 
-/// When each recurring thing is due.
+/// Due times of recurring work, and times of the last tick and message.
 #[derive(Debug, Default)]
 struct MembershipClock {
     last_tick: MonotonicTime,
@@ -125,8 +126,8 @@
     last_received: MonotonicTime,
 }
 
-/// How much of the member table has still to be read from others: at the start, after a pause
-/// and when a region comes back.
+/// Progress of reading the member table from others: after the start, after a pause and when a
+/// region becomes reachable again.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 struct PullProgress {
     parts_read: u8,
@@ -135,7 +136,7 @@
 }
 
 impl MembershipState {
-    /// A daemon that knows only itself.
+    /// Creates the state of a daemon that has no other members yet.
     #[must_use]
     pub fn new(options: MembershipOptions) -> Self {
         Self {
@@ -160,38 +161,38 @@
         }
     }
 
-    /// Members, this daemon included.
+    /// Member view, including this daemon.
     #[must_use]
     pub fn view(&self) -> &MemberView {
         self.table.view()
     }
 
-    /// Own life, with which datagrams are sealed.
+    /// Incarnation of this daemon, with which its datagrams are sealed.
     #[must_use]
     pub fn incarnation(&self) -> HostIncarnation {
         self.options.incarnation
     }
 
-    /// Newest configuration revision known to be in force anywhere.
+    /// Newest configuration revision known to be in force on any member.
     #[must_use]
     pub fn newest_revision(&self) -> ConfigRevision {
         self.newest_revision
     }
 
-    /// Regions that this daemon, as a bridge, has not heard from for a while. Their members are
-    /// kept as they were.
+    /// Regions that this daemon, as a bridge, has not received a message from within the region
+    /// timeout. Their members keep their last state.
     #[must_use]
     pub fn unreachable_regions(&self) -> &BTreeSet<RegionName> {
         &self.unreachable
     }
 
-    /// Whether this daemon has read the whole member table from others once.
+    /// Whether this daemon has read the complete member table from others at least once.
     #[must_use]
     pub fn has_joined(&self) -> bool {
         self.joined
     }
 
-    /// Handles one event.
+    /// Handles one event and returns the resulting changes.
     pub fn step(
         &mut self,
         now: CoreTime,
@@ -249,8 +250,8 @@
         own.map_or(0, |entry| entry.update.refutation)
     }
 
-    /// Tells of our own state. It spreads at once: until the others know that we leave, callers
-    /// are sent here.
+    /// Announces this daemon's state at once: until the other members know that it is leaving,
+    /// callers are still routed here.
     fn announce(&mut self, now: MonotonicTime, state: MemberState, effects: &mut EffectQueue) {
         let update = self.own_update(state, self.own_refutation());
         self.merge_update(now, &update, UpdateSource::Member, effects);
@@ -274,8 +275,8 @@
         self.send_urgent(effects);
     }
 
-    /// Takes in the host list: a seed at the start, later a hint about hosts not yet known.
-    /// Hosts that it leaves out stay members, for it lags and may be empty.
+    /// Applies the host list: seeds at the start, hints about unknown hosts later. Hosts missing
+    /// from the list remain members, since the list lags and may be empty.
     fn update_host_list(
         &mut self,
         now: MonotonicTime,
--- a/crates/savorywood-core/src/membership/budget.rs
+++ b/crates/savorywood-core/src/membership/budget.rs
@@ -1,9 +1,8 @@
-//! The limit on bytes that a daemon sends to its peers by datagram.
+//! Byte limit on the datagrams that a daemon sends to its peers.
 //!
-//! What goes wrong without it: a change that concerns all members at once, such as a zone that
-//! is lost, makes every daemon send more, to a network that is just short of paths. The limit
-//! makes the spread slower instead. What is dropped is only datagrams, which every duty takes
-//! for possibly lost anyway.
+//! An event that concerns all members at once, such as the loss of a zone, makes every daemon send
+//! more while the network has fewer paths. The limit slows the spread of updates instead of
+//! overloading the network. Only datagrams are dropped, and every duty tolerates their loss.
 
 use savorywood_protocol::{
     MonotonicTime,
@@ -11,38 +10,38 @@
 };
 use std::time::Duration;
 
-/// Bytes a second that a daemon may spend on control, heads of packets included.
+/// Bytes per second that a daemon may send in control datagrams, packet headers included.
 pub const CONTROL_BYTES_PER_SECOND: u64 = 9_000;
 
-/// Seconds of the rate that may be saved up for a burst.
+/// Capacity of the token bucket, in seconds of the rate.
 const BURST_SECONDS: u64 = 2;
 
-/// Share of the burst that is kept for more important messages, in thousandths.
+/// Thousandths of the bucket that normal datagrams leave for urgent ones.
 const NORMAL_RESERVE_PER_MILLE: u64 = 150;
+/// Thousandths of the bucket that low-priority datagrams leave for more important ones.
 const LOW_RESERVE_PER_MILLE: u64 = 400;
 
-/// Digests that ride along with a probe; a ping that reads a table has fewer.
+/// Digest parts that a regular probe carries; a ping that reads a table carries fewer.
 const PROBE_DIGEST_PARTS: usize = 4;
 
-/// Members in an answer from which it is taken for a part of a table.
+/// Minimum number of members for which an acknowledgement counts as a part of a table.
 const TABLE_PART_MEMBERS: usize = 6;
 
-/// Microseconds of a second.
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// How important a datagram is; the least important are dropped first.
+/// Importance of a datagram; the least important ones are dropped first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum BudgetClass {
-    /// News that a member leaves, that a configuration is new or that a move was stopped.
+    /// Urgent updates: a member is leaving, a configuration is new or a move was stopped.
     Urgent,
-    /// Signs of life: without them healthy members are suspected.
+    /// Liveness messages: without them, healthy members are suspected.
     Normal,
-    /// All else: it comes again.
+    /// Everything else; it is sent again later.
     Low,
 }
 
 impl BudgetClass {
-    /// Class of a message.
+    /// Returns the class of a message.
     #[must_use]
     pub fn of(message: &PeerMessage) -> Self {
         match message {
@@ -52,7 +51,7 @@
         }
     }
 
-    /// Reading a table may wait; a sign of life that is not sent makes a suspect.
+    /// Table reads can be delayed; a lost liveness message causes a suspicion.
     fn of_membership(message: &MembershipMessage) -> Self {
         let reads_table = match message {
             MembershipMessage::Ping { digest, .. } => digest.parts.len() < PROBE_DIGEST_PARTS,
@@ -66,7 +65,7 @@
         }
     }
 
-    /// Work is about to be shed, or seats come free: both concern requests that wait now.
+    /// Shed requests and released slots concern requests that are queued now.
     fn of_credits(message: &CreditMessage) -> Self {
         let pressing = match message {
             CreditMessage::Demand { upstreams, .. } => {
@@ -95,14 +94,15 @@
 #[derive(Debug, Clone)]
 pub struct PeerBudget {
     rate: u64,
-    /// Byte-microseconds a second that are saved up, so that short steps lose nothing.
+    /// Tokens available, in bytes times microseconds per second, so that short steps accumulate
+    /// without rounding loss.
     tokens: u64,
     updated_at: MonotonicTime,
     dropped: u64,
 }
 
 impl PeerBudget {
-    /// A full budget of so many bytes a second.
+    /// Creates a full bucket with the given rate.
     #[must_use]
     pub fn new(bytes_per_second: u64) -> Self {
         let rate = bytes_per_second;
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Takes `bytes` out if a datagram of this class may be sent now.
+    /// Takes `bytes` from the bucket and returns whether a datagram of this class may be sent now.
     pub fn admit(&mut self, now: MonotonicTime, class: BudgetClass, bytes: usize) -> bool {
         self.refill(now);
         let full = self.rate * BURST_SECONDS * MICROS_PER_SECOND;
@@ -130,7 +130,7 @@
         enough
     }
 
-    /// Datagrams that were dropped so far.
+    /// Number of datagrams dropped so far.
     #[must_use]
     pub fn dropped(&self) -> u64 {
         self.dropped
--- a/crates/savorywood-core/src/membership/failure_detection.rs
+++ b/crates/savorywood-core/src/membership/failure_detection.rs
@@ -1,4 +1,4 @@
-//! Takes in news and passes judgement: who is suspected, who is dead, who refutes.
+//! Failure detection and update handling: suspicion, death, refutation and forwarding.
 
 use super::{
     MembershipState,
@@ -12,13 +12,13 @@
     peer::membership::{MemberState, MemberUpdate},
 };
 
-/// A suspected member of another region is judged there; only when no word of it has come for so
-/// many times the suspicion time is it taken for dead here. Without an end, a daemon that missed
-/// that word would hold a dead member for merely suspected for good.
+/// A suspected member of another region is declared dead by its own region. This daemon declares it
+/// dead only after this multiple of the suspicion timeout without an update. Without the limit, a
+/// daemon that missed the update would keep a dead member as suspected forever.
 const REMOTE_SUSPICION_FACTOR: u32 = 10;
 
 impl MembershipState {
-    /// Takes in a piece of news from another daemon and passes it on if it is new.
+    /// Applies an update received from another daemon, and forwards it if it is new.
     pub(super) fn apply_update(
         &mut self,
         now: MonotonicTime,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Takes in news that contradicts nothing we say of ourselves.
+    /// Merges an update that does not contradict this daemon's own state.
     pub(super) fn merge_update(
         &mut self,
         now: MonotonicTime,
@@ -49,7 +49,7 @@
             return;
         }
         self.change.view_changed = true;
-        // What stands in a table was told long ago; those that missed it read it there too.
+        // Updates read from a table are old; daemons that missed them read the table too.
         if source != UpdateSource::Table {
             let class = self.class_of(update, outcome);
             let with_place = outcome == MergeOutcome::Joined;
@@ -58,8 +58,9 @@
         log_change(update, before.as_ref(), effects);
     }
 
-    /// Tells anew what another daemon's table has an older word of. Whoever asks for a table
-    /// learns from it; without this, what only the asker knows would stay with it for good.
+    /// Queues the current state of a member if another daemon's table has an older one. Daemons
+    /// that read that table receive the correction; otherwise only this daemon would keep the newer
+    /// state.
     fn correct_stale_peer(
         &mut self,
         update: &MemberUpdate,
@@ -106,8 +107,9 @@
         }
     }
 
-    /// Goes on under a larger incarnation. A restart after the clock went back gives a smaller
-    /// one than others know: nobody would believe this daemon, and no caller would be sent here.
+    /// Continues under a larger incarnation. If the clock went back before a restart, the new
+    /// incarnation is smaller than the one other members have recorded: they would ignore this
+    /// daemon's updates, and no caller would be routed here.
     fn raise_incarnation(
         &mut self,
         now: MonotonicTime,
@@ -125,19 +127,19 @@
         self.merge_update(now, &own, UpdateSource::Member, effects);
     }
 
-    /// Notes the newest configuration revision heard of.
+    /// Records the newest configuration revision seen.
     pub(super) fn observe_revision(&mut self, revision: ConfigRevision) {
         if revision > self.newest_revision {
             self.newest_revision = revision;
             self.change.newer_revision = Some(revision);
-            // To a daemon that has just begun, every revision is new.
+            // To a daemon that has just started, every revision is new.
             self.revision_unannounced = self.joined;
         }
     }
 
     fn class_of(&mut self, update: &MemberUpdate, outcome: MergeOutcome) -> RumorClass {
         let leaving = update.state == MemberState::Leaving && outcome != MergeOutcome::Revision;
-        // To a daemon that has just begun, all is new, and nobody waits to hear it from there.
+        // To a daemon that has just started, everything is new, and other members already have it.
         let may_spread = self.joined || update.host == self.options.host;
         if may_spread && leaving {
             self.urgent_members.insert(update.host.clone());
@@ -149,7 +151,7 @@
         }
     }
 
-    /// Judges a probe that nobody answered.
+    /// Handles a probe that got no acknowledgement.
     pub(super) fn probe_failed(
         &mut self,
         now: MonotonicTime,
@@ -161,15 +163,16 @@
             return;
         }
         if probe.nacks < probe.relays {
-            // Those asked should at least have said that they failed. If not, it may be us.
+            // Relays that could not reach the target should have sent a negative acknowledgement.
+            // If they did not, this daemon may be the slow one.
             self.health.worsen();
         }
         let Some(entry) = self.table.get(&probe.target) else {
             return;
         };
-        // Another region may be cut off as a whole, for an hour; were each side to take the
-        // other for dead, both would forget and relearn half the fleet. Only a member of the
-        // target's own region can tell that the target alone is gone.
+        // A whole region may be partitioned, for as long as an hour. If each side declared the
+        // other dead, both would remove and add again half the cluster. Only a member of the
+        // target's own region can tell that the target alone is unreachable.
         let far = entry.place.region != *self.options.region();
         if (far && !probe.target_region_nack) || entry.update.state != MemberState::Alive {
             return;
@@ -181,10 +184,10 @@
         self.merge_update(now, &suspicion, UpdateSource::Rumor, effects);
     }
 
-    /// Takes suspected members that did not refute in time for dead.
+    /// Declares suspected members dead that did not refute in time.
     pub(super) fn expire_suspicions(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
-        // A daemon that hears nobody is itself cut off. Were it to judge, it would come back
-        // with a table full of dead members and spread that.
+        // A daemon that receives no messages is itself partitioned. If it declared members dead, it
+        // would rejoin with a table of dead members and spread it.
         if now.since(self.clock.last_received) > self.options.isolation_timeout {
             return;
         }
@@ -207,7 +210,8 @@
         }
     }
 
-    /// Forgets members that have been dead, or leaving without a word, for long enough.
+    /// Removes members that have been dead, or leaving without a further update, for longer than
+    /// the retention.
     pub(super) fn expire_dead(&mut self, now: MonotonicTime) {
         let retention = self.options.dead_retention;
         let own = self.options.host.clone();
@@ -217,7 +221,7 @@
         self.change.view_changed |= removed;
     }
 
-    /// Members of this region that may take part in probes, without ourselves.
+    /// Live members of this region, without this daemon.
     pub(super) fn live_in_own_region(&self) -> Vec<HostName> {
         let own = &self.options.host;
         let region = self.options.region();
--- a/crates/savorywood-core/src/membership/health.rs
+++ b/crates/savorywood-core/src/membership/health.rs
@@ -1,33 +1,33 @@
-//! How far a daemon may trust its own judgement (the local health of Lifeguard).
+//! Local health score that scales probe timeouts (Lifeguard).
 //!
-//! A daemon whose host is short of processor time sends and reads late, and would take healthy
-//! members for dead; one would notice it as suspicions that all come from one host. It therefore
-//! waits longer the more signs it has that it is itself the slow one.
+//! A daemon on a host short of CPU time sends and receives late and would declare healthy members
+//! dead, which shows as suspicions that all come from one host. It therefore uses longer timeouts
+//! the more evidence it has that it is the slow one.
 
 use std::time::Duration;
 
-/// Highest score; times are stretched by one more than the score.
+/// Maximum score; durations are multiplied by the score plus one.
 const MAX_SCORE: u32 = 7;
 
-/// Score of a daemon's own health: zero is good.
+/// Health score of this daemon; zero is healthy.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LocalHealth {
     score: u32,
 }
 
 impl LocalHealth {
-    /// A sign that this daemon is slow: others did not even say that they failed, or it had to
-    /// refute a suspicion.
+    /// Records evidence that this daemon is slow: relays did not send negative acknowledgements, or
+    /// it had to refute a suspicion.
     pub fn worsen(&mut self) {
         self.score = (self.score + 1).min(MAX_SCORE);
     }
 
-    /// A sign that it is well: a probe was answered in time.
+    /// Records evidence that this daemon is healthy: a probe was acknowledged in time.
     pub fn improve(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
 
-    /// A time stretched by the score.
+    /// Scales a duration by the score.
     #[must_use]
     pub fn stretch(&self, duration: Duration) -> Duration {
         duration * (self.score + 1)
--- a/crates/savorywood-core/src/membership/incoming.rs
+++ b/crates/savorywood-core/src/membership/incoming.rs
@@ -1,4 +1,4 @@
-//! Reads the messages of other daemons.
+//! Handling of messages from other daemons.
 
 use super::{
     MembershipState,
@@ -15,17 +15,18 @@
     },
 };
 
-/// An answer this near to a full one may have left something out.
+/// A table part of at least this many bytes may be incomplete.
 const NEARLY_FULL_BYTES: usize = MAX_UPDATE_BYTES - PIGGYBACK_BYTES - 150;
 
-/// Times that the same parts are asked for when answers are nearly full.
+/// Maximum number of times that the same parts are requested again because the response was nearly
+/// full.
 const MAX_PULL_REPEATS: u8 = 3;
 
-/// Part of another daemon's table.
+/// A part of another daemon's member table.
 #[derive(Debug, Clone, Copy)]
 struct TablePart<'a> {
     members: &'a [MemberUpdate],
-    /// Whether that daemon has read the whole table of others itself.
+    /// Whether that daemon has itself read the complete table from others.
     settled: bool,
 }
 
@@ -94,7 +95,7 @@
         updates: &[MemberUpdate],
         effects: &mut EffectQueue,
     ) {
-        // A sender that introduces itself may not know us either.
+        // A sender that includes its own address may not have ours either.
         let introduced = |update: &MemberUpdate| update.host == *from && update.place.is_some();
         let introduce = updates.iter().any(introduced);
         self.send_ack(from, sequence, digest, introduce, effects);
@@ -134,8 +135,8 @@
             self.pull.parts_read = (self.pull.parts_read + probe.pulls).min(TABLE_PARTS);
         }
         if self.pull.parts_read < TABLE_PARTS {
-            // When a whole fleet starts at once, all read from one another. At full speed they
-            // would use up their byte budgets and miss the probes that show they are alive.
+            // When a whole cluster starts at once, all daemons read from one another. At full speed
+            // they would exhaust their byte budgets and miss the probes that show they are live.
             if part.settled {
                 self.pull(now, effects);
             }
@@ -157,7 +158,7 @@
         let Some(address) = self.address_of(&target) else {
             return;
         };
-        // Our answer must be there before the requester's probe fails.
+        // The reply must arrive before the requester's probe fails.
         let relayed = RelayedProbe {
             requester: requester.clone(),
             sequence,
--- a/crates/savorywood-core/src/membership/options.rs
+++ b/crates/savorywood-core/src/membership/options.rs
@@ -1,50 +1,50 @@
-//! Settings of the membership duty.
+//! Options of the membership duty.
 
 use savorywood_protocol::{HostIncarnation, HostName, RegionName, peer::membership::MemberPlace};
 use std::time::Duration;
 
-/// Who a daemon is, and the times and limits of its membership duty.
+/// Identity of the daemon, with the intervals and limits of its membership duty.
 #[derive(Debug, Clone)]
 pub struct MembershipOptions {
-    /// Host it runs on.
+    /// Host that the daemon runs on.
     pub host: HostName,
-    /// Its life; larger after a restart.
+    /// Incarnation of the host; increases with each restart.
     pub incarnation: HostIncarnation,
-    /// Where it stands.
+    /// Zone, region and addresses of the daemon.
     pub place: MemberPlace,
-    /// Seed of its random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Time between two probes.
+    /// Interval between two probes.
     pub probe_interval: Duration,
-    /// Time until a probe that was not answered is tried through others.
+    /// Time after which a probe without an acknowledgement is tried through relays.
     pub direct_timeout: Duration,
-    /// Time until a probe has failed.
+    /// Time after which a probe has failed.
     pub probe_timeout: Duration,
-    /// The same two times for a member of another region are longer by this.
+    /// Added to the direct timeout, and twice to the probe timeout, for a member of another region.
     pub remote_allowance: Duration,
-    /// Others through which a probe is tried.
+    /// Number of relays that an indirect probe uses.
     pub relays: usize,
     /// Time that a suspected member has to refute.
     pub suspicion_timeout: Duration,
-    /// Members that urgent news is sent to at once by each that learns it.
+    /// Number of members of its region to which each daemon forwards an urgent update at once.
     pub urgent_fanout: usize,
-    /// Members of each region that talk to the other regions.
+    /// Number of members of each region that probe another region.
     pub bridges: usize,
-    /// Time without a word from another region after which it is called unreachable.
+    /// Time without a message from another region after which it counts as unreachable.
     pub region_timeout: Duration,
-    /// Time without any message after which this daemon takes itself for cut off.
+    /// Time without any message after which this daemon considers itself isolated.
     pub isolation_timeout: Duration,
-    /// Time that dead members are remembered. It must outlast a cut between regions, or the
-    /// other side would bring a member back that is long gone.
+    /// How long dead members are kept. Must exceed the duration of a partition between regions;
+    /// otherwise the other side would add removed members again.
     pub dead_retention: Duration,
-    /// Time between two tries to reach a member that is taken for dead.
+    /// Interval between attempts to reach a member that is marked dead.
     pub reconnect_interval: Duration,
-    /// A gap between two ticks longer than this means that the process was paused.
+    /// Maximum gap between two ticks; a longer one means that the process was paused.
     pub max_tick_gap: Duration,
 }
 
 impl MembershipOptions {
-    /// Options with the usual times.
+    /// Creates options with the default intervals and limits.
     #[must_use]
     pub fn new(host: HostName, incarnation: HostIncarnation, place: MemberPlace) -> Self {
         Self {
@@ -68,13 +68,13 @@
         }
     }
 
-    /// The same options with another seed.
+    /// Sets the seed.
     #[must_use]
     pub fn with_seed(self, seed: u64) -> Self {
         Self { seed, ..self }
     }
 
-    /// Own region.
+    /// Region of this daemon.
     #[must_use]
     pub fn region(&self) -> &RegionName {
         &self.place.region
--- a/crates/savorywood-core/src/membership/outgoing.rs
+++ b/crates/savorywood-core/src/membership/outgoing.rs
@@ -1,4 +1,4 @@
-//! Puts messages together: which news rides along, within the length of a datagram.
+//! Assembly of messages: selection of piggybacked updates within the datagram size.
 
 use super::{
     MembershipState,
@@ -16,36 +16,36 @@
 };
 use std::{net::SocketAddr, time::Duration};
 
-/// Bytes of news that ride along with a probe or its answer.
+/// Maximum bytes of updates that are piggybacked on a probe or an acknowledgement.
 pub(super) const PIGGYBACK_BYTES: usize = 600;
 
-/// Bytes of news in a message that has nothing else to say. What remains of a datagram is for
-/// the rest of the message, the sender and the tag.
+/// Maximum bytes of updates in any message. The remainder of a datagram holds the other fields, the
+/// sender and the authentication tag.
 pub(super) const MAX_UPDATE_BYTES: usize = 1_000;
 
-/// Parts of the table whose digests ride along with a probe.
+/// Number of table parts whose digests a probe carries.
 const DIGEST_PARTS: u8 = 4;
 
-/// Bridges of another region that urgent news is sent to.
+/// Number of bridges per remote region to which urgent updates are sent.
 const REMOTE_FANOUT: usize = 2;
 
-/// What a ping is for.
+/// Purpose of a ping.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum PingPurpose {
-    /// A failure counts against the target.
+    /// Probes the target: a failure raises a suspicion.
     DetectFailure,
-    /// Only greets the target.
+    /// Contacts a host without a consequence if it fails.
     Contact,
-    /// Reads so many parts of the target's table, from this one on.
+    /// Reads `count` parts of the target's table, starting at `first`.
     Pull {
-        /// First part.
+        /// First part, below `TABLE_PARTS`.
         first: u8,
         /// Number of parts.
         count: u8,
     },
 }
 
-/// Updates gathered for one message.
+/// Updates collected for one message, within a byte limit.
 struct UpdateList {
     updates: Vec<MemberUpdate>,
     free: usize,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Adds an update if it fits and its member is not in the list yet.
+    /// Adds an update if it fits and its member is not listed yet; returns whether it was added.
     fn push(&mut self, update: MemberUpdate) -> bool {
         let bytes = update.max_wire_bytes();
         let listed = self.updates.iter().any(|other| other.host == update.host);
@@ -73,7 +73,7 @@
 }
 
 impl MembershipState {
-    /// Sends a ping and notes that its answer is awaited.
+    /// Sends a ping and registers it as pending.
     pub(super) fn ping(
         &mut self,
         now: MonotonicTime,
@@ -109,7 +109,7 @@
         self.send_ping(target, address, sequence, purpose, effects);
     }
 
-    /// Sends a ping under a number that was noted already.
+    /// Sends a ping under a sequence number that is already registered.
     pub(super) fn send_ping(
         &mut self,
         target: &HostName,
@@ -144,7 +144,7 @@
         self.table.digest(first, DIGEST_PARTS)
     }
 
-    /// Answers a ping, with what the sender lacks.
+    /// Acknowledges a ping, with the updates and table entries that the sender lacks.
     pub(super) fn send_ack(
         &mut self,
         to: &HostName,
@@ -162,7 +162,8 @@
             true => self.table.differing(digest),
             false => Vec::new(),
         };
-        // In another order each time: what does not fit now comes with a later answer.
+        // Shuffled each time, so that entries that do not fit now are sent with a later
+        // acknowledgement.
         differing.shuffle(&mut self.rng);
         for host in &differing {
             if let Some(update) = self.table.update_of(host, true) {
@@ -179,7 +180,7 @@
         send(to, address, message, effects);
     }
 
-    /// Hands the answer that a member gave us to the daemon that asked us to try.
+    /// Forwards a member's acknowledgement to the daemon that requested the indirect probe.
     pub(super) fn relay_ack(
         &mut self,
         to: &HostName,
@@ -201,7 +202,7 @@
         send(to, address, message, effects);
     }
 
-    /// Sends a message that carries no gathered news.
+    /// Sends a message without piggybacked updates, if the address of the host is known.
     pub(super) fn send_to(
         &self,
         to: &HostName,
@@ -213,14 +214,15 @@
         }
     }
 
-    /// Gathers news for a message: who we are, what is said of the receiver, then rumors.
+    /// Collects the updates for a message: this daemon's own, the receiver's, then rumors.
     fn gather(&mut self, to: &HostName, introduce: bool, bytes: usize) -> UpdateList {
         let mut list = UpdateList::new(bytes);
         let own = self.options.host.clone();
         if introduce && let Some(update) = self.table.update_of(&own, true) {
             list.push(update);
         }
-        // Whoever is suspected hears it from the next one that talks to it, and can refute.
+        // A suspected member receives its suspicion with the next message sent to it, so that it
+        // can refute.
         let entry = self.table.get(to);
         let disputed = entry.is_some_and(|entry| entry.update.state != MemberState::Alive);
         if disputed && let Some(update) = self.table.update_of(to, false) {
@@ -239,8 +241,8 @@
         list
     }
 
-    /// Sends urgent news at once to a few members. Each that learns it does the same, so that it
-    /// reaches all in a few round trips instead of a few probe periods.
+    /// Sends urgent updates at once to a few members. Each receiver does the same, so that the
+    /// updates reach all members in a few round trips instead of a few probe intervals.
     pub(super) fn send_urgent(&mut self, effects: &mut EffectQueue) {
         let urgent = std::mem::take(&mut self.urgent_members);
         let newer = std::mem::take(&mut self.revision_unannounced);
@@ -283,19 +285,19 @@
         targets
     }
 
-    /// Where a host is reached: as a member, else as the host list says.
+    /// Peer address of a host: from the member table, else from the host list.
     pub(super) fn address_of(&self, host: &HostName) -> Option<SocketAddr> {
         let member = self.table.get(host).map(|entry| entry.place.peer_address);
         member.or_else(|| self.seeds.get(host).map(|entry| entry.peer_address))
     }
 
-    /// Whether a host stands in another region.
+    /// Whether a host is in another region.
     pub(super) fn is_remote(&self, host: &HostName) -> bool {
         let entry = self.table.get(host);
         entry.is_some_and(|entry| entry.place.region != *self.options.region())
     }
 
-    /// Takes in the news of a message.
+    /// Applies all updates of a message.
     pub(super) fn apply_updates(
         &mut self,
         now: MonotonicTime,
@@ -313,7 +315,7 @@
         }
     }
 
-    /// Members of a region that may take part in probes.
+    /// Live members of a region.
     pub(super) fn live_in(&self, region: &RegionName) -> impl Iterator<Item = &HostName> {
         let entries = self.table.entries();
         let live = entries.filter(move |(_, e)| is_live(e) && e.place.region == *region);
--- a/crates/savorywood-core/src/membership/periodic.rs
+++ b/crates/savorywood-core/src/membership/periodic.rs
@@ -1,4 +1,4 @@
-//! What recurs: probes, bridges between regions, pulls and judgements that fall due.
+//! Periodic work: probes, region bridges, table pulls and expiry.
 
 use super::{
     MembershipState, PullProgress, TICK_INTERVAL, TICK_TIMER,
@@ -19,20 +19,22 @@
 };
 use std::{collections::BTreeSet, time::Duration};
 
-/// Hosts that are greeted each time the host list names some that are no live members.
+/// Maximum number of listed hosts that are contacted at a time, among those that are not live
+/// members.
 const MAX_CONTACTED_HOSTS: usize = 3;
 
-/// Parts of the table that one pull reads.
+/// Number of table parts that one pull reads.
 const PULL_PARTS: u8 = 2;
 
-/// How often a member of another region is tried in place of one that is taken for dead.
+/// Probability that a reconnect attempt probes a live member of another region instead of a dead
+/// member.
 const REMOTE_CHECK_PROBABILITY: f64 = 0.25;
 
-/// Time until a pull that was not answered is made again.
+/// Delay after which an unacknowledged pull is repeated.
 const PULL_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Order in which members are probed: all of them, shuffled, then all again. Each is reached
-/// within a bounded time, which picking at random would not give.
+/// Probe order: all members in random order, then again. Each member is probed within a bounded
+/// time, which independent random selection does not guarantee.
 #[derive(Debug, Default)]
 pub struct ProbeOrder {
     targets: Vec<HostName>,
@@ -74,9 +76,9 @@
         effects.set_timer(TICK_TIMER, now + TICK_INTERVAL);
     }
 
-    /// The process stood still. Others took it for dead, and its own probes and suspicions are
-    /// from another time: acting on them would declare members dead that merely could not
-    /// answer a sleeper.
+    /// Resets probes and suspicions after the process was paused. Other members may have declared
+    /// this daemon dead, and its probes and suspicions are outdated: acting on them would declare
+    /// members dead that could not reach it during the pause.
     fn after_pause(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
         let paused = now.since(self.clock.last_tick);
         let line = LogLine::new(LogLevel::Warn, "paused").with("millis", paused.as_millis());
@@ -109,7 +111,7 @@
         }
     }
 
-    /// Members of the target's own region: what they say of it counts.
+    /// Selects relays in the target's own region, since only their negative acknowledgements count.
     fn relays_for(&mut self, target: &HostName) -> Vec<HostName> {
         let Some(entry) = self.table.get(target) else {
             return Vec::new();
@@ -125,7 +127,8 @@
     }
 
     fn probe_next(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
-        // The last of a region hears nobody there and would take itself for cut off.
+        // The last live member of a region receives no messages there and would consider itself
+        // isolated, so it probes all regions.
         let isolated = now.since(self.clock.last_received) > self.options.isolation_timeout;
         if self.order.targets.is_empty() || isolated {
             self.order.targets = match isolated {
@@ -143,7 +146,7 @@
         }
     }
 
-    /// Keeps in touch with the other regions, if this daemon is one of the few that do.
+    /// Probes the other regions for which this daemon is a bridge.
     fn probe_remote_regions(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
         for region in self.remote_regions() {
             if !self.is_bridge_to(&region) {
@@ -171,8 +174,8 @@
         }
     }
 
-    /// Notes a sign of life from another region. After a cut its whole table is read, since what
-    /// was told there meanwhile is told no more.
+    /// Records a message from another region. If the region was unreachable, its complete table is
+    /// read, since updates from the time of the partition are no longer forwarded.
     pub(super) fn record_region_contact(
         &mut self,
         now: MonotonicTime,
@@ -198,10 +201,10 @@
         }
     }
 
-    /// Tries one member that is taken for dead: after a cut within the region nobody else would.
-    /// Now and then it tries one of another region instead, which only the bridges probe: a daemon
-    /// that is no bridge and holds a member that its whole region has forgotten would otherwise
-    /// hold it for alive for good.
+    /// Contacts one dead member: after a partition within the region no other mechanism does.
+    /// Sometimes it probes a live member of another region instead, which otherwise only bridges
+    /// do. Without that, a daemon that is not a bridge could keep a member that its whole region
+    /// has removed as alive forever.
     fn reconnect(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
         let far = self.rng.random_bool(REMOTE_CHECK_PROBABILITY);
         let region = self.options.region();
@@ -219,7 +222,7 @@
         }
     }
 
-    /// Greets a few hosts that the list names and that are no live members.
+    /// Contacts a few listed hosts that are not live members.
     pub(super) fn contact_listed(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
         let seeds = self.seeds.keys();
         let unknown = seeds.filter(|host| {
@@ -268,7 +271,7 @@
         others.map(|(host, _)| host.clone()).collect()
     }
 
-    /// Regions other than our own that have live members.
+    /// Regions other than this daemon's that have live members.
     pub(super) fn remote_regions(&self) -> BTreeSet<RegionName> {
         let live = self.table.entries().filter(|(_, entry)| is_live(entry));
         let regions = live.map(|(_, entry)| &entry.place.region);
@@ -276,19 +279,19 @@
         far.cloned().collect()
     }
 
-    /// Whether this daemon is one of those of its region that talk to another region.
+    /// Whether this daemon is one of the bridges from its region to another one.
     pub(super) fn is_bridge_to(&self, region: &RegionName) -> bool {
         let own = self.options.region();
         self.bridges_between(own, region)
             .contains(&self.options.host)
     }
 
-    /// Members of our region that talk to another one.
+    /// Members of this region that probe another region.
     pub(super) fn local_bridges(&self, region: &RegionName) -> Vec<HostName> {
         self.bridges_between(self.options.region(), region)
     }
 
-    /// Members of another region that talk to ours.
+    /// Members of another region that probe this one.
     pub(super) fn remote_bridges(&self, region: &RegionName) -> Vec<HostName> {
         self.bridges_between(region, self.options.region())
     }
--- a/crates/savorywood-core/src/membership/probe.rs
+++ b/crates/savorywood-core/src/membership/probe.rs
@@ -1,41 +1,41 @@
-//! Probes under way: which member was asked, by which ways, and until when.
+//! Pending probes: their targets, relays and timeouts.
 
 use savorywood_protocol::{HostName, MonotonicTime};
 use std::collections::BTreeMap;
 
-/// A ping of our own that was not answered yet.
+/// A ping of this daemon that has not been acknowledged yet.
 #[derive(Debug, Clone)]
 pub struct PendingProbe {
-    /// Who was asked.
+    /// Member or listed host that was pinged.
     pub target: HostName,
-    /// When others are asked to try; `None` once they were, or never.
+    /// When relays are asked to ping the target; `None` if they have been asked, or never are.
     pub relay_at: Option<MonotonicTime>,
-    /// When the probe has failed.
+    /// When the probe counts as failed.
     pub fails_at: MonotonicTime,
-    /// Others that were asked to try.
+    /// Number of relays that were asked.
     pub relays: usize,
-    /// Others that said that they failed too.
+    /// Number of relays that reported failure too.
     pub nacks: usize,
-    /// Whether one of them stands in the target's region.
+    /// Whether one of those relays is in the target's region.
     pub target_region_nack: bool,
-    /// Whether a failure says anything: a ping of a host that only the list names does not.
+    /// Whether a failure raises a suspicion; `false` for contacts and pulls.
     pub detects_failure: bool,
-    /// Parts of the other's table that were asked for; zero when the ping is no pull.
+    /// Number of table parts requested; zero if the ping is not a pull.
     pub pulls: u8,
 }
 
-/// A ping for another daemon that was not answered yet.
+/// A ping on behalf of another daemon that has not been acknowledged yet.
 #[derive(Debug, Clone)]
 pub struct RelayedProbe {
-    /// Who asked for it.
+    /// Daemon that requested the ping.
     pub requester: HostName,
-    /// Its own number of the probe.
+    /// Sequence number of the probe at the requester.
     pub sequence: u64,
-    /// When we say that we failed.
+    /// When the failure is reported to the requester.
     pub fails_at: MonotonicTime,
 }
 
-/// All probes under way.
+/// All pending probes.
 #[derive(Debug, Default)]
 pub struct ProbeTracker {
     last_sequence: u64,
@@ -44,42 +44,42 @@
 }
 
 impl ProbeTracker {
-    /// Notes a ping of our own; gives its number.
+    /// Registers a ping of this daemon and returns its sequence number.
     pub fn add(&mut self, probe: PendingProbe) -> u64 {
         self.last_sequence += 1;
         self.pending.insert(self.last_sequence, probe);
         self.last_sequence
     }
 
-    /// Notes a ping for another daemon; gives its number.
+    /// Registers a ping on behalf of another daemon and returns its sequence number.
     pub fn add_relayed(&mut self, probe: RelayedProbe) -> u64 {
         self.last_sequence += 1;
         self.relayed.insert(self.last_sequence, probe);
         self.last_sequence
     }
 
-    /// Takes out the ping of our own that an answer is for.
+    /// Removes and returns this daemon's own ping with this sequence number.
     pub fn answered(&mut self, sequence: u64) -> Option<PendingProbe> {
         self.pending.remove(&sequence)
     }
 
-    /// Takes out the ping for another daemon that an answer is for.
+    /// Removes and returns the relayed ping with this sequence number.
     pub fn relay_answered(&mut self, sequence: u64) -> Option<RelayedProbe> {
         self.relayed.remove(&sequence)
     }
 
-    /// A ping of our own.
+    /// Returns this daemon's own ping with this sequence number.
     pub fn get_mut(&mut self, sequence: u64) -> Option<&mut PendingProbe> {
         self.pending.get_mut(&sequence)
     }
 
-    /// Whether a ping to the target is under way.
+    /// Whether a ping to the target is pending.
     #[must_use]
     pub fn is_probing(&self, target: &HostName) -> bool {
         self.pending.values().any(|probe| probe.target == *target)
     }
 
-    /// Numbers of our own pings that others should try now.
+    /// Sequence numbers of own pings that relays should try now.
     #[must_use]
     pub fn relay_due(&self, now: MonotonicTime) -> Vec<u64> {
         let due = self
@@ -89,21 +89,21 @@
         due.map(|(sequence, _)| *sequence).collect()
     }
 
-    /// Takes out the pings of our own that have failed.
+    /// Removes and returns own pings that have failed.
     pub fn take_failed(&mut self, now: MonotonicTime) -> Vec<PendingProbe> {
         let (failed, pending) = split_due(std::mem::take(&mut self.pending), |p| p.fails_at <= now);
         self.pending = pending;
         failed
     }
 
-    /// Takes out the pings for others that have failed.
+    /// Removes and returns relayed pings that have failed.
     pub fn take_failed_relays(&mut self, now: MonotonicTime) -> Vec<RelayedProbe> {
         let (failed, kept) = split_due(std::mem::take(&mut self.relayed), |p| p.fails_at <= now);
         self.relayed = kept;
         failed
     }
 
-    /// Forgets all probes: after a pause their times say nothing.
+    /// Removes all probes: after a pause their times are meaningless.
     pub fn clear(&mut self) {
         self.pending.clear();
         self.relayed.clear();
--- a/crates/savorywood-core/src/membership/rumor.rs
+++ b/crates/savorywood-core/src/membership/rumor.rs
@@ -1,16 +1,16 @@
-//! News that is passed on with pings and answers, a bounded number of times each.
+//! Queue of updates to piggyback, each forwarded a bounded number of times.
 
 use savorywood_protocol::HostName;
 use std::collections::BTreeMap;
 
-/// How urgent a piece of news is.
+/// Urgency of an update, most urgent first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RumorClass {
-    /// A member leaves, or a configuration newer than any.
+    /// A member is leaving.
     Urgent,
-    /// A member came, is suspected, refutes or is gone.
+    /// A member joined, is suspected, refuted or is dead.
     State,
-    /// A member has another configuration in force.
+    /// A member has another configuration revision in force.
     Revision,
 }
 
@@ -21,23 +21,23 @@
     sent: u32,
 }
 
-/// One piece of news that was chosen for a message.
+/// An update selected for a message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SelectedRumor {
-    /// Member that it is about.
+    /// Member that the update is about.
     pub host: HostName,
-    /// Whether receivers may not know where the member stands.
+    /// Whether the message includes the member's place, because receivers may not have it.
     pub with_place: bool,
 }
 
-/// News still to be passed on, at most one piece a member.
+/// Updates still to be forwarded, at most one per member.
 #[derive(Debug, Default)]
 pub struct RumorQueue {
     rumors: BTreeMap<HostName, RumorRecord>,
 }
 
 impl RumorQueue {
-    /// Begins to pass on news of a member, in place of older news of it.
+    /// Queues an update of a member, replacing an older one.
     pub fn push(&mut self, host: &HostName, class: RumorClass, with_place: bool) {
         let old = self.rumors.get(host);
         let record = RumorRecord {
@@ -48,7 +48,7 @@
         self.rumors.insert(host.clone(), record);
     }
 
-    /// The news in the order in which it should be sent: urgent first, then the least sent.
+    /// Updates in sending order: most urgent first, then least often sent.
     #[must_use]
     pub fn by_priority(&self) -> Vec<SelectedRumor> {
         let mut order: Vec<_> = self.rumors.iter().collect();
@@ -60,8 +60,8 @@
         chosen.collect()
     }
 
-    /// Notes that news was sent once more; it ends after a number of times that grows with the
-    /// logarithm of the members.
+    /// Records that an update was sent, and removes it after a number of sends that grows with the
+    /// logarithm of the member count.
     pub fn record_sent(&mut self, host: &HostName, members: usize) {
         let Some(record) = self.rumors.get_mut(host) else {
             return;
@@ -73,13 +73,13 @@
     }
 }
 
-/// Times that one daemon passes a piece of news on.
+/// Maximum number of times that one daemon sends an update.
 fn max_sends(class: RumorClass, members: usize) -> u32 {
     let doublings = usize::BITS - members.leading_zeros();
     match class {
         RumorClass::Urgent | RumorClass::State => 4 + doublings,
-        // Every member has news of this kind at the same time; what is missed is learned from
-        // the digests.
+        // All members have an update of this kind at the same time; members that miss one receive
+        // it through the digests.
         RumorClass::Revision => 6,
     }
 }
--- a/crates/savorywood-core/src/membership/table.rs
+++ b/crates/savorywood-core/src/membership/table.rs
@@ -1,4 +1,4 @@
-//! What is known of each member, and which of two pieces of news is the newer one.
+//! Member table, and precedence between updates of the same member.
 
 use crate::{
     rendezvous,
@@ -10,51 +10,51 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Parts of the table that are compared one by one.
+/// Number of parts into which the table is divided for comparison by digest.
 pub const TABLE_PARTS: u8 = 64;
 
-/// One member.
+/// State of one member.
 #[derive(Debug, Clone)]
 pub struct TableEntry {
-    /// Newest news of it.
+    /// Newest update of the member, without its place.
     pub update: MemberUpdate,
-    /// Where it stands.
+    /// Zone, region and addresses of the member.
     pub place: MemberPlace,
-    /// When its state last changed.
+    /// When the member's state last changed, or its suspicion was restarted.
     pub since: MonotonicTime,
-    /// Whether it has answered us, so that it knows where we stand.
+    /// Whether the member has acknowledged a ping of this daemon, and so has its place.
     pub knows_our_place: bool,
     part: u8,
     digest: u32,
 }
 
-/// What a piece of news did to the table.
+/// Effect of an update on the table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// Nothing new.
+    /// The update contains nothing new.
     Stale,
-    /// News of a member whose place is not known: nothing can be done with it.
+    /// The update is about an unknown member and has no place, so it cannot be added.
     UnknownPlace,
-    /// Only the configuration revision is new.
+    /// Only the configuration revision is newer.
     Revision,
-    /// A new member or a new life of one.
+    /// The member, or its incarnation, is new.
     Joined,
-    /// The state or refutation of a known life is new.
+    /// The state or refutation of a known incarnation changed.
     Changed,
 }
 
-/// By which way a piece of news came.
+/// How an update was received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpdateSource {
     /// From the member that it is about.
     Member,
-    /// Passed on while it is fresh.
+    /// Piggybacked by another member while it was recent.
     Rumor,
-    /// Read out of another daemon's table, so of any age.
+    /// Read from another daemon's table, so of any age.
     Table,
 }
 
-/// All members, this daemon included.
+/// All members, including this daemon.
 #[derive(Debug, Default)]
 pub struct MemberTable {
     entries: BTreeMap<HostName, TableEntry>,
@@ -63,18 +63,18 @@
 }
 
 impl MemberTable {
-    /// Members as other duties read them.
+    /// Member view for other duties.
     #[must_use]
     pub fn view(&self) -> &MemberView {
         &self.view
     }
 
-    /// All members.
+    /// All members, dead ones included.
     pub fn entries(&self) -> impl Iterator<Item = (&HostName, &TableEntry)> {
         self.entries.iter()
     }
 
-    /// One member.
+    /// Entry of one member.
     #[must_use]
     pub fn get(&self, host: &HostName) -> Option<&TableEntry> {
         self.entries.get(host)
@@ -86,14 +86,14 @@
         self.entries.len()
     }
 
-    /// Notes whether a member knows where we stand.
+    /// Records whether a member has this daemon's place.
     pub fn set_knows_our_place(&mut self, host: &HostName, knows_our_place: bool) {
         if let Some(entry) = self.entries.get_mut(host) {
             entry.knows_our_place = knows_our_place;
         }
     }
 
-    /// Takes in a piece of news.
+    /// Merges an update into the table.
     pub fn merge(
         &mut self,
         now: MonotonicTime,
@@ -164,14 +164,14 @@
         MergeOutcome::Joined
     }
 
-    /// Lets the time of all suspicions begin anew.
+    /// Restarts the timeouts of all suspicions.
     pub fn restart_suspicions(&mut self, now: MonotonicTime) {
         let entries = self.entries.values_mut();
         let suspects = entries.filter(|entry| entry.update.state == MemberState::Suspect);
         suspects.for_each(|entry| entry.since = now);
     }
 
-    /// Removes members that `keep` refuses.
+    /// Removes the members for which `keep` returns false; returns whether any were removed.
     pub fn retain(&mut self, mut keep: impl FnMut(&HostName, &TableEntry) -> bool) -> bool {
         let before = self.entries.len();
         self.entries.retain(|host, entry| keep(host, entry));
@@ -182,12 +182,12 @@
         self.entries.len() != before
     }
 
-    /// Takes in which members the host list calls leaving; says whether the view changed.
+    /// Sets which members the host list marks as leaving; returns whether the view changed.
     ///
-    /// The list lags, so what it says holds only while it says so and is told to nobody: a host
-    /// that was replaced under its old name must not be out for the whole of its new life. A
-    /// list that calls every live member leaving is taken for wrong, since believing it would
-    /// leave callers without any address.
+    /// The list lags, so a mark applies only while it is listed and is not gossiped: a host that
+    /// was replaced under the same name must not be excluded for its whole new incarnation. A list
+    /// that marks every live member as leaving is ignored, since applying it would leave callers
+    /// without any address.
     pub fn set_listed_leaving(&mut self, leaving: BTreeSet<HostName>) -> bool {
         let before = self.view.clone();
         let mut live = self.entries.values().filter(|entry| is_live(entry));
@@ -221,7 +221,7 @@
         self.view.members.insert(host.clone(), record);
     }
 
-    /// News of a member as it would be sent.
+    /// Current update of a member, as sent to others.
     #[must_use]
     pub fn update_of(&self, host: &HostName, with_place: bool) -> Option<MemberUpdate> {
         let entry = self.entries.get(host)?;
@@ -232,7 +232,7 @@
         })
     }
 
-    /// Digests of `count` parts from `first` on.
+    /// Digests of `count` parts, starting at `first`.
     #[must_use]
     pub fn digest(&self, first: u8, count: u8) -> TableDigest {
         let parts = (0..count).map(|offset| self.part_digest((first + offset) % TABLE_PARTS));
@@ -247,7 +247,7 @@
         entries.fold(0, |sum, entry| sum ^ entry.digest)
     }
 
-    /// Members in the parts where the sender's digest differs from ours.
+    /// Members in the parts whose digest differs from the sender's.
     #[must_use]
     pub fn differing(&self, digest: &TableDigest) -> Vec<HostName> {
         let parts = (0..TABLE_PARTS).zip(&digest.parts);
@@ -262,10 +262,11 @@
     }
 }
 
-/// Whether news of an unknown member is taken in.
+/// Whether an update of an unknown member adds it to the table.
 ///
-/// Daemons forget those that are gone at different times. Were news of an unknown dead member
-/// taken in, or of a leaving one out of a table, they would remind each other of it for ever.
+/// Daemons remove dead members at different times. If updates of unknown dead members were
+/// accepted, or of leaving ones from a table, daemons would keep restoring them in each other's
+/// tables.
 fn should_add(state: MemberState, source: UpdateSource) -> bool {
     match state {
         MemberState::Alive | MemberState::Suspect => true,
@@ -274,7 +275,7 @@
     }
 }
 
-/// Whether a member takes part: alive or merely suspected.
+/// Whether a member is live: alive or only suspected.
 #[must_use]
 pub fn is_live(entry: &TableEntry) -> bool {
     matches!(
@@ -283,10 +284,10 @@
     )
 }
 
-/// Whether `new` is newer than `old` about the same life of the same member.
+/// Whether `new` supersedes `old` for the same incarnation of a member.
 ///
-/// Leaving is sticky: nothing that says alive or suspect undoes it, whatever its refutation.
-/// Only the member itself raises the refutation, so a later one is its own later word.
+/// Leaving is final: no alive or suspect update reverts it, whatever its refutation. Only the
+/// member itself increases the refutation, so a higher one is its own later update.
 #[must_use]
 pub fn supersedes(new: &MemberUpdate, old: &MemberUpdate) -> bool {
     let live = |state| matches!(state, MemberState::Alive | MemberState::Suspect);
@@ -304,9 +305,10 @@
     u8::try_from(part).unwrap_or_default()
 }
 
-/// Digest of what all members should come to agree on. Suspicions pass, and those that are gone
-/// are forgotten, so neither counts. The refutation does: a daemon that missed it would suspect
-/// a healthy member of another region for good, since it never judges that member itself.
+/// Digest of the state on which all members must converge. Suspicions are temporary and dead
+/// members are removed, so neither counts. The refutation does: a daemon that missed one would
+/// suspect a healthy member of another region forever, since it never declares that member dead
+/// itself.
 fn digest_of(update: &MemberUpdate) -> u32 {
     if !matches!(update.state, MemberState::Alive | MemberState::Suspect) {
         return 0;
