--- a/crates/savorywood-core/src/claims/table_results.rs
+++ b/crates/savorywood-core/src/claims/table_results.rs
@@ -186,9 +186,9 @@
         effects: &mut EffectQueue,
     ) {
         let claim = self.open.get(&item.request);
-        let wanted = claim.is_some_and(|claim| claim.stage == ClaimStage::Pending);
+        let pending = claim.is_some_and(|claim| claim.stage == ClaimStage::Pending);
         match item.kind {
-            RowOperation::Insert if wanted => {
+            RowOperation::Insert if pending => {
                 self.enqueue(now.monotonic, item.request, item.kind, view, effects);
             }
             RowOperation::Insert | RowOperation::Record | RowOperation::Release => {
@@ -208,9 +208,9 @@
         let Some(claim) = self.open.get(&request) else {
             return;
         };
-        let (ours, waits) = (claim.record.clone(), claim.stage == ClaimStage::Pending);
+        let (ours, pending) = (claim.record.clone(), claim.stage == ClaimStage::Pending);
         self.remove_claim(request);
-        if !waits {
+        if !pending {
             return;
         }
         match found {
@@ -235,10 +235,10 @@
         let Some(claim) = self.open.get(&item.request) else {
             return;
         };
-        let (never_sent, waits) = (claim.attempts == 0, claim.stage == ClaimStage::Pending);
+        let (never_sent, pending) = (claim.attempts == 0, claim.stage == ClaimStage::Pending);
         match item.kind {
             RowOperation::Insert if never_sent => {
-                if waits {
+                if pending {
                     self.refuse_store_unavailable(item.request, effects);
                 }
                 self.remove_claim(item.request);
--- a/crates/savorywood-core/src/credits.rs
+++ b/crates/savorywood-core/src/credits.rs
@@ -291,8 +291,8 @@
     view: CreditView<'a>,
 ) -> impl Iterator<Item = &'a HostName> {
     let zone = view.config.upstreams.get(upstream).map(|spec| &spec.zone);
-    let alive = |member: &&MemberRecord| member.state == MemberState::Alive;
-    let mut members = view.members.members.values().filter(alive);
+    let live = |member: &&MemberRecord| member.state == MemberState::Alive;
+    let mut members = view.members.members.values().filter(live);
     let scope = match zone {
         Some(zone) if members.any(|member| member.zone == *zone) => {
             ArbiterScope::Zone(zone.clone())
@@ -301,9 +301,8 @@
         None => ArbiterScope::All,
     };
     let members = view.members.members.iter();
-    let alive = members.filter(|(_, member)| member.state == MemberState::Alive);
-    alive
-        .filter(move |(_, member)| scope.covers(member))
+    let live = members.filter(|(_, member)| member.state == MemberState::Alive);
+    live.filter(move |(_, member)| scope.covers(member))
         .map(|(host, _)| host)
 }
 
@@ -328,11 +327,11 @@
     let mut members = view.members.members.values();
     let known = members.find(|member| member.zone == *zone);
     let region = known.map(|member| member.region.clone());
-    let alive_there = |region: &RegionName| {
+    let has_live_members = |region: &RegionName| {
         let mut members = view.members.members.values();
         members.any(|m| m.state == MemberState::Alive && m.region == *region)
     };
-    match region.filter(alive_there) {
+    match region.filter(has_live_members) {
         Some(region) => ArbiterScope::Region(region),
         None => ArbiterScope::All,
     }
--- a/crates/savorywood-core/src/credits/allocate.rs
+++ b/crates/savorywood-core/src/credits/allocate.rs
@@ -40,10 +40,10 @@
     if growth <= free {
         return targets;
     }
-    let grown = allocate_by_tier(&unmet(demands, &targets), free);
+    let growth_shares = allocate_by_tier(&unmet(demands, &targets), free);
     let shares = demands.iter().map(|(host, demand)| {
         let kept = targets[host].min(demand.in_use);
-        let more = grown.get(host).copied().unwrap_or_default();
+        let more = growth_shares.get(host).copied().unwrap_or_default();
         (host.clone(), kept + more)
     });
     shares.collect()
@@ -98,7 +98,7 @@
             .collect();
         let total: u32 = demands_by_host
             .values()
-            .fold(0, |sum, want| sum.saturating_add(*want));
+            .fold(0, |sum, demanded| sum.saturating_add(*demanded));
         for (host, seats) in divide_proportionally(&demands_by_host, free.min(total)) {
             *shares.entry(host).or_default() += seats;
             free -= seats;
@@ -121,26 +121,29 @@
 
 /// Divides `seats` in proportion to the demands, by the largest-remainder method.
 fn divide_proportionally(demands_by_host: &SlotShares, seats: u32) -> SlotShares {
-    let total: u64 = demands_by_host.values().map(|want| u64::from(*want)).sum();
+    let total: u64 = demands_by_host
+        .values()
+        .map(|demanded| u64::from(*demanded))
+        .sum();
     if total == 0 || seats == 0 {
         return SlotShares::new();
     }
-    let exact = |want: &u32| u64::from(*want) * u64::from(seats);
+    let exact = |demanded: &u32| u64::from(*demanded) * u64::from(seats);
     let mut shares: SlotShares = demands_by_host
         .iter()
-        .map(|(host, want)| {
-            let whole = u32::try_from(exact(want) / total).unwrap_or(u32::MAX);
+        .map(|(host, demanded)| {
+            let whole = u32::try_from(exact(demanded) / total).unwrap_or(u32::MAX);
             (host.clone(), whole)
         })
         .collect();
     let given: u32 = shares.values().sum();
     let mut remainders: Vec<_> = demands_by_host
         .iter()
-        .map(|(host, want)| (std::cmp::Reverse(exact(want) % total), host))
+        .map(|(host, demanded)| (std::cmp::Reverse(exact(demanded) % total), host))
         .collect();
     remainders.sort();
-    let over = usize::try_from(seats - given).unwrap_or(usize::MAX);
-    for (_, host) in remainders.into_iter().take(over) {
+    let leftover = usize::try_from(seats - given).unwrap_or(usize::MAX);
+    for (_, host) in remainders.into_iter().take(leftover) {
         if let Some(share) = shares.get_mut(host) {
             *share += 1;
         }
--- a/crates/savorywood-core/src/credits/arbiter.rs
+++ b/crates/savorywood-core/src/credits/arbiter.rs
@@ -50,8 +50,8 @@
         // While a floor is set, daemons without demand are kept, so that they receive it too: their
         // demand may be empty only because of the floor, and without it they would admit lower
         // tiers again.
-        let floored = self.floor != NO_FLOOR;
-        if demand.tiers.is_empty() && demand.in_use == 0 && !floored {
+        let has_floor = self.floor != NO_FLOOR;
+        if demand.tiers.is_empty() && demand.in_use == 0 && !has_floor {
             self.demands.remove(from);
             self.last_reports.remove(from);
             return;
@@ -93,12 +93,12 @@
     /// is the number of slots in the upstream's resource.
     #[must_use]
     pub fn is_contended(&self, declared: u32) -> bool {
-        let wanted: u32 = self.demands.values().map(total_demand).sum();
+        let requested: u32 = self.demands.values().map(total_demand).sum();
         let sheds = self
             .demands
             .values()
             .any(|demand| demand.shedding.is_some());
-        sheds || wanted > allocate::upstream_capacity(&self.demands, declared)
+        sheds || requested > allocate::upstream_capacity(&self.demands, declared)
     }
 
     /// Returns the slots of each daemon. `declared` is the number of slots in the upstream's
--- a/crates/savorywood-core/src/credits/floors.rs
+++ b/crates/savorywood-core/src/credits/floors.rs
@@ -62,12 +62,12 @@
             spec.is_some_and(|spec| !spec.draining)
         };
         let names = || view.config.upstreams_of(service).filter(in_service);
-        let near = |name: &&UpstreamName| {
+        let in_zone = |name: &&UpstreamName| {
             let spec = view.config.upstreams.get(*name);
             spec.map(|spec| &spec.zone) == zone
         };
-        let mut names: Vec<_> = match names().any(|name| near(&name)) {
-            true => names().filter(near).collect(),
+        let mut names: Vec<_> = match names().any(|name| in_zone(&name)) {
+            true => names().filter(in_zone).collect(),
             false => names().collect(),
         };
         let subject = rendezvous::hash_parts(&["floor", service.as_str()]);
@@ -150,10 +150,14 @@
             }
         }
         let mut floors = BTreeMap::new();
-        for (service, floored) in by_service {
+        for (service, floored_upstreams) in by_service {
             let mut counted = self.floor_upstreams(now, &service, view);
             counted.retain(|name| self.holdings.contains_key(name));
-            let names = if counted.is_empty() { floored } else { counted };
+            let names = if counted.is_empty() {
+                floored_upstreams
+            } else {
+                counted
+            };
             let held = names.iter().filter_map(|name| self.holdings.get(name));
             let floor = held.map(|held| held.floor(now)).max();
             if let Some(floor) = floor.filter(|floor| *floor != NO_FLOOR) {
--- a/crates/savorywood-core/src/credits/rounds.rs
+++ b/crates/savorywood-core/src/credits/rounds.rs
@@ -133,8 +133,8 @@
         let held = self.holdings.get_mut(upstream)?;
         let local = view.demands.get(upstream);
         let reported = std::mem::replace(&mut held.reported, local.is_some());
-        let floored = held.floor(now) != NO_FLOOR;
-        if local.is_none() && !reported && !floored {
+        let has_floor = held.floor(now) != NO_FLOOR;
+        if local.is_none() && !reported && !has_floor {
             return None;
         }
         let local = local.cloned().unwrap_or_default();
--- a/crates/savorywood-core/src/credits/shed.rs
+++ b/crates/savorywood-core/src/credits/shed.rs
@@ -129,8 +129,8 @@
         effects: &mut EffectQueue,
     ) {
         self.counters.local_sheds += 1;
-        // Limited to one line per `floor_hold` (1 s by default): a line per request would flood the log
-        // under overload.
+        // Limited to one line per `floor_hold` (1 s by default): a line per request would flood
+        // the log under overload.
         if self
             .local_shed_logged_at
             .is_none_or(|at| now.since(at) >= self.options.floor_hold)
--- a/crates/savorywood-core/src/leases.rs
+++ b/crates/savorywood-core/src/leases.rs
@@ -129,7 +129,7 @@
 #[derive(Debug, Clone, Default)]
 struct LeaseRecord {
     wanted: bool,
-    seen: Option<ObservedRow>,
+    observed: Option<ObservedRow>,
     grant: Option<LeaseGrant>,
     call: Option<PendingCall>,
     /// A write that got no response and may have taken effect.
--- a/crates/savorywood-core/src/leases/acquisition.rs
+++ b/crates/savorywood-core/src/leases/acquisition.rs
@@ -107,19 +107,19 @@
         row: Option<&TableRow>,
         effects: &mut EffectQueue,
     ) {
-        let Some(found) = self.record_row(now, name, row, effects) else {
+        let Some(current) = self.record_row(now, name, row, effects) else {
             return;
         };
-        self.check_exclusive(now, name, &found.row, effects);
-        self.drop_superseded(name, &found);
-        self.resolve_unconfirmed(name, &found, effects);
+        self.check_exclusive(now, name, &current.row, effects);
+        self.drop_superseded(name, &current);
+        self.resolve_unconfirmed(name, &current, effects);
         let wanted = self.records.get(&name).is_some_and(|record| record.wanted);
         let holds = self.grant(now, name).is_some();
-        let free = found.row.holder.is_none();
-        let unchanged = now.monotonic.since(found.first_seen_at);
+        let released = current.row.holder.is_none();
+        let unchanged = now.monotonic.since(current.first_seen_at);
         let expired = unchanged >= self.options.takeover_delay();
-        if wanted && !self.leaving && !holds && (free || expired) {
-            self.acquire(now, name, &found, effects);
+        if wanted && !self.leaving && !holds && (released || expired) {
+            self.acquire(now, name, &current, effects);
         }
     }
 
@@ -133,10 +133,10 @@
     ) -> Option<ObservedRow> {
         let revision = row.map_or(0, |row| row.revision);
         let record = self.records.entry(name).or_default();
-        if let Some(seen) = &record.seen
-            && seen.revision == revision
+        if let Some(observed) = &record.observed
+            && observed.revision == revision
         {
-            return Some(seen.clone());
+            return Some(observed.clone());
         }
         let text = row.and_then(|row| row.value.as_deref());
         let content = match text.map(serde_json::from_str::<LeaseRow>).transpose() {
@@ -147,20 +147,20 @@
                 return None;
             }
         };
-        let seen = ObservedRow {
+        let observed = ObservedRow {
             row: content,
             revision,
             first_seen_at: now.monotonic,
         };
-        record.seen = Some(seen.clone());
-        Some(seen)
+        record.observed = Some(observed.clone());
+        Some(observed)
     }
 
     /// Drops this daemon's grant if the row names another holder. Renewing would write the other
     /// holder's row again, and this daemon would act concurrently with it under its fencing number.
-    fn drop_superseded(&mut self, name: LeaseName, found: &ObservedRow) {
+    fn drop_superseded(&mut self, name: LeaseName, current: &ObservedRow) {
         let own = Some(self.own_holder());
-        if found.row.holder != own
+        if current.row.holder != own
             && let Some(record) = self.records.get_mut(&name)
         {
             record.grant = None;
@@ -172,25 +172,28 @@
     fn resolve_unconfirmed(
         &mut self,
         name: LeaseName,
-        found: &ObservedRow,
+        current: &ObservedRow,
         effects: &mut EffectQueue,
     ) {
         let Some(record) = self.records.get_mut(&name) else {
             return;
         };
-        let Some(lost) = record.unconfirmed.take() else {
+        let Some(unconfirmed) = record.unconfirmed.take() else {
             return;
         };
-        let (CallPurpose::Acquire { row } | CallPurpose::Renew { row }) = &lost.purpose else {
+        let (CallPurpose::Acquire { row } | CallPurpose::Renew { row }) = &unconfirmed.purpose
+        else {
             return;
         };
-        if *row == found.row {
+        if *row == current.row {
             let holder_window = self.options.holder_window();
-            let acquired_at = record.grant.map_or(lost.sent_at, |grant| grant.acquired_at);
+            let acquired_at = record
+                .grant
+                .map_or(unconfirmed.sent_at, |grant| grant.acquired_at);
             record.grant = Some(LeaseGrant {
                 fencing: row.fencing,
                 acquired_at,
-                valid_until: lost.sent_at + holder_window,
+                valid_until: unconfirmed.sent_at + holder_window,
             });
             let line = LogLine::new(LogLevel::Info, "lease-found").with("lease", name);
             effects.log(line.with("fencing", row.fencing));
@@ -201,12 +204,12 @@
         &mut self,
         now: CoreTime,
         name: LeaseName,
-        found: &ObservedRow,
+        current: &ObservedRow,
         effects: &mut EffectQueue,
     ) {
         let row = LeaseRow {
             holder: Some(self.own_holder()),
-            fencing: found.row.fencing.next(),
+            fencing: current.row.fencing.next(),
             nonce: self.rng.random(),
         };
         let purpose = CallPurpose::Acquire { row: row.clone() };
@@ -229,11 +232,11 @@
         purpose: CallPurpose,
         effects: &mut EffectQueue,
     ) {
-        let seen = self
+        let observed = self
             .records
             .get(&name)
-            .and_then(|record| record.seen.as_ref());
-        let revision = seen.map_or(0, |seen| seen.revision);
+            .and_then(|record| record.observed.as_ref());
+        let revision = observed.map_or(0, |observed| observed.revision);
         let key = row_key(name);
         let commit = TableCommit {
             conditions: vec![RowCondition {
--- a/crates/savorywood-core/src/leases/renewal.rs
+++ b/crates/savorywood-core/src/leases/renewal.rs
@@ -11,13 +11,17 @@
     pub(super) fn renew(&mut self, now: CoreTime, name: LeaseName, effects: &mut EffectQueue) {
         let record = self.records.entry(name).or_default();
         // An unconfirmed write may have changed the row, so it is read before the next write.
-        let Some(seen) = record.seen.clone().filter(|_| record.unconfirmed.is_none()) else {
+        let Some(observed) = record
+            .observed
+            .clone()
+            .filter(|_| record.unconfirmed.is_none())
+        else {
             self.send_read(now, name, effects);
             return;
         };
         let row = LeaseRow {
             nonce: self.rng.random(),
-            ..seen.row
+            ..observed.row
         };
         let purpose = CallPurpose::Renew { row: row.clone() };
         self.write(now, name, &row, purpose, effects);
@@ -34,10 +38,10 @@
         let holder_window = self.options.holder_window();
         let record = self.records.entry(name).or_default();
         let (CallPurpose::Acquire { row } | CallPurpose::Renew { row }) = &call.purpose else {
-            record.seen = None;
+            record.observed = None;
             return;
         };
-        record.seen = Some(ObservedRow {
+        record.observed = Some(ObservedRow {
             row: row.clone(),
             revision,
             first_seen_at: now.monotonic,
@@ -63,18 +67,18 @@
     pub(super) fn release(&mut self, now: CoreTime, name: LeaseName, effects: &mut EffectQueue) {
         let record = self.records.entry(name).or_default();
         record.grant = None;
-        let own = record.seen.clone().filter(|seen| {
-            let holder = seen.row.holder.as_ref();
+        let own = record.observed.clone().filter(|observed| {
+            let holder = observed.row.holder.as_ref();
             holder.is_some_and(|holder| {
                 holder.host == self.options.host && holder.incarnation == self.options.incarnation
             })
         });
-        let Some(seen) = own else {
+        let Some(observed) = own else {
             return;
         };
         let row = LeaseRow {
             holder: None,
-            fencing: seen.row.fencing,
+            fencing: observed.row.fencing,
             nonce: self.rng.random(),
         };
         self.write(now, name, &row, CallPurpose::Release, effects);
--- a/crates/savorywood-core/src/membership/failure_detection.rs
+++ b/crates/savorywood-core/src/membership/failure_detection.rs
@@ -70,12 +70,13 @@
         if outcome != MergeOutcome::Stale || source != UpdateSource::Table {
             return;
         }
-        let held = self.table.get(&update.host).map(|entry| &entry.update);
-        let older = held.is_some_and(|held| {
-            let same_incarnation = held.incarnation == update.incarnation;
-            held.incarnation > update.incarnation || (same_incarnation && supersedes(held, update))
+        let current = self.table.get(&update.host).map(|entry| &entry.update);
+        let peer_is_stale = current.is_some_and(|current| {
+            let same_incarnation = current.incarnation == update.incarnation;
+            current.incarnation > update.incarnation
+                || (same_incarnation && supersedes(current, update))
         });
-        if older {
+        if peer_is_stale {
             self.rumors.push(&update.host, RumorClass::State, true);
         }
     }
@@ -173,8 +174,8 @@
         // A whole region may be partitioned, for as long as an hour. If each side declared the
         // other dead, both would remove and add again half the cluster. Only a member of the
         // target's own region can tell that the target alone is unreachable.
-        let far = entry.place.region != *self.options.region();
-        if (far && !probe.target_region_nack) || entry.update.state != MemberState::Alive {
+        let remote = entry.place.region != *self.options.region();
+        if (remote && !probe.target_region_nack) || entry.update.state != MemberState::Alive {
             return;
         }
         let suspicion = MemberUpdate {
@@ -195,11 +196,11 @@
         let due = self.table.entries().filter(|(_, entry)| {
             entry.update.state == MemberState::Suspect && now.since(entry.since) >= timeout
         });
-        let ours = due.filter(|(_, entry)| {
-            let near = entry.place.region == *self.options.region();
-            near || now.since(entry.since) >= timeout * REMOTE_SUSPICION_FACTOR
+        let to_expire = due.filter(|(_, entry)| {
+            let local = entry.place.region == *self.options.region();
+            local || now.since(entry.since) >= timeout * REMOTE_SUSPICION_FACTOR
         });
-        let dead: Vec<_> = ours
+        let dead: Vec<_> = to_expire
             .map(|(_, entry)| MemberUpdate {
                 state: MemberState::Dead,
                 ..entry.update.clone()
@@ -225,10 +226,10 @@
     pub(super) fn live_in_own_region(&self) -> Vec<HostName> {
         let own = &self.options.host;
         let region = self.options.region();
-        let near = self.table.entries().filter(|(host, entry)| {
+        let live = self.table.entries().filter(|(host, entry)| {
             *host != own && is_live(entry) && entry.place.region == *region
         });
-        near.map(|(host, _)| host.clone()).collect()
+        live.map(|(host, _)| host.clone()).collect()
     }
 }
 
--- a/crates/savorywood-core/src/membership/incoming.rs
+++ b/crates/savorywood-core/src/membership/incoming.rs
@@ -96,9 +96,9 @@
         effects: &mut EffectQueue,
     ) {
         // A sender that includes its own address may not have ours either.
-        let introduced = |update: &MemberUpdate| update.host == *from && update.place.is_some();
-        let introduce = updates.iter().any(introduced);
-        self.send_ack(from, sequence, digest, introduce, effects);
+        let has_own_place = |update: &MemberUpdate| update.host == *from && update.place.is_some();
+        let include_place = updates.iter().any(has_own_place);
+        self.send_ack(from, sequence, digest, include_place, effects);
     }
 
     fn handle_ack(
@@ -175,7 +175,7 @@
         };
         probe.nacks += 1;
         let target = self.table.get(&probe.target);
-        let near = target.is_some_and(|entry| Some(&entry.place.region) == region.as_ref());
-        probe.target_region_nack |= near;
+        let same_region = target.is_some_and(|entry| Some(&entry.place.region) == region.as_ref());
+        probe.target_region_nack |= same_region;
     }
 }
--- a/crates/savorywood-core/src/membership/outgoing.rs
+++ b/crates/savorywood-core/src/membership/outgoing.rs
@@ -84,8 +84,8 @@
         let Some(address) = self.address_of(target) else {
             return;
         };
-        let far = self.is_remote(target);
-        let allowance = match far {
+        let remote = self.is_remote(target);
+        let allowance = match remote {
             true => self.options.remote_allowance,
             false => Duration::ZERO,
         };
@@ -150,14 +150,14 @@
         to: &HostName,
         sequence: u64,
         digest: &TableDigest,
-        introduce: bool,
+        include_place: bool,
         effects: &mut EffectQueue,
     ) {
         let Some(address) = self.address_of(to) else {
             return;
         };
-        let news = self.gather(to, introduce, PIGGYBACK_BYTES);
-        let mut table = UpdateList::new(MAX_UPDATE_BYTES - PIGGYBACK_BYTES + news.free);
+        let piggybacked = self.gather(to, include_place, PIGGYBACK_BYTES);
+        let mut table = UpdateList::new(MAX_UPDATE_BYTES - PIGGYBACK_BYTES + piggybacked.free);
         let mut differing = match self.joined || digest.parts.len() < usize::from(DIGEST_PARTS) {
             true => self.table.differing(digest),
             false => Vec::new(),
@@ -173,7 +173,7 @@
         let message = MembershipMessage::Ack {
             sequence,
             newest_revision: self.newest_revision,
-            updates: news.updates,
+            updates: piggybacked.updates,
             table: table.updates,
             settled: self.joined,
         };
@@ -215,10 +215,10 @@
     }
 
     /// Collects the updates for a message: this daemon's own, the receiver's, then rumors.
-    fn gather(&mut self, to: &HostName, introduce: bool, bytes: usize) -> UpdateList {
+    fn gather(&mut self, to: &HostName, include_place: bool, bytes: usize) -> UpdateList {
         let mut list = UpdateList::new(bytes);
         let own = self.options.host.clone();
-        if introduce && let Some(update) = self.table.update_of(&own, true) {
+        if include_place && let Some(update) = self.table.update_of(&own, true) {
             list.push(update);
         }
         // A suspected member receives its suspicion with the next message sent to it, so that it
@@ -266,9 +266,9 @@
     }
 
     fn urgent_targets(&mut self) -> Vec<HostName> {
-        let near = self.live_in_own_region();
+        let live = self.live_in_own_region();
         let fanout = self.options.urgent_fanout;
-        let mut targets: Vec<_> = near
+        let mut targets: Vec<_> = live
             .choose_multiple(&mut self.rng, fanout)
             .cloned()
             .collect();
--- a/crates/savorywood-core/src/membership/periodic.rs
+++ b/crates/savorywood-core/src/membership/periodic.rs
@@ -166,9 +166,9 @@
     }
 
     fn check_region(&mut self, now: MonotonicTime, region: &RegionName, effects: &mut EffectQueue) {
-        let heard = *self.region_last_seen.entry(region.clone()).or_insert(now);
-        let silent = now.since(heard) > self.options.region_timeout;
-        if silent && self.unreachable.insert(region.clone()) {
+        let last_seen = *self.region_last_seen.entry(region.clone()).or_insert(now);
+        let timed_out = now.since(last_seen) > self.options.region_timeout;
+        if timed_out && self.unreachable.insert(region.clone()) {
             let line = LogLine::new(LogLevel::Warn, "region_unreachable").with("region", region);
             effects.log(line);
         }
@@ -206,14 +206,14 @@
     /// do. Without that, a daemon that is not a bridge could keep a member that its whole region
     /// has removed as alive forever.
     fn reconnect(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
-        let far = self.rng.random_bool(REMOTE_CHECK_PROBABILITY);
+        let remote = self.rng.random_bool(REMOTE_CHECK_PROBABILITY);
         let region = self.options.region();
-        let entries = self.table.entries().filter(|(_, entry)| match far {
+        let entries = self.table.entries().filter(|(_, entry)| match remote {
             true => is_live(entry) && entry.place.region != *region,
             false => entry.update.state == MemberState::Dead,
         });
         let candidates: Vec<_> = entries.map(|(host, _)| host.clone()).collect();
-        let purpose = match far {
+        let purpose = match remote {
             true => PingPurpose::DetectFailure,
             false => PingPurpose::Contact,
         };
@@ -257,10 +257,10 @@
         if let Some(region) = &self.pull.region {
             return self.live_in(region).cloned().collect();
         }
-        let near = self.live_in_own_region();
-        match near.is_empty() {
+        let live = self.live_in_own_region();
+        match live.is_empty() {
             true => self.seeds.keys().cloned().collect(),
-            false => near,
+            false => live,
         }
     }
 
@@ -275,8 +275,8 @@
     pub(super) fn remote_regions(&self) -> BTreeSet<RegionName> {
         let live = self.table.entries().filter(|(_, entry)| is_live(entry));
         let regions = live.map(|(_, entry)| &entry.place.region);
-        let far = regions.filter(|region| *region != self.options.region());
-        far.cloned().collect()
+        let remote = regions.filter(|region| *region != self.options.region());
+        remote.cloned().collect()
     }
 
     /// Whether this daemon is one of the bridges from its region to another one.
--- a/crates/savorywood-core/src/membership/table.rs
+++ b/crates/savorywood-core/src/membership/table.rs
@@ -191,8 +191,12 @@
     pub fn set_listed_leaving(&mut self, leaving: BTreeSet<HostName>) -> bool {
         let before = self.view.clone();
         let mut live = self.entries.values().filter(|entry| is_live(entry));
-        let wrong = live.all(|entry| leaving.contains(&entry.update.host));
-        self.listed_leaving = if wrong { BTreeSet::new() } else { leaving };
+        let all_leaving = live.all(|entry| leaving.contains(&entry.update.host));
+        self.listed_leaving = if all_leaving {
+            BTreeSet::new()
+        } else {
+            leaving
+        };
         let hosts: Vec<_> = self.entries.keys().cloned().collect();
         for host in &hosts {
             self.publish(host);
