--- a/crates/savorywood-core/src/claims/table_results.rs
+++ b/crates/savorywood-core/src/claims/table_results.rs
@@ -25,9 +25,7 @@
         effects: &mut EffectQueue,
     ) {
         match self.calls.remove(&number) {
-            Some(TableTask::Commit(items)) => {
-                self.commit_answered(now, &items, answer, view, effects)
-            }
+            Some(TableTask::Commit(items)) => self.committed(now, &items, answer, view, effects),
             Some(TableTask::ReadBack(items)) => self.rows_read(now, items, answer, view, effects),
             Some(TableTask::SweepScan) => self.scanned(now, answer, effects),
             Some(TableTask::SweepDelete { rows }) => self.swept(rows, &answer),
@@ -35,7 +33,7 @@
         }
     }
 
-    fn commit_answered(
+    fn committed(
         &mut self,
         now: CoreTime,
         items: &[BatchItem],
@@ -168,9 +166,7 @@
                 self.enqueue(now.monotonic, item.request, item.kind, view, effects);
             }
             _ if value.is_none() => self.row_absent(now, item, view, effects),
-            (RowOperation::Insert, ..) => {
-                self.claimed_elsewhere(now, item.request, found, view, effects)
-            }
+            (RowOperation::Insert, ..) => self.row_taken(now, item.request, found, view, effects),
             _ => self.remove_claim(item.request),
         }
     }
@@ -197,7 +193,7 @@
         }
     }
 
-    fn claimed_elsewhere(
+    fn row_taken(
         &mut self,
         now: CoreTime,
         request: RequestId,
--- a/crates/savorywood-core/src/leases.rs
+++ b/crates/savorywood-core/src/leases.rs
@@ -179,13 +179,9 @@
         let before = self.held();
         self.expire(now, effects);
         match event {
-            LeaseEvent::DemandChanged { name, wanted } => {
-                self.set_demand(now, name, wanted, effects)
-            }
+            LeaseEvent::DemandChanged { name, wanted } => self.request(now, name, wanted, effects),
             LeaseEvent::TimerFired { number } => self.timer_fired(now, number, members, effects),
-            LeaseEvent::Table { number, answer } => {
-                self.table_answered(now, number, answer, effects)
-            }
+            LeaseEvent::Table { number, answer } => self.responded(now, number, answer, effects),
             LeaseEvent::Leaving => self.leave(now, effects),
         }
         self.expire(now, effects);
@@ -217,7 +213,7 @@
         }
     }
 
-    fn table_answered(
+    fn responded(
         &mut self,
         now: CoreTime,
         number: u64,
--- a/crates/savorywood-core/src/leases/acquisition.rs
+++ b/crates/savorywood-core/src/leases/acquisition.rs
@@ -22,7 +22,7 @@
 const MAX_CONTENDERS: usize = 3;
 
 impl LeaseState {
-    pub(super) fn set_demand(
+    pub(super) fn request(
         &mut self,
         now: CoreTime,
         name: LeaseName,
