--- a/crates/savorywood-core/src/claims.rs
+++ b/crates/savorywood-core/src/claims.rs
@@ -254,7 +254,7 @@
             }
             ClaimEvent::Upstream(event) => self.upstream(now, &event, view, effects),
             ClaimEvent::ResponseReceived { request, answer } => {
-                self.store_response(request, &answer)
+                self.keep_response(request, &answer)
             }
             ClaimEvent::Closed { request } => self.close(now, request, view, effects),
         }
