--- a/crates/savorywood-core/src/claims.rs
+++ b/crates/savorywood-core/src/claims.rs
@@ -253,9 +253,7 @@
                 self.table_answered(now, number, answer, view, effects);
             }
             ClaimEvent::Upstream(event) => self.upstream(now, &event, view, effects),
-            ClaimEvent::ResponseReceived { request, answer } => {
-                self.keep_response(request, &answer)
-            }
+            ClaimEvent::ResponseReceived { request, answer } => self.add_response(request, &answer),
             ClaimEvent::Closed { request } => self.close(now, request, view, effects),
         }
         std::mem::take(&mut self.decisions)
--- a/crates/savorywood-core/src/claims/outcome.rs
+++ b/crates/savorywood-core/src/claims/outcome.rs
@@ -40,7 +40,7 @@
         }
     }
 
-    pub(super) fn keep_response(&mut self, request: RequestId, answer: &KeptAnswer) {
+    pub(super) fn add_response(&mut self, request: RequestId, answer: &KeptAnswer) {
         let max_body = self.options.max_recorded_body_bytes;
         if let Some(claim) = self.open.get_mut(&request) {
             claim.response = Some(RecordedResponse::from_response(answer, max_body));
