--- a/crates/savorywood-core/src/daemon/holding.rs
+++ b/crates/savorywood-core/src/daemon/holding.rs
@@ -50,8 +50,8 @@
         }
     }
 
-    fn want(&mut self, now: CoreTime, name: LeaseName, wanted: bool, effects: &mut EffectQueue) {
-        self.lease(now, LeaseEvent::DemandChanged { name, wanted }, effects);
+    fn want(&mut self, now: CoreTime, name: LeaseName, needed: bool, effects: &mut EffectQueue) {
+        self.lease(now, LeaseEvent::DemandChanged { name, needed }, effects);
     }
 
     /// Steps the order duty.
--- a/crates/savorywood-core/src/leases.rs
+++ b/crates/savorywood-core/src/leases.rs
@@ -62,7 +62,7 @@
         /// Lease that the work needs.
         name: LeaseName,
         /// Whether there is work.
-        wanted: bool,
+        needed: bool,
     },
     /// One of the timers of this duty fired.
     TimerFired {
@@ -128,7 +128,7 @@
 /// State of one lease on this daemon.
 #[derive(Debug, Clone, Default)]
 struct LeaseRecord {
-    wanted: bool,
+    needed: bool,
     observed: Option<ObservedRow>,
     grant: Option<LeaseGrant>,
     call: Option<PendingCall>,
@@ -179,7 +179,7 @@
         let before = self.held();
         self.expire(now, effects);
         match event {
-            LeaseEvent::DemandChanged { name, wanted } => self.request(now, name, wanted, effects),
+            LeaseEvent::DemandChanged { name, needed } => self.request(now, name, needed, effects),
             LeaseEvent::TimerFired { number } => self.timer_fired(now, number, members, effects),
             LeaseEvent::Table { number, answer } => self.responded(now, number, answer, effects),
             LeaseEvent::Leaving => self.leave(now, effects),
--- a/crates/savorywood-core/src/leases/acquisition.rs
+++ b/crates/savorywood-core/src/leases/acquisition.rs
@@ -26,15 +26,15 @@
         &mut self,
         now: CoreTime,
         name: LeaseName,
-        wanted: bool,
+        needed: bool,
         effects: &mut EffectQueue,
     ) {
         let record = self.records.entry(name).or_default();
-        let before = std::mem::replace(&mut record.wanted, wanted);
-        if wanted && !before {
+        let before = std::mem::replace(&mut record.needed, needed);
+        if needed && !before {
             effects.set_timer(Self::timer_key(name), now.monotonic);
         }
-        if before && !wanted {
+        if before && !needed {
             self.release(now, name, effects);
         }
     }
@@ -53,7 +53,7 @@
         let Some(record) = self.records.get_mut(&name) else {
             return;
         };
-        if !record.wanted || self.leaving {
+        if !record.needed || self.leaving {
             return;
         }
         // A call without a response must not block the duty forever.
@@ -113,12 +113,12 @@
         self.check_exclusive(now, name, &current.row, effects);
         self.drop_superseded(name, &current);
         self.resolve_unconfirmed(name, &current, effects);
-        let wanted = self.records.get(&name).is_some_and(|record| record.wanted);
+        let needed = self.records.get(&name).is_some_and(|record| record.needed);
         let holds = self.grant(now, name).is_some();
         let released = current.row.holder.is_none();
         let unchanged = now.monotonic.since(current.first_seen_at);
         let expired = unchanged >= self.options.takeover_delay();
-        if wanted && !self.leaving && !holds && (released || expired) {
+        if needed && !self.leaving && !holds && (released || expired) {
             self.acquire(now, name, &current, effects);
         }
     }
--- a/crates/savorywood-core/src/leases/renewal.rs
+++ b/crates/savorywood-core/src/leases/renewal.rs
@@ -46,7 +46,7 @@
             revision,
             first_seen_at: now.monotonic,
         });
-        if !record.wanted || self.leaving {
+        if !record.needed || self.leaving {
             self.release(now, name, effects);
             return;
         }
--- a/crates/savorywood-core/tests/support/lease_cluster.rs
+++ b/crates/savorywood-core/tests/support/lease_cluster.rs
@@ -77,7 +77,7 @@
         for node in 0..rates.len() {
             let event = LeaseEvent::DemandChanged {
                 name: LeaseName::Moves,
-                wanted: true,
+                needed: true,
             };
             cluster.later(0, Pending::Node(node, event));
         }
