--- a/crates/savorywood-core/src/credits/floors.rs
+++ b/crates/savorywood-core/src/credits/floors.rs
@@ -2,7 +2,7 @@
 //!
 //! Every daemon spreads its queued work over the upstreams of its zone, so the arbiter of any one
 //! of them knows which tiers are queued in the zone. All daemons use the same few upstreams: asking
-//! all arbiters would use several seconds of the byte budget at the planned cluster size, and
+//! all arbiters would use seconds of the byte budget at the planned cluster size, and
 //! requests would be shed by local decision in the meantime.
 
 use super::{ArbiterRecord, CreditState, CreditView, TICK_INTERVAL, arbiter_of};
@@ -21,7 +21,7 @@
 /// too expensive for every message.
 #[derive(Debug, Default)]
 pub struct FloorUpstreamCache {
-    found_at: MonotonicTime,
+    computed_at: MonotonicTime,
     names: BTreeMap<ServiceName, Vec<UpstreamName>>,
 }
 
@@ -33,9 +33,9 @@
         service: &ServiceName,
         view: CreditView<'_>,
     ) -> Vec<UpstreamName> {
-        if now.since(self.floor_cache.found_at) >= TICK_INTERVAL {
+        if now.since(self.floor_cache.computed_at) >= TICK_INTERVAL {
             self.floor_cache.names.clear();
-            self.floor_cache.found_at = now;
+            self.floor_cache.computed_at = now;
         }
         if let Some(names) = self.floor_cache.names.get(service) {
             return names.clone();
@@ -99,9 +99,9 @@
         view: CreditView<'_>,
     ) -> BTreeMap<UpstreamName, TierRank> {
         let mut ranks = BTreeMap::new();
-        for (service, ask) in self.shed_requests.clone() {
+        for (service, request) in self.shed_requests.clone() {
             let upstreams = self.floor_upstreams_in_use(now, &service, view);
-            ranks.extend(upstreams.into_iter().map(|name| (name, ask.rank())));
+            ranks.extend(upstreams.into_iter().map(|name| (name, request.rank())));
         }
         ranks
     }
--- a/crates/savorywood-core/src/credits/rounds.rs
+++ b/crates/savorywood-core/src/credits/rounds.rs
@@ -57,7 +57,7 @@
         });
         let hold = self.options.floor_hold;
         self.shed_requests
-            .retain(|_, ask| now.since(ask.renewed_at()) < hold);
+            .retain(|_, request| now.since(request.renewed_at()) < hold);
     }
 
     /// Sends this daemon's demand to each arbiter; returns the bytes sent.
--- a/crates/savorywood-core/src/credits/shed.rs
+++ b/crates/savorywood-core/src/credits/shed.rs
@@ -51,15 +51,15 @@
         if !lower || below {
             return ShedAdvice::Shed;
         }
-        let ask = self.record_shed_request(now, service, rank);
+        let request = self.record_shed_request(now, service, rank);
         if self.floor_reached(now, &used, rank) {
             return ShedAdvice::Shed;
         }
-        let waited = now.since(ask.since);
+        let waited = now.since(request.since);
         let answered = used.iter().any(|upstream| {
             let held = self.holdings.get(upstream);
             held.and_then(|held| held.granted_at)
-                .is_some_and(|at| at >= ask.since)
+                .is_some_and(|at| at >= request.since)
         });
         let limit = match answered {
             true => self.options.max_shed_wait,
@@ -89,8 +89,8 @@
         rank: TierRank,
     ) -> ShedRequest {
         let old = self.shed_requests.get(service).copied();
-        let old = old.filter(|ask| now.since(ask.renewed_at) < self.options.floor_hold);
-        let ask = match old {
+        let old = old.filter(|request| now.since(request.renewed_at) < self.options.floor_hold);
+        let request = match old {
             Some(old) => ShedRequest {
                 rank: old.rank.min(rank),
                 since: if rank < old.rank { now } else { old.since },
@@ -102,8 +102,8 @@
                 renewed_at: now,
             },
         };
-        self.shed_requests.insert(service.clone(), ask);
-        ask
+        self.shed_requests.insert(service.clone(), request);
+        request
     }
 
     /// Sends the shed request at once instead of with the next round.
