--- a/crates/savorywood-core/src/membership.rs
+++ b/crates/savorywood-core/src/membership.rs
@@ -235,7 +235,7 @@
             refutation,
             state,
             config_revision: self.own_revision(),
-            place: Some(self.options.place.clone()),
+            place: Some(self.options.location.clone()),
         }
     }
 
--- a/crates/savorywood-core/src/membership/failure_detection.rs
+++ b/crates/savorywood-core/src/membership/failure_detection.rs
@@ -45,15 +45,15 @@
         self.observe_revision(update.config_revision);
         let outcome = self.table.merge(now, update, source);
         self.correct_stale_peer(update, outcome, source);
-        if matches!(outcome, MergeOutcome::Stale | MergeOutcome::UnknownPlace) {
+        if matches!(outcome, MergeOutcome::Stale | MergeOutcome::UnknownLocation) {
             return;
         }
         self.change.view_changed = true;
         // Updates read from a table are old; daemons that missed them read the table too.
         if source != UpdateSource::Table {
             let class = self.class_of(update, outcome);
-            let with_place = outcome == MergeOutcome::Joined;
-            self.rumors.push(&update.host, class, with_place);
+            let with_location = outcome == MergeOutcome::Joined;
+            self.rumors.push(&update.host, class, with_location);
         }
         log_change(update, before.as_ref(), effects);
     }
@@ -94,12 +94,12 @@
             MemberState::Suspect => MemberState::Alive,
             state => state,
         };
-        let other_place = update
+        let other_location = update
             .place
             .as_ref()
-            .is_some_and(|place| *place != own.place);
+            .is_some_and(|location| *location != own.location);
         let newest = update.incarnation;
-        if newest > own.update.incarnation || (newest == own.update.incarnation && other_place) {
+        if newest > own.update.incarnation || (newest == own.update.incarnation && other_location) {
             self.raise_incarnation(now, newest, state, effects);
         } else if newest == own.update.incarnation && supersedes(update, &own.update) {
             self.health.worsen();
@@ -159,7 +159,7 @@
         probe: &PendingProbe,
         effects: &mut EffectQueue,
     ) {
-        self.table.set_knows_our_place(&probe.target, false);
+        self.table.set_knows_our_location(&probe.target, false);
         if !probe.detects_failure {
             return;
         }
@@ -174,7 +174,7 @@
         // A whole region may be partitioned, for as long as an hour. If each side declared the
         // other dead, both would remove and add again half the cluster. Only a member of the
         // target's own region can tell that the target alone is unreachable.
-        let remote = entry.place.region != *self.options.region();
+        let remote = entry.location.region != *self.options.region();
         if (remote && !probe.target_region_nack) || entry.update.state != MemberState::Alive {
             return;
         }
@@ -197,7 +197,7 @@
             entry.update.state == MemberState::Suspect && now.since(entry.since) >= timeout
         });
         let to_expire = due.filter(|(_, entry)| {
-            let local = entry.place.region == *self.options.region();
+            let local = entry.location.region == *self.options.region();
             local || now.since(entry.since) >= timeout * REMOTE_SUSPICION_FACTOR
         });
         let dead: Vec<_> = to_expire
@@ -227,7 +227,7 @@
         let own = &self.options.host;
         let region = self.options.region();
         let live = self.table.entries().filter(|(host, entry)| {
-            *host != own && is_live(entry) && entry.place.region == *region
+            *host != own && is_live(entry) && entry.location.region == *region
         });
         live.map(|(host, _)| host.clone()).collect()
     }
--- a/crates/savorywood-core/src/membership/incoming.rs
+++ b/crates/savorywood-core/src/membership/incoming.rs
@@ -96,9 +96,10 @@
         effects: &mut EffectQueue,
     ) {
         // A sender that includes its own address may not have ours either.
-        let has_own_place = |update: &MemberUpdate| update.host == *from && update.place.is_some();
-        let include_place = updates.iter().any(has_own_place);
-        self.send_ack(from, sequence, digest, include_place, effects);
+        let has_own_location =
+            |update: &MemberUpdate| update.host == *from && update.place.is_some();
+        let include_location = updates.iter().any(has_own_location);
+        self.send_ack(from, sequence, digest, include_location, effects);
     }
 
     fn handle_ack(
@@ -111,7 +112,7 @@
     ) {
         if let Some(probe) = self.probes.answered(sequence) {
             self.health.improve();
-            self.table.set_knows_our_place(&probe.target, true);
+            self.table.set_knows_our_location(&probe.target, true);
             if probe.pulls > 0 {
                 self.handle_pull(now, &probe, part, effects);
             }
@@ -169,13 +170,17 @@
     }
 
     fn handle_nack(&mut self, from: &HostName, sequence: u64) {
-        let region = self.table.get(from).map(|entry| entry.place.region.clone());
+        let region = self
+            .table
+            .get(from)
+            .map(|entry| entry.location.region.clone());
         let Some(probe) = self.probes.get_mut(sequence) else {
             return;
         };
         probe.nacks += 1;
         let target = self.table.get(&probe.target);
-        let same_region = target.is_some_and(|entry| Some(&entry.place.region) == region.as_ref());
+        let same_region =
+            target.is_some_and(|entry| Some(&entry.location.region) == region.as_ref());
         probe.target_region_nack |= same_region;
     }
 }
--- a/crates/savorywood-core/src/membership/options.rs
+++ b/crates/savorywood-core/src/membership/options.rs
@@ -11,7 +11,7 @@
     /// Incarnation of the host; increases with each restart.
     pub incarnation: HostIncarnation,
     /// Zone, region and addresses of the daemon.
-    pub place: MemberPlace,
+    pub location: MemberPlace,
     /// Seed of the random number generator.
     pub seed: u64,
     /// Interval between two probes.
@@ -46,11 +46,11 @@
 impl MembershipOptions {
     /// Creates options with the default intervals and limits.
     #[must_use]
-    pub fn new(host: HostName, incarnation: HostIncarnation, place: MemberPlace) -> Self {
+    pub fn new(host: HostName, incarnation: HostIncarnation, location: MemberPlace) -> Self {
         Self {
             host,
             incarnation,
-            place,
+            location,
             seed: 0,
             probe_interval: Duration::from_millis(500),
             direct_timeout: Duration::from_millis(150),
@@ -77,6 +77,6 @@
     /// Region of this daemon.
     #[must_use]
     pub fn region(&self) -> &RegionName {
-        &self.place.region
+        &self.location.region
     }
 }
--- a/crates/savorywood-core/src/membership/outgoing.rs
+++ b/crates/savorywood-core/src/membership/outgoing.rs
@@ -122,12 +122,12 @@
             PingPurpose::Pull { first, count } => self.table.digest(first, count),
             PingPurpose::DetectFailure | PingPurpose::Contact => self.next_digest(),
         };
-        let knows_our_place = self
+        let knows_our_location = self
             .table
             .get(target)
-            .is_some_and(|entry| entry.knows_our_place);
+            .is_some_and(|entry| entry.knows_our_location);
         let updates = self
-            .gather(target, !knows_our_place, PIGGYBACK_BYTES)
+            .gather(target, !knows_our_location, PIGGYBACK_BYTES)
             .updates;
         let message = MembershipMessage::Ping {
             sequence,
@@ -150,13 +150,13 @@
         to: &HostName,
         sequence: u64,
         digest: &TableDigest,
-        include_place: bool,
+        include_location: bool,
         effects: &mut EffectQueue,
     ) {
         let Some(address) = self.address_of(to) else {
             return;
         };
-        let piggybacked = self.gather(to, include_place, PIGGYBACK_BYTES);
+        let piggybacked = self.gather(to, include_location, PIGGYBACK_BYTES);
         let mut table = UpdateList::new(MAX_UPDATE_BYTES - PIGGYBACK_BYTES + piggybacked.free);
         let mut differing = match self.joined || digest.parts.len() < usize::from(DIGEST_PARTS) {
             true => self.table.differing(digest),
@@ -215,10 +215,10 @@
     }
 
     /// Collects the updates for a message: this daemon's own, the receiver's, then rumors.
-    fn gather(&mut self, to: &HostName, include_place: bool, bytes: usize) -> UpdateList {
+    fn gather(&mut self, to: &HostName, include_location: bool, bytes: usize) -> UpdateList {
         let mut list = UpdateList::new(bytes);
         let own = self.options.host.clone();
-        if include_place && let Some(update) = self.table.update_of(&own, true) {
+        if include_location && let Some(update) = self.table.update_of(&own, true) {
             list.push(update);
         }
         // A suspected member receives its suspicion with the next message sent to it, so that it
@@ -233,7 +233,7 @@
             if rumor.host == *to {
                 continue;
             }
-            let update = self.table.update_of(&rumor.host, rumor.with_place);
+            let update = self.table.update_of(&rumor.host, rumor.with_location);
             if update.is_some_and(|update| list.push(update)) {
                 self.rumors.record_sent(&rumor.host, members);
             }
@@ -287,14 +287,17 @@
 
     /// Peer address of a host: from the member table, else from the host list.
     pub(super) fn address_of(&self, host: &HostName) -> Option<SocketAddr> {
-        let member = self.table.get(host).map(|entry| entry.place.peer_address);
+        let member = self
+            .table
+            .get(host)
+            .map(|entry| entry.location.peer_address);
         member.or_else(|| self.seeds.get(host).map(|entry| entry.peer_address))
     }
 
     /// Whether a host is in another region.
     pub(super) fn is_remote(&self, host: &HostName) -> bool {
         let entry = self.table.get(host);
-        entry.is_some_and(|entry| entry.place.region != *self.options.region())
+        entry.is_some_and(|entry| entry.location.region != *self.options.region())
     }
 
     /// Applies all updates of a message.
@@ -318,7 +321,7 @@
     /// Live members of a region.
     pub(super) fn live_in(&self, region: &RegionName) -> impl Iterator<Item = &HostName> {
         let entries = self.table.entries();
-        let live = entries.filter(move |(_, e)| is_live(e) && e.place.region == *region);
+        let live = entries.filter(move |(_, e)| is_live(e) && e.location.region == *region);
         live.map(|(host, _)| host)
     }
 }
--- a/crates/savorywood-core/src/membership/periodic.rs
+++ b/crates/savorywood-core/src/membership/periodic.rs
@@ -117,7 +117,7 @@
             return Vec::new();
         };
         let own = &self.options.host;
-        let live = self.live_in(&entry.place.region);
+        let live = self.live_in(&entry.location.region);
         let others: Vec<_> = live
             .filter(|h| *h != own && *h != target)
             .cloned()
@@ -185,7 +185,7 @@
         let Some(entry) = self.table.get(from) else {
             return;
         };
-        let region = entry.place.region.clone();
+        let region = entry.location.region.clone();
         if region == *self.options.region() {
             return;
         }
@@ -209,7 +209,7 @@
         let remote = self.rng.random_bool(REMOTE_CHECK_PROBABILITY);
         let region = self.options.region();
         let entries = self.table.entries().filter(|(_, entry)| match remote {
-            true => is_live(entry) && entry.place.region != *region,
+            true => is_live(entry) && entry.location.region != *region,
             false => entry.update.state == MemberState::Dead,
         });
         let candidates: Vec<_> = entries.map(|(host, _)| host.clone()).collect();
@@ -274,7 +274,7 @@
     /// Regions other than this daemon's that have live members.
     pub(super) fn remote_regions(&self) -> BTreeSet<RegionName> {
         let live = self.table.entries().filter(|(_, entry)| is_live(entry));
-        let regions = live.map(|(_, entry)| &entry.place.region);
+        let regions = live.map(|(_, entry)| &entry.location.region);
         let remote = regions.filter(|region| *region != self.options.region());
         remote.cloned().collect()
     }
--- a/crates/savorywood-core/src/membership/rumor.rs
+++ b/crates/savorywood-core/src/membership/rumor.rs
@@ -17,7 +17,7 @@
 #[derive(Debug, Clone, Copy)]
 struct RumorRecord {
     class: RumorClass,
-    with_place: bool,
+    with_location: bool,
     sent: u32,
 }
 
@@ -26,8 +26,8 @@
 pub struct SelectedRumor {
     /// Member that the update is about.
     pub host: HostName,
-    /// Whether the message includes the member's place, because receivers may not have it.
-    pub with_place: bool,
+    /// Whether the message includes the member's location, because receivers may not have it.
+    pub with_location: bool,
 }
 
 /// Updates still to be forwarded, at most one per member.
@@ -38,11 +38,11 @@
 
 impl RumorQueue {
     /// Queues an update of a member, replacing an older one.
-    pub fn push(&mut self, host: &HostName, class: RumorClass, with_place: bool) {
+    pub fn push(&mut self, host: &HostName, class: RumorClass, with_location: bool) {
         let old = self.rumors.get(host);
         let record = RumorRecord {
             class: old.map_or(class, |old| old.class.min(class)),
-            with_place: with_place || old.is_some_and(|old| old.with_place),
+            with_location: with_location || old.is_some_and(|old| old.with_location),
             sent: 0,
         };
         self.rumors.insert(host.clone(), record);
@@ -55,7 +55,7 @@
         order.sort_by_key(|(_, record)| (record.class, record.sent));
         let chosen = order.into_iter().map(|(host, record)| SelectedRumor {
             host: host.clone(),
-            with_place: record.with_place,
+            with_location: record.with_location,
         });
         chosen.collect()
     }
--- a/crates/savorywood-core/src/membership/table.rs
+++ b/crates/savorywood-core/src/membership/table.rs
@@ -16,14 +16,14 @@
 /// State of one member.
 #[derive(Debug, Clone)]
 pub struct TableEntry {
-    /// Newest update of the member, without its place.
+    /// Newest update of the member, without its location.
     pub update: MemberUpdate,
     /// Zone, region and addresses of the member.
-    pub place: MemberPlace,
+    pub location: MemberPlace,
     /// When the member's state last changed, or its suspicion was restarted.
     pub since: MonotonicTime,
-    /// Whether the member has acknowledged a ping of this daemon, and so has its place.
-    pub knows_our_place: bool,
+    /// Whether the member has acknowledged a ping of this daemon, and so has its location.
+    pub knows_our_location: bool,
     part: u8,
     digest: u32,
 }
@@ -33,8 +33,8 @@
 pub enum MergeOutcome {
     /// The update contains nothing new.
     Stale,
-    /// The update is about an unknown member and has no place, so it cannot be added.
-    UnknownPlace,
+    /// The update is about an unknown member and has no location, so it cannot be added.
+    UnknownLocation,
     /// Only the configuration revision is newer.
     Revision,
     /// The member, or its incarnation, is new.
@@ -86,10 +86,10 @@
         self.entries.len()
     }
 
-    /// Records whether a member has this daemon's place.
-    pub fn set_knows_our_place(&mut self, host: &HostName, knows_our_place: bool) {
+    /// Records whether a member has this daemon's location.
+    pub fn set_knows_our_location(&mut self, host: &HostName, knows_our_location: bool) {
         if let Some(entry) = self.entries.get_mut(host) {
-            entry.knows_our_place = knows_our_place;
+            entry.knows_our_location = knows_our_location;
         }
     }
 
@@ -143,8 +143,8 @@
     }
 
     fn add(&mut self, now: MonotonicTime, update: &MemberUpdate) -> MergeOutcome {
-        let Some(place) = update.place.clone() else {
-            return MergeOutcome::UnknownPlace;
+        let Some(location) = update.place.clone() else {
+            return MergeOutcome::UnknownLocation;
         };
         let update = MemberUpdate {
             place: None,
@@ -155,9 +155,9 @@
             part: part_of(&host),
             digest: digest_of(&update),
             update,
-            place,
+            location,
             since: now,
-            knows_our_place: false,
+            knows_our_location: false,
         };
         self.entries.insert(host.clone(), entry);
         self.publish(&host);
@@ -216,10 +216,10 @@
         let record = MemberRecord {
             incarnation: entry.update.incarnation,
             state,
-            peer_address: entry.place.peer_address,
-            caller_address: entry.place.caller_address,
-            zone: entry.place.zone.clone(),
-            region: entry.place.region.clone(),
+            peer_address: entry.location.peer_address,
+            caller_address: entry.location.caller_address,
+            zone: entry.location.zone.clone(),
+            region: entry.location.region.clone(),
             config_revision: entry.update.config_revision,
         };
         self.view.members.insert(host.clone(), record);
@@ -227,9 +227,9 @@
 
     /// Current update of a member, as sent to others.
     #[must_use]
-    pub fn update_of(&self, host: &HostName, with_place: bool) -> Option<MemberUpdate> {
+    pub fn update_of(&self, host: &HostName, with_location: bool) -> Option<MemberUpdate> {
         let entry = self.entries.get(host)?;
-        let place = with_place.then(|| entry.place.clone());
+        let place = with_location.then(|| entry.location.clone());
         Some(MemberUpdate {
             place,
             ..entry.update.clone()
