--- a/crates/savorywood-core/src/claims.rs
+++ b/crates/savorywood-core/src/claims.rs
@@ -250,7 +250,7 @@
             ClaimEvent::Requested(requested) => self.request_claim(now, *requested, view, effects),
             ClaimEvent::TimerFired { number } => self.timer_fired(now, number, view, effects),
             ClaimEvent::Table { number, answer } => {
-                self.table_answered(now, number, answer, view, effects);
+                self.table_responded(now, number, answer, view, effects);
             }
             ClaimEvent::Upstream(event) => self.upstream(now, &event, view, effects),
             ClaimEvent::ResponseReceived { request, answer } => self.add_response(request, &answer),
--- a/crates/savorywood-core/src/claims/outcome.rs
+++ b/crates/savorywood-core/src/claims/outcome.rs
@@ -40,17 +40,17 @@
         }
     }
 
-    pub(super) fn add_response(&mut self, request: RequestId, answer: &KeptAnswer) {
+    pub(super) fn add_response(&mut self, request: RequestId, response: &KeptAnswer) {
         let max_body = self.options.max_recorded_body_bytes;
         if let Some(claim) = self.open.get_mut(&request) {
-            claim.response = Some(RecordedResponse::from_response(answer, max_body));
+            claim.response = Some(RecordedResponse::from_response(response, max_body));
         }
     }
 
     fn outcome_of(&self, request: RequestId, status: u16) -> ClaimOutcome {
         let claim = self.open.get(&request);
-        let answer = claim.and_then(|claim| claim.response.clone());
-        ClaimOutcome::Answered(answer.unwrap_or_else(|| RecordedResponse {
+        let response = claim.and_then(|claim| claim.response.clone());
+        ClaimOutcome::Answered(response.unwrap_or_else(|| RecordedResponse {
             status,
             content_type: String::new(),
             body: None,
--- a/crates/savorywood-core/src/claims/record.rs
+++ b/crates/savorywood-core/src/claims/record.rs
@@ -117,11 +117,11 @@
 impl RecordedResponse {
     /// Records a response; omits a body larger than `max_body` bytes.
     #[must_use]
-    pub fn from_response(answer: &KeptAnswer, max_body: usize) -> Self {
-        let body = answer.body.as_ref().filter(|body| body.len() <= max_body);
+    pub fn from_response(response: &KeptAnswer, max_body: usize) -> Self {
+        let body = response.body.as_ref().filter(|body| body.len() <= max_body);
         Self {
-            status: answer.status,
-            content_type: answer.content_type.clone(),
+            status: response.status,
+            content_type: response.content_type.clone(),
             body: body.map(|body| STANDARD.encode(body)),
         }
     }
--- a/crates/savorywood-core/src/claims/sweep.rs
+++ b/crates/savorywood-core/src/claims/sweep.rs
@@ -49,10 +49,10 @@
     pub(super) fn scanned(
         &mut self,
         now: CoreTime,
-        answer: TableAnswer,
+        response: TableAnswer,
         effects: &mut EffectQueue,
     ) {
-        let TableAnswer::Rows { rows, more, .. } = answer else {
+        let TableAnswer::Rows { rows, more, .. } = response else {
             return;
         };
         let last = rows.last().map(|row| row.revision);
@@ -71,8 +71,8 @@
         self.call_table(TableTask::SweepDelete { rows }, request, effects);
     }
 
-    pub(super) fn swept(&mut self, rows: u64, answer: &TableAnswer) {
-        if matches!(answer, TableAnswer::Committed { .. }) {
+    pub(super) fn swept(&mut self, rows: u64, response: &TableAnswer) {
+        if matches!(response, TableAnswer::Committed { .. }) {
             self.counters.swept += rows;
         }
     }
--- a/crates/savorywood-core/src/claims/table_results.rs
+++ b/crates/savorywood-core/src/claims/table_results.rs
@@ -16,19 +16,19 @@
 const STORE_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 impl ClaimState {
-    pub(super) fn table_answered(
+    pub(super) fn table_responded(
         &mut self,
         now: CoreTime,
         number: u64,
-        answer: TableAnswer,
+        response: TableAnswer,
         view: ClaimView<'_>,
         effects: &mut EffectQueue,
     ) {
         match self.calls.remove(&number) {
-            Some(TableTask::Commit(items)) => self.committed(now, &items, answer, view, effects),
-            Some(TableTask::ReadBack(items)) => self.rows_read(now, items, answer, view, effects),
-            Some(TableTask::SweepScan) => self.scanned(now, answer, effects),
-            Some(TableTask::SweepDelete { rows }) => self.swept(rows, &answer),
+            Some(TableTask::Commit(items)) => self.committed(now, &items, response, view, effects),
+            Some(TableTask::ReadBack(items)) => self.rows_read(now, items, response, view, effects),
+            Some(TableTask::SweepScan) => self.scanned(now, response, effects),
+            Some(TableTask::SweepDelete { rows }) => self.swept(rows, &response),
             None => {}
         }
     }
@@ -37,11 +37,11 @@
         &mut self,
         now: CoreTime,
         items: &[BatchItem],
-        answer: TableAnswer,
+        response: TableAnswer,
         view: ClaimView<'_>,
         effects: &mut EffectQueue,
     ) {
-        match answer {
+        match response {
             TableAnswer::Committed { revision } => {
                 for item in items {
                     self.row_written(now, *item, revision, view, effects);
@@ -321,11 +321,11 @@
         &mut self,
         now: CoreTime,
         items: Vec<BatchItem>,
-        answer: TableAnswer,
+        response: TableAnswer,
         view: ClaimView<'_>,
         effects: &mut EffectQueue,
     ) {
-        let TableAnswer::Rows { rows, .. } = answer else {
+        let TableAnswer::Rows { rows, .. } = response else {
             self.mark_in_doubt(now, &items, effects);
             return;
         };
--- a/crates/savorywood-core/src/leases.rs
+++ b/crates/savorywood-core/src/leases.rs
@@ -217,7 +217,7 @@
         &mut self,
         now: CoreTime,
         number: u64,
-        answer: TableAnswer,
+        response: TableAnswer,
         effects: &mut EffectQueue,
     ) {
         let mut records = self.records.iter_mut();
@@ -234,7 +234,7 @@
         let Some(call) = record.call.take() else {
             return;
         };
-        match (answer, &call.purpose) {
+        match (response, &call.purpose) {
             (TableAnswer::Committed { revision }, _) => {
                 self.write_committed(now, name, &call, revision, effects);
             }
