--- a/crates/savorywood-core/tests/fleet/network.rs
+++ b/crates/savorywood-core/tests/fleet/network.rs
@@ -153,7 +153,7 @@
     pub fn start_with(&mut self, options: MembershipOptions) {
         let host = options.host.clone();
         let fake = FakeHost {
-            place: options.place.clone(),
+            place: options.location.clone(),
             membership: MembershipState::new(options),
             budget: PeerBudget::default(),
             sent_bytes: 0,
