--- a/crates/savorywood-core/src/claims/sweep.rs
+++ b/crates/savorywood-core/src/claims/sweep.rs
@@ -1,4 +1,4 @@
-//! Deletes claims that are older than any key that is still accepted.
+//! Deletion of claims that are older than any key still accepted.
 
 use super::{CLAIM_PREFIX, ClaimRecord, ClaimState, ClaimView, SWEEP_TIMER, TableTask};
 use crate::{effect::EffectQueue, rendezvous};
@@ -9,7 +9,7 @@
     },
 };
 
-/// How far the sweep has come.
+/// Progress of the table scan.
 #[derive(Debug, Default)]
 pub struct SweepState {
     after: CommitRevision,
@@ -17,7 +17,7 @@
 
 impl ClaimState {
     pub(super) fn start_sweep(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
-        effects.set_timer(SWEEP_TIMER, now + self.options.sweep_period);
+        effects.set_timer(SWEEP_TIMER, now + self.options.sweep_interval);
     }
 
     pub(super) fn sweep_due(
@@ -27,59 +27,59 @@
         effects: &mut EffectQueue,
     ) {
         self.start_sweep(now.monotonic, effects);
-        if self.sweeps(view) {
+        if self.is_sweeper(view) {
             let request = TableRequest::Scan {
                 prefix: CLAIM_PREFIX.to_owned(),
                 after: self.sweep.after,
-                limit: self.options.sweep_rows,
+                limit: self.options.max_sweep_rows,
             };
             self.call_table(TableTask::SweepScan, request, effects);
         }
     }
 
-    /// Whether this daemon is the one that sweeps. Two that think so do no harm: each row is
-    /// deleted on condition that nobody has touched it.
-    fn sweeps(&self, view: ClaimView<'_>) -> bool {
-        let thing = rendezvous::hash_parts(&["claim-sweep"]);
+    /// Whether this daemon is the one that runs the sweep. Two sweepers at once are harmless, since
+    /// each row is deleted on condition that it is unchanged.
+    fn is_sweeper(&self, view: ClaimView<'_>) -> bool {
+        let subject = rendezvous::hash_parts(&["claim-sweep"]);
         let hosts = view.members.serving().map(|(host, _)| host);
-        let first = hosts.max_by_key(|host| rendezvous::score(thing, host.as_str()));
+        let first = hosts.max_by_key(|host| rendezvous::score(subject, host.as_str()));
         first.is_none_or(|host| *host == self.options.host)
     }
 
     pub(super) fn scanned(
         &mut self,
         now: CoreTime,
-        answer: TableResponse,
+        response: TableResponse,
         effects: &mut EffectQueue,
     ) {
-        let TableResponse::Rows { rows, more, .. } = answer else {
+        let TableResponse::Rows { rows, more, .. } = response else {
             return;
         };
         let last = rows.last().map(|row| row.revision);
         self.sweep.after = last.filter(|_| more).unwrap_or_default();
-        let old: Vec<_> = rows
+        let expired: Vec<_> = rows
             .iter()
-            .filter(|row| is_old(row, now.wall))
-            .take(self.options.max_rows)
+            .filter(|row| is_expired(row, now.wall))
+            .take(self.options.max_batch_rows)
             .collect();
-        if old.is_empty() {
+        if expired.is_empty() {
             return;
         }
-        let commit = delete_rows(&old);
-        let rows = old.len() as u64;
+        let commit = delete_rows(&expired);
+        let rows = expired.len() as u64;
         let request = TableRequest::Commit(commit);
         self.call_table(TableTask::SweepDelete { rows }, request, effects);
     }
 
-    pub(super) fn swept(&mut self, rows: u64, answer: &TableResponse) {
-        if matches!(answer, TableResponse::Committed { .. }) {
+    pub(super) fn swept(&mut self, rows: u64, response: &TableResponse) {
+        if matches!(response, TableResponse::Committed { .. }) {
             self.counters.swept += rows;
         }
     }
 }
 
-fn is_old(row: &TableRow, now: WallTime) -> bool {
-    let record = row.value.as_deref().and_then(ClaimRecord::read);
+fn is_expired(row: &TableRow, now: WallTime) -> bool {
+    let record = row.value.as_deref().and_then(ClaimRecord::parse);
     let delete_after = record.and_then(|record| record.delete_after);
     delete_after.is_some_and(|at| now > at)
 }
--- a/crates/savorywood-core/src/credits/floors.rs
+++ b/crates/savorywood-core/src/credits/floors.rs
@@ -1,11 +1,11 @@
-//! Whose floor counts for a service, and how those that set it are asked.
+//! Selection of the upstreams that set a service's admission floor, and requests to their arbiters.
 //!
-//! Every daemon spreads its waiting work over the upstreams of its zone, so the arbiter of any one
-//! of them knows which tiers wait anywhere in the zone. A few are asked, the same by all daemons:
-//! asking all of them would take seconds of the byte budget at the planned size, and requests
-//! would be shed alone meanwhile.
+//! Every daemon spreads its queued work over the upstreams of its zone, so the arbiter of any one
+//! of them knows which tiers are queued in the zone. All daemons use the same few upstreams: asking
+//! all arbiters would use seconds of the byte budget at the planned cluster size, and
+//! requests would be shed by local decision in the meantime.
 
-use super::{ArbiterRecord, CreditState, CreditView, TICK, arbiter_of};
+use super::{ArbiterRecord, CreditState, CreditView, TICK_INTERVAL, arbiter_of};
 use crate::{effect::EffectQueue, rendezvous};
 use savorywood_protocol::{
     HostName, MonotonicTime, ServiceName, TierRank, UpstreamName,
@@ -13,41 +13,41 @@
 };
 use std::{cmp::Reverse, collections::BTreeMap};
 
-/// Upstreams of a service whose arbiters are asked. More than one, since one may be out of use at
-/// some daemons, which then hear nothing of its floor.
+/// Number of upstreams of a service that set its floor. More than one, since one upstream may be
+/// out of use at some daemons, which then do not receive its floor.
 const FLOOR_UPSTREAMS: usize = 3;
 
-/// Names found lately: finding them hashes all upstreams of a service, which is too much for
-/// each message.
+/// Cached floor upstreams by service. Computing them hashes all upstreams of a service, which is
+/// too expensive for every message.
 #[derive(Debug, Default)]
-pub struct FloorNames {
-    found_at: MonotonicTime,
+pub struct FloorUpstreamCache {
+    computed_at: MonotonicTime,
     names: BTreeMap<ServiceName, Vec<UpstreamName>>,
 }
 
 impl CreditState {
-    /// Upstreams whose floors count for a service here: the first few of the zone by hash.
+    /// Upstreams that set the floor of a service in this zone: the first few by rendezvous hash.
     fn floor_upstreams(
         &mut self,
         now: MonotonicTime,
         service: &ServiceName,
         view: CreditView<'_>,
     ) -> Vec<UpstreamName> {
-        if now.since(self.floor_names.found_at) >= TICK {
-            self.floor_names.names.clear();
-            self.floor_names.found_at = now;
+        if now.since(self.floor_cache.computed_at) >= TICK_INTERVAL {
+            self.floor_cache.names.clear();
+            self.floor_cache.computed_at = now;
         }
-        if let Some(names) = self.floor_names.names.get(service) {
+        if let Some(names) = self.floor_cache.names.get(service) {
             return names.clone();
         }
-        let names = self.find_floor_upstreams(service, view);
-        self.floor_names
+        let names = self.compute_floor_upstreams(service, view);
+        self.floor_cache
             .names
             .insert(service.clone(), names.clone());
         names
     }
 
-    fn find_floor_upstreams(
+    fn compute_floor_upstreams(
         &self,
         service: &ServiceName,
         view: CreditView<'_>,
@@ -62,22 +62,21 @@
             spec.is_some_and(|spec| !spec.draining)
         };
         let names = || view.config.upstreams_of(service).filter(in_service);
-        let near = |name: &&UpstreamName| {
+        let in_zone = |name: &&UpstreamName| {
             let spec = view.config.upstreams.get(*name);
             spec.map(|spec| &spec.zone) == zone
         };
-        let mut names: Vec<_> = match names().any(|name| near(&name)) {
-            true => names().filter(near).collect(),
+        let mut names: Vec<_> = match names().any(|name| in_zone(&name)) {
+            true => names().filter(in_zone).collect(),
             false => names().collect(),
         };
-        let thing = rendezvous::hash_parts(&["floor", service.as_str()]);
-        names.sort_by_cached_key(|name| Reverse(rendezvous::score(thing, name.as_str())));
+        let subject = rendezvous::hash_parts(&["floor", service.as_str()]);
+        names.sort_by_cached_key(|name| Reverse(rendezvous::score(subject, name.as_str())));
         names.into_iter().take(FLOOR_UPSTREAMS).cloned().collect()
     }
 
-    /// The same upstreams as far as this daemon uses them; any that it uses when it uses none of
-    /// them.
-    pub(super) fn asked_upstreams(
+    /// The floor upstreams that this daemon uses; if it uses none of them, others that it uses.
+    pub(super) fn floor_upstreams_in_use(
         &mut self,
         now: MonotonicTime,
         service: &ServiceName,
@@ -93,32 +92,32 @@
         names.take(FLOOR_UPSTREAMS).cloned().collect()
     }
 
-    /// Tiers that are about to be shed here, by the upstreams whose arbiters are told.
-    pub(super) fn ranks_asked(
+    /// Tier that is about to be shed here, for each upstream whose arbiter is asked.
+    pub(super) fn shed_ranks(
         &mut self,
         now: MonotonicTime,
         view: CreditView<'_>,
     ) -> BTreeMap<UpstreamName, TierRank> {
         let mut ranks = BTreeMap::new();
-        for (service, ask) in self.asks.clone() {
-            let upstreams = self.asked_upstreams(now, &service, view);
-            ranks.extend(upstreams.into_iter().map(|name| (name, ask.rank())));
+        for (service, request) in self.shed_requests.clone() {
+            let upstreams = self.floor_upstreams_in_use(now, &service, view);
+            ranks.extend(upstreams.into_iter().map(|name| (name, request.rank())));
         }
         ranks
     }
 
-    /// Tells the arbiters of these upstreams our demand now, whatever the rounds are at.
-    pub(super) fn ask_now(
+    /// Sends this daemon's demand to the arbiters of these upstreams outside the regular rounds.
+    pub(super) fn send_shed_requests(
         &mut self,
         now: MonotonicTime,
         upstreams: &[UpstreamName],
         view: CreditView<'_>,
         effects: &mut EffectQueue,
     ) {
-        if now < self.next_ask {
+        if now < self.next_shed_request {
             return;
         }
-        let asked = self.ranks_asked(now, view);
+        let asked = self.shed_ranks(now, view);
         let mut batches: BTreeMap<HostName, Vec<UpstreamDemand>> = BTreeMap::new();
         for upstream in upstreams {
             let arbiter = arbiter_of(upstream, view).cloned();
@@ -128,18 +127,22 @@
             }
         }
         let bytes = self.send_batches(now, batches, view, effects);
-        self.next_ask = now + self.options.round.max(2 * self.options.time_of(bytes));
+        self.next_shed_request = now
+            + self
+                .options
+                .round_interval
+                .max(2 * self.options.send_duration(bytes));
     }
 
-    /// A service's floor is the most lenient of those that count: what one of them still admits
-    /// need not be shed.
+    /// Returns the floor of each service: the most lenient among its floor upstreams, since a tier
+    /// that one of them still admits need not be shed.
     pub(super) fn service_floors(
         &mut self,
         now: MonotonicTime,
         view: CreditView<'_>,
     ) -> BTreeMap<ServiceName, TierRank> {
         let mut by_service: BTreeMap<ServiceName, Vec<UpstreamName>> = BTreeMap::new();
-        for (upstream, held) in &self.held {
+        for (upstream, held) in &self.holdings {
             let spec = view.config.upstreams.get(upstream);
             if let Some(spec) = spec.filter(|_| held.floor(now) != NO_FLOOR) {
                 let names = by_service.entry(spec.service.clone()).or_default();
@@ -147,11 +150,15 @@
             }
         }
         let mut floors = BTreeMap::new();
-        for (service, floored) in by_service {
+        for (service, floored_upstreams) in by_service {
             let mut counted = self.floor_upstreams(now, &service, view);
-            counted.retain(|name| self.held.contains_key(name));
-            let names = if counted.is_empty() { floored } else { counted };
-            let held = names.iter().filter_map(|name| self.held.get(name));
+            counted.retain(|name| self.holdings.contains_key(name));
+            let names = if counted.is_empty() {
+                floored_upstreams
+            } else {
+                counted
+            };
+            let held = names.iter().filter_map(|name| self.holdings.get(name));
             let floor = held.map(|held| held.floor(now)).max();
             if let Some(floor) = floor.filter(|floor| *floor != NO_FLOOR) {
                 floors.insert(service, floor);
@@ -160,8 +167,10 @@
         floors
     }
 
-    /// Whether a floor moved that nobody has been told of yet.
-    pub(super) fn has_moved_floor(&self) -> bool {
-        self.desk.values().any(ArbiterRecord::has_moved_floor)
+    /// Whether any floor rose and has not been sent yet.
+    pub(super) fn has_unannounced_floor(&self) -> bool {
+        self.arbitrated
+            .values()
+            .any(ArbiterRecord::has_unannounced_floor)
     }
 }
--- a/crates/savorywood-core/src/credits/shed.rs
+++ b/crates/savorywood-core/src/credits/shed.rs
@@ -1,40 +1,41 @@
-//! Asking before shedding: no daemon sheds a tier while a lower one waits elsewhere.
+//! Coordination of load shedding: no daemon sheds a tier while a lower one is queued elsewhere.
 
 use super::{CreditState, CreditView};
 use crate::effect::{EffectQueue, LogLevel, LogLine};
 use savorywood_protocol::{MonotonicTime, ServiceName, TierRank, UpstreamName};
 
-/// Whether a tier may be shed here now.
+/// Whether this daemon may shed a tier now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ShedAdvice {
-    /// Nothing lower waits anywhere: shed.
+    /// No lower tier is queued elsewhere: shed.
     Shed,
-    /// Others are being asked; come back when grants or floors change, or after a tick.
+    /// The arbiters have been asked; ask again when grants or floors change, or after a tick.
     Wait,
-    /// No arbiter answers: judge by the own queues.
-    Alone,
+    /// No arbiter responded in time: decide from the local queues.
+    DecideLocally,
 }
 
-/// A daemon that is about to shed.
+/// A pending request to shed a tier of one service.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct ShedAsk {
+pub(super) struct ShedRequest {
     rank: TierRank,
     since: MonotonicTime,
-    renewed: MonotonicTime,
+    renewed_at: MonotonicTime,
 }
 
-impl ShedAsk {
+impl ShedRequest {
     pub(super) fn rank(&self) -> TierRank {
         self.rank
     }
 
-    pub(super) fn renewed(&self) -> MonotonicTime {
-        self.renewed
+    pub(super) fn renewed_at(&self) -> MonotonicTime {
+        self.renewed_at
     }
 }
 
 impl CreditState {
-    /// Says whether work of a tier may be shed, and asks the arbiters if that is not known yet.
+    /// Returns whether work of a tier may be shed, and asks the arbiters if they have not confirmed
+    /// it yet.
     pub fn shed_advice(
         &mut self,
         now: MonotonicTime,
@@ -44,64 +45,69 @@
         effects: &mut EffectQueue,
     ) -> ShedAdvice {
         let lower = view.config.tiers.values().any(|tier| tier.rank > rank);
-        let used = self.asked_upstreams(now, service, view);
-        // What is below the floor is meant to go; the floor rose past all lower tiers first.
+        let used = self.floor_upstreams_in_use(now, service, view);
+        // Work below the floor is to be shed: the floor has already risen past all lower tiers.
         let below = self.floors.get(service).is_some_and(|floor| rank > *floor);
         if !lower || below {
             return ShedAdvice::Shed;
         }
-        let ask = self.note_ask(now, service, rank);
+        let request = self.record_shed_request(now, service, rank);
         if self.floor_reached(now, &used, rank) {
             return ShedAdvice::Shed;
         }
-        let waited = now.since(ask.since);
+        let waited = now.since(request.since);
         let answered = used.iter().any(|upstream| {
-            let held = self.held.get(upstream);
+            let held = self.holdings.get(upstream);
             held.and_then(|held| held.granted_at)
-                .is_some_and(|at| at >= ask.since)
+                .is_some_and(|at| at >= request.since)
         });
         let limit = match answered {
-            true => self.options.ask_limit,
-            false => self.options.ask_timeout,
+            true => self.options.max_shed_wait,
+            false => self.options.arbiter_timeout,
         };
         if waited < limit && !used.is_empty() {
-            self.request_round(now, &used, view, effects);
+            self.expedite_shed_request(now, &used, view, effects);
             return ShedAdvice::Wait;
         }
-        self.note_alone(now, service, rank, effects);
-        ShedAdvice::Alone
+        self.record_local_shed(now, service, rank, effects);
+        ShedAdvice::DecideLocally
     }
 
     fn floor_reached(&self, now: MonotonicTime, used: &[UpstreamName], rank: TierRank) -> bool {
-        let spread = self.options.spread_time;
+        let spread = self.options.propagation_delay;
         let reached = |upstream: &UpstreamName| {
-            let held = self.held.get(upstream);
-            held.is_some_and(|held| held.is_floor_at(now, rank, spread))
+            let held = self.holdings.get(upstream);
+            held.is_some_and(|held| held.has_reached_floor(now, rank, spread))
         };
         !used.is_empty() && used.iter().all(reached)
     }
 
-    fn note_ask(&mut self, now: MonotonicTime, service: &ServiceName, rank: TierRank) -> ShedAsk {
-        let old = self.asks.get(service).copied();
-        let old = old.filter(|ask| now.since(ask.renewed) < self.options.floor_hold);
-        let ask = match old {
-            Some(old) => ShedAsk {
+    fn record_shed_request(
+        &mut self,
+        now: MonotonicTime,
+        service: &ServiceName,
+        rank: TierRank,
+    ) -> ShedRequest {
+        let old = self.shed_requests.get(service).copied();
+        let old = old.filter(|request| now.since(request.renewed_at) < self.options.floor_hold);
+        let request = match old {
+            Some(old) => ShedRequest {
                 rank: old.rank.min(rank),
                 since: if rank < old.rank { now } else { old.since },
-                renewed: now,
+                renewed_at: now,
             },
-            None => ShedAsk {
+            None => ShedRequest {
                 rank,
                 since: now,
-                renewed: now,
+                renewed_at: now,
             },
         };
-        self.asks.insert(service.clone(), ask);
-        ask
+        self.shed_requests.insert(service.clone(), request);
+        request
     }
 
-    /// Demands go out with the next round at the latest; an ask does not wait for it.
-    fn request_round(
+    /// Sends the shed request at once instead of with the next round.
+    fn expedite_shed_request(
         &mut self,
         now: MonotonicTime,
         used: &[UpstreamName],
@@ -109,31 +115,31 @@
         effects: &mut EffectQueue,
     ) {
         for upstream in used {
-            self.mark_contended(now, upstream, self.options.calm_time);
+            self.mark_contended(now, upstream, self.options.idle_timeout);
         }
-        self.ask_now(now, used, view, effects);
-        self.pull_round_forward(now, effects);
+        self.send_shed_requests(now, used, view, effects);
+        self.expedite_round(now, effects);
     }
 
-    fn note_alone(
+    fn record_local_shed(
         &mut self,
         now: MonotonicTime,
         service: &ServiceName,
         rank: TierRank,
         effects: &mut EffectQueue,
     ) {
-        self.counters.sheds_alone += 1;
-        // One line a second tells it; a line a request would drown the log just when all is
-        // busy.
+        self.counters.local_sheds += 1;
+        // Limited to one line per `floor_hold` (1 s by default): a line per request would flood
+        // the log under overload.
         if self
-            .alone_logged
+            .local_shed_logged_at
             .is_none_or(|at| now.since(at) >= self.options.floor_hold)
         {
-            self.alone_logged = Some(now);
+            self.local_shed_logged_at = Some(now);
             let line = LogLine::new(LogLevel::Warn, "shed_without_arbiter")
                 .with("service", service)
                 .with("rank", rank)
-                .with("total", self.counters.sheds_alone);
+                .with("total", self.counters.local_sheds);
             effects.log(line);
         }
     }
--- a/crates/savorywood-core/src/leases.rs
+++ b/crates/savorywood-core/src/leases.rs
@@ -1,17 +1,17 @@
-//! Leases: at most one daemon acts under a name at a time, without any clock in common.
+//! Leases: at most one daemon acts under a name at a time, without synchronised clocks.
 //!
-//! A row `lease/NAME` names the holder and its fencing number. A holder may act until its own
-//! monotonic clock says that the term, counted from when it *sent* the last renewal that took
-//! effect, is over, less a margin. Another daemon may take the lease once its own monotonic clock
-//! has seen the row unchanged for a whole term and a margin, counted from when it *read* the row.
-//! The renewal was sent before it was read, so the holder stops first; only the rates of the two
-//! clocks matter, and the margins allow for a difference of a tenth.
+//! A row `lease/NAME` records the holder and its fencing number. A holder may act for nine tenths
+//! of the term, measured on its own monotonic clock from when it *sent* the last renewal that took
+//! effect. Another daemon may acquire the lease once its own monotonic clock shows that the row has
+//! been unchanged for a term and a quarter, measured from when it first *read* the row. A renewal
+//! is sent before it can be read, so the holder stops first. Only the relative rates of the two
+//! clocks matter; the margins tolerate a clock that runs a third faster than the other.
 
 pub mod options;
 pub mod row;
 
-mod contending;
-mod holding;
+mod acquisition;
+mod renewal;
 
 pub use options::LeaseOptions;
 
@@ -31,7 +31,7 @@
 use std::collections::BTreeMap;
 use strum::{Display, EnumIter, EnumString, IntoStaticStr};
 
-/// What a lease is for.
+/// The work that a lease protects.
 #[derive(
     Debug,
     Clone,
@@ -48,92 +48,92 @@
 )]
 #[strum(serialize_all = "kebab-case")]
 pub enum LeaseName {
-    /// Driving all moves of traffic.
+    /// Driving traffic moves.
     Moves,
     /// Giving orders to engines.
     Orders,
 }
 
-/// What happens to leases.
+/// Input events of the lease duty.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseEvent {
-    /// There is work to do under a lease, or no longer.
-    Wanted {
-        /// Which lease.
+    /// Work under a lease became available, or ended.
+    DemandChanged {
+        /// Lease that the work needs.
         name: LeaseName,
         /// Whether there is work.
-        wanted: bool,
+        needed: bool,
     },
-    /// One of its timers fired.
+    /// One of the timers of this duty fired.
     TimerFired {
-        /// Number of the timer.
+        /// Timer number, as in its `TimerKey`.
         number: u64,
     },
-    /// The table answered.
+    /// The table responded to one of this duty's calls.
     Table {
-        /// Number of the call.
+        /// Number of the table call.
         number: u64,
-        /// Its answer.
+        /// Response of the table.
         answer: TableResponse,
     },
-    /// This daemon leaves: all its leases are given back.
+    /// This daemon is leaving: it releases all its leases.
     Leaving,
 }
 
-/// What a holder may do.
+/// Permission of a holder to act under a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseGrant {
-    /// Carried by everything that is done under the lease.
+    /// Fencing number, attached to every action under the lease.
     pub fencing: FencingNumber,
-    /// Since when this daemon holds it.
-    pub gained_at: MonotonicTime,
-    /// Nothing may be done under it from then on, unless it is renewed.
-    pub acts_until: MonotonicTime,
+    /// When this daemon sent the write that acquired the lease.
+    pub acquired_at: MonotonicTime,
+    /// The holder must not act from this time on unless the lease is renewed.
+    pub valid_until: MonotonicTime,
 }
 
-/// What a step did to the leases that this daemon holds.
+/// A change of the leases that this daemon holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LeaseVerdict {
-    /// This daemon holds the lease from now on.
-    Gained(LeaseName),
-    /// This daemon holds it no longer.
-    Dropped(LeaseName),
+pub enum LeaseChange {
+    /// This daemon acquired the lease.
+    Acquired(LeaseName),
+    /// This daemon no longer holds the lease: it was released, expired or taken over.
+    Lost(LeaseName),
 }
 
-/// A row as this daemon saw it first.
+/// A lease row, with the time at which this daemon first read that revision.
 #[derive(Debug, Clone)]
-struct SeenRow {
+struct ObservedRow {
     row: LeaseRow,
     revision: CommitRevision,
-    seen_at: MonotonicTime,
+    first_seen_at: MonotonicTime,
 }
 
-/// What a call of the table was for.
+/// Purpose of a table call.
 #[derive(Debug, Clone)]
 enum CallPurpose {
     Read,
-    Take { row: LeaseRow },
+    Acquire { row: LeaseRow },
     Renew { row: LeaseRow },
     Release,
 }
 
-/// A call under way.
+/// A table call in progress.
 #[derive(Debug, Clone)]
-struct CallProgress {
+struct PendingCall {
     number: u64,
     sent_at: MonotonicTime,
     purpose: CallPurpose,
 }
 
-/// One lease as this daemon knows it.
+/// State of one lease on this daemon.
 #[derive(Debug, Clone, Default)]
 struct LeaseRecord {
-    wanted: bool,
-    seen: Option<SeenRow>,
+    needed: bool,
+    observed: Option<ObservedRow>,
     grant: Option<LeaseGrant>,
-    call: Option<CallProgress>,
-    /// A write of ours whose answer was lost, with the time that it was sent.
-    lost: Option<CallProgress>,
+    call: Option<PendingCall>,
+    /// A write that got no response and may have taken effect.
+    unconfirmed: Option<PendingCall>,
 }
 
 /// State of the lease duty.
@@ -147,7 +147,7 @@
 }
 
 impl LeaseState {
-    /// A daemon that holds nothing.
+    /// Creates the state of a daemon that holds no lease.
     #[must_use]
     pub fn new(options: LeaseOptions) -> Self {
         Self {
@@ -159,38 +159,38 @@
         }
     }
 
-    /// What this daemon may do under a lease at this moment. To be asked again at each effect: a
-    /// holder that was paused would otherwise act beside its successor, which shows as two orders
-    /// or two decisions that contradict each other.
+    /// Returns the current grant of a lease, if this daemon holds it. Call this for every effect: a
+    /// holder that was paused could otherwise act concurrently with its successor and issue
+    /// duplicate orders or contradictory decisions.
     #[must_use]
     pub fn grant(&self, now: CoreTime, name: LeaseName) -> Option<LeaseGrant> {
         let grant = self.records.get(&name)?.grant?;
-        (now.monotonic < grant.acts_until).then_some(grant)
+        (now.monotonic < grant.valid_until).then_some(grant)
     }
 
-    /// Handles one event.
+    /// Handles one event and returns the changes of held leases.
     pub fn step(
         &mut self,
         now: CoreTime,
         event: LeaseEvent,
         members: &MemberView,
         effects: &mut EffectQueue,
-    ) -> Vec<LeaseVerdict> {
+    ) -> Vec<LeaseChange> {
         let before = self.held();
         self.expire(now, effects);
         match event {
-            LeaseEvent::Wanted { name, wanted } => self.want(now, name, wanted, effects),
-            LeaseEvent::TimerFired { number } => self.timer(now, number, members, effects),
-            LeaseEvent::Table { number, answer } => self.answered(now, number, answer, effects),
+            LeaseEvent::DemandChanged { name, needed } => self.request(now, name, needed, effects),
+            LeaseEvent::TimerFired { number } => self.timer_fired(now, number, members, effects),
+            LeaseEvent::Table { number, answer } => self.responded(now, number, answer, effects),
             LeaseEvent::Leaving => self.leave(now, effects),
         }
         self.expire(now, effects);
         let after = self.held();
-        let gained = after.iter().filter(|name| !before.contains(name));
-        let dropped = before.iter().filter(|name| !after.contains(name));
-        let gained = gained.copied().map(LeaseVerdict::Gained);
-        let dropped = dropped.copied().map(LeaseVerdict::Dropped);
-        dropped.chain(gained).collect()
+        let acquired = after.iter().filter(|name| !before.contains(name));
+        let lost = before.iter().filter(|name| !after.contains(name));
+        let acquired = acquired.copied().map(LeaseChange::Acquired);
+        let lost = lost.copied().map(LeaseChange::Lost);
+        lost.chain(acquired).collect()
     }
 
     fn held(&self) -> Vec<LeaseName> {
@@ -199,12 +199,12 @@
         held.map(|(name, _)| *name).collect()
     }
 
-    /// Forgets grants whose time is over.
+    /// Removes expired grants.
     fn expire(&mut self, now: CoreTime, effects: &mut EffectQueue) {
         for (name, record) in &mut self.records {
             let over = record
                 .grant
-                .is_some_and(|grant| now.monotonic >= grant.acts_until);
+                .is_some_and(|grant| now.monotonic >= grant.valid_until);
             if over {
                 record.grant = None;
                 let line = LogLine::new(LogLevel::Warn, "lease-expired").with("lease", name);
@@ -213,11 +213,11 @@
         }
     }
 
-    fn answered(
+    fn responded(
         &mut self,
         now: CoreTime,
         number: u64,
-        answer: TableResponse,
+        response: TableResponse,
         effects: &mut EffectQueue,
     ) {
         let mut records = self.records.iter_mut();
@@ -234,26 +234,27 @@
         let Some(call) = record.call.take() else {
             return;
         };
-        match (answer, &call.purpose) {
+        match (response, &call.purpose) {
             (TableResponse::Committed { revision }, _) => {
-                self.committed(now, name, &call, revision, effects);
+                self.write_committed(now, name, &call, revision, effects);
             }
             (TableResponse::Rows { rows, .. }, CallPurpose::Read) => {
                 let row = rows.first();
-                self.read(now, name, row, effects);
+                self.row_read(now, name, row, effects);
             }
-            // The write may have taken effect: the next read tells by the nonce of the row.
-            (TableResponse::Lost, CallPurpose::Take { .. } | CallPurpose::Renew { .. }) => {
-                record.lost = Some(call);
+            // The write may have taken effect; the nonce of the row shows it at the next read.
+            (TableResponse::Lost, CallPurpose::Acquire { .. } | CallPurpose::Renew { .. }) => {
+                record.unconfirmed = Some(call);
             }
             (TableResponse::Conflict { .. }, _) => self.send_read(now, name, effects),
             _ => {}
         }
     }
 
-    /// Another daemon's row with a larger fencing number, read while this one may still act: the
-    /// clocks ran further apart than the margins allow, or somebody edited the row.
-    fn check_alone(
+    /// Checks that no other daemon holds the lease with a larger fencing number while the local
+    /// grant is valid. A violation means that the clock rates differ by more than the margins
+    /// allow, or that the row was edited.
+    fn check_exclusive(
         &self,
         now: CoreTime,
         name: LeaseName,
@@ -261,8 +262,8 @@
         effects: &mut EffectQueue,
     ) {
         let grant = self.grant(now, name);
-        let alone = grant.is_none_or(|grant| row.fencing <= grant.fencing);
-        invariant::check(effects, InvariantName::HolderActsAlone, alone, || {
+        let exclusive = grant.is_none_or(|grant| row.fencing <= grant.fencing);
+        invariant::check(effects, InvariantName::HolderActsAlone, exclusive, || {
             format!(
                 "lease={name} holder={} fencing={}",
                 row.holder_text(),
@@ -282,7 +283,7 @@
         self.calls += 1;
         let number = self.calls;
         let record = self.records.entry(name).or_default();
-        record.call = Some(CallProgress {
+        record.call = Some(PendingCall {
             number,
             sent_at: now.monotonic,
             purpose,
--- a/crates/savorywood-core/src/leases/contending.rs
+++ b/crates/savorywood-core/src/leases/acquisition.rs
@@ -1,7 +1,7 @@
-//! Reading a lease's row, and taking the lease once nobody can act under it any more.
+//! Reading of lease rows, and acquisition once the previous holder can no longer act.
 
 use super::{
-    CallPurpose, LeaseGrant, LeaseName, LeaseState, SeenRow,
+    CallPurpose, LeaseGrant, LeaseName, LeaseState, ObservedRow,
     row::{LeaseHolder, LeaseRow, row_key},
 };
 use crate::{
@@ -15,30 +15,31 @@
 };
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Daemons that contend for one lease: the first few by rendezvous hash among those alive. Bounds
-/// the reads that waiting costs; others step in when these are gone. Versions of this program
-/// that hash differently only disagree on who contends, never on who holds.
-const CONTENDERS: usize = 3;
+/// Maximum number of daemons that contend for one lease: the first by rendezvous hash among the
+/// serving members. Bounds the reads caused by waiting; other daemons take their place when these
+/// fail. Program versions that hash differently disagree only on who contends, never on who holds
+/// the lease.
+const MAX_CONTENDERS: usize = 3;
 
 impl LeaseState {
-    pub(super) fn want(
+    pub(super) fn request(
         &mut self,
         now: CoreTime,
         name: LeaseName,
-        wanted: bool,
+        needed: bool,
         effects: &mut EffectQueue,
     ) {
         let record = self.records.entry(name).or_default();
-        let before = std::mem::replace(&mut record.wanted, wanted);
-        if wanted && !before {
+        let before = std::mem::replace(&mut record.needed, needed);
+        if needed && !before {
             effects.set_timer(Self::timer_key(name), now.monotonic);
         }
-        if before && !wanted {
+        if before && !needed {
             self.release(now, name, effects);
         }
     }
 
-    pub(super) fn timer(
+    pub(super) fn timer_fired(
         &mut self,
         now: CoreTime,
         number: u64,
@@ -52,30 +53,34 @@
         let Some(record) = self.records.get_mut(&name) else {
             return;
         };
-        if !record.wanted || self.leaving {
+        if !record.needed || self.leaving {
             return;
         }
-        // An answer that never came must not stop the duty for good.
-        let stuck = |sent_at| now.monotonic.since(sent_at) > self.options.term;
-        if record.call.as_ref().is_some_and(|call| stuck(call.sent_at)) {
-            record.lost = record.call.take();
+        // A call without a response must not block the duty forever.
+        let timed_out = |sent_at| now.monotonic.since(sent_at) > self.options.term;
+        if record
+            .call
+            .as_ref()
+            .is_some_and(|call| timed_out(call.sent_at))
+        {
+            record.unconfirmed = record.call.take();
         }
         let idle = record.call.is_none();
         let holds = record.grant.is_some();
         let period = match holds {
-            true => self.options.renew_period(),
-            false => self.options.watch_period(),
+            true => self.options.renew_interval(),
+            false => self.options.watch_interval(),
         };
         let period = period.mul_f64(self.rng.random_range(0.8..1.0));
         effects.set_timer(Self::timer_key(name), now.monotonic + period);
         match (idle, holds) {
             (true, true) => self.renew(now, name, effects),
-            (true, false) if self.contends(name, members) => self.send_read(now, name, effects),
+            (true, false) if self.is_contender(name, members) => self.send_read(now, name, effects),
             _ => {}
         }
     }
 
-    fn contends(&self, name: LeaseName, members: &MemberView) -> bool {
+    fn is_contender(&self, name: LeaseName, members: &MemberView) -> bool {
         let weight = |host: &str| {
             let mut hasher = DefaultHasher::new();
             (name as u64, host).hash(&mut hasher);
@@ -86,7 +91,7 @@
             .serving()
             .filter(|(host, _)| weight(host.as_str()) > own)
             .count();
-        ahead < CONTENDERS
+        ahead < MAX_CONTENDERS
     }
 
     pub(super) fn send_read(&mut self, now: CoreTime, name: LeaseName, effects: &mut EffectQueue) {
@@ -95,43 +100,43 @@
         self.call_table(now, name, request, CallPurpose::Read, effects);
     }
 
-    pub(super) fn read(
+    pub(super) fn row_read(
         &mut self,
         now: CoreTime,
         name: LeaseName,
         row: Option<&TableRow>,
         effects: &mut EffectQueue,
     ) {
-        let Some(found) = self.note_row(now, name, row, effects) else {
+        let Some(current) = self.record_row(now, name, row, effects) else {
             return;
         };
-        self.check_alone(now, name, &found.row, effects);
-        self.drop_foreign(name, &found);
-        self.settle_lost(name, &found, effects);
-        let wanted = self.records.get(&name).is_some_and(|record| record.wanted);
+        self.check_exclusive(now, name, &current.row, effects);
+        self.drop_superseded(name, &current);
+        self.resolve_unconfirmed(name, &current, effects);
+        let needed = self.records.get(&name).is_some_and(|record| record.needed);
         let holds = self.grant(now, name).is_some();
-        let free = found.row.holder.is_none();
-        let unchanged = now.monotonic.since(found.seen_at);
-        let expired = unchanged >= self.options.waiting_time();
-        if wanted && !self.leaving && !holds && (free || expired) {
-            self.take(now, name, &found, effects);
+        let released = current.row.holder.is_none();
+        let unchanged = now.monotonic.since(current.first_seen_at);
+        let expired = unchanged >= self.options.takeover_delay();
+        if needed && !self.leaving && !holds && (released || expired) {
+            self.acquire(now, name, &current, effects);
         }
     }
 
-    /// Remembers a row with the time that it was first seen as it is.
-    fn note_row(
+    /// Records a row with the time at which its revision was first read.
+    fn record_row(
         &mut self,
         now: CoreTime,
         name: LeaseName,
         row: Option<&TableRow>,
         effects: &mut EffectQueue,
-    ) -> Option<SeenRow> {
+    ) -> Option<ObservedRow> {
         let revision = row.map_or(0, |row| row.revision);
         let record = self.records.entry(name).or_default();
-        if let Some(seen) = &record.seen
-            && seen.revision == revision
+        if let Some(observed) = &record.observed
+            && observed.revision == revision
         {
-            return Some(seen.clone());
+            return Some(observed.clone());
         }
         let text = row.and_then(|row| row.value.as_deref());
         let content = match text.map(serde_json::from_str::<LeaseRow>).transpose() {
@@ -142,68 +147,83 @@
                 return None;
             }
         };
-        let seen = SeenRow {
+        let observed = ObservedRow {
             row: content,
             revision,
-            seen_at: now.monotonic,
+            first_seen_at: now.monotonic,
         };
-        record.seen = Some(seen.clone());
-        Some(seen)
+        record.observed = Some(observed.clone());
+        Some(observed)
     }
 
-    /// A row that names another holder ends this daemon's grant. Renewing it would otherwise
-    /// write the other's row again and act beside it under the other's fencing number.
-    fn drop_foreign(&mut self, name: LeaseName, found: &SeenRow) {
-        let own = Some(self.own());
-        if found.row.holder != own
+    /// Drops this daemon's grant if the row names another holder. Renewing would write the other
+    /// holder's row again, and this daemon would act concurrently with it under its fencing number.
+    fn drop_superseded(&mut self, name: LeaseName, current: &ObservedRow) {
+        let own = Some(self.own_holder());
+        if current.row.holder != own
             && let Some(record) = self.records.get_mut(&name)
         {
             record.grant = None;
         }
     }
 
-    /// A write whose answer was lost is found by its nonce: it counts from when it was sent.
-    fn settle_lost(&mut self, name: LeaseName, found: &SeenRow, effects: &mut EffectQueue) {
+    /// Recognises by its nonce an unconfirmed write that took effect. Its grant is valid from when
+    /// it was sent.
+    fn resolve_unconfirmed(
+        &mut self,
+        name: LeaseName,
+        current: &ObservedRow,
+        effects: &mut EffectQueue,
+    ) {
         let Some(record) = self.records.get_mut(&name) else {
             return;
         };
-        let Some(lost) = record.lost.take() else {
+        let Some(unconfirmed) = record.unconfirmed.take() else {
             return;
         };
-        let (CallPurpose::Take { row } | CallPurpose::Renew { row }) = &lost.purpose else {
+        let (CallPurpose::Acquire { row } | CallPurpose::Renew { row }) = &unconfirmed.purpose
+        else {
             return;
         };
-        if *row == found.row {
-            let acting_time = self.options.acting_time();
-            let gained_at = record.grant.map_or(lost.sent_at, |grant| grant.gained_at);
+        if *row == current.row {
+            let holder_window = self.options.holder_window();
+            let acquired_at = record
+                .grant
+                .map_or(unconfirmed.sent_at, |grant| grant.acquired_at);
             record.grant = Some(LeaseGrant {
                 fencing: row.fencing,
-                gained_at,
-                acts_until: lost.sent_at + acting_time,
+                acquired_at,
+                valid_until: unconfirmed.sent_at + holder_window,
             });
             let line = LogLine::new(LogLevel::Info, "lease-found").with("lease", name);
             effects.log(line.with("fencing", row.fencing));
         }
     }
 
-    fn take(&mut self, now: CoreTime, name: LeaseName, found: &SeenRow, effects: &mut EffectQueue) {
+    fn acquire(
+        &mut self,
+        now: CoreTime,
+        name: LeaseName,
+        current: &ObservedRow,
+        effects: &mut EffectQueue,
+    ) {
         let row = LeaseRow {
-            holder: Some(self.own()),
-            fencing: found.row.fencing.next(),
+            holder: Some(self.own_holder()),
+            fencing: current.row.fencing.next(),
             nonce: self.rng.random(),
         };
-        let purpose = CallPurpose::Take { row: row.clone() };
+        let purpose = CallPurpose::Acquire { row: row.clone() };
         self.write(now, name, &row, purpose, effects);
     }
 
-    fn own(&self) -> LeaseHolder {
+    fn own_holder(&self) -> LeaseHolder {
         LeaseHolder {
             host: self.options.host.clone(),
             incarnation: self.options.incarnation,
         }
     }
 
-    /// Writes the row on the condition that it is still as it was seen.
+    /// Writes the row on condition that its revision is the last one read.
     pub(super) fn write(
         &mut self,
         now: CoreTime,
@@ -212,11 +232,11 @@
         purpose: CallPurpose,
         effects: &mut EffectQueue,
     ) {
-        let seen = self
+        let observed = self
             .records
             .get(&name)
-            .and_then(|record| record.seen.as_ref());
-        let revision = seen.map_or(0, |seen| seen.revision);
+            .and_then(|record| record.observed.as_ref());
+        let revision = observed.map_or(0, |observed| observed.revision);
         let key = row_key(name);
         let commit = TableCommit {
             conditions: vec![RowCondition {
--- a/crates/savorywood-core/src/leases/holding.rs
+++ b/crates/savorywood-core/src/leases/renewal.rs
@@ -1,6 +1,8 @@
-//! Renewing a lease and giving it back.
+//! Renewal and release of held leases.
 
-use super::{CallProgress, CallPurpose, LeaseGrant, LeaseName, LeaseState, SeenRow, row::LeaseRow};
+use super::{
+    CallPurpose, LeaseGrant, LeaseName, LeaseState, ObservedRow, PendingCall, row::LeaseRow,
+};
 use crate::effect::{EffectQueue, LogLevel, LogLine};
 use rand::Rng;
 use savorywood_protocol::{CoreTime, table::CommitRevision};
@@ -8,71 +10,75 @@
 impl LeaseState {
     pub(super) fn renew(&mut self, now: CoreTime, name: LeaseName, effects: &mut EffectQueue) {
         let record = self.records.entry(name).or_default();
-        // A write whose answer was lost may have moved the row: read before writing again.
-        let Some(seen) = record.seen.clone().filter(|_| record.lost.is_none()) else {
+        // An unconfirmed write may have changed the row, so it is read before the next write.
+        let Some(observed) = record
+            .observed
+            .clone()
+            .filter(|_| record.unconfirmed.is_none())
+        else {
             self.send_read(now, name, effects);
             return;
         };
         let row = LeaseRow {
             nonce: self.rng.random(),
-            ..seen.row
+            ..observed.row
         };
         let purpose = CallPurpose::Renew { row: row.clone() };
         self.write(now, name, &row, purpose, effects);
     }
 
-    pub(super) fn committed(
+    pub(super) fn write_committed(
         &mut self,
         now: CoreTime,
         name: LeaseName,
-        call: &CallProgress,
+        call: &PendingCall,
         revision: CommitRevision,
         effects: &mut EffectQueue,
     ) {
-        let acting_time = self.options.acting_time();
+        let holder_window = self.options.holder_window();
         let record = self.records.entry(name).or_default();
-        let (CallPurpose::Take { row } | CallPurpose::Renew { row }) = &call.purpose else {
-            record.seen = None;
+        let (CallPurpose::Acquire { row } | CallPurpose::Renew { row }) = &call.purpose else {
+            record.observed = None;
             return;
         };
-        record.seen = Some(SeenRow {
+        record.observed = Some(ObservedRow {
             row: row.clone(),
             revision,
-            seen_at: now.monotonic,
+            first_seen_at: now.monotonic,
         });
-        if !record.wanted || self.leaving {
+        if !record.needed || self.leaving {
             self.release(now, name, effects);
             return;
         }
-        let gained_at = record.grant.map_or(call.sent_at, |grant| grant.gained_at);
+        let acquired_at = record.grant.map_or(call.sent_at, |grant| grant.acquired_at);
         record.grant = Some(LeaseGrant {
             fencing: row.fencing,
-            gained_at,
-            acts_until: call.sent_at + acting_time,
+            acquired_at,
+            valid_until: call.sent_at + holder_window,
         });
-        if matches!(call.purpose, CallPurpose::Take { .. }) {
+        if matches!(call.purpose, CallPurpose::Acquire { .. }) {
             let line = LogLine::new(LogLevel::Info, "lease-taken").with("lease", name);
             effects.log(line.with("fencing", row.fencing));
         }
     }
 
-    /// Gives a lease back at once, so that a successor need not wait out the term. A lost answer
-    /// costs only that wait.
+    /// Releases a lease, so that a successor does not have to wait for the term to pass. If the
+    /// response is lost, the only cost is that wait.
     pub(super) fn release(&mut self, now: CoreTime, name: LeaseName, effects: &mut EffectQueue) {
         let record = self.records.entry(name).or_default();
         record.grant = None;
-        let own = record.seen.clone().filter(|seen| {
-            let holder = seen.row.holder.as_ref();
+        let own = record.observed.clone().filter(|observed| {
+            let holder = observed.row.holder.as_ref();
             holder.is_some_and(|holder| {
                 holder.host == self.options.host && holder.incarnation == self.options.incarnation
             })
         });
-        let Some(seen) = own else {
+        let Some(observed) = own else {
             return;
         };
         let row = LeaseRow {
             holder: None,
-            fencing: seen.row.fencing,
+            fencing: observed.row.fencing,
             nonce: self.rng.random(),
         };
         self.write(now, name, &row, CallPurpose::Release, effects);
--- a/crates/savorywood-core/src/membership.rs
+++ b/crates/savorywood-core/src/membership.rs
@@ -1,19 +1,19 @@
-//! Who is alive: heartbeats between daemons in the SWIM manner.
+//! Membership: SWIM failure detection and gossip between daemons.
 //!
-//! Each daemon probes one other a period, first directly and then through a few others, and
-//! suspects one that no way reaches. A suspected member has time to refute. News travels with
-//! probes and answers; news that can't wait (a member leaves, a configuration is new) is passed
-//! on at once by everyone who learns it. `docs/design/membership.md` has the reasons and what
-//! else was weighed.
+//! Each daemon probes one other member per interval, first directly and then through a few relays,
+//! and suspects a member that no path reaches. A suspected member has time to refute. Updates are
+//! piggybacked on probes and their acknowledgements. Urgent updates (a member is leaving, a
+//! configuration is new) are forwarded at once by every daemon that receives them.
+//! `docs/design/membership.md` explains the design and the alternatives.
 
 mod budget;
+mod failure_detection;
 mod health;
-mod inbox;
-mod judge;
+mod incoming;
 mod options;
-mod outbox;
+mod outgoing;
+mod periodic;
 mod probe;
-mod round;
 mod rumor;
 mod table;
 
@@ -28,10 +28,10 @@
     event::{DutyKind, HostEntry, TimerKey},
     view::MemberView,
 };
-use probe::ProbeBook;
+use periodic::ProbeOrder;
+use probe::ProbeTracker;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use round::ProbeOrder;
 use rumor::RumorQueue;
 use savorywood_protocol::{
     ConfigRevision, CoreTime, HostIncarnation, HostName, MonotonicTime, RegionName,
@@ -44,50 +44,51 @@
     collections::{BTreeMap, BTreeSet},
     time::Duration,
 };
-use table::{MemberTable, NewsSource};
+use table::{MemberTable, UpdateSource};
 
-/// Time between two looks at what is due.
-pub const TICK: Duration = Duration::from_millis(100);
+/// Interval between the duty's ticks.
+pub const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The duty's only timer.
+/// The only timer of this duty.
 const TICK_TIMER: TimerKey = TimerKey {
     duty: DutyKind::Membership,
     number: 0,
 };
 
-/// What happens to the membership duty.
+/// Input events of the membership duty.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MembershipEvent {
-    /// The daemon begins.
+    /// The daemon starts.
     Started,
-    /// Its timer fired.
+    /// The tick timer fired.
     TimerFired,
-    /// A message of another daemon came.
+    /// A message from another daemon arrived.
     Peer {
-        /// Who sent it.
+        /// Sender of the message.
         from: HostName,
-        /// What it says.
+        /// Content of the message.
         message: MembershipMessage,
     },
     /// The host list was read.
     HostsListed(Vec<HostEntry>),
-    /// A configuration is in force here.
+    /// A configuration revision took effect on this daemon.
     RevisionInForce(ConfigRevision),
     /// The daemon begins its planned stop.
-    Leave,
-    /// The daemon is about to exit.
-    Farewell,
+    Leaving,
+    /// The daemon is about to exit; it announces itself as dead.
+    Exiting,
 }
 
-/// What a step changed that other duties must know.
+/// Changes made by a step that other duties act on.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct MembershipChange {
-    /// The member view is another one.
+    /// The member view changed.
     pub view_changed: bool,
-    /// A configuration newer than any before is in force somewhere.
+    /// Configuration revision in force on some member, if it is newer than any seen before.
     pub newer_revision: Option<ConfigRevision>,
-    /// Others know a life of this host that is not older than ours: the clock went back between
-    /// two starts. The daemon goes on under this life; datagrams must be sealed with it.
+    /// New incarnation of this daemon, if members had recorded one that is not older than its own
+    /// because the clock went back between two starts. Datagrams must be sealed with it from now
+    /// on.
     pub new_incarnation: Option<HostIncarnation>,
 }
 
@@ -98,23 +99,23 @@
     rng: ChaCha8Rng,
     table: MemberTable,
     rumors: RumorQueue,
-    probes: ProbeBook,
+    probes: ProbeTracker,
     order: ProbeOrder,
     health: LocalHealth,
     seeds: BTreeMap<HostName, HostEntry>,
     unreachable: BTreeSet<RegionName>,
-    region_heard: BTreeMap<RegionName, MonotonicTime>,
+    region_last_seen: BTreeMap<RegionName, MonotonicTime>,
     newest_revision: ConfigRevision,
     pull: PullProgress,
     joined: bool,
     next_part: u8,
-    urgent: BTreeSet<HostName>,
-    revision_unspread: bool,
+    urgent_members: BTreeSet<HostName>,
+    revision_unannounced: bool,
     clock: MembershipClock,
     change: MembershipChange,
 }
 
-/// When each recurring thing is due.
+/// Due times of recurring work, and times of the last tick and message.
 #[derive(Debug, Default)]
 struct MembershipClock {
     last_tick: MonotonicTime,
@@ -122,11 +123,11 @@
     next_bridge: MonotonicTime,
     next_reconnect: MonotonicTime,
     next_pull: MonotonicTime,
-    last_heard: MonotonicTime,
+    last_received: MonotonicTime,
 }
 
-/// How much of the member table has still to be read from others: at the start, after a pause
-/// and when a region comes back.
+/// Progress of reading the member table from others: after the start, after a pause and when a
+/// region becomes reachable again.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 struct PullProgress {
     parts_read: u8,
@@ -135,63 +136,63 @@
 }
 
 impl MembershipState {
-    /// A daemon that knows only itself.
+    /// Creates the state of a daemon that has no other members yet.
     #[must_use]
     pub fn new(options: MembershipOptions) -> Self {
         Self {
             rng: ChaCha8Rng::seed_from_u64(options.seed),
             table: MemberTable::default(),
             rumors: RumorQueue::default(),
-            probes: ProbeBook::default(),
+            probes: ProbeTracker::default(),
             order: ProbeOrder::default(),
             health: LocalHealth::default(),
             seeds: BTreeMap::new(),
             unreachable: BTreeSet::new(),
-            region_heard: BTreeMap::new(),
+            region_last_seen: BTreeMap::new(),
             newest_revision: ConfigRevision::default(),
             pull: PullProgress::default(),
             joined: false,
             next_part: 0,
-            urgent: BTreeSet::new(),
-            revision_unspread: false,
+            urgent_members: BTreeSet::new(),
+            revision_unannounced: false,
             clock: MembershipClock::default(),
             change: MembershipChange::default(),
             options,
         }
     }
 
-    /// Members, this daemon included.
+    /// Member view, including this daemon.
     #[must_use]
     pub fn view(&self) -> &MemberView {
         self.table.view()
     }
 
-    /// Own life, with which datagrams are sealed.
+    /// Incarnation of this daemon, with which its datagrams are sealed.
     #[must_use]
     pub fn incarnation(&self) -> HostIncarnation {
         self.options.incarnation
     }
 
-    /// Newest configuration revision known to be in force anywhere.
+    /// Newest configuration revision known to be in force on any member.
     #[must_use]
     pub fn newest_revision(&self) -> ConfigRevision {
         self.newest_revision
     }
 
-    /// Regions that this daemon, as a bridge, has not heard from for a while. Their members are
-    /// kept as they were.
+    /// Regions that this daemon, as a bridge, has not received a message from within the region
+    /// timeout. Their members keep their last state.
     #[must_use]
     pub fn unreachable_regions(&self) -> &BTreeSet<RegionName> {
         &self.unreachable
     }
 
-    /// Whether this daemon has read the whole member table from others once.
+    /// Whether this daemon has read the complete member table from others at least once.
     #[must_use]
     pub fn has_joined(&self) -> bool {
         self.joined
     }
 
-    /// Handles one event.
+    /// Handles one event and returns the resulting changes.
     pub fn step(
         &mut self,
         now: CoreTime,
@@ -203,12 +204,12 @@
             MembershipEvent::Started => self.start(now, effects),
             MembershipEvent::TimerFired => self.tick(now, effects),
             MembershipEvent::Peer { from, message } => self.receive(now, &from, message, effects),
-            MembershipEvent::HostsListed(hosts) => self.list_hosts(now, hosts, effects),
+            MembershipEvent::HostsListed(hosts) => self.update_host_list(now, hosts, effects),
             MembershipEvent::RevisionInForce(revision) => {
                 self.revision_in_force(now, revision, effects);
             }
-            MembershipEvent::Leave => self.announce(now, MemberState::Leaving, effects),
-            MembershipEvent::Farewell => self.announce(now, MemberState::Dead, effects),
+            MembershipEvent::Leaving => self.announce(now, MemberState::Leaving, effects),
+            MembershipEvent::Exiting => self.announce(now, MemberState::Dead, effects),
         }
         std::mem::take(&mut self.change)
     }
@@ -216,15 +217,15 @@
     fn start(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
         self.clock = MembershipClock {
             last_tick: now,
-            next_probe: now + self.options.probe_period,
+            next_probe: now + self.options.probe_interval,
             next_bridge: now,
-            next_reconnect: now + self.options.reconnect_period,
+            next_reconnect: now + self.options.reconnect_interval,
             next_pull: now,
-            last_heard: now,
+            last_received: now,
         };
         let update = self.own_update(MemberState::Alive, 0);
-        self.accept(now, &update, NewsSource::Member, effects);
-        effects.set_timer(TICK_TIMER, now + TICK);
+        self.merge_update(now, &update, UpdateSource::Member, effects);
+        effects.set_timer(TICK_TIMER, now + TICK_INTERVAL);
     }
 
     fn own_update(&self, state: MemberState, refutation: u32) -> MemberUpdate {
@@ -234,7 +235,7 @@
             refutation,
             state,
             config_revision: self.own_revision(),
-            location: Some(self.options.place.clone()),
+            location: Some(self.options.location.clone()),
         }
     }
 
@@ -249,12 +250,12 @@
         own.map_or(0, |entry| entry.update.refutation)
     }
 
-    /// Tells of our own state. It spreads at once: until the others know that we leave, callers
-    /// are sent here.
+    /// Announces this daemon's state at once: until the other members know that it is leaving,
+    /// callers are still routed here.
     fn announce(&mut self, now: MonotonicTime, state: MemberState, effects: &mut EffectQueue) {
         let update = self.own_update(state, self.own_refutation());
-        self.accept(now, &update, NewsSource::Member, effects);
-        self.spread(effects);
+        self.merge_update(now, &update, UpdateSource::Member, effects);
+        self.send_urgent(effects);
     }
 
     fn revision_in_force(
@@ -270,13 +271,13 @@
         }) else {
             return;
         };
-        self.accept(now, &update, NewsSource::Member, effects);
-        self.spread(effects);
+        self.merge_update(now, &update, UpdateSource::Member, effects);
+        self.send_urgent(effects);
     }
 
-    /// Takes in the host list: a seed at the start, later a hint about hosts not yet known.
-    /// Hosts that it leaves out stay members, for it lags and may be empty.
-    fn list_hosts(&mut self, now: MonotonicTime, hosts: Vec<HostEntry>, effects: &mut EffectQueue) {
+    /// Applies the host list: seeds at the start, hints about unknown hosts later. Hosts missing
+    /// from the list remain members, since the list lags and may be empty.
+    fn update_host_list(&mut self, now: MonotonicTime, hosts: Vec<HostEntry>, effects: &mut EffectQueue,) {
         if hosts.is_empty() {
             return;
         }
@@ -286,7 +287,7 @@
         let own = &self.options.host;
         let others = hosts.into_iter().filter(|entry| entry.host != *own);
         self.seeds = others.map(|entry| (entry.host.clone(), entry)).collect();
-        self.greet_listed(now, effects);
+        self.contact_listed(now, effects);
         self.pull(now, effects);
     }
 }
--- a/crates/savorywood-core/src/membership/judge.rs
+++ b/crates/savorywood-core/src/membership/failure_detection.rs
@@ -1,10 +1,10 @@
-//! Takes in news and passes judgement: who is suspected, who is dead, who refutes.
+//! Failure detection and update handling: suspicion, death, refutation and forwarding.
 
 use super::{
     MembershipState,
     probe::PendingProbe,
     rumor::RumorClass,
-    table::{MergeOutcome, NewsSource, is_live, supersedes},
+    table::{MergeOutcome, UpdateSource, is_live, supersedes},
 };
 use crate::effect::{EffectQueue, LogLevel, LogLine};
 use savorywood_protocol::{
@@ -12,69 +12,70 @@
     peer::membership::{MemberState, MemberUpdate},
 };
 
-/// A suspected member of another region is judged there; only when no word of it has come for so
-/// many times the suspicion time is it taken for dead here. Without an end, a daemon that missed
-/// that word would hold a dead member for merely suspected for good.
-const FAR_PATIENCE: u32 = 10;
+/// A suspected member of another region is declared dead by its own region. This daemon declares it
+/// dead only after this multiple of the suspicion timeout without an update. Without the limit, a
+/// daemon that missed the update would keep a dead member as suspected forever.
+const REMOTE_SUSPICION_FACTOR: u32 = 10;
 
 impl MembershipState {
-    /// Takes in a piece of news from another daemon and passes it on if it is new.
-    pub(super) fn learn(
+    /// Applies an update received from another daemon, and forwards it if it is new.
+    pub(super) fn apply_update(
         &mut self,
         now: MonotonicTime,
         update: &MemberUpdate,
-        source: NewsSource,
+        source: UpdateSource,
         effects: &mut EffectQueue,
     ) {
         if update.host == self.options.host {
-            self.learn_of_us(now, update, effects);
+            self.apply_update_about_self(now, update, effects);
         } else {
-            self.accept(now, update, source, effects);
+            self.merge_update(now, update, source, effects);
         }
     }
 
-    /// Takes in news that contradicts nothing we say of ourselves.
-    pub(super) fn accept(
+    /// Merges an update that does not contradict this daemon's own state.
+    pub(super) fn merge_update(
         &mut self,
         now: MonotonicTime,
         update: &MemberUpdate,
-        source: NewsSource,
+        source: UpdateSource,
         effects: &mut EffectQueue,
     ) {
         let before = self.table.get(&update.host).map(|e| e.update.clone());
-        self.note_revision(update.config_revision);
+        self.observe_revision(update.config_revision);
         let outcome = self.table.merge(now, update, source);
-        self.correct_older(update, outcome, source);
-        if matches!(outcome, MergeOutcome::Stale | MergeOutcome::UnknownPlace) {
+        self.correct_stale_peer(update, outcome, source);
+        if matches!(outcome, MergeOutcome::Stale | MergeOutcome::UnknownLocation) {
             return;
         }
         self.change.view_changed = true;
-        // What stands in a table was told long ago; those that missed it read it there too.
-        if source != NewsSource::Table {
+        // Updates read from a table are old; daemons that missed them read the table too.
+        if source != UpdateSource::Table {
             let class = self.class_of(update, outcome);
-            let with_place = outcome == MergeOutcome::Joined;
-            self.rumors.push(&update.host, class, with_place);
+            let with_location = outcome == MergeOutcome::Joined;
+            self.rumors.push(&update.host, class, with_location);
         }
         log_change(update, before.as_ref(), effects);
     }
 
-    /// Tells anew what another daemon's table has an older word of. Whoever asks for a table
-    /// learns from it; without this, what only the asker knows would stay with it for good.
-    fn correct_older(&mut self, update: &MemberUpdate, outcome: MergeOutcome, source: NewsSource) {
-        if outcome != MergeOutcome::Stale || source != NewsSource::Table {
+    /// Queues the current state of a member if another daemon's table has an older one. Daemons
+    /// that read that table receive the correction; otherwise only this daemon would keep the newer
+    /// state.
+    fn correct_stale_peer(&mut self, update: &MemberUpdate, outcome: MergeOutcome, source: UpdateSource,) {
+        if outcome != MergeOutcome::Stale || source != UpdateSource::Table {
             return;
         }
-        let held = self.table.get(&update.host).map(|entry| &entry.update);
-        let older = held.is_some_and(|held| {
-            let same_life = held.incarnation == update.incarnation;
-            held.incarnation > update.incarnation || (same_life && supersedes(held, update))
+        let current = self.table.get(&update.host).map(|entry| &entry.update);
+        let peer_is_stale = current.is_some_and(|current| {
+            let same_incarnation = current.incarnation == update.incarnation;
+            current.incarnation > update.incarnation || (same_incarnation && supersedes(current, update))
         });
-        if older {
+        if peer_is_stale {
             self.rumors.push(&update.host, RumorClass::State, true);
         }
     }
 
-    fn learn_of_us(
+    fn apply_update_about_self(
         &mut self,
         now: MonotonicTime,
         update: &MemberUpdate,
@@ -87,22 +88,23 @@
             MemberState::Suspect => MemberState::Alive,
             state => state,
         };
-        let other_place = update
+        let other_location = update
             .location
             .as_ref()
-            .is_some_and(|place| *place != own.place);
+            .is_some_and(|location| *location != own.location);
         let newest = update.incarnation;
-        if newest > own.update.incarnation || (newest == own.update.incarnation && other_place) {
+        if newest > own.update.incarnation || (newest == own.update.incarnation && other_location) {
             self.raise_incarnation(now, newest, state, effects);
         } else if newest == own.update.incarnation && supersedes(update, &own.update) {
             self.health.worsen();
             let own = self.own_update(state, update.refutation + 1);
-            self.accept(now, &own, NewsSource::Member, effects);
+            self.merge_update(now, &own, UpdateSource::Member, effects);
         }
     }
 
-    /// Goes on under a larger incarnation. A restart after the clock went back gives a smaller
-    /// one than others know: nobody would believe this daemon, and no caller would be sent here.
+    /// Continues under a larger incarnation. If the clock went back before a restart, the new
+    /// incarnation is smaller than the one other members have recorded: they would ignore this
+    /// daemon's updates, and no caller would be routed here.
     fn raise_incarnation(
         &mut self,
         now: MonotonicTime,
@@ -117,25 +119,25 @@
             .with("now", self.options.incarnation);
         effects.log(line);
         let own = self.own_update(state, 0);
-        self.accept(now, &own, NewsSource::Member, effects);
+        self.merge_update(now, &own, UpdateSource::Member, effects);
     }
 
-    /// Notes the newest configuration revision heard of.
-    pub(super) fn note_revision(&mut self, revision: ConfigRevision) {
+    /// Records the newest configuration revision seen.
+    pub(super) fn observe_revision(&mut self, revision: ConfigRevision) {
         if revision > self.newest_revision {
             self.newest_revision = revision;
             self.change.newer_revision = Some(revision);
-            // To a daemon that has just begun, every revision is new.
-            self.revision_unspread = self.joined;
+            // To a daemon that has just started, every revision is new.
+            self.revision_unannounced = self.joined;
         }
     }
 
     fn class_of(&mut self, update: &MemberUpdate, outcome: MergeOutcome) -> RumorClass {
         let leaving = update.state == MemberState::Leaving && outcome != MergeOutcome::Revision;
-        // To a daemon that has just begun, all is new, and nobody waits to hear it from there.
+        // To a daemon that has just started, everything is new, and other members already have it.
         let may_spread = self.joined || update.host == self.options.host;
         if may_spread && leaving {
-            self.urgent.insert(update.host.clone());
+            self.urgent_members.insert(update.host.clone());
             return RumorClass::Urgent;
         }
         match outcome {
@@ -144,82 +146,84 @@
         }
     }
 
-    /// Judges a probe that nobody answered.
+    /// Handles a probe that got no acknowledgement.
     pub(super) fn probe_failed(
         &mut self,
         now: MonotonicTime,
         probe: &PendingProbe,
         effects: &mut EffectQueue,
     ) {
-        self.table.set_knows_us(&probe.target, false);
-        if !probe.judges {
+        self.table.set_knows_our_location(&probe.target, false);
+        if !probe.detects_failure {
             return;
         }
         if probe.nacks < probe.relays {
-            // Those asked should at least have said that they failed. If not, it may be us.
+            // Relays that could not reach the target should have sent a negative acknowledgement.
+            // If they did not, this daemon may be the slow one.
             self.health.worsen();
         }
         let Some(entry) = self.table.get(&probe.target) else {
             return;
         };
-        // Another region may be cut off as a whole, for an hour; were each side to take the
-        // other for dead, both would forget and relearn half the fleet. Only a member of the
-        // target's own region can tell that the target alone is gone.
-        let far = entry.place.region != *self.options.region();
-        if (far && !probe.near_nack) || entry.update.state != MemberState::Alive {
+        // A whole region may be partitioned, for as long as an hour. If each side declared the
+        // other dead, both would remove and add again half the cluster. Only a member of the
+        // target's own region can tell that the target alone is unreachable.
+        let remote = entry.location.region != *self.options.region();
+        if (remote && !probe.target_region_nack) || entry.update.state != MemberState::Alive {
             return;
         }
         let suspicion = MemberUpdate {
             state: MemberState::Suspect,
             ..entry.update.clone()
         };
-        self.accept(now, &suspicion, NewsSource::Rumor, effects);
+        self.merge_update(now, &suspicion, UpdateSource::Rumor, effects);
     }
 
-    /// Takes suspected members that did not refute in time for dead.
+    /// Declares suspected members dead that did not refute in time.
     pub(super) fn expire_suspicions(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
-        // A daemon that hears nobody is itself cut off. Were it to judge, it would come back
-        // with a table full of dead members and spread that.
-        if now.since(self.clock.last_heard) > self.options.isolation_time {
+        // A daemon that receives no messages is itself partitioned. If it declared members dead, it
+        // would rejoin with a table of dead members and spread it.
+        if now.since(self.clock.last_received) > self.options.isolation_timeout {
             return;
         }
-        let patience = self.health.stretch(self.options.suspicion_time);
+        let timeout = self.health.stretch(self.options.suspicion_timeout);
         let due = self.table.entries().filter(|(_, entry)| {
-            entry.update.state == MemberState::Suspect && now.since(entry.since) >= patience
+            entry.update.state == MemberState::Suspect && now.since(entry.since) >= timeout
         });
-        let ours = due.filter(|(_, entry)| {
-            let near = entry.place.region == *self.options.region();
-            near || now.since(entry.since) >= patience * FAR_PATIENCE
+        let to_expire = due.filter(|(_, entry)| {
+            let local = entry.location.region == *self.options.region();
+            local || now.since(entry.since) >= timeout * REMOTE_SUSPICION_FACTOR
         });
-        let dead: Vec<_> = ours
+        let dead: Vec<_> = to_expire
             .map(|(_, entry)| MemberUpdate {
                 state: MemberState::Dead,
                 ..entry.update.clone()
             })
             .collect();
         for update in &dead {
-            self.accept(now, update, NewsSource::Rumor, effects);
+            self.merge_update(now, update, UpdateSource::Rumor, effects);
         }
     }
 
-    /// Forgets members that have been dead, or leaving without a word, for long enough.
-    pub(super) fn forget_dead(&mut self, now: MonotonicTime) {
+    /// Removes members that have been dead, or leaving without a further update, for longer than
+    /// the retention.
+    pub(super) fn expire_dead(&mut self, now: MonotonicTime) {
         let retention = self.options.dead_retention;
         let own = self.options.host.clone();
-        let forgot = self.table.retain(|host, entry| {
+        let removed = self.table.retain(|host, entry| {
             *host == own || is_live(entry) || now.since(entry.since) < retention
         });
-        self.change.view_changed |= forgot;
+        self.change.view_changed |= removed;
     }
 
-    /// Members of this region that may take part in probes, without ourselves.
-    pub(super) fn near_live(&self) -> Vec<HostName> {
+    /// Live members of this region, without this daemon.
+    pub(super) fn live_in_own_region(&self) -> Vec<HostName> {
         let own = &self.options.host;
         let region = self.options.region();
-        let near = self.table.entries().filter(|(host, entry)| {
-            *host != own && is_live(entry) && entry.place.region == *region
+        let live = self.table.entries().filter(|(host, entry)| {
+            *host != own && is_live(entry) && entry.location.region == *region
         });
-        near.map(|(host, _)| host.clone()).collect()
+        live.map(|(host, _)| host.clone()).collect()
     }
 }
 
--- a/crates/savorywood-core/src/membership/outbox.rs
+++ b/crates/savorywood-core/src/membership/outgoing.rs
@@ -1,9 +1,9 @@
-//! Puts messages together: which news rides along, within the length of a datagram.
+//! Assembly of messages: selection of piggybacked updates within the datagram size.
 
 use super::{
     MembershipState,
     probe::PendingProbe,
-    table::{NewsSource, is_live},
+    table::{UpdateSource, is_live},
 };
 use crate::effect::{DaemonEffect, EffectQueue};
 use rand::seq::{IndexedRandom, SliceRandom};
@@ -16,36 +16,36 @@
 };
 use std::{net::SocketAddr, time::Duration};
 
-/// Bytes of news that ride along with a probe or its answer.
-pub(super) const NEWS_BYTES: usize = 600;
+/// Maximum bytes of updates that are piggybacked on a probe or an acknowledgement.
+pub(super) const PIGGYBACK_BYTES: usize = 600;
 
-/// Bytes of news in a message that has nothing else to say. What remains of a datagram is for
-/// the rest of the message, the sender and the tag.
-pub(super) const FULL_BYTES: usize = 1_000;
+/// Maximum bytes of updates in any message. The remainder of a datagram holds the other fields, the
+/// sender and the authentication tag.
+pub(super) const MAX_UPDATE_BYTES: usize = 1_000;
 
-/// Parts of the table whose digests ride along with a probe.
+/// Number of table parts whose digests a probe carries.
 const DIGEST_PARTS: u8 = 4;
 
-/// Bridges of another region that urgent news is sent to.
-const FAR_FANOUT: usize = 2;
+/// Number of bridges per remote region to which urgent updates are sent.
+const REMOTE_FANOUT: usize = 2;
 
-/// What a ping is for.
+/// Purpose of a ping.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum PingPurpose {
-    /// A failure counts against the target.
-    Judge,
-    /// Only greets the target.
-    Greet,
-    /// Reads so many parts of the target's table, from this one on.
+    /// Probes the target: a failure raises a suspicion.
+    DetectFailure,
+    /// Contacts a host without a consequence if it fails.
+    Contact,
+    /// Reads `count` parts of the target's table, starting at `first`.
     Pull {
-        /// First part.
+        /// First part, below `TABLE_PARTS`.
         first: u8,
         /// Number of parts.
         count: u8,
     },
 }
 
-/// Updates gathered for one message.
+/// Updates collected for one message, within a byte limit.
 struct UpdateList {
     updates: Vec<MemberUpdate>,
     free: usize,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Adds an update if it fits and its member is not in the list yet.
+    /// Adds an update if it fits and its member is not listed yet; returns whether it was added.
     fn push(&mut self, update: MemberUpdate) -> bool {
         let bytes = update.max_wire_bytes();
         let listed = self.updates.iter().any(|other| other.host == update.host);
@@ -73,7 +73,7 @@
 }
 
 impl MembershipState {
-    /// Sends a ping and notes that its answer is awaited.
+    /// Sends a ping and registers it as pending.
     pub(super) fn ping(
         &mut self,
         now: MonotonicTime,
@@ -84,32 +84,32 @@
         let Some(address) = self.address_of(target) else {
             return;
         };
-        let far = self.is_far(target);
-        let allowance = match far {
-            true => self.options.far_allowance,
+        let remote = self.is_remote(target);
+        let allowance = match remote {
+            true => self.options.remote_allowance,
             false => Duration::ZERO,
         };
         let direct = self.health.stretch(self.options.direct_timeout) + allowance;
         let timeout = self.health.stretch(self.options.probe_timeout) + 2 * allowance;
-        let judges = purpose == PingPurpose::Judge;
+        let detects_failure = purpose == PingPurpose::DetectFailure;
         let pulls = match purpose {
             PingPurpose::Pull { count, .. } => count,
-            PingPurpose::Judge | PingPurpose::Greet => 0,
+            PingPurpose::DetectFailure | PingPurpose::Contact => 0,
         };
         let sequence = self.probes.add(PendingProbe {
             target: target.clone(),
-            relay_at: judges.then(|| now + direct),
+            relay_at: detects_failure.then(|| now + direct),
             fails_at: now + timeout,
             relays: 0,
             nacks: 0,
-            near_nack: false,
-            judges,
+            target_region_nack: false,
+            detects_failure,
             pulls,
         });
         self.send_ping(target, address, sequence, purpose, effects);
     }
 
-    /// Sends a ping under a number that was noted already.
+    /// Sends a ping under a sequence number that is already registered.
     pub(super) fn send_ping(
         &mut self,
         target: &HostName,
@@ -120,10 +120,10 @@
     ) {
         let digest = match purpose {
             PingPurpose::Pull { first, count } => self.table.digest(first, count),
-            PingPurpose::Judge | PingPurpose::Greet => self.next_digest(),
+            PingPurpose::DetectFailure | PingPurpose::Contact => self.next_digest(),
         };
-        let knows_us = self.table.get(target).is_some_and(|entry| entry.knows_us);
-        let updates = self.gather(target, !knows_us, NEWS_BYTES).updates;
+        let knows_our_location = self.table.get(target).is_some_and(|entry| entry.knows_our_location);
+        let updates = self.gather(target, !knows_our_location, PIGGYBACK_BYTES).updates;
         let message = MembershipMessage::Ping {
             sequence,
             newest_revision: self.newest_revision,
@@ -139,25 +139,26 @@
         self.table.digest(first, DIGEST_PARTS)
     }
 
-    /// Answers a ping, with what the sender lacks.
-    pub(super) fn answer(
+    /// Acknowledges a ping, with the updates and table entries that the sender lacks.
+    pub(super) fn send_ack(
         &mut self,
         to: &HostName,
         sequence: u64,
         digest: &MemberTableDigest,
-        introduce: bool,
+        include_location: bool,
         effects: &mut EffectQueue,
     ) {
         let Some(address) = self.address_of(to) else {
             return;
         };
-        let news = self.gather(to, introduce, NEWS_BYTES);
-        let mut table = UpdateList::new(FULL_BYTES - NEWS_BYTES + news.free);
+        let piggybacked = self.gather(to, include_location, PIGGYBACK_BYTES);
+        let mut table = UpdateList::new(MAX_UPDATE_BYTES - PIGGYBACK_BYTES + piggybacked.free);
         let mut differing = match self.joined || digest.parts.len() < usize::from(DIGEST_PARTS) {
             true => self.table.differing(digest),
             false => Vec::new(),
         };
-        // In another order each time: what does not fit now comes with a later answer.
+        // Shuffled each time, so that entries that do not fit now are sent with a later
+        // acknowledgement.
         differing.shuffle(&mut self.rng);
         for host in &differing {
             if let Some(update) = self.table.update_of(host, true) {
@@ -167,15 +168,15 @@
         let message = MembershipMessage::Ack {
             sequence,
             newest_revision: self.newest_revision,
-            updates: news.updates,
+            updates: piggybacked.updates,
             table: table.updates,
             synced: self.joined,
         };
         send(to, address, message, effects);
     }
 
-    /// Hands the answer that a member gave us to the daemon that asked us to try.
-    pub(super) fn relay_answer(
+    /// Forwards a member's acknowledgement to the daemon that requested the indirect probe.
+    pub(super) fn relay_ack(
         &mut self,
         to: &HostName,
         about: &HostName,
@@ -196,7 +197,7 @@
         send(to, address, message, effects);
     }
 
-    /// Sends a message that carries no gathered news.
+    /// Sends a message without piggybacked updates, if the address of the host is known.
     pub(super) fn send_to(
         &self,
         to: &HostName,
@@ -208,17 +209,18 @@
         }
     }
 
-    /// Gathers news for a message: who we are, what is said of the receiver, then rumors.
-    fn gather(&mut self, to: &HostName, introduce: bool, bytes: usize) -> UpdateList {
+    /// Collects the updates for a message: this daemon's own, the receiver's, then rumors.
+    fn gather(&mut self, to: &HostName, include_location: bool, bytes: usize) -> UpdateList {
         let mut list = UpdateList::new(bytes);
         let own = self.options.host.clone();
-        if introduce && let Some(update) = self.table.update_of(&own, true) {
+        if include_location && let Some(update) = self.table.update_of(&own, true) {
             list.push(update);
         }
-        // Whoever is suspected hears it from the next one that talks to it, and can refute.
+        // A suspected member receives its suspicion with the next message sent to it, so that it
+        // can refute.
         let entry = self.table.get(to);
-        let accused = entry.is_some_and(|entry| entry.update.state != MemberState::Alive);
-        if accused && let Some(update) = self.table.update_of(to, false) {
+        let disputed = entry.is_some_and(|entry| entry.update.state != MemberState::Alive);
+        if disputed && let Some(update) = self.table.update_of(to, false) {
             list.push(update);
         }
         let members = self.table.count();
@@ -226,29 +228,29 @@
             if rumor.host == *to {
                 continue;
             }
-            let update = self.table.update_of(&rumor.host, rumor.with_place);
+            let update = self.table.update_of(&rumor.host, rumor.with_location);
             if update.is_some_and(|update| list.push(update)) {
-                self.rumors.note_sent(&rumor.host, members);
+                self.rumors.record_sent(&rumor.host, members);
             }
         }
         list
     }
 
-    /// Sends urgent news at once to a few members. Each that learns it does the same, so that it
-    /// reaches all in a few round trips instead of a few probe periods.
-    pub(super) fn spread(&mut self, effects: &mut EffectQueue) {
-        let urgent = std::mem::take(&mut self.urgent);
-        let newer = std::mem::take(&mut self.revision_unspread);
+    /// Sends urgent updates at once to a few members. Each receiver does the same, so that the
+    /// updates reach all members in a few round trips instead of a few probe intervals.
+    pub(super) fn send_urgent(&mut self, effects: &mut EffectQueue) {
+        let urgent = std::mem::take(&mut self.urgent_members);
+        let newer = std::mem::take(&mut self.revision_unannounced);
         if urgent.is_empty() && !newer {
             return;
         }
-        let mut list = UpdateList::new(FULL_BYTES);
+        let mut list = UpdateList::new(MAX_UPDATE_BYTES);
         for host in &urgent {
             if let Some(update) = self.table.update_of(host, false) {
                 list.push(update);
             }
         }
-        for target in self.news_targets() {
+        for target in self.urgent_targets() {
             let updates = list.updates.clone();
             let message = MembershipMessage::Updates {
                 newest_revision: self.newest_revision,
@@ -258,19 +260,19 @@
         }
     }
 
-    fn news_targets(&mut self) -> Vec<HostName> {
-        let near = self.near_live();
-        let fanout = self.options.news_fanout;
-        let mut targets: Vec<_> = near
+    fn urgent_targets(&mut self) -> Vec<HostName> {
+        let live = self.live_in_own_region();
+        let fanout = self.options.urgent_fanout;
+        let mut targets: Vec<_> = live
             .choose_multiple(&mut self.rng, fanout)
             .cloned()
             .collect();
-        for region in self.far_regions() {
+        for region in self.remote_regions() {
             let bridges = match self.is_bridge_to(&region) {
-                true => self.far_bridges(&region),
-                false => self.near_bridges(&region),
+                true => self.remote_bridges(&region),
+                false => self.local_bridges(&region),
             };
-            let some = bridges.choose_multiple(&mut self.rng, FAR_FANOUT);
+            let some = bridges.choose_multiple(&mut self.rng, REMOTE_FANOUT);
             targets.extend(some.cloned());
         }
         targets.sort();
@@ -278,40 +280,40 @@
         targets
     }
 
-    /// Where a host is reached: as a member, else as the host list says.
+    /// Peer address of a host: from the member table, else from the host list.
     pub(super) fn address_of(&self, host: &HostName) -> Option<SocketAddr> {
-        let member = self.table.get(host).map(|entry| entry.place.peer_address);
+        let member = self.table.get(host).map(|entry| entry.location.peer_address);
         member.or_else(|| self.seeds.get(host).map(|entry| entry.peer_address))
     }
 
-    /// Whether a host stands in another region.
-    pub(super) fn is_far(&self, host: &HostName) -> bool {
+    /// Whether a host is in another region.
+    pub(super) fn is_remote(&self, host: &HostName) -> bool {
         let entry = self.table.get(host);
-        entry.is_some_and(|entry| entry.place.region != *self.options.region())
+        entry.is_some_and(|entry| entry.location.region != *self.options.region())
     }
 
-    /// Takes in the news of a message.
-    pub(super) fn learn_all(
+    /// Applies all updates of a message.
+    pub(super) fn apply_updates(
         &mut self,
         now: MonotonicTime,
         from: &HostName,
         updates: &[MemberUpdate],
-        source: NewsSource,
+        source: UpdateSource,
         effects: &mut EffectQueue,
     ) {
         for update in updates {
             let source = match update.host == *from {
-                true => NewsSource::Member,
+                true => UpdateSource::Member,
                 false => source,
             };
-            self.learn(now, update, source, effects);
+            self.apply_update(now, update, source, effects);
         }
     }
 
-    /// Members of a region that may take part in probes.
+    /// Live members of a region.
     pub(super) fn live_in(&self, region: &RegionName) -> impl Iterator<Item = &HostName> {
         let entries = self.table.entries();
-        let live = entries.filter(move |(_, e)| is_live(e) && e.place.region == *region);
+        let live = entries.filter(move |(_, e)| is_live(e) && e.location.region == *region);
         live.map(|(host, _)| host)
     }
 }
--- a/crates/savorywood-core/src/membership/round.rs
+++ b/crates/savorywood-core/src/membership/periodic.rs
@@ -1,8 +1,8 @@
-//! What recurs: probes, bridges between regions, pulls and judgements that fall due.
+//! Periodic work: probes, region bridges, table pulls and expiry.
 
 use super::{
-    MembershipState, PullProgress, TICK, TICK_TIMER,
-    outbox::PingPurpose,
+    MembershipState, PullProgress, TICK_INTERVAL, TICK_TIMER,
+    outgoing::PingPurpose,
     table::{TABLE_PARTS, is_live},
 };
 use crate::{
@@ -19,20 +19,22 @@
 };
 use std::{collections::BTreeSet, time::Duration};
 
-/// Hosts that are greeted each time the host list names some that are no live members.
-const GREETED_HOSTS: usize = 3;
+/// Maximum number of listed hosts that are contacted at a time, among those that are not live
+/// members.
+const MAX_CONTACTED_HOSTS: usize = 3;
 
-/// Parts of the table that one pull reads.
+/// Number of table parts that one pull reads.
 const PULL_PARTS: u8 = 2;
 
-/// How often a member of another region is tried in place of one that is taken for dead.
-const FAR_CHECK_CHANCE: f64 = 0.25;
+/// Probability that a reconnect attempt probes a live member of another region instead of a dead
+/// member.
+const REMOTE_CHECK_PROBABILITY: f64 = 0.25;
 
-/// Time until a pull that was not answered is made again.
-const PULL_RETRY: Duration = Duration::from_millis(300);
+/// Delay after which an unacknowledged pull is repeated.
+const PULL_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Order in which members are probed: all of them, shuffled, then all again. Each is reached
-/// within a bounded time, which picking at random would not give.
+/// Probe order: all members in random order, then again. Each member is probed within a bounded
+/// time, which independent random selection does not guarantee.
 #[derive(Debug, Default)]
 pub struct ProbeOrder {
     targets: Vec<HostName>,
@@ -40,11 +42,11 @@
 
 impl MembershipState {
     pub(super) fn tick(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
-        if now.since(self.clock.last_tick) > self.options.pause_limit {
+        if now.since(self.clock.last_tick) > self.options.max_tick_gap {
             self.after_pause(now, effects);
         }
         self.clock.last_tick = now;
-        self.ask_relays(now, effects);
+        self.request_relays(now, effects);
         for probe in self.probes.take_failed(now) {
             self.probe_failed(now, &probe, effects);
         }
@@ -55,28 +57,28 @@
         }
         self.expire_suspicions(now, effects);
         if self.clock.next_probe <= now {
-            self.clock.next_probe = now + self.health.stretch(self.options.probe_period);
+            self.clock.next_probe = now + self.health.stretch(self.options.probe_interval);
             self.probe_next(now, effects);
         }
         if self.clock.next_bridge <= now {
-            self.clock.next_bridge = now + 2 * self.options.probe_period;
-            self.bridge(now, effects);
+            self.clock.next_bridge = now + 2 * self.options.probe_interval;
+            self.probe_remote_regions(now, effects);
         }
         if self.clock.next_reconnect <= now {
-            self.clock.next_reconnect = now + self.options.reconnect_period;
+            self.clock.next_reconnect = now + self.options.reconnect_interval;
             self.reconnect(now, effects);
-            self.forget_dead(now);
+            self.expire_dead(now);
         }
         if self.clock.next_pull <= now {
             self.pull(now, effects);
         }
-        self.spread(effects);
-        effects.set_timer(TICK_TIMER, now + TICK);
+        self.send_urgent(effects);
+        effects.set_timer(TICK_TIMER, now + TICK_INTERVAL);
     }
 
-    /// The process stood still. Others took it for dead, and its own probes and suspicions are
-    /// from another time: acting on them would declare members dead that merely could not
-    /// answer a sleeper.
+    /// Resets probes and suspicions after the process was paused. Other members may have declared
+    /// this daemon dead, and its probes and suspicions are outdated: acting on them would declare
+    /// members dead that could not reach it during the pause.
     fn after_pause(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
         let paused = now.since(self.clock.last_tick);
         let line = LogLine::new(LogLevel::Warn, "paused").with("millis", paused.as_millis());
@@ -87,7 +89,7 @@
         self.clock.next_pull = now;
     }
 
-    fn ask_relays(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
+    fn request_relays(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
         for sequence in self.probes.relay_due(now) {
             let Some(probe) = self.probes.get_mut(sequence) else {
                 continue;
@@ -109,13 +111,13 @@
         }
     }
 
-    /// Members of the target's own region: what they say of it counts.
+    /// Selects relays in the target's own region, since only their negative acknowledgements count.
     fn relays_for(&mut self, target: &HostName) -> Vec<HostName> {
         let Some(entry) = self.table.get(target) else {
             return Vec::new();
         };
         let own = &self.options.host;
-        let live = self.live_in(&entry.place.region);
+        let live = self.live_in(&entry.location.region);
         let others: Vec<_> = live
             .filter(|h| *h != own && *h != target)
             .cloned()
@@ -125,55 +127,56 @@
     }
 
     fn probe_next(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
-        // The last of a region hears nobody there and would take itself for cut off.
-        let alone = now.since(self.clock.last_heard) > self.options.isolation_time;
-        if self.order.targets.is_empty() || alone {
-            self.order.targets = match alone {
+        // The last live member of a region receives no messages there and would consider itself
+        // isolated, so it probes all regions.
+        let isolated = now.since(self.clock.last_received) > self.options.isolation_timeout;
+        if self.order.targets.is_empty() || isolated {
+            self.order.targets = match isolated {
                 true => self.all_live(),
-                false => self.near_live(),
+                false => self.live_in_own_region(),
             };
             self.order.targets.shuffle(&mut self.rng);
         }
         while let Some(target) = self.order.targets.pop() {
             let live = self.table.get(&target).is_some_and(is_live);
             if live && !self.probes.is_probing(&target) {
-                self.ping(now, &target, PingPurpose::Judge, effects);
+                self.ping(now, &target, PingPurpose::DetectFailure, effects);
                 return;
             }
         }
     }
 
-    /// Keeps in touch with the other regions, if this daemon is one of the few that do.
-    fn bridge(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
-        for region in self.far_regions() {
+    /// Probes the other regions for which this daemon is a bridge.
+    fn probe_remote_regions(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
+        for region in self.remote_regions() {
             if !self.is_bridge_to(&region) {
                 self.unreachable.remove(&region);
-                self.region_heard.remove(&region);
+                self.region_last_seen.remove(&region);
                 continue;
             }
-            self.judge_region(now, &region, effects);
+            self.check_region(now, &region, effects);
             let candidates = match self.rng.random_bool(0.5) {
-                true => self.far_bridges(&region),
+                true => self.remote_bridges(&region),
                 false => self.live_in(&region).cloned().collect(),
             };
             if let Some(target) = candidates.choose(&mut self.rng).cloned() {
-                self.ping(now, &target, PingPurpose::Judge, effects);
+                self.ping(now, &target, PingPurpose::DetectFailure, effects);
             }
         }
     }
 
-    fn judge_region(&mut self, now: MonotonicTime, region: &RegionName, effects: &mut EffectQueue) {
-        let heard = *self.region_heard.entry(region.clone()).or_insert(now);
-        let silent = now.since(heard) > self.options.far_silence;
-        if silent && self.unreachable.insert(region.clone()) {
+    fn check_region(&mut self, now: MonotonicTime, region: &RegionName, effects: &mut EffectQueue) {
+        let last_seen = *self.region_last_seen.entry(region.clone()).or_insert(now);
+        let timed_out = now.since(last_seen) > self.options.region_timeout;
+        if timed_out && self.unreachable.insert(region.clone()) {
             let line = LogLine::new(LogLevel::Warn, "region_unreachable").with("region", region);
             effects.log(line);
         }
     }
 
-    /// Notes a sign of life from another region. After a cut its whole table is read, since what
-    /// was told there meanwhile is told no more.
-    pub(super) fn heard_region_of(
+    /// Records a message from another region. If the region was unreachable, its complete table is
+    /// read, since updates from the time of the partition are no longer forwarded.
+    pub(super) fn record_region_contact(
         &mut self,
         now: MonotonicTime,
         from: &HostName,
@@ -182,11 +185,11 @@
         let Some(entry) = self.table.get(from) else {
             return;
         };
-        let region = entry.place.region.clone();
+        let region = entry.location.region.clone();
         if region == *self.options.region() {
             return;
         }
-        self.region_heard.insert(region.clone(), now);
+        self.region_last_seen.insert(region.clone(), now);
         if self.unreachable.remove(&region) {
             let line = LogLine::new(LogLevel::Info, "region_reachable").with("region", &region);
             effects.log(line);
@@ -198,41 +201,41 @@
         }
     }
 
-    /// Tries one member that is taken for dead: after a cut within the region nobody else would.
-    /// Now and then it tries one of another region instead, which only the bridges probe: a daemon
-    /// that is no bridge and holds a member that its whole region has forgotten would otherwise
-    /// hold it for alive for good.
+    /// Contacts one dead member: after a partition within the region no other mechanism does.
+    /// Sometimes it probes a live member of another region instead, which otherwise only bridges
+    /// do. Without that, a daemon that is not a bridge could keep a member that its whole region
+    /// has removed as alive forever.
     fn reconnect(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
-        let far = self.rng.random_bool(FAR_CHECK_CHANCE);
+        let remote = self.rng.random_bool(REMOTE_CHECK_PROBABILITY);
         let region = self.options.region();
-        let entries = self.table.entries().filter(|(_, entry)| match far {
-            true => is_live(entry) && entry.place.region != *region,
+        let entries = self.table.entries().filter(|(_, entry)| match remote {
+            true => is_live(entry) && entry.location.region != *region,
             false => entry.update.state == MemberState::Dead,
         });
         let candidates: Vec<_> = entries.map(|(host, _)| host.clone()).collect();
-        let purpose = match far {
-            true => PingPurpose::Judge,
-            false => PingPurpose::Greet,
+        let purpose = match remote {
+            true => PingPurpose::DetectFailure,
+            false => PingPurpose::Contact,
         };
         if let Some(target) = candidates.choose(&mut self.rng).cloned() {
             self.ping(now, &target, purpose, effects);
         }
     }
 
-    /// Greets a few hosts that the list names and that are no live members.
-    pub(super) fn greet_listed(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
+    /// Contacts a few listed hosts that are not live members.
+    pub(super) fn contact_listed(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
         let seeds = self.seeds.keys();
-        let strangers = seeds.filter(|host| {
+        let unknown = seeds.filter(|host| {
             let entry = self.table.get(host);
             entry.is_none_or(|entry| entry.update.state == MemberState::Dead)
         });
-        let strangers: Vec<_> = strangers.cloned().collect();
-        let chosen: Vec<_> = strangers
-            .choose_multiple(&mut self.rng, GREETED_HOSTS)
+        let unknown: Vec<_> = unknown.cloned().collect();
+        let chosen: Vec<_> = unknown
+            .choose_multiple(&mut self.rng, MAX_CONTACTED_HOSTS)
             .cloned()
             .collect();
         for host in &chosen {
-            self.ping(now, host, PingPurpose::Greet, effects);
+            self.ping(now, host, PingPurpose::Contact, effects);
         }
     }
 
@@ -242,7 +245,7 @@
         if first >= TABLE_PARTS {
             return;
         }
-        self.clock.next_pull = now + PULL_RETRY;
+        self.clock.next_pull = now + PULL_RETRY_DELAY;
         let candidates = self.pull_candidates();
         if let Some(target) = candidates.choose(&mut self.rng).cloned() {
             let count = PULL_PARTS;
@@ -254,10 +257,10 @@
         if let Some(region) = &self.pull.region {
             return self.live_in(region).cloned().collect();
         }
-        let near = self.near_live();
-        match near.is_empty() {
+        let live = self.live_in_own_region();
+        match live.is_empty() {
             true => self.seeds.keys().cloned().collect(),
-            false => near,
+            false => live,
         }
     }
 
@@ -268,36 +271,36 @@
         others.map(|(host, _)| host.clone()).collect()
     }
 
-    /// Regions other than our own that have live members.
-    pub(super) fn far_regions(&self) -> BTreeSet<RegionName> {
+    /// Regions other than this daemon's that have live members.
+    pub(super) fn remote_regions(&self) -> BTreeSet<RegionName> {
         let live = self.table.entries().filter(|(_, entry)| is_live(entry));
-        let regions = live.map(|(_, entry)| &entry.place.region);
-        let far = regions.filter(|region| *region != self.options.region());
-        far.cloned().collect()
+        let regions = live.map(|(_, entry)| &entry.location.region);
+        let remote = regions.filter(|region| *region != self.options.region());
+        remote.cloned().collect()
     }
 
-    /// Whether this daemon is one of those of its region that talk to another region.
+    /// Whether this daemon is one of the bridges from its region to another one.
     pub(super) fn is_bridge_to(&self, region: &RegionName) -> bool {
         let own = self.options.region();
         self.bridges_between(own, region)
             .contains(&self.options.host)
     }
 
-    /// Members of our region that talk to another one.
-    pub(super) fn near_bridges(&self, region: &RegionName) -> Vec<HostName> {
+    /// Members of this region that probe another region.
+    pub(super) fn local_bridges(&self, region: &RegionName) -> Vec<HostName> {
         self.bridges_between(self.options.region(), region)
     }
 
-    /// Members of another region that talk to ours.
-    pub(super) fn far_bridges(&self, region: &RegionName) -> Vec<HostName> {
+    /// Members of another region that probe this one.
+    pub(super) fn remote_bridges(&self, region: &RegionName) -> Vec<HostName> {
         self.bridges_between(region, self.options.region())
     }
 
     fn bridges_between(&self, from: &RegionName, to: &RegionName) -> Vec<HostName> {
-        let thing = rendezvous::hash_parts(&["bridge", from.as_str(), to.as_str()]);
+        let subject = rendezvous::hash_parts(&["bridge", from.as_str(), to.as_str()]);
         let scored = self
             .live_in(from)
-            .map(|host| (rendezvous::score(thing, host.as_str()), host));
+            .map(|host| (rendezvous::score(subject, host.as_str()), host));
         let mut scored: Vec<_> = scored.collect();
         scored.sort_by(|a, b| b.cmp(a));
         let first = scored.into_iter().take(self.options.bridges);
--- a/crates/savorywood-core/tests/claim/cluster.rs
+++ b/crates/savorywood-core/tests/claim/cluster.rs
@@ -5,7 +5,7 @@
 use savorywood_core::{
     AnswerReport, BreakCause, DaemonEffect, EffectQueue, KeptAnswer, MemberView, PromptShape,
     QueuedRequest, TimerKey, UpstreamEvent,
-    claims::{ClaimEvent, ClaimOptions, ClaimState, ClaimVerdict, ClaimView, ClaimWish},
+    claims::{ClaimDecision,ClaimEvent, ClaimOptions, ClaimRequest, ClaimState, ClaimView},
 };
 use savorywood_protocol::{
     AttemptNumber, CoreTime, HostIncarnation, HostName, MonotonicTime, OutcomeKind, RequestId,
@@ -244,13 +244,13 @@
         self.last_request += 1;
         let request = RequestId(self.last_request);
         self.key_by_request.insert(request, key);
-        let claim = ClaimWish {
+        let claim = ClaimRequest {
             request: queued_request(request, self.now.monotonic),
             key: self.keys[key].clone(),
             fingerprint: [7; 32],
             retention: ClaimRetention::Seconds(86_400),
         };
-        self.step(daemon, ClaimEvent::Wanted(Box::new(claim)));
+        self.step(daemon, ClaimEvent::Requested(Box::new(claim)));
     }
 
     fn deliver(&mut self) {
@@ -316,7 +316,7 @@
             content_type: "text/plain".to_owned(),
             body: Some(b"charged".to_vec()),
         });
-        self.step(daemon, ClaimEvent::AnswerKept { request, answer });
+        self.step(daemon, ClaimEvent::ResponseReceived { request, answer });
         let report = AnswerReport {
             status: 201,
             ..AnswerReport::default()
@@ -354,7 +354,7 @@
         };
         let claims = &mut self.daemons[daemon].claims;
         let decisions = claims.step(self.now, event, view, &mut effects);
-        for ClaimVerdict::Granted(request) in decisions {
+        for ClaimDecision::Granted(request) in decisions {
             self.dispatch(daemon, request.request, &mut effects);
         }
         let incarnation = self.daemons[daemon].incarnation;
@@ -384,7 +384,7 @@
 
     fn dispatch(&mut self, daemon: usize, request: RequestId, effects: &mut EffectQueue) {
         let claims = &mut self.daemons[daemon].claims;
-        assert!(claims.may_dispatch(request, false, effects));
+        assert!(claims.authorize_dispatch(request, false, effects));
         *self.possible_executions.entry(request).or_default() += 1;
         let running = &mut self.daemons[daemon].running;
         running.insert(request, AttemptNumber(0));
--- a/crates/savorywood-core/tests/claim_keys.rs
+++ b/crates/savorywood-core/tests/claim_keys.rs
@@ -8,7 +8,7 @@
 use cluster::{FakeTable, queued_request};
 use savorywood_core::{
     AnswerReport, DaemonEffect, EffectQueue, KeptAnswer, MemberRecord, MemberView, UpstreamEvent,
-    claims::{ClaimEvent, ClaimKey, ClaimOptions, ClaimState, ClaimView, ClaimWish},
+    claims::{ClaimEvent, ClaimKey, ClaimOptions, ClaimRequest, ClaimState, ClaimView},
 };
 use savorywood_protocol::{
     AttemptNumber, ConfigRevision, CoreTime, HostIncarnation, MonotonicTime, OutcomeKind,
@@ -54,13 +54,13 @@
     }
 
     fn submit(&mut self, request: u128, key: &str, fingerprint: u8) {
-        let claim = ClaimWish {
+        let claim = ClaimRequest {
             request: queued_request(RequestId(request), self.now.monotonic),
             key: key.to_owned(),
             fingerprint: [fingerprint; 32],
             retention: ClaimRetention::Seconds(3_600),
         };
-        self.step(ClaimEvent::Wanted(Box::new(claim)));
+        self.step(ClaimEvent::Requested(Box::new(claim)));
     }
 
     fn advance(&mut self, duration: Duration) {
@@ -77,7 +77,7 @@
         };
         let decisions = self.claims.step(self.now, event, view, &mut effects);
         let granted = decisions.into_iter().map(|decision| match decision {
-            savorywood_core::claims::ClaimVerdict::Granted(request) => request.request,
+            savorywood_core::claims::ClaimDecision::Granted(request) => request.request,
         });
         self.granted.extend(granted);
         let mut responses = Vec::new();
@@ -100,7 +100,7 @@
     fn dispatch(&mut self, request: u128) -> bool {
         let mut effects = EffectQueue::new();
         self.claims
-            .may_dispatch(RequestId(request), false, &mut effects)
+            .authorize_dispatch(RequestId(request), false, &mut effects)
     }
 
     fn finish(&mut self, request: u128, body: Vec<u8>) {
@@ -110,7 +110,7 @@
             content_type: String::new(),
             body: Some(body),
         });
-        self.step(ClaimEvent::AnswerKept { request, answer });
+        self.step(ClaimEvent::ResponseReceived { request, answer });
         self.step(ClaimEvent::Upstream(UpstreamEvent::Finished {
             request,
             attempt: AttemptNumber(0),
@@ -290,7 +290,7 @@
     let mut effects = EffectQueue::new();
     let may_dispatch = daemon
         .claims
-        .may_dispatch(RequestId(9), false, &mut effects);
+        .authorize_dispatch(RequestId(9), false, &mut effects);
     assert!(!may_dispatch);
     assert!(matches!(effects.as_slice(), [DaemonEffect::Breach(_)]));
 }
@@ -301,7 +301,7 @@
 fn without_the_store_requests_are_refused_as_not_run() {
     let mut daemon = TestDaemon::new(1);
     let mut effects = EffectQueue::new();
-    let claim = ClaimWish {
+    let claim = ClaimRequest {
         request: queued_request(RequestId(1), daemon.now.monotonic),
         key: key(1),
         fingerprint: [7; 32],
@@ -309,7 +309,7 @@
     };
     let members = MemberView::default();
     let view = ClaimView { members: &members };
-    let event = ClaimEvent::Wanted(Box::new(claim));
+    let event = ClaimEvent::Requested(Box::new(claim));
     daemon.claims.step(daemon.now, event, view, &mut effects);
     let later = daemon.now.after(Duration::from_millis(10));
     let event = ClaimEvent::TimerFired { number: 0 };
--- a/crates/savorywood-core/tests/credit/fleet.rs
+++ b/crates/savorywood-core/tests/credit/fleet.rs
@@ -304,7 +304,7 @@
                 let tally = daemon.tallies.entry(rank).or_default();
                 match advice {
                     ShedAdvice::Shed => tally.shed += 1,
-                    ShedAdvice::Alone => tally.shed_locally += 1,
+                    ShedAdvice::DecideLocally => tally.shed_locally += 1,
                     ShedAdvice::Wait => tally.expired += 1,
                 }
             }
--- a/crates/savorywood-core/tests/credit_messages.rs
+++ b/crates/savorywood-core/tests/credit_messages.rs
@@ -223,7 +223,7 @@
     assert_eq!(daemon.credits.grants()[&upstream()].seats, 2);
     daemon.grant(11, 3);
     assert_eq!(daemon.credits.grants()[&upstream()].seats, 3);
-    assert_eq!(daemon.credits.counters().outdated, 2);
+    assert_eq!(daemon.credits.counters().stale_messages, 2);
 }
 
 /// A grant expires because the arbiter or the path to it fails. Its slots may have been granted to
--- a/crates/savorywood-core/tests/credit_uneven.rs
+++ b/crates/savorywood-core/tests/credit_uneven.rs
@@ -201,7 +201,7 @@
     let shed_locally: u64 = fleet
         .daemons
         .values()
-        .map(|d| d.credits.counters().sheds_alone)
+        .map(|d| d.credits.counters().local_sheds)
         .sum();
     assert!(shed_locally > 0);
     let total = fleet.total(0);
--- a/crates/savorywood-core/tests/membership_schedules.rs
+++ b/crates/savorywood-core/tests/membership_schedules.rs
@@ -62,7 +62,7 @@
         FleetFault::Leave(number) => {
             let host = host_name(number.into());
             if network.hosts.contains_key(&host) {
-                network.step(&host, MembershipEvent::Leave);
+                network.step(&host, MembershipEvent::Leaving);
                 leaving.insert(host);
             }
         }
--- a/crates/savorywood-core/tests/support/lease_cluster.rs
+++ b/crates/savorywood-core/tests/support/lease_cluster.rs
@@ -86,9 +86,9 @@
             rng: ChaCha8Rng::seed_from_u64(seed),
         };
         for node in 0..clock_rates.len() {
-            let event = LeaseEvent::Wanted {
+            let event = LeaseEvent::DemandChanged {
                 name: LeaseName::Moves,
-                wanted: true,
+                needed: true,
             };
             cluster.schedule(0, Pending::NodeEvent(node, event));
         }
