--- a/crates/savorywood-core/src/claims.rs
+++ b/crates/savorywood-core/src/claims.rs
@@ -206,7 +206,8 @@
         // The nonce decides which attempt runs a call, so two incarnations must never generate the
         // same nonces, even if both are configured with the same seed.
         let incarnation_hash = crate::rendezvous::hash_parts(&[options.host.as_str()]);
-        let seed = options.seed ^ crate::rendezvous::mix_bits(incarnation_hash ^ options.incarnation.0);
+        let seed =
+            options.seed ^ crate::rendezvous::mix_bits(incarnation_hash ^ options.incarnation.0);
         Self {
             rng: ChaCha8Rng::seed_from_u64(seed),
             options,
--- a/crates/savorywood-core/src/claims/table_results.rs
+++ b/crates/savorywood-core/src/claims/table_results.rs
@@ -1,8 +1,7 @@
 //! Handling of table responses to claim writes and reads.
 
 use super::{
-    ClaimDecision,
-    ClaimRecord, ClaimStage, ClaimState, ClaimView, RETRY_TIMER, TableTask,
+    ClaimDecision, ClaimRecord, ClaimStage, ClaimState, ClaimView, RETRY_TIMER, TableTask,
     batch::{BatchItem, RowOperation},
     repeat::RepeatedCall,
 };
@@ -59,7 +58,9 @@
             // The commit may have taken effect. Treating it as failed would let a repeat run the
             // call elsewhere; treating it as successful would run the call under another attempt's
             // claim.
-            TableResponse::Lost | TableResponse::Rows { .. } => self.mark_in_doubt(now, items, effects),
+            TableResponse::Lost | TableResponse::Rows { .. } => {
+                self.mark_in_doubt(now, items, effects)
+            }
         }
     }
 
@@ -298,7 +299,8 @@
     ) -> Option<BatchItem> {
         let claim = self.open.get_mut(&item.request)?;
         let waited = now.monotonic.since(claim.requested_at);
-        let late = waited >= self.options.wait_timeout || claim.request.deadline_at <= now.monotonic;
+        let late =
+            waited >= self.options.wait_timeout || claim.request.deadline_at <= now.monotonic;
         if item.kind == RowOperation::Insert && claim.stage == ClaimStage::Pending && late {
             claim.stage = ClaimStage::Releasing;
             self.refuse_store_unavailable(item.request, effects);
--- a/crates/savorywood-core/src/credits/allocate.rs
+++ b/crates/savorywood-core/src/credits/allocate.rs
@@ -121,7 +121,10 @@
 
 /// Divides `seats` in proportion to the demands, by the largest-remainder method.
 fn divide_proportionally(demands_by_host: &SlotShares, seats: u32) -> SlotShares {
-    let total: u64 = demands_by_host.values().map(|demanded| u64::from(*demanded)).sum();
+    let total: u64 = demands_by_host
+        .values()
+        .map(|demanded| u64::from(*demanded))
+        .sum();
     if total == 0 || seats == 0 {
         return SlotShares::new();
     }
--- a/crates/savorywood-core/src/credits/arbiter.rs
+++ b/crates/savorywood-core/src/credits/arbiter.rs
@@ -64,9 +64,11 @@
 
     /// Removes daemons that have not reported for a term; their grants have expired.
     pub fn expire(&mut self, now: MonotonicTime, term: Duration) {
-        self.last_reports.retain(|_, reported_at| now.since(*reported_at) < term);
+        self.last_reports
+            .retain(|_, reported_at| now.since(*reported_at) < term);
         let last_reports = &self.last_reports;
-        self.demands.retain(|host, _| last_reports.contains_key(host));
+        self.demands
+            .retain(|host, _| last_reports.contains_key(host));
     }
 
     /// Whether the users of the upstream have had time to report their demand. Earlier grants would
@@ -132,7 +134,10 @@
     pub fn update_floor(&mut self, now: MonotonicTime, hold: Duration) {
         let shed_requests = self.demands.values().filter_map(|demand| demand.shedding);
         let Some(asked) = shed_requests.min() else {
-            if self.last_shed_request.is_none_or(|at| now.since(at) >= hold) {
+            if self
+                .last_shed_request
+                .is_none_or(|at| now.since(at) >= hold)
+            {
                 self.floor = NO_FLOOR;
             }
             return;
--- a/crates/savorywood-core/src/credits/rounds.rs
+++ b/crates/savorywood-core/src/credits/rounds.rs
@@ -2,8 +2,7 @@
 
 use super::{
     ArbiterRecord, COALESCE_DELAY, CreditState, CreditView, PeerSequences, RoundClock,
-    UpstreamHolding,
-    arbiter_of, possible_users,
+    UpstreamHolding, arbiter_of, possible_users,
 };
 use crate::effect::{DaemonEffect, EffectQueue};
 use savorywood_protocol::{
@@ -57,7 +56,8 @@
             now < held.contended_until && config.upstreams.contains_key(upstream)
         });
         let hold = self.options.floor_hold;
-        self.shed_requests.retain(|_, request| now.since(request.renewed_at()) < hold);
+        self.shed_requests
+            .retain(|_, request| now.since(request.renewed_at()) < hold);
     }
 
     /// Sends this daemon's demand to each arbiter; returns the bytes sent.
--- a/crates/savorywood-core/src/membership.rs
+++ b/crates/savorywood-core/src/membership.rs
@@ -277,7 +277,12 @@
 
     /// Applies the host list: seeds at the start, hints about unknown hosts later. Hosts missing
     /// from the list remain members, since the list lags and may be empty.
-    fn update_host_list(&mut self, now: MonotonicTime, hosts: Vec<HostEntry>, effects: &mut EffectQueue,) {
+    fn update_host_list(
+        &mut self,
+        now: MonotonicTime,
+        hosts: Vec<HostEntry>,
+        effects: &mut EffectQueue,
+    ) {
         if hosts.is_empty() {
             return;
         }
--- a/crates/savorywood-core/src/membership/failure_detection.rs
+++ b/crates/savorywood-core/src/membership/failure_detection.rs
@@ -61,14 +61,20 @@
     /// Queues the current state of a member if another daemon's table has an older one. Daemons
     /// that read that table receive the correction; otherwise only this daemon would keep the newer
     /// state.
-    fn correct_stale_peer(&mut self, update: &MemberUpdate, outcome: MergeOutcome, source: UpdateSource,) {
+    fn correct_stale_peer(
+        &mut self,
+        update: &MemberUpdate,
+        outcome: MergeOutcome,
+        source: UpdateSource,
+    ) {
         if outcome != MergeOutcome::Stale || source != UpdateSource::Table {
             return;
         }
         let current = self.table.get(&update.host).map(|entry| &entry.update);
         let peer_is_stale = current.is_some_and(|current| {
             let same_incarnation = current.incarnation == update.incarnation;
-            current.incarnation > update.incarnation || (same_incarnation && supersedes(current, update))
+            current.incarnation > update.incarnation
+                || (same_incarnation && supersedes(current, update))
         });
         if peer_is_stale {
             self.rumors.push(&update.host, RumorClass::State, true);
--- a/crates/savorywood-core/src/membership/incoming.rs
+++ b/crates/savorywood-core/src/membership/incoming.rs
@@ -96,7 +96,8 @@
         effects: &mut EffectQueue,
     ) {
         // A sender that includes its own address may not have ours either.
-        let has_own_location = |update: &MemberUpdate| update.host == *from && update.location.is_some();
+        let has_own_location =
+            |update: &MemberUpdate| update.host == *from && update.location.is_some();
         let include_location = updates.iter().any(has_own_location);
         self.send_ack(from, sequence, digest, include_location, effects);
     }
@@ -169,13 +170,17 @@
     }
 
     fn handle_nack(&mut self, from: &HostName, sequence: u64) {
-        let region = self.table.get(from).map(|entry| entry.location.region.clone());
+        let region = self
+            .table
+            .get(from)
+            .map(|entry| entry.location.region.clone());
         let Some(probe) = self.probes.get_mut(sequence) else {
             return;
         };
         probe.nacks += 1;
         let target = self.table.get(&probe.target);
-        let same_region = target.is_some_and(|entry| Some(&entry.location.region) == region.as_ref());
+        let same_region =
+            target.is_some_and(|entry| Some(&entry.location.region) == region.as_ref());
         probe.target_region_nack |= same_region;
     }
 }
--- a/crates/savorywood-core/src/membership/outgoing.rs
+++ b/crates/savorywood-core/src/membership/outgoing.rs
@@ -122,8 +122,13 @@
             PingPurpose::Pull { first, count } => self.table.digest(first, count),
             PingPurpose::DetectFailure | PingPurpose::Contact => self.next_digest(),
         };
-        let knows_our_location = self.table.get(target).is_some_and(|entry| entry.knows_our_location);
-        let updates = self.gather(target, !knows_our_location, PIGGYBACK_BYTES).updates;
+        let knows_our_location = self
+            .table
+            .get(target)
+            .is_some_and(|entry| entry.knows_our_location);
+        let updates = self
+            .gather(target, !knows_our_location, PIGGYBACK_BYTES)
+            .updates;
         let message = MembershipMessage::Ping {
             sequence,
             newest_revision: self.newest_revision,
@@ -282,7 +287,10 @@
 
     /// Peer address of a host: from the member table, else from the host list.
     pub(super) fn address_of(&self, host: &HostName) -> Option<SocketAddr> {
-        let member = self.table.get(host).map(|entry| entry.location.peer_address);
+        let member = self
+            .table
+            .get(host)
+            .map(|entry| entry.location.peer_address);
         member.or_else(|| self.seeds.get(host).map(|entry| entry.peer_address))
     }
 
--- a/crates/savorywood-core/src/membership/table.rs
+++ b/crates/savorywood-core/src/membership/table.rs
@@ -192,7 +192,11 @@
         let before = self.view.clone();
         let mut live = self.entries.values().filter(|entry| is_live(entry));
         let all_leaving = live.all(|entry| leaving.contains(&entry.update.host));
-        self.listed_leaving = if all_leaving { BTreeSet::new() } else { leaving };
+        self.listed_leaving = if all_leaving {
+            BTreeSet::new()
+        } else {
+            leaving
+        };
         let hosts: Vec<_> = self.entries.keys().cloned().collect();
         for host in &hosts {
             self.publish(host);
--- a/crates/savorywood-core/tests/claim/cluster.rs
+++ b/crates/savorywood-core/tests/claim/cluster.rs
@@ -5,7 +5,7 @@
 use savorywood_core::{
     AnswerReport, BreakCause, DaemonEffect, EffectQueue, KeptAnswer, MemberView, PromptShape,
     QueuedRequest, TimerKey, UpstreamEvent,
-    claims::{ClaimDecision,ClaimEvent, ClaimOptions, ClaimRequest, ClaimState, ClaimView},
+    claims::{ClaimDecision, ClaimEvent, ClaimOptions, ClaimRequest, ClaimState, ClaimView},
 };
 use savorywood_protocol::{
     AttemptNumber, CoreTime, HostIncarnation, HostName, MonotonicTime, OutcomeKind, RequestId,
