--- a/crates/savorywood-core/src/config.rs
+++ b/crates/savorywood-core/src/config.rs
@@ -3,7 +3,7 @@
 //! Accepted means committed in the table under the next revision. See `docs/design/configuration.md`.
 
 pub mod change_log;
-pub mod currency;
+pub mod freshness;
 pub mod options;
 pub mod pending_write;
 pub mod row;
@@ -15,13 +15,13 @@
 mod writing;
 
 pub use change_log::{ChangeList, ConfigChange};
-pub use currency::PeerConfirmation;
+pub use freshness::PeerConfirmation;
 pub use options::ConfigOptions;
 
 use crate::{
     config::{
-        change_log::ChangeLog, currency::CurrencyRecord, pending_write::PendingWrite,
-        row::HeadMark, table_poll::TablePoll,
+        change_log::ChangeLog, freshness::FreshnessTracker, pending_write::PendingWrite,
+        row::VersionedHead, table_poll::TablePoll,
     },
     effect::{DaemonEffect, EffectQueue},
     event::{DutyKind, TableCall, TimerKey},
@@ -83,7 +83,7 @@
 
 /// What a step did to the configuration in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ConfigVerdict {
+pub enum ConfigStepOutcome {
     /// The same configuration is in force.
     Unchanged,
     /// A newer configuration is in force.
@@ -103,12 +103,12 @@
     options: ConfigOptions,
     rng: ChaCha8Rng,
     view: Arc<ConfigView>,
-    mark: HeadMark,
+    mark: VersionedHead,
     loaded_at: Option<WallTime>,
     newest_heard: ConfigRevision,
     gossiped: ConfigRevision,
     log: ChangeLog,
-    currency: CurrencyRecord,
+    freshness: FreshnessTracker,
     poll: TablePoll,
     fetch: Option<SnapshotFetch>,
     writes: VecDeque<PendingWrite>,
@@ -124,12 +124,12 @@
             rng: ChaCha8Rng::seed_from_u64(options.seed),
             options,
             view: Arc::default(),
-            mark: HeadMark::default(),
+            mark: VersionedHead::default(),
             loaded_at: None,
             newest_heard: ConfigRevision::default(),
             gossiped: ConfigRevision::default(),
             log: ChangeLog::default(),
-            currency: CurrencyRecord::default(),
+            freshness: FreshnessTracker::default(),
             poll: TablePoll::default(),
             fetch: None,
             writes: VecDeque::new(),
@@ -155,8 +155,8 @@
     /// Whether table or peers confirmed lately that nothing newer is in force elsewhere.
     #[must_use]
     pub fn is_current(&self, now: CoreTime) -> bool {
-        let allowed = self.options.allowed_age;
-        self.is_ready() && self.currency.is_current(now.monotonic, allowed)
+        let allowed = self.options.max_confirmation_age;
+        self.is_ready() && self.freshness.is_current(now.monotonic, allowed)
     }
 
     /// The whole configuration for another daemon; `None` until it was read whole.
@@ -188,7 +188,7 @@
 
     /// Keeps where a move stands beside its document, so that the check of a new move of the same
     /// service sees whether the last one is over.
-    pub fn note_move_state(&mut self, name: &MoveName, state: MoveState) {
+    pub fn record_move_state(&mut self, name: &MoveName, state: MoveState) {
         let key = ResourceKey {
             kind: ResourceKind::Move,
             name: name.as_str().to_owned(),
@@ -211,7 +211,7 @@
         event: ConfigEvent,
         members: &MemberView,
         effects: &mut EffectQueue,
-    ) -> ConfigVerdict {
+    ) -> ConfigStepOutcome {
         let before = self.view.revision;
         match event {
             ConfigEvent::Started => self.start(now, effects),
@@ -230,11 +230,11 @@
         }
         self.pump_writes(now, effects);
         if self.view.revision == before {
-            return ConfigVerdict::Unchanged;
+            return ConfigStepOutcome::Unchanged;
         }
         effects.push(DaemonEffect::ConfigChanged);
         self.gossip(members, effects);
-        ConfigVerdict::Changed
+        ConfigStepOutcome::Changed
     }
 
     fn table(
--- a/crates/savorywood-core/src/config/applying.rs
+++ b/crates/savorywood-core/src/config/applying.rs
@@ -4,7 +4,7 @@
 use crate::{
     config::{
         change_log::ConfigChange,
-        row::{self, HEAD_KEY, HeadMark, HeadRow, ResourceRow},
+        row::{self, HEAD_KEY, VersionedHead, HeadRow, ResourceRow},
         table_poll::ScanResult,
     },
     effect::{EffectQueue, LogLevel, LogLine},
@@ -38,7 +38,7 @@
         let mut rows = scan.rows;
         rows.sort_by_key(|row| row.revision);
         let head = rows.iter().rfind(|row| row.key == HEAD_KEY);
-        let mark = match head.map(HeadMark::read).transpose() {
+        let mark = match head.map(VersionedHead::read).transpose() {
             Ok(Some(mark)) => mark,
             Ok(None) => return self.apply_nothing(now, &rows, effects),
             Err(error) => {
@@ -95,7 +95,7 @@
     pub(super) fn apply_own(
         &mut self,
         wall: WallTime,
-        mark: HeadMark,
+        mark: VersionedHead,
         key: ResourceKey,
         row: ResourceRow,
         effects: &mut EffectQueue,
@@ -118,7 +118,7 @@
         if self.is_ready() && snapshot.revision <= self.view.revision {
             return;
         }
-        let mark = HeadMark {
+        let mark = VersionedHead {
             commit: snapshot.table_revision,
             head: HeadRow {
                 revision: snapshot.revision,
@@ -161,7 +161,7 @@
     fn install(
         &mut self,
         wall: WallTime,
-        mark: HeadMark,
+        mark: VersionedHead,
         changes: Vec<ResourceChange>,
         effects: &mut EffectQueue,
     ) {
--- a/crates/savorywood-core/src/config/change_log.rs
+++ b/crates/savorywood-core/src/config/change_log.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 
 /// Changes kept: more than a day at the users' 720 changes a day.
-pub const LOG_CHANGES: usize = 1_024;
+pub const MAX_LOGGED_CHANGES: usize = 1_024;
 
 /// One change as it came into force on this daemon.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -47,7 +47,7 @@
 
     /// Adds a change.
     pub fn push(&mut self, change: ConfigChange) {
-        if self.changes.len() == LOG_CHANGES
+        if self.changes.len() == MAX_LOGGED_CHANGES
             && let Some(oldest) = self.changes.pop_front()
         {
             self.complete_after = oldest.revision;
--- a/crates/savorywood-core/src/config/currency.rs
+++ b/crates/savorywood-core/src/config/freshness.rs
@@ -19,16 +19,16 @@
 
 /// When the configuration was last confirmed.
 #[derive(Debug, Default)]
-pub struct CurrencyRecord {
+pub struct FreshnessTracker {
     confirmed_at: Option<MonotonicTime>,
-    members_then: usize,
+    members_at_table_read: usize,
 }
 
-impl CurrencyRecord {
+impl FreshnessTracker {
     /// The table was asked at `asked_at` and showed nothing newer.
     pub fn confirm_by_table(&mut self, asked_at: MonotonicTime, members: &MemberView) {
         self.confirm(asked_at);
-        self.members_then = members.serving().count();
+        self.members_at_table_read = members.serving().count();
     }
 
     /// Peers agree at `now`.
@@ -74,7 +74,7 @@
     /// the other side of a cut, with the table and a newer revision.
     fn is_majority(&self, own: &HostName, agreeing: usize, members: &MemberView) -> bool {
         if self.confirmed_at.is_some() {
-            let known = self.members_then.max(members.serving().count());
+            let known = self.members_at_table_read.max(members.serving().count());
             return 2 * (agreeing + 1) > known;
         }
         let staying = members
--- a/crates/savorywood-core/src/config/options.rs
+++ b/crates/savorywood-core/src/config/options.rs
@@ -1,6 +1,6 @@
 //! Settings of the configuration duty.
 
-use crate::config::currency::PeerConfirmation;
+use crate::config::freshness::PeerConfirmation;
 use savorywood_protocol::HostName;
 use std::time::Duration;
 
@@ -10,16 +10,16 @@
 /// replicas, which takes seconds, so that neither makes a daemon refuse work; short enough that a
 /// daemon that is cut off stops serving an old configuration within half a minute. The price is
 /// that for so long a daemon cut off from both may serve what was replaced elsewhere.
-pub const DEFAULT_ALLOWED_AGE: Duration = Duration::from_secs(30);
+pub const DEFAULT_MAX_CONFIRMATION_AGE: Duration = Duration::from_secs(30);
 
 /// Settings of the configuration duty.
 #[derive(Debug, Clone)]
 pub struct ConfigOptions {
     pub(super) host: HostName,
     pub(super) seed: u64,
-    pub(super) allowed_age: Duration,
+    pub(super) max_confirmation_age: Duration,
     pub(super) confirmation: PeerConfirmation,
-    pub(super) write_limit: Duration,
+    pub(super) write_timeout: Duration,
 }
 
 impl ConfigOptions {
@@ -30,17 +30,17 @@
         Self {
             host,
             seed,
-            allowed_age: DEFAULT_ALLOWED_AGE,
+            max_confirmation_age: DEFAULT_MAX_CONFIRMATION_AGE,
             confirmation: PeerConfirmation::default(),
-            write_limit: Duration::from_secs(10),
+            write_timeout: Duration::from_secs(10),
         }
     }
 
     /// Sets how old a confirmation may be.
     #[must_use]
-    pub fn allowed_age(self, allowed_age: Duration) -> Self {
+    pub fn max_confirmation_age(self, max_confirmation_age: Duration) -> Self {
         Self {
-            allowed_age,
+            max_confirmation_age,
             ..self
         }
     }
@@ -56,9 +56,9 @@
 
     /// Sets how long an operator waits at most for the table.
     #[must_use]
-    pub fn write_limit(self, write_limit: Duration) -> Self {
+    pub fn write_timeout(self, write_timeout: Duration) -> Self {
         Self {
-            write_limit,
+            write_timeout,
             ..self
         }
     }
--- a/crates/savorywood-core/src/config/pending_write.rs
+++ b/crates/savorywood-core/src/config/pending_write.rs
@@ -1,7 +1,7 @@
 //! One operator's change on its way into the table.
 
 use crate::{
-    config::row::{ChangeNonce, HeadMark, ResourceRow},
+    config::row::{ChangeNonce, VersionedHead, ResourceRow},
     operator::{OperatorCall, OperatorReply, OperatorRequest},
     view::ConfigView,
 };
@@ -34,7 +34,7 @@
 
 /// The transaction that was tried last.
 #[derive(Debug, Clone, PartialEq)]
-pub struct TriedCommit {
+pub struct CommitAttempt {
     /// Head that it was conditional on.
     pub base: CommitRevision,
     /// What it writes.
@@ -55,7 +55,7 @@
     /// Where it stands.
     pub stage: WriteStage,
     /// The transaction tried last.
-    pub tried: Option<TriedCommit>,
+    pub tried: Option<CommitAttempt>,
     /// Commits tried so far.
     pub attempts: u32,
     /// The operator is answered by then.
@@ -68,7 +68,7 @@
 
 /// What the view says of a change.
 #[derive(Debug)]
-pub enum WriteVerdict {
+pub enum WriteDecision {
     /// Commit this row.
     Commit(Box<ResourceRow>),
     /// The answer is no, but the view may be older than the table: read it first.
@@ -105,20 +105,20 @@
     }
 
     /// Checks the change against the view.
-    pub fn judge(
+    pub fn evaluate(
         &mut self,
         view: &ConfigView,
-        mark: &HeadMark,
+        mark: &VersionedHead,
         nonce: ChangeNonce,
         wall: WallTime,
-    ) -> WriteVerdict {
+    ) -> WriteDecision {
         match self.refusal(view, wall) {
-            Some(_) if !self.refreshed => WriteVerdict::Refresh,
-            Some(reply) => WriteVerdict::Reply(reply),
+            Some(_) if !self.refreshed => WriteDecision::Refresh,
+            Some(reply) => WriteDecision::Reply(reply),
             None => {
                 self.seen
                     .get_or_insert_with(|| revision_of(view, &self.key));
-                WriteVerdict::Commit(Box::new(self.row(mark.head.revision.next(), nonce)))
+                WriteDecision::Commit(Box::new(self.row(mark.head.revision.next(), nonce)))
             }
         }
     }
--- a/crates/savorywood-core/src/config/refreshing.rs
+++ b/crates/savorywood-core/src/config/refreshing.rs
@@ -4,7 +4,7 @@
 use crate::{
     config::{
         pending_write::WriteStage,
-        table_poll::{PageVerdict, page_request, poll_period},
+        table_poll::{PageResult, page_request, poll_period},
     },
     effect::{DaemonEffect, EffectQueue, LogLevel, LogLine},
     snapshot::ConfigSnapshot,
@@ -77,13 +77,13 @@
             TableResponse::Rows { rows, more, .. } => {
                 let number = self.next_call();
                 match self.poll.take_page(rows, more, number) {
-                    Some(PageVerdict::More(after)) => {
+                    Some(PageResult::More(after)) => {
                         self.send_call(number, page_request(after), effects);
                     }
-                    Some(PageVerdict::Done(scan)) => {
+                    Some(PageResult::Done(scan)) => {
                         let asked_at = scan.asked_at;
                         if self.apply_scan(now, scan, effects) {
-                            self.currency.confirm_by_table(asked_at, members);
+                            self.freshness.confirm_by_table(asked_at, members);
                         }
                         self.wake_writes(effects);
                     }
@@ -99,7 +99,7 @@
                 self.ask_peers(now, members, effects);
             }
         }
-        if self.poll.take_again() {
+        if self.poll.take_rescan_request() {
             self.begin_scan(now, effects);
         }
     }
@@ -107,7 +107,7 @@
     /// The table can't be read: peers may say that nothing is newer, or have what is.
     fn ask_peers(&mut self, now: CoreTime, members: &MemberView, effects: &mut EffectQueue) {
         if self.is_ready() && self.peers_agree(self.view.revision, members) {
-            self.currency.confirm_by_peers(now.monotonic);
+            self.freshness.confirm_by_peers(now.monotonic);
             return;
         }
         if !self.is_ready() {
@@ -132,7 +132,7 @@
     fn peers_agree(&self, revision: ConfigRevision, members: &MemberView) -> bool {
         let own = &self.options.host;
         let rule = self.options.confirmation;
-        self.currency.peers_agree(own, revision, rule, members)
+        self.freshness.peers_agree(own, revision, rule, members)
     }
 
     /// One of the members with the newest revision, if it is newer than ours.
@@ -181,7 +181,7 @@
         }
         self.apply_snapshot(now, *snapshot, effects);
         if self.view.revision == revision && self.peers_agree(revision, members) {
-            self.currency.confirm_by_peers(now.monotonic);
+            self.freshness.confirm_by_peers(now.monotonic);
         }
     }
 
--- a/crates/savorywood-core/src/config/row.rs
+++ b/crates/savorywood-core/src/config/row.rs
@@ -31,7 +31,7 @@
 
 /// One change as the head row remembers it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ChangeNote {
+pub struct RecentChange {
     /// Revision that the change made.
     pub revision: ConfigRevision,
     /// Resource that it changed.
@@ -46,7 +46,7 @@
     /// Revision of the whole configuration.
     pub revision: ConfigRevision,
     /// The newest changes, oldest first.
-    pub recent: Vec<ChangeNote>,
+    pub recent: Vec<RecentChange>,
 }
 
 /// Content of a resource's row.
@@ -72,14 +72,14 @@
 
 /// Where a daemon stands in the table's history of the configuration.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct HeadMark {
+pub struct VersionedHead {
     /// Commit that wrote the head last; zero when there is no head yet.
     pub commit: CommitRevision,
     /// What the head said.
     pub head: HeadRow,
 }
 
-impl HeadMark {
+impl VersionedHead {
     /// Reads the head from a row of the table.
     ///
     /// # Errors
@@ -93,11 +93,11 @@
 
     /// The same head after one more change.
     #[must_use]
-    pub fn extended(&self, note: ChangeNote) -> HeadRow {
+    pub fn with_change(&self, change: RecentChange) -> HeadRow {
         let surplus = (self.head.recent.len() + 1).saturating_sub(RECENT_CHANGES);
         let kept = self.head.recent.iter().skip(surplus).cloned();
-        let revision = note.revision;
-        let recent = kept.chain([note]).collect();
+        let revision = change.revision;
+        let recent = kept.chain([change]).collect();
         HeadRow { revision, recent }
     }
 
@@ -137,13 +137,13 @@
 
 /// The transaction that makes one change on top of `mark`.
 #[must_use]
-pub fn change_commit(mark: &HeadMark, key: &ResourceKey, row: &ResourceRow) -> TableCommit {
-    let note = ChangeNote {
+pub fn change_commit(mark: &VersionedHead, key: &ResourceKey, row: &ResourceRow) -> TableCommit {
+    let change = RecentChange {
         revision: row.revision,
         key: key.clone(),
         nonce: row.nonce,
     };
-    let head = mark.extended(note);
+    let head = mark.with_change(change);
     TableCommit {
         conditions: vec![mark.condition()],
         writes: vec![
--- a/crates/savorywood-core/src/config/table_poll.rs
+++ b/crates/savorywood-core/src/config/table_poll.rs
@@ -16,10 +16,10 @@
 pub const POLL_READS_PER_SECOND: usize = 125;
 
 /// Shortest period of polling.
-pub const MIN_PERIOD: Duration = Duration::from_secs(1);
+pub const MIN_POLL_PERIOD: Duration = Duration::from_secs(1);
 
 /// Longest period of polling. Reached with 1,250 daemons.
-pub const MAX_PERIOD: Duration = Duration::from_secs(10);
+pub const MAX_POLL_PERIOD: Duration = Duration::from_secs(10);
 
 /// Rows asked for in one read.
 pub const PAGE_ROWS: u32 = 1_000;
@@ -31,7 +31,7 @@
 #[must_use]
 pub fn poll_period(members: usize) -> Duration {
     let micros = members * 1_000_000 / POLL_READS_PER_SECOND;
-    Duration::from_micros(micros as u64).clamp(MIN_PERIOD, MAX_PERIOD)
+    Duration::from_micros(micros as u64).clamp(MIN_POLL_PERIOD, MAX_POLL_PERIOD)
 }
 
 /// A scan under way.
@@ -53,7 +53,7 @@
 
 /// What to do after a page.
 #[derive(Debug)]
-pub enum PageVerdict {
+pub enum PageResult {
     /// Ask for the rows after this revision.
     More(CommitRevision),
     /// All is there.
@@ -65,7 +65,7 @@
 pub struct TablePoll {
     current: Option<ScanProgress>,
     serial: u64,
-    again: bool,
+    rescan_requested: bool,
 }
 
 impl TablePoll {
@@ -79,11 +79,11 @@
         if let Some(current) = &self.current
             && now.since(current.asked_at) < READ_LIMIT
         {
-            self.again = true;
+            self.rescan_requested = true;
             return None;
         }
         self.serial += 1;
-        self.again = false;
+        self.rescan_requested = false;
         self.current = Some(ScanProgress {
             call,
             asked_at: now,
@@ -114,16 +114,16 @@
     }
 
     /// Takes one page; `call` names the read of the next one.
-    pub fn take_page(&mut self, rows: Vec<TableRow>, more: bool, call: u64) -> Option<PageVerdict> {
+    pub fn take_page(&mut self, rows: Vec<TableRow>, more: bool, call: u64) -> Option<PageResult> {
         let mut current = self.current.take()?;
         current.rows.extend(rows);
         let last = current.rows.last().map(|row| row.revision);
         if let (true, Some(last)) = (more, last) {
             current.call = call;
             self.current = Some(current);
-            return Some(PageVerdict::More(last));
+            return Some(PageResult::More(last));
         }
-        Some(PageVerdict::Done(ScanResult {
+        Some(PageResult::Done(ScanResult {
             asked_at: current.asked_at,
             rows: current.rows,
         }))
@@ -135,8 +135,8 @@
     }
 
     /// Whether another scan was asked for while one was under way.
-    pub fn take_again(&mut self) -> bool {
-        self.current.is_none() && std::mem::take(&mut self.again)
+    pub fn take_rescan_request(&mut self) -> bool {
+        self.current.is_none() && std::mem::take(&mut self.rescan_requested)
     }
 }
 
--- a/crates/savorywood-core/src/config/writing.rs
+++ b/crates/savorywood-core/src/config/writing.rs
@@ -6,8 +6,8 @@
 use super::{ConfigState, ConfigTimer};
 use crate::{
     config::{
-        pending_write::{PendingWrite, TriedCommit, WriteStage, WriteVerdict},
-        row::{self, ChangeNonce, ChangeNote, HEAD_KEY, HeadMark},
+        pending_write::{PendingWrite, CommitAttempt, WriteStage, WriteDecision},
+        row::{self, ChangeNonce, RecentChange, HEAD_KEY, VersionedHead},
     },
     effect::{DaemonEffect, EffectQueue, LogLevel, LogLine},
     operator::{OperatorCall, OperatorReply, OperatorRequest},
@@ -55,7 +55,7 @@
             reply(call, OperatorReply::Refused(refusal), effects);
             return;
         }
-        let deadline_at = now.monotonic + self.options.write_limit;
+        let deadline_at = now.monotonic + self.options.write_timeout;
         self.writes
             .push_back(PendingWrite::new(call, request, deadline_at));
     }
@@ -72,18 +72,18 @@
                 return;
             }
             let verdict = match ready {
-                true => write.judge(&self.view, &self.mark, nonce, now.wall),
-                false => WriteVerdict::Refresh,
+                true => write.evaluate(&self.view, &self.mark, nonce, now.wall),
+                false => WriteDecision::Refresh,
             };
             match verdict {
-                WriteVerdict::Refresh => {
+                WriteDecision::Refresh => {
                     let serial = self.poll.next_serial();
                     write.stage = WriteStage::Refreshing { serial };
                     self.begin_scan(now, effects);
                 }
-                WriteVerdict::Reply(verdict) => self.finish_write(verdict, effects),
-                WriteVerdict::Commit(row) => {
-                    write.tried = Some(TriedCommit {
+                WriteDecision::Reply(verdict) => self.finish_write(verdict, effects),
+                WriteDecision::Commit(row) => {
+                    write.tried = Some(CommitAttempt {
                         base: self.mark.commit,
                         row: *row,
                         uncertain: false,
@@ -217,13 +217,13 @@
         reply(write.call, OperatorReply::Accepted { revision }, effects);
         match commit {
             Some(commit) if self.mark.commit == tried.base => {
-                let note = ChangeNote {
+                let change = RecentChange {
                     revision,
                     key: write.key.clone(),
                     nonce: tried.row.nonce,
                 };
-                let head = self.mark.extended(note);
-                let mark = HeadMark { commit, head };
+                let head = self.mark.with_change(change);
+                let mark = VersionedHead { commit, head };
                 self.apply_own(now.wall, mark, write.key, tried.row, effects);
             }
             _ => self.begin_scan(now, effects),
@@ -249,8 +249,8 @@
 }
 
 /// Whether the commit took effect, by the note that the head row keeps of its revision.
-fn commit_fate(tried: &TriedCommit, head: Option<&TableRow>) -> CommitFate {
-    let mark = match head.map(HeadMark::read).transpose() {
+fn commit_fate(tried: &CommitAttempt, head: Option<&TableRow>) -> CommitFate {
+    let mark = match head.map(VersionedHead::read).transpose() {
         Ok(mark) => mark.unwrap_or_default(),
         Err(_) => return CommitFate::Forgotten,
     };
@@ -258,8 +258,8 @@
         return CommitFate::Open;
     }
     let mut notes = mark.head.recent.iter();
-    match notes.find(|note| note.revision == tried.row.revision) {
-        Some(note) if note.nonce == tried.row.nonce => CommitFate::Landed,
+    match notes.find(|change| change.revision == tried.row.revision) {
+        Some(change) if change.nonce == tried.row.nonce => CommitFate::Landed,
         Some(_) => CommitFate::Beaten,
         None => CommitFate::Forgotten,
     }
--- a/crates/savorywood-core/src/daemon.rs
+++ b/crates/savorywood-core/src/daemon.rs
@@ -16,7 +16,7 @@
 use crate::{
     burn::BurnLedger,
     claims::{ClaimEvent, ClaimOptions, ClaimState},
-    config::{ConfigEvent, ConfigOptions, ConfigState, ConfigVerdict},
+    config::{ConfigEvent, ConfigOptions, ConfigState, ConfigStepOutcome},
     credits::{CreditEvent, CreditOptions, CreditState},
     discovery::DiscoveryOptions,
     effect::{DaemonEffect, EffectQueue},
@@ -326,7 +326,7 @@
         let verdict = self
             .config
             .step(now, event, self.membership.view(), effects);
-        if verdict == ConfigVerdict::Changed {
+        if verdict == ConfigStepOutcome::Changed {
             let revision = self.config.view().revision;
             self.join(now, MembershipEvent::RevisionInForce(revision), effects);
             self.mark_leaving_upstreams(now, effects);
