--- a/crates/savorywood-core/src/config.rs
+++ b/crates/savorywood-core/src/config.rs
@@ -103,7 +103,7 @@
     options: ConfigOptions,
     rng: ChaCha8Rng,
     view: Arc<ConfigView>,
-    mark: VersionedHead,
+    head: VersionedHead,
     loaded_at: Option<WallTime>,
     newest_heard: ConfigRevision,
     gossiped: ConfigRevision,
@@ -124,7 +124,7 @@
             rng: ChaCha8Rng::seed_from_u64(options.seed),
             options,
             view: Arc::default(),
-            mark: VersionedHead::default(),
+            head: VersionedHead::default(),
             loaded_at: None,
             newest_heard: ConfigRevision::default(),
             gossiped: ConfigRevision::default(),
@@ -165,7 +165,7 @@
         self.loaded_at?;
         Some(ConfigSnapshot {
             revision: self.view.revision,
-            table_revision: self.mark.commit,
+            table_revision: self.head.commit,
             documents: self.view.documents.values().cloned().collect(),
         })
     }
--- a/crates/savorywood-core/src/config/applying.rs
+++ b/crates/savorywood-core/src/config/applying.rs
@@ -37,9 +37,9 @@
     ) -> bool {
         let mut rows = scan.rows;
         rows.sort_by_key(|row| row.revision);
-        let head = rows.iter().rfind(|row| row.key == HEAD_KEY);
-        let mark = match head.map(VersionedHead::read).transpose() {
-            Ok(Some(mark)) => mark,
+        let head_row = rows.iter().rfind(|row| row.key == HEAD_KEY);
+        let head = match head_row.map(VersionedHead::read).transpose() {
+            Ok(Some(head)) => head,
             Ok(None) => return self.apply_nothing(now, &rows, effects),
             Err(error) => {
                 let line = LogLine::new(LogLevel::Error, "config-head-unreadable");
@@ -49,28 +49,28 @@
         };
         // An own commit may have been applied while the scan was under way: then the scan is the
         // older of the two.
-        if self.is_ready() && mark.commit <= self.mark.commit {
+        if self.is_ready() && head.commit <= self.head.commit {
             return true;
         }
-        if mark.head.revision < self.view.revision {
+        if head.row.revision < self.view.revision {
             let line = LogLine::new(LogLevel::Error, "config-table-went-back")
-                .with("table_revision", mark.head.revision)
+                .with("table_revision", head.row.revision)
                 .with("in_force", self.view.revision);
             effects.log(line);
             return false;
         }
         // Peers have a newer revision in force, so this read came from a copy that lags. A daemon
         // that began with it would serve a configuration that was already replaced.
-        let behind = mark.head.revision < self.newest_heard;
+        let behind = head.row.revision < self.newest_heard;
         if behind && !self.is_ready() {
             let line = LogLine::new(LogLevel::Warn, "config-table-behind-peers")
-                .with("table_revision", mark.head.revision)
+                .with("table_revision", head.row.revision)
                 .with("newest_heard", self.newest_heard);
             effects.log(line);
             return false;
         }
         let changes = read_changes(&rows, effects);
-        self.install(now.wall, mark, changes, effects);
+        self.install(now.wall, head, changes, effects);
         !behind
     }
 
@@ -95,7 +95,7 @@
     pub(super) fn apply_own(
         &mut self,
         wall: WallTime,
-        mark: VersionedHead,
+        head: VersionedHead,
         key: ResourceKey,
         row: ResourceRow,
         effects: &mut EffectQueue,
@@ -105,7 +105,7 @@
             revision: row.revision,
             document: row.document,
         };
-        self.install(wall, mark, vec![change], effects);
+        self.install(wall, head, vec![change], effects);
     }
 
     /// Applies a peer's whole configuration, if it is newer.
@@ -118,15 +118,15 @@
         if self.is_ready() && snapshot.revision <= self.view.revision {
             return;
         }
-        let mark = VersionedHead {
+        let head = VersionedHead {
             commit: snapshot.table_revision,
-            head: HeadRow {
+            row: HeadRow {
                 revision: snapshot.revision,
                 recent: Vec::new(),
             },
         };
         let changes = self.differences(snapshot);
-        self.install(now.wall, mark, changes, effects);
+        self.install(now.wall, head, changes, effects);
     }
 
     fn differences(&self, snapshot: ConfigSnapshot) -> Vec<ResourceChange> {
@@ -161,11 +161,11 @@
     fn install(
         &mut self,
         wall: WallTime,
-        mark: VersionedHead,
+        head: VersionedHead,
         changes: Vec<ResourceChange>,
         effects: &mut EffectQueue,
     ) {
-        let next = mark.head.revision;
+        let next = head.row.revision;
         let grows = next >= self.view.revision;
         invariant::check(effects, InvariantName::ConfigNeverReverts, grows, || {
             format!(
@@ -188,7 +188,7 @@
             put(view, change, effects);
         }
         view.revision = next;
-        self.mark = mark;
+        self.head = head;
         self.newest_heard = self.newest_heard.max(next);
         self.mark_loaded(wall);
         let line = LogLine::new(LogLevel::Info, "config-in-force").with("revision", next);
--- a/crates/savorywood-core/src/config/pending_write.rs
+++ b/crates/savorywood-core/src/config/pending_write.rs
@@ -108,7 +108,7 @@
     pub fn evaluate(
         &mut self,
         view: &ConfigView,
-        mark: &VersionedHead,
+        head: &VersionedHead,
         nonce: ChangeNonce,
         wall: WallTime,
     ) -> WriteDecision {
@@ -118,7 +118,7 @@
             None => {
                 self.seen
                     .get_or_insert_with(|| revision_of(view, &self.key));
-                WriteDecision::Commit(Box::new(self.row(mark.head.revision.next(), nonce)))
+                WriteDecision::Commit(Box::new(self.row(head.row.revision.next(), nonce)))
             }
         }
     }
--- a/crates/savorywood-core/src/config/refreshing.rs
+++ b/crates/savorywood-core/src/config/refreshing.rs
@@ -60,7 +60,7 @@
 
     pub(super) fn begin_scan(&mut self, now: CoreTime, effects: &mut EffectQueue) {
         let number = self.next_call();
-        let after = self.mark.commit;
+        let after = self.head.commit;
         if let Some(request) = self.poll.begin(now.monotonic, number, after) {
             self.send_call(number, request, effects);
         }
--- a/crates/savorywood-core/src/config/row.rs
+++ b/crates/savorywood-core/src/config/row.rs
@@ -76,7 +76,7 @@
     /// Commit that wrote the head last; zero when there is no head yet.
     pub commit: CommitRevision,
     /// What the head said.
-    pub head: HeadRow,
+    pub row: HeadRow,
 }
 
 impl VersionedHead {
@@ -85,17 +85,17 @@
     /// # Errors
     ///
     /// When the row is not a head row.
-    pub fn read(row: &TableRow) -> Result<Self, RowError> {
-        let head = decode(row)?;
-        let commit = row.revision;
-        Ok(Self { commit, head })
+    pub fn read(table_row: &TableRow) -> Result<Self, RowError> {
+        let row = decode(table_row)?;
+        let commit = table_row.revision;
+        Ok(Self { commit, row })
     }
 
     /// The same head after one more change.
     #[must_use]
     pub fn with_change(&self, change: RecentChange) -> HeadRow {
-        let surplus = (self.head.recent.len() + 1).saturating_sub(RECENT_CHANGES);
-        let kept = self.head.recent.iter().skip(surplus).cloned();
+        let surplus = (self.row.recent.len() + 1).saturating_sub(RECENT_CHANGES);
+        let kept = self.row.recent.iter().skip(surplus).cloned();
         let revision = change.revision;
         let recent = kept.chain([change]).collect();
         HeadRow { revision, recent }
@@ -137,18 +137,18 @@
 
 /// The transaction that makes one change on top of `mark`.
 #[must_use]
-pub fn change_commit(mark: &VersionedHead, key: &ResourceKey, row: &ResourceRow) -> TableCommit {
+pub fn change_commit(head: &VersionedHead, key: &ResourceKey, row: &ResourceRow) -> TableCommit {
     let change = RecentChange {
         revision: row.revision,
         key: key.clone(),
         nonce: row.nonce,
     };
-    let head = mark.with_change(change);
+    let head_row = head.with_change(change);
     TableCommit {
-        conditions: vec![mark.condition()],
+        conditions: vec![head.condition()],
         writes: vec![
             row_write(row_key(key), row),
-            row_write(HEAD_KEY.to_owned(), &head),
+            row_write(HEAD_KEY.to_owned(), &head_row),
         ],
     }
 }
--- a/crates/savorywood-core/src/config/writing.rs
+++ b/crates/savorywood-core/src/config/writing.rs
@@ -72,7 +72,7 @@
                 return;
             }
             let verdict = match ready {
-                true => write.evaluate(&self.view, &self.mark, nonce, now.wall),
+                true => write.evaluate(&self.view, &self.head, nonce, now.wall),
                 false => WriteDecision::Refresh,
             };
             match verdict {
@@ -84,7 +84,7 @@
                 WriteDecision::Reply(verdict) => self.finish_write(verdict, effects),
                 WriteDecision::Commit(row) => {
                     write.tried = Some(CommitAttempt {
-                        base: self.mark.commit,
+                        base: self.head.commit,
                         row: *row,
                         uncertain: false,
                     });
@@ -101,9 +101,9 @@
         let Some(tried) = &write.tried else {
             return;
         };
-        let mut mark = self.mark.clone();
-        mark.commit = tried.base;
-        let commit = row::change_commit(&mark, &write.key, &tried.row);
+        let mut head = self.head.clone();
+        head.commit = tried.base;
+        let commit = row::change_commit(&head, &write.key, &tried.row);
         write.stage = WriteStage::Committing;
         write.attempts += 1;
         self.write_call = Some(self.call_table(TableRequest::Commit(commit), effects));
@@ -216,15 +216,15 @@
         let revision = tried.row.revision;
         reply(write.call, OperatorReply::Accepted { revision }, effects);
         match commit {
-            Some(commit) if self.mark.commit == tried.base => {
+            Some(commit) if self.head.commit == tried.base => {
                 let change = RecentChange {
                     revision,
                     key: write.key.clone(),
                     nonce: tried.row.nonce,
                 };
-                let head = self.mark.with_change(change);
-                let mark = VersionedHead { commit, head };
-                self.apply_own(now.wall, mark, write.key, tried.row, effects);
+                let row = self.head.with_change(change);
+                let head = VersionedHead { commit, row };
+                self.apply_own(now.wall, head, write.key, tried.row, effects);
             }
             _ => self.begin_scan(now, effects),
         }
@@ -249,15 +249,15 @@
 }
 
 /// Whether the commit took effect, by the note that the head row keeps of its revision.
-fn commit_fate(tried: &CommitAttempt, head: Option<&TableRow>) -> CommitFate {
-    let mark = match head.map(VersionedHead::read).transpose() {
-        Ok(mark) => mark.unwrap_or_default(),
+fn commit_fate(tried: &CommitAttempt, head_row: Option<&TableRow>) -> CommitFate {
+    let head = match head_row.map(VersionedHead::read).transpose() {
+        Ok(head) => head.unwrap_or_default(),
         Err(_) => return CommitFate::Forgotten,
     };
-    if mark.commit == tried.base {
+    if head.commit == tried.base {
         return CommitFate::Open;
     }
-    let mut notes = mark.head.recent.iter();
+    let mut notes = head.row.recent.iter();
     match notes.find(|change| change.revision == tried.row.revision) {
         Some(change) if change.nonce == tried.row.nonce => CommitFate::Landed,
         Some(_) => CommitFate::Beaten,
