--- a/crates/savorywood-core/src/config.rs
+++ b/crates/savorywood-core/src/config.rs
@@ -10,9 +10,9 @@
 pub mod status;
 pub mod table_poll;
 
-mod applying;
-mod refreshing;
-mod writing;
+mod operator_writes;
+mod refresh;
+mod row_updates;
 
 pub use change_log::{ChangeList, ConfigChange};
 pub use freshness::PeerConfirmation;
@@ -94,7 +94,7 @@
 #[derive(Debug)]
 struct SnapshotFetch {
     from: HostName,
-    asked_at: MonotonicTime,
+    requested_at: MonotonicTime,
 }
 
 /// State of the configuration duty.
@@ -105,15 +105,15 @@
     view: Arc<ConfigView>,
     head: VersionedHead,
     loaded_at: Option<WallTime>,
-    newest_heard: ConfigRevision,
-    gossiped: ConfigRevision,
-    log: ChangeLog,
+    newest_reported: ConfigRevision,
+    last_gossiped_revision: ConfigRevision,
+    change_log: ChangeLog,
     freshness: FreshnessTracker,
     poll: TablePoll,
-    fetch: Option<SnapshotFetch>,
+    snapshot_fetch: Option<SnapshotFetch>,
     writes: VecDeque<PendingWrite>,
-    write_call: Option<u64>,
-    calls: u64,
+    write_call_number: Option<u64>,
+    last_call_number: u64,
 }
 
 impl ConfigState {
@@ -126,15 +126,15 @@
             view: Arc::default(),
             head: VersionedHead::default(),
             loaded_at: None,
-            newest_heard: ConfigRevision::default(),
-            gossiped: ConfigRevision::default(),
-            log: ChangeLog::default(),
+            newest_reported: ConfigRevision::default(),
+            last_gossiped_revision: ConfigRevision::default(),
+            change_log: ChangeLog::default(),
             freshness: FreshnessTracker::default(),
             poll: TablePoll::default(),
-            fetch: None,
+            snapshot_fetch: None,
             writes: VecDeque::new(),
-            write_call: None,
-            calls: 0,
+            write_call_number: None,
+            last_call_number: 0,
         }
     }
 
@@ -173,7 +173,7 @@
     /// Changes after a revision, for operators that watch.
     #[must_use]
     pub fn changes_since(&self, revision: ConfigRevision) -> ChangeList {
-        self.log.since(revision)
+        self.change_log.since(revision)
     }
 
     /// Status of a resource in force.
@@ -181,7 +181,7 @@
     pub fn status_of(&self, key: &ResourceKey, members: &MemberView) -> Option<ResourceStatus> {
         let document = self.view.documents.get(key)?;
         let revision = document.revision.unwrap_or_default();
-        let applied_at = self.log.applied_at(revision).or(self.loaded_at);
+        let applied_at = self.change_log.applied_at(revision).or(self.loaded_at);
         let since = applied_at.unwrap_or_default();
         Some(status::resource_status(revision, since, members))
     }
@@ -194,8 +194,8 @@
             name: name.as_str().to_owned(),
         };
         let document = self.view.documents.get(&key);
-        let known = document.and_then(|document| document.status.as_ref()?.move_state);
-        if document.is_none() || known == Some(state) {
+        let current = document.and_then(|document| document.status.as_ref()?.move_state);
+        if document.is_none() || current == Some(state) {
             return;
         }
         if let Some(document) = Arc::make_mut(&mut self.view).documents.get_mut(&key) {
@@ -215,20 +215,20 @@
         let before = self.view.revision;
         match event {
             ConfigEvent::Started => self.start(now, effects),
-            ConfigEvent::TimerFired { number } => self.timer(now, number, members, effects),
+            ConfigEvent::TimerFired { number } => self.handle_timer(now, number, members, effects),
             ConfigEvent::Table { number, answer } => {
-                self.table(now, number, answer, members, effects);
+                self.handle_table_response(now, number, answer, members, effects);
             }
             ConfigEvent::Operator { call, request } => {
-                self.accept_write(now, call, *request, effects);
+                self.enqueue_write(now, call, *request, effects);
             }
-            ConfigEvent::Peer { message, .. } => self.hear(now, &message, effects),
+            ConfigEvent::Peer { message, .. } => self.handle_config_message(now, &message, effects),
             ConfigEvent::SnapshotFetched { from, snapshot } => {
-                self.take_snapshot(now, &from, snapshot, members, effects);
+                self.handle_snapshot(now, &from, snapshot, members, effects);
             }
-            ConfigEvent::MembersChanged => self.hear_members(now, members, effects),
+            ConfigEvent::MembersChanged => self.observe_member_revisions(now, members, effects),
         }
-        self.pump_writes(now, effects);
+        self.advance_writes(now, effects);
         if self.view.revision == before {
             return ConfigStepOutcome::Unchanged;
         }
@@ -237,19 +237,19 @@
         ConfigStepOutcome::Changed
     }
 
-    fn table(
+    fn handle_table_response(
         &mut self,
         now: CoreTime,
         number: u64,
-        answer: TableResponse,
+        response: TableResponse,
         members: &MemberView,
         effects: &mut EffectQueue,
     ) {
         if self.poll.owns(number) {
-            self.scan_answered(now, answer, members, effects);
-        } else if self.write_call == Some(number) {
-            self.write_call = None;
-            self.write_answered(now, answer, effects);
+            self.handle_scan_response(now, response, members, effects);
+        } else if self.write_call_number == Some(number) {
+            self.write_call_number = None;
+            self.handle_write_response(now, response, effects);
         }
     }
 
@@ -260,8 +260,8 @@
     }
 
     fn next_call(&mut self) -> u64 {
-        self.calls += 1;
-        self.calls
+        self.last_call_number += 1;
+        self.last_call_number
     }
 
     fn send_call(&self, number: u64, request: TableRequest, effects: &mut EffectQueue) {
@@ -275,7 +275,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ConfigTimer {
     Poll,
-    Notice,
+    Refresh,
     Write,
 }
 
@@ -287,8 +287,8 @@
     }
 
     fn from_number(number: u64) -> Option<Self> {
-        [Self::Poll, Self::Notice, Self::Write]
+        [Self::Poll, Self::Refresh, Self::Write]
             .into_iter()
-            .find(|timer| *timer as u64 == number)
+            .find(|handle_timer| *handle_timer as u64 == number)
     }
 }
--- a/crates/savorywood-core/src/config/change_log.rs
+++ b/crates/savorywood-core/src/config/change_log.rs
@@ -71,10 +71,10 @@
     /// When the change of a revision was applied here, if it is still kept.
     #[must_use]
     pub fn applied_at(&self, revision: ConfigRevision) -> Option<WallTime> {
-        let place = self
+        let index = self
             .changes
             .binary_search_by_key(&revision, |change| change.revision)
             .ok()?;
-        self.changes.get(place).map(|change| change.applied_at)
+        self.changes.get(index).map(|change| change.applied_at)
     }
 }
--- a/crates/savorywood-core/src/config/freshness.rs
+++ b/crates/savorywood-core/src/config/freshness.rs
@@ -26,8 +26,8 @@
 
 impl FreshnessTracker {
     /// The table was asked at `asked_at` and showed nothing newer.
-    pub fn confirm_by_table(&mut self, asked_at: MonotonicTime, members: &MemberView) {
-        self.confirm(asked_at);
+    pub fn confirm_by_table(&mut self, requested_at: MonotonicTime, members: &MemberView) {
+        self.confirm(requested_at);
         self.members_at_table_read = members.serving().count();
     }
 
@@ -77,10 +77,10 @@
             let known = self.members_at_table_read.max(members.serving().count());
             return 2 * (agreeing + 1) > known;
         }
-        let staying = members
+        let not_leaving = members
             .members
             .iter()
             .filter(|(host, member)| *host != own && member.state != MemberState::Leaving);
-        2 * agreeing > staying.count()
+        2 * agreeing > not_leaving.count()
     }
 }
--- a/crates/savorywood-core/src/config/writing.rs
+++ b/crates/savorywood-core/src/config/operator_writes.rs
@@ -6,8 +6,8 @@
 use super::{ConfigState, ConfigTimer};
 use crate::{
     config::{
-        pending_write::{PendingWrite, CommitAttempt, WriteStage, WriteDecision},
-        row::{self, ChangeNonce, RecentChange, HEAD_KEY, VersionedHead},
+        pending_write::{CommitAttempt, PendingWrite, WriteDecision, WriteStage},
+        row::{self, ChangeNonce, HEAD_KEY, RecentChange, VersionedHead},
     },
     effect::{DaemonEffect, EffectQueue, LogLevel, LogLine},
     operator::{OperatorCall, OperatorReply, OperatorRequest},
@@ -20,39 +20,39 @@
 use std::time::Duration;
 
 /// Changes that wait on one daemon before more are refused.
-const MAX_WRITES: usize = 64;
+const MAX_PENDING_WRITES: usize = 64;
 
 /// Commits tried for one change while other operators keep coming first.
 const MAX_ATTEMPTS: u32 = 8;
 
 /// Wait before the head row is read again.
-const READ_BACK_WAIT: Duration = Duration::from_millis(250);
+const READ_BACK_DELAY: Duration = Duration::from_millis(250);
 
 /// What the head row says of a commit whose fate was open.
-enum CommitFate {
+enum CommitOutcome {
     /// It took effect.
-    Landed,
+    Committed,
     /// Another change came first: it never can take effect.
-    Beaten,
+    Superseded,
     /// The head is as it was: it may still take effect.
-    Open,
+    Undecided,
     /// More changes came since than the head remembers.
-    Forgotten,
+    Unknown,
 }
 
 impl ConfigState {
-    pub(super) fn accept_write(
+    pub(super) fn enqueue_write(
         &mut self,
         now: CoreTime,
         call: OperatorCall,
         request: OperatorRequest,
         effects: &mut EffectQueue,
     ) {
-        if self.writes.len() >= MAX_WRITES {
+        if self.writes.len() >= MAX_PENDING_WRITES {
             let detail = "too many changes wait on this daemon; send it again";
             let refusal = RequestRefusal::not_run(RefusalCode::Overloaded, detail)
                 .with_retry_after(Duration::from_secs(1));
-            reply(call, OperatorReply::Refused(refusal), effects);
+            reply_to_operator(call, OperatorReply::Refused(refusal), effects);
             return;
         }
         let deadline_at = now.monotonic + self.options.write_timeout;
@@ -61,8 +61,8 @@
     }
 
     /// Takes up the oldest change, if it can go on.
-    pub(super) fn pump_writes(&mut self, now: CoreTime, effects: &mut EffectQueue) {
-        while self.write_call.is_none() {
+    pub(super) fn advance_writes(&mut self, now: CoreTime, effects: &mut EffectQueue) {
+        while self.write_call_number.is_none() {
             let nonce = ChangeNonce(self.rng.random());
             let ready = self.is_ready();
             let Some(write) = self.writes.front_mut() else {
@@ -71,19 +71,19 @@
             if write.stage != WriteStage::Fresh {
                 return;
             }
-            let verdict = match ready {
+            let decision = match ready {
                 true => write.evaluate(&self.view, &self.head, nonce, now.wall),
                 false => WriteDecision::Refresh,
             };
-            match verdict {
+            match decision {
                 WriteDecision::Refresh => {
                     let serial = self.poll.next_serial();
                     write.stage = WriteStage::Refreshing { serial };
                     self.begin_scan(now, effects);
                 }
-                WriteDecision::Reply(verdict) => self.finish_write(verdict, effects),
+                WriteDecision::Reply(reply) => self.finish_write(reply, effects),
                 WriteDecision::Commit(row) => {
-                    write.tried = Some(CommitAttempt {
+                    write.last_attempt = Some(CommitAttempt {
                         base: self.head.commit,
                         row: *row,
                         uncertain: false,
@@ -98,47 +98,54 @@
         let Some(write) = self.writes.front_mut() else {
             return;
         };
-        let Some(tried) = &write.tried else {
+        let Some(attempt) = &write.last_attempt else {
             return;
         };
         let mut head = self.head.clone();
-        head.commit = tried.base;
-        let commit = row::change_commit(&head, &write.key, &tried.row);
+        head.commit = attempt.base;
+        let commit = row::change_commit(&head, &write.key, &attempt.row);
         write.stage = WriteStage::Committing;
         write.attempts += 1;
-        self.write_call = Some(self.call_table(TableRequest::Commit(commit), effects));
+        self.write_call_number = Some(self.call_table(TableRequest::Commit(commit), effects));
     }
 
-    pub(super) fn write_answered(
+    pub(super) fn handle_write_response(
         &mut self,
         now: CoreTime,
-        answer: TableResponse,
+        response: TableResponse,
         effects: &mut EffectQueue,
     ) {
         let stage = self.writes.front().map(|write| write.stage.clone());
         match stage {
-            Some(WriteStage::Committing) => self.commit_answered(now, answer, effects),
-            Some(WriteStage::ReadingBack) => self.head_answered(now, answer, effects),
+            Some(WriteStage::Committing) => self.handle_commit_response(now, response, effects),
+            Some(WriteStage::ReadingBack) => self.handle_head_response(now, response, effects),
             _ => {}
         }
     }
 
-    fn commit_answered(&mut self, now: CoreTime, answer: TableResponse, effects: &mut EffectQueue) {
+    fn handle_commit_response(
+        &mut self,
+        now: CoreTime,
+        response: TableResponse,
+        effects: &mut EffectQueue,
+    ) {
         let Some(write) = self.writes.front_mut() else {
             return;
         };
-        match answer {
-            TableResponse::Committed { revision } => self.landed(now, Some(revision), effects),
+        match response {
+            TableResponse::Committed { revision } => {
+                self.finish_committed_write(now, Some(revision), effects)
+            }
             TableResponse::Unavailable if !write.is_uncertain() => {
-                self.finish_write(store_refusal(false), effects);
+                self.finish_write(store_unavailable_refusal(false), effects);
             }
             TableResponse::Conflict { .. } => self.read_back(effects),
             // The change may have taken effect although nobody was told. Saying "refused" now
             // would make the operator send it again on top of itself; "accepted" may be untrue.
             // The operator would see a refused change in force. The head row settles it.
             TableResponse::Lost | TableResponse::Unavailable | TableResponse::Rows { .. } => {
-                if let Some(tried) = &mut write.tried {
-                    tried.uncertain = true;
+                if let Some(attempt) = &mut write.last_attempt {
+                    attempt.uncertain = true;
                 }
                 self.read_back(effects);
             }
@@ -149,35 +156,44 @@
         if let Some(write) = self.writes.front_mut() {
             write.stage = WriteStage::ReadingBack;
             let keys = vec![HEAD_KEY.to_owned()];
-            self.write_call = Some(self.call_table(TableRequest::Get { keys }, effects));
+            self.write_call_number = Some(self.call_table(TableRequest::Get { keys }, effects));
         }
     }
 
-    fn head_answered(&mut self, now: CoreTime, answer: TableResponse, effects: &mut EffectQueue) {
-        let TableResponse::Rows { rows, .. } = answer else {
-            self.wait_for_table(now, effects);
+    fn handle_head_response(
+        &mut self,
+        now: CoreTime,
+        response: TableResponse,
+        effects: &mut EffectQueue,
+    ) {
+        let TableResponse::Rows { rows, .. } = response else {
+            self.schedule_read_back(now, effects);
             return;
         };
         let Some(write) = self.writes.front_mut() else {
             return;
         };
-        let Some(tried) = &write.tried else {
+        let Some(attempt) = &write.last_attempt else {
             return;
         };
         let exhausted = write.attempts >= MAX_ATTEMPTS || write.deadline_at <= now.monotonic;
-        let uncertain = tried.uncertain;
-        match commit_fate(tried, rows.first()) {
-            CommitFate::Landed => self.landed(now, None, effects),
-            CommitFate::Open if exhausted => self.finish_write(store_refusal(uncertain), effects),
+        let uncertain = attempt.uncertain;
+        match commit_outcome(attempt, rows.first()) {
+            CommitOutcome::Committed => self.finish_committed_write(now, None, effects),
+            CommitOutcome::Undecided if exhausted => {
+                self.finish_write(store_unavailable_refusal(uncertain), effects)
+            }
             // The same transaction is sent once more. Both are conditional on the same head, so
             // only one of them can take effect, and the answer to either settles both.
-            CommitFate::Open => self.send_commit(effects),
-            CommitFate::Forgotten if uncertain => self.finish_write(store_refusal(true), effects),
-            CommitFate::Beaten | CommitFate::Forgotten if exhausted => {
-                self.finish_write(busy_refusal(), effects);
+            CommitOutcome::Undecided => self.send_commit(effects),
+            CommitOutcome::Unknown if uncertain => {
+                self.finish_write(store_unavailable_refusal(true), effects)
             }
-            CommitFate::Beaten | CommitFate::Forgotten => {
-                write.tried = None;
+            CommitOutcome::Superseded | CommitOutcome::Unknown if exhausted => {
+                self.finish_write(contention_refusal(), effects);
+            }
+            CommitOutcome::Superseded | CommitOutcome::Unknown => {
+                write.last_attempt = None;
                 let serial = self.poll.next_serial();
                 write.stage = WriteStage::Refreshing { serial };
                 self.begin_scan(now, effects);
@@ -185,17 +201,17 @@
         }
     }
 
-    fn wait_for_table(&mut self, now: CoreTime, effects: &mut EffectQueue) {
+    fn schedule_read_back(&mut self, now: CoreTime, effects: &mut EffectQueue) {
         let Some(write) = self.writes.front_mut() else {
             return;
         };
         if write.deadline_at <= now.monotonic {
-            let refusal = store_refusal(write.is_uncertain());
+            let refusal = store_unavailable_refusal(write.is_uncertain());
             self.finish_write(refusal, effects);
             return;
         }
         write.stage = WriteStage::Waiting;
-        let at = now.monotonic + READ_BACK_WAIT;
+        let at = now.monotonic + READ_BACK_DELAY;
         effects.set_timer(ConfigTimer::Write.key(), at);
     }
 
@@ -206,66 +222,71 @@
         }
     }
 
-    fn landed(&mut self, now: CoreTime, commit: Option<u64>, effects: &mut EffectQueue) {
+    fn finish_committed_write(
+        &mut self,
+        now: CoreTime,
+        commit: Option<u64>,
+        effects: &mut EffectQueue,
+    ) {
         let Some(write) = self.writes.pop_front() else {
             return;
         };
-        let Some(tried) = write.tried else {
+        let Some(attempt) = write.last_attempt else {
             return;
         };
-        let revision = tried.row.revision;
-        reply(write.call, OperatorReply::Accepted { revision }, effects);
+        let revision = attempt.row.revision;
+        reply_to_operator(write.call, OperatorReply::Accepted { revision }, effects);
         match commit {
-            Some(commit) if self.head.commit == tried.base => {
+            Some(commit) if self.head.commit == attempt.base => {
                 let change = RecentChange {
                     revision,
                     key: write.key.clone(),
-                    nonce: tried.row.nonce,
+                    nonce: attempt.row.nonce,
                 };
                 let row = self.head.with_change(change);
                 let head = VersionedHead { commit, row };
-                self.apply_own(now.wall, head, write.key, tried.row, effects);
+                self.apply_own_commit(now.wall, head, write.key, attempt.row, effects);
             }
             _ => self.begin_scan(now, effects),
         }
     }
 
     /// The table can't be read: changes that wait for it are refused, truly not run.
-    pub(super) fn refuse_waiting(&mut self, effects: &mut EffectQueue) {
+    pub(super) fn refuse_refreshing_writes(&mut self, effects: &mut EffectQueue) {
         self.writes.retain(|write| {
-            let waits = matches!(write.stage, WriteStage::Refreshing { .. });
-            if waits {
-                reply(write.call, store_refusal(false), effects);
+            let refreshing = matches!(write.stage, WriteStage::Refreshing { .. });
+            if refreshing {
+                reply_to_operator(write.call, store_unavailable_refusal(false), effects);
             }
-            !waits
+            !refreshing
         });
     }
 
-    fn finish_write(&mut self, verdict: OperatorReply, effects: &mut EffectQueue) {
+    fn finish_write(&mut self, reply: OperatorReply, effects: &mut EffectQueue) {
         if let Some(write) = self.writes.pop_front() {
-            reply(write.call, verdict, effects);
+            reply_to_operator(write.call, reply, effects);
         }
     }
 }
 
 /// Whether the commit took effect, by the note that the head row keeps of its revision.
-fn commit_fate(tried: &CommitAttempt, head_row: Option<&TableRow>) -> CommitFate {
+fn commit_outcome(attempt: &CommitAttempt, head_row: Option<&TableRow>) -> CommitOutcome {
     let head = match head_row.map(VersionedHead::read).transpose() {
         Ok(head) => head.unwrap_or_default(),
-        Err(_) => return CommitFate::Forgotten,
+        Err(_) => return CommitOutcome::Unknown,
     };
-    if head.commit == tried.base {
-        return CommitFate::Open;
+    if head.commit == attempt.base {
+        return CommitOutcome::Undecided;
     }
-    let mut notes = head.row.recent.iter();
-    match notes.find(|change| change.revision == tried.row.revision) {
-        Some(change) if change.nonce == tried.row.nonce => CommitFate::Landed,
-        Some(_) => CommitFate::Beaten,
-        None => CommitFate::Forgotten,
+    let mut recent_changes = head.row.recent.iter();
+    match recent_changes.find(|change| change.revision == attempt.row.revision) {
+        Some(change) if change.nonce == attempt.row.nonce => CommitOutcome::Committed,
+        Some(_) => CommitOutcome::Superseded,
+        None => CommitOutcome::Unknown,
     }
 }
 
-fn store_refusal(uncertain: bool) -> OperatorReply {
+fn store_unavailable_refusal(uncertain: bool) -> OperatorReply {
     let code = RefusalCode::StoreUnavailable;
     let refusal = if uncertain {
         let detail = "the table service did not say whether the change took effect; read the \
@@ -278,14 +299,14 @@
     OperatorReply::Refused(refusal.with_retry_after(Duration::from_secs(5)))
 }
 
-fn busy_refusal() -> OperatorReply {
+fn contention_refusal() -> OperatorReply {
     let detail = "other changes kept coming first; nothing was changed, send it again";
     let refusal = RequestRefusal::not_run(RefusalCode::RevisionConflict, detail);
     OperatorReply::Refused(refusal.with_retry_after(Duration::from_secs(1)))
 }
 
-fn reply(call: OperatorCall, verdict: OperatorReply, effects: &mut EffectQueue) {
-    let level = match verdict {
+fn reply_to_operator(call: OperatorCall, reply: OperatorReply, effects: &mut EffectQueue) {
+    let level = match reply {
         OperatorReply::Refused(_) => LogLevel::Warn,
         _ => LogLevel::Info,
     };
@@ -293,6 +314,6 @@
     effects.log(line);
     effects.push(DaemonEffect::ReplyOperator {
         call,
-        reply: Box::new(verdict),
+        reply: Box::new(reply),
     });
 }
--- a/crates/savorywood-core/src/config/options.rs
+++ b/crates/savorywood-core/src/config/options.rs
@@ -18,7 +18,7 @@
     pub(super) host: HostName,
     pub(super) seed: u64,
     pub(super) max_confirmation_age: Duration,
-    pub(super) confirmation: PeerConfirmation,
+    pub(super) peer_confirmation: PeerConfirmation,
     pub(super) write_timeout: Duration,
 }
 
@@ -31,7 +31,7 @@
             host,
             seed,
             max_confirmation_age: DEFAULT_MAX_CONFIRMATION_AGE,
-            confirmation: PeerConfirmation::default(),
+            peer_confirmation: PeerConfirmation::default(),
             write_timeout: Duration::from_secs(10),
         }
     }
@@ -47,9 +47,9 @@
 
     /// Sets whose word counts while the table can't be read.
     #[must_use]
-    pub fn confirmation(self, confirmation: PeerConfirmation) -> Self {
+    pub fn peer_confirmation(self, peer_confirmation: PeerConfirmation) -> Self {
         Self {
-            confirmation,
+            peer_confirmation,
             ..self
         }
     }
--- a/crates/savorywood-core/src/config/pending_write.rs
+++ b/crates/savorywood-core/src/config/pending_write.rs
@@ -1,7 +1,7 @@
 //! One operator's change on its way into the table.
 
 use crate::{
-    config::row::{ChangeNonce, VersionedHead, ResourceRow},
+    config::row::{ChangeNonce, ResourceRow, VersionedHead},
     operator::{OperatorCall, OperatorReply, OperatorRequest},
     view::ConfigView,
 };
@@ -55,7 +55,7 @@
     /// Where it stands.
     pub stage: WriteStage,
     /// The transaction tried last.
-    pub tried: Option<CommitAttempt>,
+    pub last_attempt: Option<CommitAttempt>,
     /// Commits tried so far.
     pub attempts: u32,
     /// The operator is answered by then.
@@ -63,7 +63,7 @@
     /// The view was read from the table after the change came in.
     refreshed: bool,
     /// Revision of the resource when the change was first found acceptable.
-    seen: Option<Option<ConfigRevision>>,
+    first_seen: Option<Option<ConfigRevision>>,
 }
 
 /// What the view says of a change.
@@ -90,11 +90,11 @@
             request,
             key,
             stage: WriteStage::Fresh,
-            tried: None,
+            last_attempt: None,
             attempts: 0,
             deadline_at,
             refreshed: false,
-            seen: None,
+            first_seen: None,
         }
     }
 
@@ -116,7 +116,7 @@
             Some(_) if !self.refreshed => WriteDecision::Refresh,
             Some(reply) => WriteDecision::Reply(reply),
             None => {
-                self.seen
+                self.first_seen
                     .get_or_insert_with(|| revision_of(view, &self.key));
                 WriteDecision::Commit(Box::new(self.row(head.row.revision.next(), nonce)))
             }
@@ -125,8 +125,10 @@
 
     fn refusal(&self, view: &ConfigView, wall: WallTime) -> Option<OperatorReply> {
         let current = revision_of(view, &self.key);
-        let moved = self.seen.is_some_and(|seen| seen != current);
-        if moved || !self.expects(current) {
+        let changed = self
+            .first_seen
+            .is_some_and(|first_seen| first_seen != current);
+        if changed || !self.matches_expected(current) {
             let current = view.documents.get(&self.key).cloned().map(Box::new);
             return Some(OperatorReply::Conflict { current });
         }
@@ -142,7 +144,7 @@
         (!faults.is_empty()).then_some(OperatorReply::Invalid { faults })
     }
 
-    fn expects(&self, current: Option<ConfigRevision>) -> bool {
+    fn matches_expected(&self, current: Option<ConfigRevision>) -> bool {
         let expected = match &self.request {
             OperatorRequest::Apply { expected, .. } | OperatorRequest::Delete { expected, .. } => {
                 *expected
@@ -170,7 +172,9 @@
     /// Whether the change may have taken effect.
     #[must_use]
     pub fn is_uncertain(&self) -> bool {
-        self.tried.as_ref().is_some_and(|tried| tried.uncertain)
+        self.last_attempt
+            .as_ref()
+            .is_some_and(|attempt| attempt.uncertain)
     }
 }
 
--- a/crates/savorywood-core/src/config/refreshing.rs
+++ b/crates/savorywood-core/src/config/refresh.rs
@@ -20,21 +20,21 @@
 
 /// Longest wait between hearing of a newer revision and reading it. Spreads the reads of all
 /// daemons, which hear of it within the same moment.
-const NOTICE_SPREAD: Duration = Duration::from_millis(300);
+const MAX_REFRESH_DELAY: Duration = Duration::from_millis(300);
 
 /// A peer's snapshot that has not come for so long is asked for elsewhere.
-const FETCH_LIMIT: Duration = Duration::from_secs(10);
+const SNAPSHOT_FETCH_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Peers that are told of a new revision by each daemon that applies it.
-const GOSSIP_PEERS: usize = 3;
+const GOSSIP_FANOUT: usize = 3;
 
 impl ConfigState {
     pub(super) fn start(&mut self, now: CoreTime, effects: &mut EffectQueue) {
         self.begin_scan(now, effects);
-        self.set_poll(now, 1, effects);
+        self.schedule_poll(now, 1, effects);
     }
 
-    pub(super) fn timer(
+    pub(super) fn handle_timer(
         &mut self,
         now: CoreTime,
         number: u64,
@@ -44,18 +44,18 @@
         match ConfigTimer::from_number(number) {
             Some(ConfigTimer::Poll) => {
                 self.begin_scan(now, effects);
-                self.set_poll(now, members.serving().count(), effects);
+                self.schedule_poll(now, members.serving().count(), effects);
             }
-            Some(ConfigTimer::Notice) => self.begin_scan(now, effects),
+            Some(ConfigTimer::Refresh) => self.begin_scan(now, effects),
             Some(ConfigTimer::Write) => self.retry_write(now, effects),
             None => {}
         }
     }
 
-    fn set_poll(&mut self, now: CoreTime, members: usize, effects: &mut EffectQueue) {
+    fn schedule_poll(&mut self, now: CoreTime, members: usize, effects: &mut EffectQueue) {
         let period = poll_period(members);
-        let early = period.mul_f64(self.rng.random_range(0.0..0.2));
-        effects.set_timer(ConfigTimer::Poll.key(), now.monotonic + (period - early));
+        let jitter = period.mul_f64(self.rng.random_range(0.0..0.2));
+        effects.set_timer(ConfigTimer::Poll.key(), now.monotonic + (period - jitter));
     }
 
     pub(super) fn begin_scan(&mut self, now: CoreTime, effects: &mut EffectQueue) {
@@ -66,26 +66,26 @@
         }
     }
 
-    pub(super) fn scan_answered(
+    pub(super) fn handle_scan_response(
         &mut self,
         now: CoreTime,
-        answer: TableResponse,
+        response: TableResponse,
         members: &MemberView,
         effects: &mut EffectQueue,
     ) {
-        match answer {
+        match response {
             TableResponse::Rows { rows, more, .. } => {
                 let number = self.next_call();
-                match self.poll.take_page(rows, more, number) {
+                match self.poll.add_page(rows, more, number) {
                     Some(PageResult::More(after)) => {
                         self.send_call(number, page_request(after), effects);
                     }
                     Some(PageResult::Done(scan)) => {
-                        let asked_at = scan.asked_at;
+                        let requested_at = scan.requested_at;
                         if self.apply_scan(now, scan, effects) {
-                            self.freshness.confirm_by_table(asked_at, members);
+                            self.freshness.confirm_by_table(requested_at, members);
                         }
-                        self.wake_writes(effects);
+                        self.release_refreshed_writes(effects);
                     }
                     None => {}
                 }
@@ -95,8 +95,8 @@
             | TableResponse::Unavailable
             | TableResponse::Lost => {
                 self.poll.fail();
-                self.refuse_waiting(effects);
-                self.ask_peers(now, members, effects);
+                self.refuse_refreshing_writes(effects);
+                self.confirm_or_fetch_from_peers(now, members, effects);
             }
         }
         if self.poll.take_rescan_request() {
@@ -105,7 +105,12 @@
     }
 
     /// The table can't be read: peers may say that nothing is newer, or have what is.
-    fn ask_peers(&mut self, now: CoreTime, members: &MemberView, effects: &mut EffectQueue) {
+    fn confirm_or_fetch_from_peers(
+        &mut self,
+        now: CoreTime,
+        members: &MemberView,
+        effects: &mut EffectQueue,
+    ) {
         if self.is_ready() && self.peers_agree(self.view.revision, members) {
             self.freshness.confirm_by_peers(now.monotonic);
             return;
@@ -113,30 +118,32 @@
         if !self.is_ready() {
             return;
         }
-        let waiting = self.fetch.as_ref();
-        if waiting.is_some_and(|fetch| now.monotonic.since(fetch.asked_at) < FETCH_LIMIT) {
+        let pending_fetch = self.snapshot_fetch.as_ref();
+        if pending_fetch
+            .is_some_and(|fetch| now.monotonic.since(fetch.requested_at) < SNAPSHOT_FETCH_TIMEOUT)
+        {
             return;
         }
-        let Some((host, member)) = self.pick_source(members) else {
+        let Some((host, member)) = self.choose_snapshot_source(members) else {
             return;
         };
         let from = host.clone();
         let address = member.peer_address;
-        self.fetch = Some(SnapshotFetch {
+        self.snapshot_fetch = Some(SnapshotFetch {
             from: from.clone(),
-            asked_at: now.monotonic,
+            requested_at: now.monotonic,
         });
         effects.push(DaemonEffect::FetchSnapshot { from, address });
     }
 
     fn peers_agree(&self, revision: ConfigRevision, members: &MemberView) -> bool {
         let own = &self.options.host;
-        let rule = self.options.confirmation;
+        let rule = self.options.peer_confirmation;
         self.freshness.peers_agree(own, revision, rule, members)
     }
 
     /// One of the members with the newest revision, if it is newer than ours.
-    fn pick_source<'a>(
+    fn choose_snapshot_source<'a>(
         &mut self,
         members: &'a MemberView,
     ) -> Option<(&'a HostName, &'a MemberRecord)> {
@@ -151,7 +158,7 @@
             .choose(&mut self.rng)
     }
 
-    pub(super) fn take_snapshot(
+    pub(super) fn handle_snapshot(
         &mut self,
         now: CoreTime,
         from: &HostName,
@@ -159,14 +166,18 @@
         members: &MemberView,
         effects: &mut EffectQueue,
     ) {
-        if self.fetch.as_ref().is_some_and(|fetch| fetch.from == *from) {
-            self.fetch = None;
+        if self
+            .snapshot_fetch
+            .as_ref()
+            .is_some_and(|fetch| fetch.from == *from)
+        {
+            self.snapshot_fetch = None;
         }
         let Some(snapshot) = snapshot else {
             return;
         };
         let revision = snapshot.revision;
-        self.hear_members(now, members, effects);
+        self.observe_member_revisions(now, members, effects);
         // A daemon that begins must not serve what is older than what callers met before it was
         // restarted: it would show as a resource that goes back. Its last life may have been the
         // only one with the newest revision, and then all peers agree on an older one. So what it
@@ -175,7 +186,7 @@
             let line = LogLine::new(LogLevel::Warn, "config-snapshot-refused")
                 .with("peer", from)
                 .with("revision", revision)
-                .with("newest_heard", self.newest_heard);
+                .with("newest_heard", self.newest_reported);
             effects.log(line);
             return;
         }
@@ -185,17 +196,17 @@
         }
     }
 
-    pub(super) fn hear(
+    pub(super) fn handle_config_message(
         &mut self,
         now: CoreTime,
         message: &ConfigMessage,
         effects: &mut EffectQueue,
     ) {
         let ConfigMessage::InForce { revision } = message;
-        self.hear_revision(now, *revision, effects);
+        self.observe_revision(now, *revision, effects);
     }
 
-    pub(super) fn hear_members(
+    pub(super) fn observe_member_revisions(
         &mut self,
         now: CoreTime,
         members: &MemberView,
@@ -206,39 +217,39 @@
             .values()
             .map(|member| member.config_revision)
             .max();
-        self.hear_revision(now, newest.unwrap_or_default(), effects);
+        self.observe_revision(now, newest.unwrap_or_default(), effects);
     }
 
-    fn hear_revision(
+    fn observe_revision(
         &mut self,
         now: CoreTime,
         revision: ConfigRevision,
         effects: &mut EffectQueue,
     ) {
-        if revision <= self.newest_heard {
+        if revision <= self.newest_reported {
             return;
         }
-        self.newest_heard = revision;
+        self.newest_reported = revision;
         if revision <= self.view.revision {
             return;
         }
-        let wait = NOTICE_SPREAD.mul_f64(self.rng.random());
-        effects.set_timer(ConfigTimer::Notice.key(), now.monotonic + wait);
+        let delay = MAX_REFRESH_DELAY.mul_f64(self.rng.random());
+        effects.set_timer(ConfigTimer::Refresh.key(), now.monotonic + delay);
     }
 
     /// Tells a few peers of a new revision. Each daemon does so once a revision, so the news
     /// reaches all in a few rounds at some 300 bytes a daemon and change.
     pub(super) fn gossip(&mut self, members: &MemberView, effects: &mut EffectQueue) {
         let revision = self.view.revision;
-        if revision <= self.gossiped {
+        if revision <= self.last_gossiped_revision {
             return;
         }
-        self.gossiped = revision;
+        self.last_gossiped_revision = revision;
         let own = &self.options.host;
         let behind = members
             .serving()
             .filter(|(host, member)| *host != own && member.config_revision < revision);
-        let chosen = behind.choose_multiple(&mut self.rng, GOSSIP_PEERS);
+        let chosen = behind.choose_multiple(&mut self.rng, GOSSIP_FANOUT);
         for (host, member) in chosen {
             effects.push(DaemonEffect::SendPeer {
                 to: host.clone(),
@@ -248,14 +259,14 @@
         }
     }
 
-    fn wake_writes(&mut self, effects: &mut EffectQueue) {
+    fn release_refreshed_writes(&mut self, effects: &mut EffectQueue) {
         let serial = self.poll.serial();
         if !self.is_ready() {
-            self.refuse_waiting(effects);
+            self.refuse_refreshing_writes(effects);
             return;
         }
         for write in &mut self.writes {
-            if matches!(write.stage, WriteStage::Refreshing { serial: wanted } if wanted <= serial)
+            if matches!(write.stage, WriteStage::Refreshing { serial: required } if required <= serial)
             {
                 write.mark_refreshed();
             }
--- a/crates/savorywood-core/src/config/row.rs
+++ b/crates/savorywood-core/src/config/row.rs
@@ -95,9 +95,9 @@
     #[must_use]
     pub fn with_change(&self, change: RecentChange) -> HeadRow {
         let surplus = (self.row.recent.len() + 1).saturating_sub(RECENT_CHANGES);
-        let kept = self.row.recent.iter().skip(surplus).cloned();
+        let retained = self.row.recent.iter().skip(surplus).cloned();
         let revision = change.revision;
-        let recent = kept.chain([change]).collect();
+        let recent = retained.chain([change]).collect();
         HeadRow { revision, recent }
     }
 
--- a/crates/savorywood-core/src/config/applying.rs
+++ b/crates/savorywood-core/src/config/row_updates.rs
@@ -4,7 +4,7 @@
 use crate::{
     config::{
         change_log::ConfigChange,
-        row::{self, HEAD_KEY, VersionedHead, HeadRow, ResourceRow},
+        row::{self, HEAD_KEY, HeadRow, ResourceRow, VersionedHead},
         table_poll::ScanResult,
     },
     effect::{EffectQueue, LogLevel, LogLine},
@@ -40,7 +40,7 @@
         let head_row = rows.iter().rfind(|row| row.key == HEAD_KEY);
         let head = match head_row.map(VersionedHead::read).transpose() {
             Ok(Some(head)) => head,
-            Ok(None) => return self.apply_nothing(now, &rows, effects),
+            Ok(None) => return self.apply_scan_without_head(now, &rows, effects),
             Err(error) => {
                 let line = LogLine::new(LogLevel::Error, "config-head-unreadable");
                 effects.log(line.with("error", error));
@@ -61,11 +61,11 @@
         }
         // Peers have a newer revision in force, so this read came from a copy that lags. A daemon
         // that began with it would serve a configuration that was already replaced.
-        let behind = head.row.revision < self.newest_heard;
+        let behind = head.row.revision < self.newest_reported;
         if behind && !self.is_ready() {
             let line = LogLine::new(LogLevel::Warn, "config-table-behind-peers")
                 .with("table_revision", head.row.revision)
-                .with("newest_heard", self.newest_heard);
+                .with("newest_heard", self.newest_reported);
             effects.log(line);
             return false;
         }
@@ -74,7 +74,7 @@
         !behind
     }
 
-    fn apply_nothing(
+    fn apply_scan_without_head(
         &mut self,
         now: CoreTime,
         rows: &[TableRow],
@@ -84,7 +84,7 @@
             effects.log(LogLine::new(LogLevel::Error, "config-rows-without-head"));
             return false;
         }
-        if self.view.revision < self.newest_heard {
+        if self.view.revision < self.newest_reported {
             return false;
         }
         self.mark_loaded(now.wall);
@@ -92,7 +92,7 @@
     }
 
     /// Applies a change that this daemon committed itself.
-    pub(super) fn apply_own(
+    pub(super) fn apply_own_commit(
         &mut self,
         wall: WallTime,
         head: VersionedHead,
@@ -125,35 +125,40 @@
                 recent: Vec::new(),
             },
         };
-        let changes = self.differences(snapshot);
+        let changes = self.changes_from_snapshot(snapshot);
         self.install(now.wall, head, changes, effects);
     }
 
-    fn differences(&self, snapshot: ConfigSnapshot) -> Vec<ResourceChange> {
+    fn changes_from_snapshot(&self, snapshot: ConfigSnapshot) -> Vec<ResourceChange> {
         let revision = snapshot.revision;
-        let kept: BTreeSet<_> = snapshot
+        let snapshot_keys: BTreeSet<_> = snapshot
             .documents
             .iter()
             .map(ResourceDocument::key)
             .collect();
-        let gone = self.view.documents.keys().filter(|key| !kept.contains(key));
-        let gone = gone.map(|key| ResourceChange {
+        let deleted = self
+            .view
+            .documents
+            .keys()
+            .filter(|key| !snapshot_keys.contains(key));
+        let deleted = deleted.map(|key| ResourceChange {
             key: key.clone(),
             revision,
             document: None,
         });
-        let gone: Vec<_> = gone.collect();
-        let known = &self.view.documents;
+        let deleted: Vec<_> = deleted.collect();
+        let current = &self.view.documents;
         let written = snapshot.documents.into_iter().filter_map(|document| {
             let key = document.key();
-            let same = known.get(&key).map(|known| known.revision) == Some(document.revision);
-            (!same).then(|| ResourceChange {
+            let unchanged =
+                current.get(&key).map(|current| current.revision) == Some(document.revision);
+            (!unchanged).then(|| ResourceChange {
                 revision: document.revision.unwrap_or_default(),
                 key,
                 document: Some(document),
             })
         });
-        let mut changes: Vec<_> = written.chain(gone).collect();
+        let mut changes: Vec<_> = written.chain(deleted).collect();
         changes.sort_by_key(|change| change.revision);
         changes
     }
@@ -166,30 +171,35 @@
         effects: &mut EffectQueue,
     ) {
         let next = head.row.revision;
-        let grows = next >= self.view.revision;
-        invariant::check(effects, InvariantName::ConfigNeverReverts, grows, || {
-            format!(
-                "revision={next} would follow revision={}",
-                self.view.revision
-            )
-        });
-        if !grows {
+        let not_older = next >= self.view.revision;
+        invariant::check(
+            effects,
+            InvariantName::ConfigNeverReverts,
+            not_older,
+            || {
+                format!(
+                    "revision={next} would follow revision={}",
+                    self.view.revision
+                )
+            },
+        );
+        if !not_older {
             return;
         }
         let view = Arc::make_mut(&mut self.view);
         for change in changes {
             if self.loaded_at.is_some() {
-                self.log.push(ConfigChange {
+                self.change_log.push(ConfigChange {
                     revision: change.revision,
                     key: change.key.clone(),
                     applied_at: wall,
                 });
             }
-            put(view, change, effects);
+            put_resource(view, change, effects);
         }
         view.revision = next;
         self.head = head;
-        self.newest_heard = self.newest_heard.max(next);
+        self.newest_reported = self.newest_reported.max(next);
         self.mark_loaded(wall);
         let line = LogLine::new(LogLevel::Info, "config-in-force").with("revision", next);
         effects.log(line);
@@ -198,12 +208,12 @@
     fn mark_loaded(&mut self, wall: WallTime) {
         if self.loaded_at.is_none() {
             self.loaded_at = Some(wall);
-            self.log.restart(self.view.revision);
+            self.change_log.restart(self.view.revision);
         }
     }
 }
 
-fn put(view: &mut ConfigView, change: ResourceChange, effects: &mut EffectQueue) {
+fn put_resource(view: &mut ConfigView, change: ResourceChange, effects: &mut EffectQueue) {
     let Some(document) = change.document else {
         view.remove(&change.key);
         return;
--- a/crates/savorywood-core/src/config/table_poll.rs
+++ b/crates/savorywood-core/src/config/table_poll.rs
@@ -25,7 +25,7 @@
 pub const PAGE_ROWS: u32 = 1_000;
 
 /// A read whose answer has not come for so long is given up and made anew.
-const READ_LIMIT: Duration = Duration::from_secs(10);
+const SCAN_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Period of polling with so many members.
 #[must_use]
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 struct ScanProgress {
     call: u64,
-    asked_at: MonotonicTime,
+    requested_at: MonotonicTime,
     rows: Vec<TableRow>,
 }
 
@@ -46,7 +46,7 @@
 #[derive(Debug)]
 pub struct ScanResult {
     /// When its first page was asked for: the answer is no older.
-    pub asked_at: MonotonicTime,
+    pub requested_at: MonotonicTime,
     /// Rows changed since the revision asked for.
     pub rows: Vec<TableRow>,
 }
@@ -77,7 +77,7 @@
         after: CommitRevision,
     ) -> Option<TableRequest> {
         if let Some(current) = &self.current
-            && now.since(current.asked_at) < READ_LIMIT
+            && now.since(current.requested_at) < SCAN_TIMEOUT
         {
             self.rescan_requested = true;
             return None;
@@ -86,7 +86,7 @@
         self.rescan_requested = false;
         self.current = Some(ScanProgress {
             call,
-            asked_at: now,
+            requested_at: now,
             rows: Vec::new(),
         });
         Some(page_request(after))
@@ -114,7 +114,7 @@
     }
 
     /// Takes one page; `call` names the read of the next one.
-    pub fn take_page(&mut self, rows: Vec<TableRow>, more: bool, call: u64) -> Option<PageResult> {
+    pub fn add_page(&mut self, rows: Vec<TableRow>, more: bool, call: u64) -> Option<PageResult> {
         let mut current = self.current.take()?;
         current.rows.extend(rows);
         let last = current.rows.last().map(|row| row.revision);
@@ -124,7 +124,7 @@
             return Some(PageResult::More(last));
         }
         Some(PageResult::Done(ScanResult {
-            asked_at: current.asked_at,
+            requested_at: current.requested_at,
             rows: current.rows,
         }))
     }
--- a/crates/savorywood-core/src/daemon/moving.rs
+++ b/crates/savorywood-core/src/daemon/moving.rs
@@ -43,7 +43,8 @@
             })
             .collect();
         for standing in states {
-            self.config.record_move_state(&standing.name, standing.state);
+            self.config
+                .record_move_state(&standing.name, standing.state);
         }
     }
 
