--- a/crates/savorywood-core/src/config.rs
+++ b/crates/savorywood-core/src/config.rs
@@ -155,8 +155,8 @@
     /// Whether table or peers confirmed lately that nothing newer is in force elsewhere.
     #[must_use]
     pub fn is_current(&self, now: CoreTime) -> bool {
-        let allowed = self.options.max_confirmation_age;
-        self.is_ready() && self.freshness.is_current(now.monotonic, allowed)
+        let max_age = self.options.max_confirmation_age;
+        self.is_ready() && self.freshness.is_current(now.monotonic, max_age)
     }
 
     /// The whole configuration for another daemon; `None` until it was read whole.
--- a/crates/savorywood-core/src/config/freshness.rs
+++ b/crates/savorywood-core/src/config/freshness.rs
@@ -42,9 +42,9 @@
 
     /// Whether the last confirmation is no older than `allowed`.
     #[must_use]
-    pub fn is_current(&self, now: MonotonicTime, allowed: Duration) -> bool {
+    pub fn is_current(&self, now: MonotonicTime, max_age: Duration) -> bool {
         self.confirmed_at
-            .is_some_and(|confirmed| now.since(confirmed) <= allowed)
+            .is_some_and(|confirmed| now.since(confirmed) <= max_age)
     }
 
     /// Whether enough other members have `revision` in force and no serving one has a newer.
--- a/crates/savorywood-core/src/config/operator_writes.rs
+++ b/crates/savorywood-core/src/config/operator_writes.rs
@@ -134,7 +134,7 @@
         };
         match response {
             TableResponse::Committed { revision } => {
-                self.finish_committed_write(now, Some(revision), effects)
+                self.finish_committed_write(now, Some(revision), effects);
             }
             TableResponse::Unavailable if !write.is_uncertain() => {
                 self.finish_write(store_unavailable_refusal(false), effects);
@@ -181,13 +181,13 @@
         match commit_outcome(attempt, rows.first()) {
             CommitOutcome::Committed => self.finish_committed_write(now, None, effects),
             CommitOutcome::Undecided if exhausted => {
-                self.finish_write(store_unavailable_refusal(uncertain), effects)
+                self.finish_write(store_unavailable_refusal(uncertain), effects);
             }
             // The same transaction is sent once more. Both are conditional on the same head, so
             // only one of them can take effect, and the answer to either settles both.
             CommitOutcome::Undecided => self.send_commit(effects),
             CommitOutcome::Unknown if uncertain => {
-                self.finish_write(store_unavailable_refusal(true), effects)
+                self.finish_write(store_unavailable_refusal(true), effects);
             }
             CommitOutcome::Superseded | CommitOutcome::Unknown if exhausted => {
                 self.finish_write(contention_refusal(), effects);
--- a/crates/savorywood-core/src/config/refresh.rs
+++ b/crates/savorywood-core/src/config/refresh.rs
@@ -266,7 +266,7 @@
             return;
         }
         for write in &mut self.writes {
-            if matches!(write.stage, WriteStage::Refreshing { serial: required } if required <= serial)
+            if matches!(write.stage, WriteStage::Refreshing { serial: needed } if needed <= serial)
             {
                 write.mark_refreshed();
             }
