--- a/crates/savorywood-core/src/config.rs
+++ b/crates/savorywood-core/src/config.rs
@@ -1,6 +1,8 @@
-//! The accepted configuration: reading it, changing it, and knowing whether it is current.
+//! The configuration duty of a daemon: reads the accepted resources from the table, commits the
+//! changes of operators, and tracks whether the configuration in force is current.
 //!
-//! Accepted means committed in the table under the next revision. See `docs/design/configuration.md`.
+//! A change is accepted once it is committed in the table under the next revision. See
+//! `docs/design/configuration.md`.
 
 pub mod change_log;
 pub mod freshness;
@@ -39,58 +41,58 @@
 };
 use std::{collections::VecDeque, sync::Arc};
 
-/// What happens to the configuration duty.
+/// Input to the configuration duty.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ConfigEvent {
-    /// The daemon begins.
+    /// The daemon has started. Sent once, before the other events.
     Started,
-    /// One of its timers fired.
+    /// A timer of this duty fired.
     TimerFired {
-        /// Number of the timer.
+        /// Number of the timer within this duty, as in [`TimerKey`].
         number: u64,
     },
-    /// The table answered.
+    /// A call of the table service completed, failed or was lost.
     Table {
-        /// Number of the call.
+        /// Number of the call, as in [`TableCall`].
         number: u64,
-        /// Its answer.
+        /// Response of the table service, or how the call failed.
         answer: TableResponse,
     },
-    /// An operator wants a change.
+    /// An operator requests a change.
     Operator {
-        /// Whom to answer.
+        /// Call that the reply goes to.
         call: OperatorCall,
-        /// What is wanted.
+        /// Requested change.
         request: Box<OperatorRequest>,
     },
-    /// A peer tells its revision.
+    /// A peer announces the revision that it has in force.
     Peer {
-        /// Who.
+        /// Host that sent the message.
         from: HostName,
-        /// What.
+        /// Announcement with the peer's revision.
         message: ConfigMessage,
     },
-    /// A peer's configuration came, or did not.
+    /// A fetch of a peer's configuration completed or failed.
     SnapshotFetched {
-        /// Who was asked.
+        /// Host that the snapshot was requested from.
         from: HostName,
-        /// What it has in force.
+        /// Configuration in force on that host; `None` when the fetch failed.
         snapshot: Option<Box<ConfigSnapshot>>,
     },
-    /// Members came, went or told another revision.
+    /// Members joined or left, or a member announced another revision.
     MembersChanged,
 }
 
-/// What a step did to the configuration in force.
+/// Whether a step changed the configuration in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConfigStepOutcome {
-    /// The same configuration is in force.
+    /// The revision in force is the same as before the step.
     Unchanged,
-    /// A newer configuration is in force.
+    /// A newer revision is in force.
     Changed,
 }
 
-/// A peer that was asked for its configuration.
+/// Request for a peer's configuration that has not completed.
 #[derive(Debug)]
 struct SnapshotFetch {
     from: HostName,
@@ -104,20 +106,24 @@
     rng: ChaCha8Rng,
     view: Arc<ConfigView>,
     head: VersionedHead,
+    /// When the complete configuration was first read; `None` before that.
     loaded_at: Option<WallTime>,
+    /// Newest revision that the table or any peer has reported, in force here or not.
     newest_reported: ConfigRevision,
     last_gossiped_revision: ConfigRevision,
     change_log: ChangeLog,
     freshness: FreshnessTracker,
     poll: TablePoll,
     snapshot_fetch: Option<SnapshotFetch>,
+    /// Changes of operators, oldest first. Only the first one is processed.
     writes: VecDeque<PendingWrite>,
+    /// Number of the table call that the first change waits for.
     write_call_number: Option<u64>,
     last_call_number: u64,
 }
 
 impl ConfigState {
-    /// A daemon that has read nothing yet.
+    /// Returns the state of a daemon that has not read the table yet.
     #[must_use]
     pub fn new(options: ConfigOptions) -> Self {
         Self {
@@ -138,28 +144,31 @@
         }
     }
 
-    /// Configuration in force. While nobody else keeps a clone, a change is made in place; a kept
-    /// clone makes the next change copy all resources once.
+    /// Configuration in force. Changes are made in place unless a clone of the `Arc` is held; then
+    /// the next change copies all resources once.
     #[must_use]
     pub fn view(&self) -> &Arc<ConfigView> {
         &self.view
     }
 
-    /// Whether the configuration was read whole since this daemon began. Until then it takes no
-    /// work: what it would decide by could be older than what callers met before.
+    /// Whether the complete configuration has been read since this daemon started. Until then the
+    /// daemon admits no requests: it could decide by an older configuration than callers have
+    /// already been served under.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.loaded_at.is_some()
     }
 
-    /// Whether table or peers confirmed lately that nothing newer is in force elsewhere.
+    /// Whether the table or the peers have confirmed, within the maximum age of a confirmation,
+    /// that no newer revision is in force elsewhere.
     #[must_use]
     pub fn is_current(&self, now: CoreTime) -> bool {
         let max_age = self.options.max_confirmation_age;
         self.is_ready() && self.freshness.is_current(now.monotonic, max_age)
     }
 
-    /// The whole configuration for another daemon; `None` until it was read whole.
+    /// Complete configuration to send to another daemon; `None` until this daemon has read all of
+    /// it.
     #[must_use]
     pub fn snapshot(&self) -> Option<ConfigSnapshot> {
         self.loaded_at?;
@@ -170,13 +179,13 @@
         })
     }
 
-    /// Changes after a revision, for operators that watch.
+    /// Changes that came into force after `revision`, for watches of operators.
     #[must_use]
     pub fn changes_since(&self, revision: ConfigRevision) -> ChangeList {
         self.change_log.since(revision)
     }
 
-    /// Status of a resource in force.
+    /// Status of a resource; `None` when no such resource is in force.
     #[must_use]
     pub fn status_of(&self, key: &ResourceKey, members: &MemberView) -> Option<ResourceStatus> {
         let document = self.view.documents.get(key)?;
@@ -186,8 +195,9 @@
         Some(status::resource_status(revision, since, members))
     }
 
-    /// Keeps where a move stands beside its document, so that the check of a new move of the same
-    /// service sees whether the last one is over.
+    /// Stores the state of a move in the status of its document, so that validation of a new move
+    /// of the same service sees whether the previous one has ended. Does nothing when the move is
+    /// not in force.
     pub fn record_move_state(&mut self, name: &MoveName, state: MoveState) {
         let key = ResourceKey {
             kind: ResourceKind::Move,
@@ -204,7 +214,7 @@
         }
     }
 
-    /// Handles one event.
+    /// Handles one event and pushes the effects that follow from it.
     pub fn step(
         &mut self,
         now: CoreTime,
@@ -271,11 +281,14 @@
     }
 }
 
-/// Timers of this duty.
+/// Timers of the configuration duty. The discriminant is the timer's number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ConfigTimer {
+    /// Next periodic scan of the table.
     Poll,
+    /// Scan after a peer has reported a newer revision.
     Refresh,
+    /// Next attempt to read the head row after a commit with an unknown outcome.
     Write,
 }
 
--- a/crates/savorywood-core/src/config/operator_writes.rs
+++ b/crates/savorywood-core/src/config/operator_writes.rs
@@ -1,7 +1,8 @@
-//! Operators' changes: checked, committed, and read back when an answer was lost.
+//! Processing of operators' changes: validation, commit, and reading back the head row when the
+//! response to a commit was lost.
 //!
-//! One change is under way at a time, since all are conditional on the head row. Nobody is told
-//! "accepted" or "refused" before the table has settled it.
+//! One change is processed at a time, since all commits are conditional on the head row. No
+//! operator is told "accepted" or "refused" before the outcome in the table is certain.
 
 use super::{ConfigState, ConfigTimer};
 use crate::{
@@ -19,24 +20,25 @@
 };
 use std::time::Duration;
 
-/// Changes that wait on one daemon before more are refused.
+/// Maximum number of pending changes on one daemon. Further ones are refused.
 const MAX_PENDING_WRITES: usize = 64;
 
-/// Commits tried for one change while other operators keep coming first.
+/// Maximum number of commits sent for one change while changes of other operators precede it.
 const MAX_ATTEMPTS: u32 = 8;
 
-/// Wait before the head row is read again.
+/// Delay before the next attempt to read the head row after a failed one.
 const READ_BACK_DELAY: Duration = Duration::from_millis(250);
 
-/// What the head row says of a commit whose fate was open.
+/// Outcome of a commit, as far as the head row shows it.
 enum CommitOutcome {
     /// It took effect.
     Committed,
-    /// Another change came first: it never can take effect.
+    /// Another change was committed under the same revision: this one can no longer take effect.
     Superseded,
-    /// The head is as it was: it may still take effect.
+    /// The head row is unchanged: the commit may still take effect.
     Undecided,
-    /// More changes came since than the head remembers.
+    /// The head row no longer lists the revision, because too many changes followed, or can't be
+    /// parsed.
     Unknown,
 }
 
@@ -49,7 +51,7 @@
         effects: &mut EffectQueue,
     ) {
         if self.writes.len() >= MAX_PENDING_WRITES {
-            let detail = "too many changes wait on this daemon; send it again";
+            let detail = "too many changes are pending on this daemon; send the change again";
             let refusal = RequestRefusal::not_run(RefusalCode::Overloaded, detail)
                 .with_retry_after(Duration::from_secs(1));
             reply_to_operator(call, OperatorReply::Refused(refusal), effects);
@@ -60,7 +62,8 @@
             .push_back(PendingWrite::new(call, request, deadline_at));
     }
 
-    /// Takes up the oldest change, if it can go on.
+    /// Validates the oldest pending change and sends its commit or the reply. Continues with the
+    /// next one after a reply; does nothing while a change waits for the table.
     pub(super) fn advance_writes(&mut self, now: CoreTime, effects: &mut EffectQueue) {
         while self.write_call_number.is_none() {
             let nonce = ChangeNonce(self.rng.random());
@@ -140,9 +143,9 @@
                 self.finish_write(store_unavailable_refusal(false), effects);
             }
             TableResponse::Conflict { .. } => self.read_back(effects),
-            // The change may have taken effect although nobody was told. Saying "refused" now
-            // would make the operator send it again on top of itself; "accepted" may be untrue.
-            // The operator would see a refused change in force. The head row settles it.
+            // The change may have taken effect although the response was lost. After a "refused"
+            // the operator could see the refused change in force, or send it again on top of
+            // itself; "accepted" may be untrue. The head row shows the outcome.
             TableResponse::Lost | TableResponse::Unavailable | TableResponse::Rows { .. } => {
                 if let Some(attempt) = &mut write.last_attempt {
                     attempt.uncertain = true;
@@ -183,8 +186,9 @@
             CommitOutcome::Undecided if exhausted => {
                 self.finish_write(store_unavailable_refusal(uncertain), effects);
             }
-            // The same transaction is sent once more. Both are conditional on the same head, so
-            // only one of them can take effect, and the answer to either settles both.
+            // Sends the same transaction again. Both are conditional on the same head row, so at
+            // most one of them can take effect, and the response to either determines the outcome
+            // of both.
             CommitOutcome::Undecided => self.send_commit(effects),
             CommitOutcome::Unknown if uncertain => {
                 self.finish_write(store_unavailable_refusal(true), effects);
@@ -251,7 +255,8 @@
         }
     }
 
-    /// The table can't be read: changes that wait for it are refused, truly not run.
+    /// Refuses the changes that wait for a scan, after it failed or did not give a complete
+    /// configuration. None of them has taken effect.
     pub(super) fn refuse_refreshing_writes(&mut self, effects: &mut EffectQueue) {
         self.writes.retain(|write| {
             let refreshing = matches!(write.stage, WriteStage::Refreshing { .. });
@@ -269,7 +274,8 @@
     }
 }
 
-/// Whether the commit took effect, by the note that the head row keeps of its revision.
+/// Determines whether a commit took effect, from the change that the head row lists under its
+/// revision.
 fn commit_outcome(attempt: &CommitAttempt, head_row: Option<&TableRow>) -> CommitOutcome {
     let head = match head_row.map(VersionedHead::read).transpose() {
         Ok(head) => head.unwrap_or_default(),
@@ -289,18 +295,18 @@
 fn store_unavailable_refusal(uncertain: bool) -> OperatorReply {
     let code = RefusalCode::StoreUnavailable;
     let refusal = if uncertain {
-        let detail = "the table service did not say whether the change took effect; read the \
-                      resource before you send it again";
+        let detail = "the table service did not confirm whether the change took effect; read the \
+                      resource before sending the change again";
         RequestRefusal::unknown(code, detail)
     } else {
-        let detail = "the table service does not answer; nothing was changed";
+        let detail = "the table service is unavailable; nothing was changed";
         RequestRefusal::not_run(code, detail)
     };
     OperatorReply::Refused(refusal.with_retry_after(Duration::from_secs(5)))
 }
 
 fn contention_refusal() -> OperatorReply {
-    let detail = "other changes kept coming first; nothing was changed, send it again";
+    let detail = "other changes were committed first; nothing was changed, send the change again";
     let refusal = RequestRefusal::not_run(RefusalCode::RevisionConflict, detail);
     OperatorReply::Refused(refusal.with_retry_after(Duration::from_secs(1)))
 }
--- a/crates/savorywood-core/src/config/options.rs
+++ b/crates/savorywood-core/src/config/options.rs
@@ -4,15 +4,15 @@
 use savorywood_protocol::HostName;
 use std::time::Duration;
 
-/// How long a daemon may go on without a confirmation that its configuration is current.
+/// Default for how long a daemon serves without a confirmation that its configuration is current.
 ///
-/// Long enough for three polls at the longest period and for a switch of the table's own
-/// replicas, which takes seconds, so that neither makes a daemon refuse work; short enough that a
-/// daemon that is cut off stops serving an old configuration within half a minute. The price is
-/// that for so long a daemon cut off from both may serve what was replaced elsewhere.
+/// Covers three polls at the longest period, and a failover between the replicas of the table,
+/// which takes seconds, so that neither makes a daemon refuse requests. A daemon that is
+/// partitioned from the table and its peers may serve a replaced configuration for this long, and
+/// no longer.
 pub const DEFAULT_MAX_CONFIRMATION_AGE: Duration = Duration::from_secs(30);
 
-/// Settings of the configuration duty.
+/// Settings of the configuration duty, fixed when the daemon starts.
 #[derive(Debug, Clone)]
 pub struct ConfigOptions {
     pub(super) host: HostName,
@@ -23,8 +23,8 @@
 }
 
 impl ConfigOptions {
-    /// Defaults for a host. `seed` must differ between the lives of a host and between hosts: it
-    /// makes the nonces by which a writer knows its own change.
+    /// Returns the default settings for a host. `seed` must differ between hosts and between the
+    /// incarnations of a host: it generates the nonces by which a writer recognises its own change.
     #[must_use]
     pub fn new(host: HostName, seed: u64) -> Self {
         Self {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Sets how old a confirmation may be.
+    /// Sets the age of the last confirmation above which the configuration is not current.
     #[must_use]
     pub fn max_confirmation_age(self, max_confirmation_age: Duration) -> Self {
         Self {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Sets whose word counts while the table can't be read.
+    /// Sets which peers can confirm the configuration while the table can't be read.
     #[must_use]
     pub fn peer_confirmation(self, peer_confirmation: PeerConfirmation) -> Self {
         Self {
@@ -54,7 +54,8 @@
         }
     }
 
-    /// Sets how long an operator waits at most for the table.
+    /// Sets how long a change is retried after it was received. The first failure after that time
+    /// ends it with a refusal.
     #[must_use]
     pub fn write_timeout(self, write_timeout: Duration) -> Self {
         Self {
--- a/crates/savorywood-core/src/config/pending_write.rs
+++ b/crates/savorywood-core/src/config/pending_write.rs
@@ -1,4 +1,5 @@
-//! One operator's change on its way into the table.
+//! State of one operator's change from its receipt until the reply, and its validation against the
+//! configuration in force.
 
 use crate::{
     config::row::{ChangeNonce, ResourceRow, VersionedHead},
@@ -14,71 +15,72 @@
     table::CommitRevision,
 };
 
-/// Where a change stands.
+/// Stage of a change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WriteStage {
-    /// To be checked against the view.
+    /// Is to be validated against the view.
     Fresh,
     /// Waits for a scan with at least this serial number.
     Refreshing {
         /// Serial number of the scan.
         serial: u64,
     },
-    /// The commit is under way.
+    /// Waits for the response to its commit.
     Committing,
-    /// The head row is being read, to learn whether the commit took effect.
+    /// The head row is being read, to determine whether the commit took effect.
     ReadingBack,
-    /// The head could not be read; a timer tries again.
+    /// The head row could not be read; a timer starts the next attempt.
     Waiting,
 }
 
-/// The transaction that was tried last.
+/// Transaction that was sent to the table for a change.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CommitAttempt {
-    /// Head that it was conditional on.
+    /// Commit revision of the head row that the transaction is conditional on.
     pub base: CommitRevision,
-    /// What it writes.
+    /// Content that it writes to the row of the resource.
     pub row: ResourceRow,
-    /// An answer was lost: it may have taken effect, or still may.
+    /// Whether a response was lost: the transaction may have taken effect, or may yet do so.
     pub uncertain: bool,
 }
 
-/// One operator's change on its way into the table.
+/// Operator's change that has not been replied to.
 #[derive(Debug)]
 pub struct PendingWrite {
-    /// Whom to answer.
+    /// Call that the reply goes to.
     pub call: OperatorCall,
-    /// What is wanted.
+    /// Requested change.
     pub request: OperatorRequest,
-    /// Resource that it is about.
+    /// Resource that is changed or deleted.
     pub key: ResourceKey,
-    /// Where it stands.
+    /// Current stage.
     pub stage: WriteStage,
-    /// The transaction tried last.
+    /// Transaction sent last; `None` before the first one, and after another change superseded it.
     pub last_attempt: Option<CommitAttempt>,
-    /// Commits tried so far.
+    /// Commits sent so far.
     pub attempts: u32,
-    /// The operator is answered by then.
+    /// Time after which a commit that failed, or whose outcome is unknown, is not retried.
     pub deadline_at: MonotonicTime,
-    /// The view was read from the table after the change came in.
+    /// Whether the view has been read from the table after the change was received.
     refreshed: bool,
-    /// Revision of the resource when the change was first found acceptable.
+    /// Revision of the resource when the change first passed validation; `Some(None)` when the
+    /// resource did not exist then.
     first_seen: Option<Option<ConfigRevision>>,
 }
 
-/// What the view says of a change.
+/// Result of validating a change against the view.
 #[derive(Debug)]
 pub enum WriteDecision {
     /// Commit this row.
     Commit(Box<ResourceRow>),
-    /// The answer is no, but the view may be older than the table: read it first.
+    /// The change is invalid against a view that may be older than the table: read the table first.
     Refresh,
-    /// The answer is no.
+    /// The change is invalid against an up-to-date view: send this reply.
     Reply(OperatorReply),
 }
 
 impl PendingWrite {
-    /// A change that just came in.
+    /// Returns the state of a change that was just received.
     #[must_use]
     pub fn new(call: OperatorCall, request: OperatorRequest, deadline_at: MonotonicTime) -> Self {
         let key = match &request {
@@ -98,13 +100,14 @@
         }
     }
 
-    /// The view was read from the table since the change came in.
+    /// Records that the view has been read from the table since the change was received, and
+    /// returns the change to validation.
     pub fn mark_refreshed(&mut self) {
         self.refreshed = true;
         self.stage = WriteStage::Fresh;
     }
 
-    /// Checks the change against the view.
+    /// Validates the change against the view. `head` gives the revision that the change would make.
     pub fn evaluate(
         &mut self,
         view: &ConfigView,
@@ -169,7 +172,7 @@
         }
     }
 
-    /// Whether the change may have taken effect.
+    /// Whether it is unknown if the last transaction took effect.
     #[must_use]
     pub fn is_uncertain(&self) -> bool {
         self.last_attempt
--- a/crates/savorywood-core/src/config/refresh.rs
+++ b/crates/savorywood-core/src/config/refresh.rs
@@ -1,4 +1,5 @@
-//! When to read the table, and what to do when it can't be read.
+//! Scans of the table: when they start, how their results are used, and the fall-back to peers
+//! while the table can't be read. Announces new revisions to peers.
 
 use super::{ConfigState, ConfigTimer, SnapshotFetch};
 use crate::{
@@ -18,14 +19,14 @@
 };
 use std::time::Duration;
 
-/// Longest wait between hearing of a newer revision and reading it. Spreads the reads of all
-/// daemons, which hear of it within the same moment.
+/// Maximum random delay between receiving the announcement of a newer revision and reading the
+/// table. Spreads the reads of all daemons, which receive the announcement at nearly the same time.
 const MAX_REFRESH_DELAY: Duration = Duration::from_millis(300);
 
-/// A peer's snapshot that has not come for so long is asked for elsewhere.
+/// Time after which a snapshot that a peer has not sent is requested from another peer.
 const SNAPSHOT_FETCH_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Peers that are told of a new revision by each daemon that applies it.
+/// Number of peers that each daemon announces a new revision to when it comes into force there.
 const GOSSIP_FANOUT: usize = 3;
 
 impl ConfigState {
@@ -52,6 +53,8 @@
         }
     }
 
+    /// Sets the timer of the next periodic scan, up to a fifth of the period early, so that the
+    /// scans of different daemons spread out.
     fn schedule_poll(&mut self, now: CoreTime, members: usize, effects: &mut EffectQueue) {
         let period = poll_period(members);
         let jitter = period.mul_f64(self.rng.random_range(0.0..0.2));
@@ -104,7 +107,9 @@
         }
     }
 
-    /// The table can't be read: peers may say that nothing is newer, or have what is.
+    /// Handles a failed scan: confirms the configuration if enough peers agree on its revision, and
+    /// otherwise requests a snapshot from a peer that has a newer one in force. Does neither before
+    /// the first complete read of the table.
     fn confirm_or_fetch_from_peers(
         &mut self,
         now: CoreTime,
@@ -142,7 +147,8 @@
         self.freshness.peers_agree(own, revision, rule, members)
     }
 
-    /// One of the members with the newest revision, if it is newer than ours.
+    /// Random member among those with the newest revision, if that is newer than the one in force
+    /// here.
     fn choose_snapshot_source<'a>(
         &mut self,
         members: &'a MemberView,
@@ -178,10 +184,10 @@
         };
         let revision = snapshot.revision;
         self.observe_member_revisions(now, members, effects);
-        // A daemon that begins must not serve what is older than what callers met before it was
-        // restarted: it would show as a resource that goes back. Its last life may have been the
-        // only one with the newest revision, and then all peers agree on an older one. So what it
-        // begins with comes from the table alone.
+        // After a restart a daemon must not serve an older configuration than callers were served
+        // under before: they would see a resource revert. The previous incarnation may have been
+        // the only daemon with the newest revision in force, and then all peers agree on an older
+        // one. So the first configuration comes from the table alone.
         if !self.is_ready() {
             let line = LogLine::new(LogLevel::Warn, "config-snapshot-refused")
                 .with("peer", from)
@@ -237,8 +243,9 @@
         effects.set_timer(ConfigTimer::Refresh.key(), now.monotonic + delay);
     }
 
-    /// Tells a few peers of a new revision. Each daemon does so once a revision, so the news
-    /// reaches all in a few rounds at some 300 bytes a daemon and change.
+    /// Announces the revision in force to [`GOSSIP_FANOUT`] random peers that are behind. Each
+    /// daemon does so once per revision, so an announcement reaches all daemons in a few rounds and
+    /// costs some 300 bytes per daemon and change.
     pub(super) fn gossip(&mut self, members: &MemberView, effects: &mut EffectQueue) {
         let revision = self.view.revision;
         if revision <= self.last_gossiped_revision {
@@ -259,6 +266,8 @@
         }
     }
 
+    /// Returns the changes that waited for this scan to validation. Refuses them when the
+    /// configuration has still not been read completely.
     fn release_refreshed_writes(&mut self, effects: &mut EffectQueue) {
         let serial = self.poll.serial();
         if !self.is_ready() {
--- a/crates/savorywood-core/src/config/row.rs
+++ b/crates/savorywood-core/src/config/row.rs
@@ -1,10 +1,10 @@
-//! Rows of the table that hold the configuration.
+//! Format of the rows of the table that hold the configuration.
 //!
 //! Each resource has a row `config/KIND/NAME`; a deleted one keeps its row without a document, so
 //! that its revision and nonce can still be read back. The row `config/head` holds the revision
 //! of the whole configuration and is written by every change in the same transaction. Because
-//! each commit is conditional on the head, changes are totally ordered, and a condition on the
-//! resource's own row would add nothing: it can't have changed while the head has not.
+//! each commit is conditional on the head, changes are totally ordered. A condition on the
+//! resource's own row would be redundant: that row can't change without the head.
 
 use savorywood_protocol::{
     ConfigRevision,
@@ -14,29 +14,30 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// Prefix of all rows of the configuration.
+/// Prefix of the keys of all rows of the configuration.
 pub const CONFIG_PREFIX: &str = "config/";
 
 /// Key of the head row.
 pub const HEAD_KEY: &str = "config/head";
 
-/// Changes that the head row remembers. A writer whose answer was lost finds its own change among
-/// them unless more than this many changes came before it could read back.
+/// Maximum number of changes listed in the head row. A writer that lost the response to its commit
+/// finds its change among them, unless this many further changes were committed before it read the
+/// head row.
 pub const RECENT_CHANGES: usize = 16;
 
-/// Tells one writer's change from any other's.
+/// Random number that identifies one change. By it a writer recognises its own change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ChangeNonce(pub u64);
 
-/// One change as the head row remembers it.
+/// Record of one change in the head row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecentChange {
-    /// Revision that the change made.
+    /// Revision that the change was committed under.
     pub revision: ConfigRevision,
-    /// Resource that it changed.
+    /// Resource that was changed or deleted.
     pub key: ResourceKey,
-    /// Of its writer.
+    /// Nonce that the writer generated for the change.
     pub nonce: ChangeNonce,
 }
 
@@ -45,18 +46,18 @@
 pub struct HeadRow {
     /// Revision of the whole configuration.
     pub revision: ConfigRevision,
-    /// The newest changes, oldest first.
+    /// Newest changes, oldest first, at most [`RECENT_CHANGES`].
     pub recent: Vec<RecentChange>,
 }
 
 /// Content of a resource's row.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ResourceRow {
-    /// Revision that wrote the row.
+    /// Revision of the change that wrote the row.
     pub revision: ConfigRevision,
-    /// Of its writer.
+    /// Nonce that the writer generated for the change.
     pub nonce: ChangeNonce,
-    /// The resource; `None` once it was deleted.
+    /// Resource; `None` once it has been deleted.
     pub document: Option<ResourceDocument>,
 }
 
@@ -66,32 +67,32 @@
 pub struct RowError {
     /// Key of the row.
     pub key: String,
-    /// What is wrong with it.
+    /// Parse error of its content.
     pub reason: String,
 }
 
-/// Where a daemon stands in the table's history of the configuration.
+/// Head row together with the commit that wrote it.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct VersionedHead {
-    /// Commit that wrote the head last; zero when there is no head yet.
+    /// Commit that last wrote the head row; 0 when there is no head row yet.
     pub commit: CommitRevision,
-    /// What the head said.
+    /// Content of the head row; the default when there is none yet.
     pub row: HeadRow,
 }
 
 impl VersionedHead {
-    /// Reads the head from a row of the table.
+    /// Parses the head row.
     ///
     /// # Errors
     ///
-    /// When the row is not a head row.
+    /// Fails when the content of the row is not that of a head row.
     pub fn read(table_row: &TableRow) -> Result<Self, RowError> {
         let row = decode(table_row)?;
         let commit = table_row.revision;
         Ok(Self { commit, row })
     }
 
-    /// The same head after one more change.
+    /// Returns the content of the head row after one more change.
     #[must_use]
     pub fn with_change(&self, change: RecentChange) -> HeadRow {
         let surplus = (self.row.recent.len() + 1).saturating_sub(RECENT_CHANGES);
@@ -101,7 +102,7 @@
         HeadRow { revision, recent }
     }
 
-    /// Condition that nothing was accepted since this mark.
+    /// Condition of a commit: no change has been accepted since this head row was written.
     #[must_use]
     pub fn condition(&self) -> RowCondition {
         RowCondition {
@@ -111,13 +112,13 @@
     }
 }
 
-/// Key of a resource's row.
+/// Key of the row of a resource.
 #[must_use]
 pub fn row_key(key: &ResourceKey) -> String {
     format!("{CONFIG_PREFIX}{key}")
 }
 
-/// Resource that a row's key names.
+/// Resource that a row key names; `None` for the head row, unknown kinds and malformed keys.
 #[must_use]
 pub fn resource_key(row_key: &str) -> Option<ResourceKey> {
     let (kind, name) = row_key.strip_prefix(CONFIG_PREFIX)?.split_once('/')?;
@@ -126,16 +127,17 @@
     Some(ResourceKey { kind, name })
 }
 
-/// Reads a resource's row.
+/// Parses the row of a resource.
 ///
 /// # Errors
 ///
-/// When the content is not that of a resource's row.
+/// Fails when the content of the row is not that of a resource.
 pub fn read_resource(row: &TableRow) -> Result<ResourceRow, RowError> {
     decode(row)
 }
 
-/// The transaction that makes one change on top of `mark`.
+/// Returns the transaction that writes one change and the new head row, on condition that `head` is
+/// still the current head row.
 #[must_use]
 pub fn change_commit(head: &VersionedHead, key: &ResourceKey, row: &ResourceRow) -> TableCommit {
     let change = RecentChange {
--- a/crates/savorywood-core/src/config/row_updates.rs
+++ b/crates/savorywood-core/src/config/row_updates.rs
@@ -1,4 +1,5 @@
-//! Putting newer revisions in force, and never older ones.
+//! Applies rows, own commits and peer snapshots to the configuration in force. The revision in
+//! force never decreases.
 
 use super::ConfigState;
 use crate::{
@@ -19,7 +20,7 @@
 };
 use std::{collections::BTreeSet, sync::Arc};
 
-/// One resource to put in force.
+/// Change of one resource that is to come into force; `document` is `None` for a deletion.
 struct ResourceChange {
     key: ResourceKey,
     revision: ConfigRevision,
@@ -27,8 +28,8 @@
 }
 
 impl ConfigState {
-    /// Applies what a scan found. Says whether the view is now what the table held when the scan
-    /// was asked for, or newer.
+    /// Applies the result of a scan. Returns whether the view is now at least as new as the table
+    /// was when the scan was requested.
     pub(super) fn apply_scan(
         &mut self,
         now: CoreTime,
@@ -47,8 +48,8 @@
                 return false;
             }
         };
-        // An own commit may have been applied while the scan was under way: then the scan is the
-        // older of the two.
+        // A commit of this daemon may have been applied during the scan, which is then the older of
+        // the two.
         if self.is_ready() && head.commit <= self.head.commit {
             return true;
         }
@@ -59,8 +60,8 @@
             effects.log(line);
             return false;
         }
-        // Peers have a newer revision in force, so this read came from a copy that lags. A daemon
-        // that began with it would serve a configuration that was already replaced.
+        // Peers have a newer revision in force, so this read was served by a replica that lags. A
+        // daemon that started with it would serve a configuration that has been replaced.
         let behind = head.row.revision < self.newest_reported;
         if behind && !self.is_ready() {
             let line = LogLine::new(LogLevel::Warn, "config-table-behind-peers")
@@ -74,6 +75,8 @@
         !behind
     }
 
+    /// Handles a scan that returned no head row. Returns whether the view is up to date: the scan
+    /// is empty and no peer has reported a newer revision.
     fn apply_scan_without_head(
         &mut self,
         now: CoreTime,
@@ -91,7 +94,7 @@
         true
     }
 
-    /// Applies a change that this daemon committed itself.
+    /// Applies a change that this daemon committed. `head` is the head row that the commit wrote.
     pub(super) fn apply_own_commit(
         &mut self,
         wall: WallTime,
@@ -108,7 +111,7 @@
         self.install(wall, head, vec![change], effects);
     }
 
-    /// Applies a peer's whole configuration, if it is newer.
+    /// Applies the complete configuration of a peer if it is newer than the one in force.
     pub(super) fn apply_snapshot(
         &mut self,
         now: CoreTime,
@@ -226,8 +229,9 @@
     }
 }
 
-/// Reads the resources of a scan. A row of a kind that this version does not know is left out
-/// and named in the log: refusing the whole scan would hold up every other change as well.
+/// Parses the resource rows of a scan. A row that can't be parsed, such as one of a kind that this
+/// version does not support, is skipped and named in the log: rejecting the complete scan would
+/// block all other changes as well.
 fn read_changes(rows: &[TableRow], effects: &mut EffectQueue) -> Vec<ResourceChange> {
     let mut changes = Vec::new();
     for row in rows.iter().filter(|row| row.key != HEAD_KEY) {
--- a/crates/savorywood-core/src/config/status.rs
+++ b/crates/savorywood-core/src/config/status.rs
@@ -1,4 +1,4 @@
-//! What the system says of a resource.
+//! Status of a resource, as reported to operators.
 
 use crate::view::MemberView;
 use savorywood_protocol::{
@@ -6,7 +6,9 @@
     resource::{ConditionKind, ResourceStatus, StatusCondition},
 };
 
-/// Status of a resource that `revision` wrote last and that came into force here at `since`.
+/// Returns the status of a resource whose last change has the given revision and came into force on
+/// this daemon at `since`. Counts the serving members that have announced that revision or a newer
+/// one as having it in force. `move_state` is left absent.
 #[must_use]
 pub fn resource_status(
     revision: ConfigRevision,
--- a/crates/savorywood-core/src/config/table_poll.rs
+++ b/crates/savorywood-core/src/config/table_poll.rs
@@ -1,8 +1,8 @@
-//! Reading what changed in the table: when, and page by page.
+//! Periodic scans of the table for changed rows: their period, and their progress page by page.
 //!
-//! All daemons together may make [`POLL_READS_PER_SECOND`] reads a second, so the period grows
-//! with their number: 1 s up to 125 daemons, 2.8 s for 350. Even without any gossip each daemon
-//! then has a change within the 4 s that are allowed.
+//! All daemons together may make [`POLL_READS_PER_SECOND`] reads per second, so the period grows
+//! with their number: 1 s up to 125 daemons, 2.8 s for 350. Even if all announcements by gossip are
+//! lost, each daemon then has a change in force within the required 4 s.
 
 use crate::config::row::CONFIG_PREFIX;
 use savorywood_protocol::{
@@ -11,30 +11,30 @@
 };
 use std::time::Duration;
 
-/// Reads a second that polling may cost over all daemons: a sixteenth of the 2,000 that the
-/// table gives to all duties.
+/// Reads per second that polling may make across all daemons: a sixteenth of the 2,000 that the
+/// table serves for all duties.
 pub const POLL_READS_PER_SECOND: usize = 125;
 
-/// Shortest period of polling.
+/// Minimum polling period.
 pub const MIN_POLL_PERIOD: Duration = Duration::from_secs(1);
 
-/// Longest period of polling. Reached with 1,250 daemons.
+/// Maximum polling period. Reached with 1,250 daemons.
 pub const MAX_POLL_PERIOD: Duration = Duration::from_secs(10);
 
-/// Rows asked for in one read.
+/// Maximum number of rows per page of a scan.
 pub const PAGE_ROWS: u32 = 1_000;
 
-/// A read whose answer has not come for so long is given up and made anew.
+/// Time since the start of a scan after which it is abandoned and a new one may start.
 const SCAN_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Period of polling with so many members.
+/// Polling period of each daemon for the given number of serving members.
 #[must_use]
 pub fn poll_period(members: usize) -> Duration {
     let micros = members * 1_000_000 / POLL_READS_PER_SECOND;
     Duration::from_micros(micros as u64).clamp(MIN_POLL_PERIOD, MAX_POLL_PERIOD)
 }
 
-/// A scan under way.
+/// Scan whose last page has not been received.
 #[derive(Debug)]
 struct ScanProgress {
     call: u64,
@@ -42,25 +42,25 @@
     rows: Vec<TableRow>,
 }
 
-/// A scan whose last page came.
+/// Completed scan.
 #[derive(Debug)]
 pub struct ScanResult {
-    /// When its first page was asked for: the answer is no older.
+    /// When the first page was requested. The rows are at least as recent as this.
     pub requested_at: MonotonicTime,
-    /// Rows changed since the revision asked for.
+    /// Rows changed after the commit revision that the scan started from.
     pub rows: Vec<TableRow>,
 }
 
-/// What to do after a page.
+/// Next step after a page.
 #[derive(Debug)]
 pub enum PageResult {
-    /// Ask for the rows after this revision.
+    /// Request the next page: the rows changed after this commit revision.
     More(CommitRevision),
-    /// All is there.
+    /// The scan is complete.
     Done(ScanResult),
 }
 
-/// Scans of the configuration's rows, one at a time.
+/// Scans of the configuration rows. At most one is in progress.
 #[derive(Debug, Default)]
 pub struct TablePoll {
     current: Option<ScanProgress>,
@@ -69,7 +69,8 @@
 }
 
 impl TablePoll {
-    /// Begins a scan under `call`, unless one is under way; then another follows it.
+    /// Starts a scan whose first read has the number `call`, and returns its request. If a scan is
+    /// in progress and has not timed out, returns `None` and records that another scan must follow.
     pub fn begin(
         &mut self,
         now: MonotonicTime,
@@ -92,20 +93,20 @@
         Some(page_request(after))
     }
 
-    /// Serial number of the first scan that begins from now on.
+    /// Serial number of the next scan to start.
     #[must_use]
     pub fn next_serial(&self) -> u64 {
         self.serial + 1
     }
 
-    /// Serial number of the newest scan.
+    /// Serial number of the scan started last; 0 before the first.
     #[must_use]
     pub fn serial(&self) -> u64 {
         self.serial
     }
 
-    /// Whether `call` belongs to the scan under way. An answer to a scan that was given up
-    /// belongs to none and is dropped: its rows may be older than what is in force.
+    /// Whether `call` is the pending read of the scan in progress. The response to a read of an
+    /// abandoned scan must be discarded: its rows may be older than the configuration in force.
     #[must_use]
     pub fn owns(&self, call: u64) -> bool {
         self.current
@@ -113,7 +114,8 @@
             .is_some_and(|current| current.call == call)
     }
 
-    /// Takes one page; `call` names the read of the next one.
+    /// Adds one page to the scan in progress. `call` is the number of the read of the next page, if
+    /// there is one. Returns `None` when no scan is in progress.
     pub fn add_page(&mut self, rows: Vec<TableRow>, more: bool, call: u64) -> Option<PageResult> {
         let mut current = self.current.take()?;
         current.rows.extend(rows);
@@ -129,18 +131,19 @@
         }))
     }
 
-    /// The scan failed.
+    /// Ends the scan in progress after a failed read.
     pub fn fail(&mut self) {
         self.current = None;
     }
 
-    /// Whether another scan was asked for while one was under way.
+    /// Returns whether another scan was requested while one was in progress that has since ended,
+    /// and clears the request.
     pub fn take_rescan_request(&mut self) -> bool {
         self.current.is_none() && std::mem::take(&mut self.rescan_requested)
     }
 }
 
-/// Asks for the rows changed after a revision.
+/// Returns the request for a page of the rows changed after a commit revision.
 #[must_use]
 pub fn page_request(after: CommitRevision) -> TableRequest {
     TableRequest::Scan {
