--- a/crates/savorywood-core/src/config/operator_writes.rs
+++ b/crates/savorywood-core/src/config/operator_writes.rs
@@ -30,13 +30,13 @@
 const READ_BACK_DELAY: Duration = Duration::from_millis(250);
 
 /// Outcome of a commit, as far as the head row shows it.
-enum CommitOutcome {
+enum CommitState {
     /// It took effect.
     Committed,
     /// Another change was committed under the same revision: this one can no longer take effect.
     Superseded,
     /// The head row is unchanged: the commit may still take effect.
-    Undecided,
+    Pending,
     /// The head row no longer lists the revision, because too many changes followed, or can't be
     /// parsed.
     Unknown,
@@ -84,7 +84,7 @@
                     write.stage = WriteStage::Refreshing { serial };
                     self.begin_scan(now, effects);
                 }
-                WriteDecision::Reply(reply) => self.finish_write(reply, effects),
+                WriteDecision::Reply(reply) => self.end_write(reply, effects),
                 WriteDecision::Commit(row) => {
                     write.last_attempt = Some(CommitAttempt {
                         base: self.head.commit,
@@ -136,11 +136,9 @@
             return;
         };
         match response {
-            TableResponse::Committed { revision } => {
-                self.finish_committed_write(now, Some(revision), effects);
-            }
+            TableResponse::Committed { revision } => self.acknowledge(now, Some(revision), effects),
             TableResponse::Unavailable if !write.is_uncertain() => {
-                self.finish_write(store_unavailable_refusal(false), effects);
+                self.end_write(store_refusal(false), effects);
             }
             TableResponse::Conflict { .. } => self.read_back(effects),
             // The change may have taken effect although the response was lost. After a "refused"
@@ -181,22 +179,18 @@
         };
         let exhausted = write.attempts >= MAX_ATTEMPTS || write.deadline_at <= now.monotonic;
         let uncertain = attempt.uncertain;
-        match commit_outcome(attempt, rows.first()) {
-            CommitOutcome::Committed => self.finish_committed_write(now, None, effects),
-            CommitOutcome::Undecided if exhausted => {
-                self.finish_write(store_unavailable_refusal(uncertain), effects);
-            }
+        match commit_state(attempt, rows.first()) {
+            CommitState::Committed => self.acknowledge(now, None, effects),
+            CommitState::Pending if exhausted => self.end_write(store_refusal(uncertain), effects),
             // Sends the same transaction again. Both are conditional on the same head row, so at
             // most one of them can take effect, and the response to either determines the outcome
             // of both.
-            CommitOutcome::Undecided => self.send_commit(effects),
-            CommitOutcome::Unknown if uncertain => {
-                self.finish_write(store_unavailable_refusal(true), effects);
+            CommitState::Pending => self.send_commit(effects),
+            CommitState::Unknown if uncertain => self.end_write(store_refusal(true), effects),
+            CommitState::Superseded | CommitState::Unknown if exhausted => {
+                self.end_write(contention_refusal(), effects);
             }
-            CommitOutcome::Superseded | CommitOutcome::Unknown if exhausted => {
-                self.finish_write(contention_refusal(), effects);
-            }
-            CommitOutcome::Superseded | CommitOutcome::Unknown => {
+            CommitState::Superseded | CommitState::Unknown => {
                 write.last_attempt = None;
                 let serial = self.poll.next_serial();
                 write.stage = WriteStage::Refreshing { serial };
@@ -210,8 +204,8 @@
             return;
         };
         if write.deadline_at <= now.monotonic {
-            let refusal = store_unavailable_refusal(write.is_uncertain());
-            self.finish_write(refusal, effects);
+            let refusal = store_refusal(write.is_uncertain());
+            self.end_write(refusal, effects);
             return;
         }
         write.stage = WriteStage::Waiting;
@@ -226,12 +220,7 @@
         }
     }
 
-    fn finish_committed_write(
-        &mut self,
-        now: CoreTime,
-        commit: Option<u64>,
-        effects: &mut EffectQueue,
-    ) {
+    fn acknowledge(&mut self, now: CoreTime, commit: Option<u64>, effects: &mut EffectQueue) {
         let Some(write) = self.writes.pop_front() else {
             return;
         };
@@ -261,13 +250,13 @@
         self.writes.retain(|write| {
             let refreshing = matches!(write.stage, WriteStage::Refreshing { .. });
             if refreshing {
-                reply_to_operator(write.call, store_unavailable_refusal(false), effects);
+                reply_to_operator(write.call, store_refusal(false), effects);
             }
             !refreshing
         });
     }
 
-    fn finish_write(&mut self, reply: OperatorReply, effects: &mut EffectQueue) {
+    fn end_write(&mut self, reply: OperatorReply, effects: &mut EffectQueue) {
         if let Some(write) = self.writes.pop_front() {
             reply_to_operator(write.call, reply, effects);
         }
@@ -276,23 +265,23 @@
 
 /// Determines whether a commit took effect, from the change that the head row lists under its
 /// revision.
-fn commit_outcome(attempt: &CommitAttempt, head_row: Option<&TableRow>) -> CommitOutcome {
+fn commit_state(attempt: &CommitAttempt, head_row: Option<&TableRow>) -> CommitState {
     let head = match head_row.map(VersionedHead::read).transpose() {
         Ok(head) => head.unwrap_or_default(),
-        Err(_) => return CommitOutcome::Unknown,
+        Err(_) => return CommitState::Unknown,
     };
     if head.commit == attempt.base {
-        return CommitOutcome::Undecided;
+        return CommitState::Pending;
     }
     let mut recent_changes = head.row.recent.iter();
     match recent_changes.find(|change| change.revision == attempt.row.revision) {
-        Some(change) if change.nonce == attempt.row.nonce => CommitOutcome::Committed,
-        Some(_) => CommitOutcome::Superseded,
-        None => CommitOutcome::Unknown,
+        Some(change) if change.nonce == attempt.row.nonce => CommitState::Committed,
+        Some(_) => CommitState::Superseded,
+        None => CommitState::Unknown,
     }
 }
 
-fn store_unavailable_refusal(uncertain: bool) -> OperatorReply {
+fn store_refusal(uncertain: bool) -> OperatorReply {
     let code = RefusalCode::StoreUnavailable;
     let refusal = if uncertain {
         let detail = "the table service did not confirm whether the change took effect; read the \
