--- a/crates/savorywood-core/src/config/operator_writes.rs
+++ b/crates/savorywood-core/src/config/operator_writes.rs
@@ -43,6 +43,7 @@
 }
 
 impl ConfigState {
+    /// Queues a change, or refuses it when the queue is full.
     pub(super) fn enqueue_write(
         &mut self,
         now: CoreTime,
@@ -220,6 +221,8 @@
         }
     }
 
+    /// Replies that the first pending change was accepted, and puts it in force. When `commit` is
+    /// `None`, or another commit has been applied meanwhile, a scan reads the change from the table.
     fn acknowledge(&mut self, now: CoreTime, commit: Option<u64>, effects: &mut EffectQueue) {
         let Some(write) = self.writes.pop_front() else {
             return;
@@ -256,6 +259,7 @@
         });
     }
 
+    /// Removes the first pending change and sends the reply.
     fn end_write(&mut self, reply: OperatorReply, effects: &mut EffectQueue) {
         if let Some(write) = self.writes.pop_front() {
             reply_to_operator(write.call, reply, effects);
