--- a/crates/savorywood-core/src/config.rs
+++ b/crates/savorywood-core/src/config.rs
@@ -1,27 +1,29 @@
-//! The accepted configuration: reading it, changing it, and knowing whether it is current.
+//! The configuration duty of a daemon: reads the accepted resources from the table, commits the
+//! changes of operators, and tracks whether the configuration in force is current.
 //!
-//! Accepted means committed in the table under the next revision. See `docs/design/configuration.md`.
+//! A change is accepted once it is committed in the table under the next revision. See
+//! `docs/design/configuration.md`.
 
 pub mod change_log;
-pub mod currency;
+pub mod freshness;
 pub mod options;
 pub mod pending_write;
 pub mod row;
 pub mod status;
 pub mod table_poll;
 
-mod applying;
-mod refreshing;
-mod writing;
+mod operator_writes;
+mod refresh;
+mod row_updates;
 
 pub use change_log::{ChangeList, ConfigChange};
-pub use currency::PeerConfirmation;
+pub use freshness::PeerConfirmation;
 pub use options::ConfigOptions;
 
 use crate::{
     config::{
-        change_log::ChangeLog, currency::CurrencyRecord, pending_write::PendingWrite,
-        row::HeadMark, table_poll::TablePoll,
+        change_log::ChangeLog, freshness::FreshnessTracker, pending_write::PendingWrite,
+        row::VersionedHead, table_poll::TablePoll,
     },
     effect::{DaemonEffect, EffectQueue},
     event::{DutyKind, TableCall, TimerKey},
@@ -39,62 +41,62 @@
 };
 use std::{collections::VecDeque, sync::Arc};
 
-/// What happens to the configuration duty.
+/// Input to the configuration duty.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ConfigEvent {
-    /// The daemon begins.
+    /// The daemon has started. Sent once, before the other events.
     Started,
-    /// One of its timers fired.
+    /// A timer of this duty fired.
     TimerFired {
-        /// Number of the timer.
+        /// Number of the timer within this duty, as in [`TimerKey`].
         number: u64,
     },
-    /// The table answered.
+    /// A call of the table service completed, failed or was lost.
     Table {
-        /// Number of the call.
+        /// Number of the call, as in [`TableCall`].
         number: u64,
-        /// Its answer.
+        /// Response of the table service, or how the call failed.
         answer: TableResponse,
     },
-    /// An operator wants a change.
+    /// An operator requests a change.
     Operator {
-        /// Whom to answer.
+        /// Call that the reply goes to.
         call: OperatorCall,
-        /// What is wanted.
+        /// Requested change.
         request: Box<OperatorRequest>,
     },
-    /// A peer tells its revision.
+    /// A peer announces the revision that it has in force.
     Peer {
-        /// Who.
+        /// Host that sent the message.
         from: HostName,
-        /// What.
+        /// Announcement with the peer's revision.
         message: ConfigMessage,
     },
-    /// A peer's configuration came, or did not.
+    /// A fetch of a peer's configuration completed or failed.
     SnapshotFetched {
-        /// Who was asked.
+        /// Host that the snapshot was requested from.
         from: HostName,
-        /// What it has in force.
+        /// Configuration in force on that host; `None` when the fetch failed.
         snapshot: Option<Box<ConfigSnapshot>>,
     },
-    /// Members came, went or told another revision.
+    /// Members joined or left, or a member announced another revision.
     MembersChanged,
 }
 
-/// What a step did to the configuration in force.
+/// Whether a step changed the configuration in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ConfigVerdict {
-    /// The same configuration is in force.
+pub enum ConfigStepOutcome {
+    /// The revision in force is the same as before the step.
     Unchanged,
-    /// A newer configuration is in force.
+    /// A newer revision is in force.
     Changed,
 }
 
-/// A peer that was asked for its configuration.
+/// Request for a peer's configuration that has not completed.
 #[derive(Debug)]
 struct SnapshotFetch {
     from: HostName,
-    asked_at: MonotonicTime,
+    requested_at: MonotonicTime,
 }
 
 /// State of the configuration duty.
@@ -103,99 +105,107 @@
     options: ConfigOptions,
     rng: ChaCha8Rng,
     view: Arc<ConfigView>,
-    mark: HeadMark,
+    head: VersionedHead,
+    /// When the complete configuration was first read; `None` before that.
     loaded_at: Option<WallTime>,
-    newest_heard: ConfigRevision,
-    gossiped: ConfigRevision,
-    log: ChangeLog,
-    currency: CurrencyRecord,
+    /// Newest revision that the table or any peer has reported, in force here or not.
+    newest_reported: ConfigRevision,
+    last_gossiped_revision: ConfigRevision,
+    change_log: ChangeLog,
+    freshness: FreshnessTracker,
     poll: TablePoll,
-    fetch: Option<SnapshotFetch>,
+    snapshot_fetch: Option<SnapshotFetch>,
+    /// Changes of operators, oldest first. Only the first one is processed.
     writes: VecDeque<PendingWrite>,
-    write_call: Option<u64>,
-    calls: u64,
+    /// Number of the table call that the first change waits for.
+    write_call_number: Option<u64>,
+    last_call_number: u64,
 }
 
 impl ConfigState {
-    /// A daemon that has read nothing yet.
+    /// Returns the state of a daemon that has not read the table yet.
     #[must_use]
     pub fn new(options: ConfigOptions) -> Self {
         Self {
             rng: ChaCha8Rng::seed_from_u64(options.seed),
             options,
             view: Arc::default(),
-            mark: HeadMark::default(),
+            head: VersionedHead::default(),
             loaded_at: None,
-            newest_heard: ConfigRevision::default(),
-            gossiped: ConfigRevision::default(),
-            log: ChangeLog::default(),
-            currency: CurrencyRecord::default(),
+            newest_reported: ConfigRevision::default(),
+            last_gossiped_revision: ConfigRevision::default(),
+            change_log: ChangeLog::default(),
+            freshness: FreshnessTracker::default(),
             poll: TablePoll::default(),
-            fetch: None,
+            snapshot_fetch: None,
             writes: VecDeque::new(),
-            write_call: None,
-            calls: 0,
+            write_call_number: None,
+            last_call_number: 0,
         }
     }
 
-    /// Configuration in force. While nobody else keeps a clone, a change is made in place; a kept
-    /// clone makes the next change copy all resources once.
+    /// Configuration in force. Changes are made in place unless a clone of the `Arc` is held; then
+    /// the next change copies all resources once.
     #[must_use]
     pub fn view(&self) -> &Arc<ConfigView> {
         &self.view
     }
 
-    /// Whether the configuration was read whole since this daemon began. Until then it takes no
-    /// work: what it would decide by could be older than what callers met before.
+    /// Whether the complete configuration has been read since this daemon started. Until then the
+    /// daemon admits no requests: it could decide by an older configuration than callers have
+    /// already been served under.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.loaded_at.is_some()
     }
 
-    /// Whether table or peers confirmed lately that nothing newer is in force elsewhere.
+    /// Whether the table or the peers have confirmed, within the maximum age of a confirmation,
+    /// that no newer revision is in force elsewhere.
     #[must_use]
     pub fn is_current(&self, now: CoreTime) -> bool {
-        let allowed = self.options.allowed_age;
-        self.is_ready() && self.currency.is_current(now.monotonic, allowed)
+        let max_age = self.options.max_confirmation_age;
+        self.is_ready() && self.freshness.is_current(now.monotonic, max_age)
     }
 
-    /// The whole configuration for another daemon; `None` until it was read whole.
+    /// Complete configuration to send to another daemon; `None` until this daemon has read all of
+    /// it.
     #[must_use]
     pub fn snapshot(&self) -> Option<ConfigSnapshot> {
         self.loaded_at?;
         Some(ConfigSnapshot {
             revision: self.view.revision,
-            table_revision: self.mark.commit,
+            table_revision: self.head.commit,
             documents: self.view.documents.values().cloned().collect(),
         })
     }
 
-    /// Changes after a revision, for operators that watch.
+    /// Changes that came into force after `revision`, for watches of operators.
     #[must_use]
     pub fn changes_since(&self, revision: ConfigRevision) -> ChangeList {
-        self.log.since(revision)
+        self.change_log.since(revision)
     }
 
-    /// Status of a resource in force.
+    /// Status of a resource; `None` when no such resource is in force.
     #[must_use]
     pub fn status_of(&self, key: &ResourceKey, members: &MemberView) -> Option<ResourceStatus> {
         let document = self.view.documents.get(key)?;
         let revision = document.revision.unwrap_or_default();
-        let applied_at = self.log.applied_at(revision).or(self.loaded_at);
+        let applied_at = self.change_log.applied_at(revision).or(self.loaded_at);
         let since = applied_at.unwrap_or_default();
         Some(status::resource_status(revision, since, members))
     }
 
-    /// Keeps where a move stands beside its document, so that the check of a new move of the same
-    /// service sees whether the last one is over.
-    pub fn note_move_state(&mut self, name: &MoveName, state: MoveState) {
+    /// Stores the state of a move in the status of its document, so that validation of a new move
+    /// of the same service sees whether the previous one has ended. Does nothing when the move is
+    /// not in force.
+    pub fn record_move_state(&mut self, name: &MoveName, state: MoveState) {
         let key = ResourceKey {
             kind: ResourceKind::Move,
             name: name.as_str().to_owned(),
         };
         let document = self.view.documents.get(&key);
-        let known = document.and_then(|document| document.status.as_ref()?.move_state);
-        if document.is_none() || known == Some(state) {
+        let current = document.and_then(|document| document.status.as_ref()?.move_state);
+        if document.is_none() || current == Some(state) {
             return;
         }
         if let Some(document) = Arc::make_mut(&mut self.view).documents.get_mut(&key) {
@@ -204,52 +214,52 @@
         }
     }
 
-    /// Handles one event.
+    /// Handles one event and pushes the effects that follow from it.
     pub fn step(
         &mut self,
         now: CoreTime,
         event: ConfigEvent,
         members: &MemberView,
         effects: &mut EffectQueue,
-    ) -> ConfigVerdict {
+    ) -> ConfigStepOutcome {
         let before = self.view.revision;
         match event {
             ConfigEvent::Started => self.start(now, effects),
-            ConfigEvent::TimerFired { number } => self.timer(now, number, members, effects),
+            ConfigEvent::TimerFired { number } => self.handle_timer(now, number, members, effects),
             ConfigEvent::Table { number, answer } => {
-                self.table(now, number, answer, members, effects);
+                self.handle_table_response(now, number, answer, members, effects);
             }
             ConfigEvent::Operator { call, request } => {
-                self.accept_write(now, call, *request, effects);
+                self.enqueue_write(now, call, *request, effects);
             }
-            ConfigEvent::Peer { message, .. } => self.hear(now, &message, effects),
+            ConfigEvent::Peer { message, .. } => self.handle_config_message(now, &message, effects),
             ConfigEvent::SnapshotFetched { from, snapshot } => {
-                self.take_snapshot(now, &from, snapshot, members, effects);
+                self.handle_snapshot(now, &from, snapshot, members, effects);
             }
-            ConfigEvent::MembersChanged => self.hear_members(now, members, effects),
+            ConfigEvent::MembersChanged => self.observe_member_revisions(now, members, effects),
         }
-        self.pump_writes(now, effects);
+        self.advance_writes(now, effects);
         if self.view.revision == before {
-            return ConfigVerdict::Unchanged;
+            return ConfigStepOutcome::Unchanged;
         }
         effects.push(DaemonEffect::ConfigChanged);
         self.gossip(members, effects);
-        ConfigVerdict::Changed
+        ConfigStepOutcome::Changed
     }
 
-    fn table(
+    fn handle_table_response(
         &mut self,
         now: CoreTime,
         number: u64,
-        answer: TableResponse,
+        response: TableResponse,
         members: &MemberView,
         effects: &mut EffectQueue,
     ) {
         if self.poll.owns(number) {
-            self.scan_answered(now, answer, members, effects);
-        } else if self.write_call == Some(number) {
-            self.write_call = None;
-            self.write_answered(now, answer, effects);
+            self.handle_scan_response(now, response, members, effects);
+        } else if self.write_call_number == Some(number) {
+            self.write_call_number = None;
+            self.handle_write_response(now, response, effects);
         }
     }
 
@@ -260,8 +270,8 @@
     }
 
     fn next_call(&mut self) -> u64 {
-        self.calls += 1;
-        self.calls
+        self.last_call_number += 1;
+        self.last_call_number
     }
 
     fn send_call(&self, number: u64, request: TableRequest, effects: &mut EffectQueue) {
@@ -271,11 +281,14 @@
     }
 }
 
-/// Timers of this duty.
+/// Timers of the configuration duty. The discriminant is the timer's number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ConfigTimer {
+    /// Next periodic scan of the table.
     Poll,
-    Notice,
+    /// Scan after a peer has reported a newer revision.
+    Refresh,
+    /// Next attempt to read the head row after a commit with an unknown outcome.
     Write,
 }
 
@@ -287,8 +300,8 @@
     }
 
     fn from_number(number: u64) -> Option<Self> {
-        [Self::Poll, Self::Notice, Self::Write]
+        [Self::Poll, Self::Refresh, Self::Write]
             .into_iter()
-            .find(|timer| *timer as u64 == number)
+            .find(|handle_timer| *handle_timer as u64 == number)
     }
 }
