--- a/crates/savorywood-core/src/credits.rs
+++ b/crates/savorywood-core/src/credits.rs
@@ -20,7 +20,7 @@
     effect::EffectQueue,
     event::{DutyKind, TimerKey},
     rendezvous,
-    scheduler::SeatGrant,
+    scheduler::SlotGrant,
     view::{ConfigView, MemberRecord, MemberView},
 };
 use arbiter::ArbiterRecord;
@@ -127,7 +127,7 @@
     soon_at: Option<MonotonicTime>,
     next_ask: MonotonicTime,
     floor_names: FloorNames,
-    grants: BTreeMap<UpstreamName, SeatGrant>,
+    grants: BTreeMap<UpstreamName, SlotGrant>,
     floors: BTreeMap<ServiceName, TierRank>,
     counters: CreditCounters,
     alone_logged: Option<MonotonicTime>,
@@ -182,7 +182,7 @@
 
     /// Seats granted on contended upstreams; an absent upstream is not contended.
     #[must_use]
-    pub fn grants(&self) -> &BTreeMap<UpstreamName, SeatGrant> {
+    pub fn grants(&self) -> &BTreeMap<UpstreamName, SlotGrant> {
         &self.grants
     }
 
@@ -256,7 +256,7 @@
         let mut grants = BTreeMap::new();
         for (upstream, held) in &self.held {
             if let Some(seats) = held.usable(now, || standing_share(upstream, view)) {
-                grants.insert(upstream.clone(), SeatGrant { seats });
+                grants.insert(upstream.clone(), SlotGrant { slots: seats });
             }
         }
         let floors = self.service_floors(now, view);
--- a/crates/savorywood-core/src/daemon.rs
+++ b/crates/savorywood-core/src/daemon.rs
@@ -25,7 +25,7 @@
     membership::{MembershipEvent, MembershipOptions, MembershipState},
     moves::{MoveEvent, MoveOptions, MovesState},
     orders::{OrderEvent, OrderOptions, OrdersState},
-    scheduler::{RequestScheduler, SchedulerEvent, SchedulerOptions, SeatGrant},
+    scheduler::{RequestScheduler, SchedulerEvent, SchedulerOptions, SlotGrant},
     stop::{StopEvent, StopOptions, StopState},
     view::{ConfigView, MemberView, VersionSplit},
 };
@@ -85,7 +85,7 @@
 #[derive(Debug, Default)]
 struct SchedulerInputs {
     splits: BTreeMap<ServiceName, VersionSplit>,
-    grants: BTreeMap<UpstreamName, SeatGrant>,
+    grants: BTreeMap<UpstreamName, SlotGrant>,
     floors: BTreeMap<ServiceName, TierRank>,
 }
 
--- a/crates/savorywood-core/src/daemon/sharing.rs
+++ b/crates/savorywood-core/src/daemon/sharing.rs
@@ -155,8 +155,8 @@
         }
         let tiers = tiers.into_iter().filter(|(_, seats)| *seats > 0);
         LocalDemand {
-            limit: self.scheduler.limit(name).unwrap_or_default(),
-            in_use: self.scheduler.seats_in_use(name),
+            limit: self.scheduler.slot_limit(name).unwrap_or_default(),
+            in_use: self.scheduler.slots_in_use(name),
             tiers: tiers
                 .map(|(rank, seats)| TierDemand { rank, seats })
                 .collect(),
--- a/crates/savorywood-core/src/scheduler.rs
+++ b/crates/savorywood-core/src/scheduler.rs
@@ -59,16 +59,16 @@
     /// Splits of services whose traffic is moving.
     pub splits: &'a BTreeMap<ServiceName, VersionSplit>,
     /// Seats granted on contended upstreams; an absent upstream is not contended.
-    pub grants: &'a BTreeMap<UpstreamName, SeatGrant>,
+    pub grants: &'a BTreeMap<UpstreamName, SlotGrant>,
     /// Lowest tier that a service admits; absent when all are.
     pub floors: &'a BTreeMap<ServiceName, TierRank>,
 }
 
 /// What the arbiter of an upstream allows this daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct SeatGrant {
+pub struct SlotGrant {
     /// Seats at once.
-    pub seats: u32,
+    pub slots: u32,
 }
 
 /// What happens to the scheduler.
--- a/crates/savorywood-core/src/scheduler/fleet.rs
+++ b/crates/savorywood-core/src/scheduler/fleet.rs
@@ -1,7 +1,7 @@
 //! What this daemon knows of each upstream.
 
 use super::{
-    SeatGrant,
+    SlotGrant,
     health::UpstreamHealth,
     limit::{AdaptiveLimit, LimitUse},
     speed::{SpeedEstimate, SpeedMeter},
@@ -98,9 +98,9 @@
 
     /// What it may hold now.
     #[must_use]
-    pub fn allowance(&self, now: MonotonicTime, grant: Option<&SeatGrant>) -> WorkAllowance {
+    pub fn allowance(&self, now: MonotonicTime, grant: Option<&SlotGrant>) -> WorkAllowance {
         let limit = self.limit.seats();
-        let granted = grant.map_or(limit, |grant| grant.seats.min(limit));
+        let granted = grant.map_or(limit, |grant| grant.slots.min(limit));
         let share = self.health.share(now);
         if self.closed || self.leaving || granted == 0 || share <= 0.0 {
             return WorkAllowance::default();
--- a/crates/savorywood-core/src/scheduler/pressure.rs
+++ b/crates/savorywood-core/src/scheduler/pressure.rs
@@ -56,7 +56,7 @@
 
     /// Seats in use on an upstream.
     #[must_use]
-    pub fn seats_in_use(&self, upstream: &UpstreamName) -> u32 {
+    pub fn slots_in_use(&self, upstream: &UpstreamName) -> u32 {
         let id = self.fleet.id(upstream);
         let seats = id
             .into_iter()
@@ -102,7 +102,7 @@
 
     /// Seats that this daemon believes the upstream can carry; `None` for an unknown one.
     #[must_use]
-    pub fn limit(&self, upstream: &UpstreamName) -> Option<u32> {
+    pub fn slot_limit(&self, upstream: &UpstreamName) -> Option<u32> {
         let id = self.fleet.id(upstream)?;
         let state = self.fleet.get(id)?;
         Some(state.limit.seats())
--- a/crates/savorywood-core/tests/credit/fleet.rs
+++ b/crates/savorywood-core/tests/credit/fleet.rs
@@ -244,7 +244,7 @@
         let daemon = self.daemons.get_mut(host).expect("a daemon");
         loop {
             let free = near.iter().find(|name| {
-                let granted = daemon.credits.grants().get(*name).map(|grant| grant.seats);
+                let granted = daemon.credits.grants().get(*name).map(|grant| grant.slots);
                 let allowed = granted.unwrap_or(self.limit).min(self.limit);
                 daemon.in_use(name) < allowed
             });
--- a/crates/savorywood-core/tests/credit_messages.rs
+++ b/crates/savorywood-core/tests/credit_messages.rs
@@ -219,9 +219,9 @@
     desk.grant(10, 2);
     desk.grant(9, 8);
     desk.grant(10, 8);
-    assert_eq!(desk.credits.grants()[&upstream()].seats, 2);
+    assert_eq!(desk.credits.grants()[&upstream()].slots, 2);
     desk.grant(11, 3);
-    assert_eq!(desk.credits.grants()[&upstream()].seats, 3);
+    assert_eq!(desk.credits.grants()[&upstream()].slots, 3);
     assert_eq!(desk.credits.counters().outdated, 2);
 }
 
@@ -232,7 +232,7 @@
     let mut desk = Desk::new();
     desk.grant(1, 8);
     desk.pass(Duration::from_millis(2_900));
-    assert_eq!(desk.credits.grants()[&upstream()].seats, 8);
+    assert_eq!(desk.credits.grants()[&upstream()].slots, 8);
     let mut longer = Desk::new();
     longer.step(CreditEvent::Peer {
         from: host(1),
@@ -242,7 +242,7 @@
     });
     longer.grant(1, 8);
     longer.pass(Duration::from_millis(3_100));
-    assert_eq!(longer.credits.grants()[&upstream()].seats, 1);
+    assert_eq!(longer.credits.grants()[&upstream()].slots, 1);
 }
 
 /// A new arbiter hears of one daemon before it hears of the others. Were it to grant at once, the
--- a/crates/savorywood-core/tests/scheduler_rules/fixture.rs
+++ b/crates/savorywood-core/tests/scheduler_rules/fixture.rs
@@ -3,7 +3,7 @@
 use savorywood_core::{
     AnswerReport, ConfigView, DaemonEffect, DispatchOrder, EffectQueue, InvariantBreach,
     PromptShape, QueuedRequest, UpstreamEvent, VersionSplit,
-    scheduler::{RequestScheduler, SchedulerEvent, SchedulerOptions, SchedulerView, SeatGrant},
+    scheduler::{RequestScheduler, SchedulerEvent, SchedulerOptions, SchedulerView, SlotGrant},
 };
 use savorywood_protocol::{
     CoreTime, RequestId, RequestRefusal, ServiceName, TierRank, UpstreamName, ZoneName,
@@ -20,7 +20,7 @@
     pub config: ConfigView,
     pub zone: ZoneName,
     pub splits: BTreeMap<ServiceName, VersionSplit>,
-    pub grants: BTreeMap<UpstreamName, SeatGrant>,
+    pub grants: BTreeMap<UpstreamName, SlotGrant>,
     pub floors: BTreeMap<ServiceName, TierRank>,
     pub now: CoreTime,
     pub effects: Vec<DaemonEffect>,
--- a/crates/savorywood-core/tests/scheduler_rules/limits.rs
+++ b/crates/savorywood-core/tests/scheduler_rules/limits.rs
@@ -3,7 +3,7 @@
 use crate::fixture::{BenchRequest, SchedulerBench};
 use savorywood_core::{
     BreakCause, CacheEvent, CacheEventBatch, UpstreamEvent, VersionSplit,
-    scheduler::{SchedulerEvent, SeatGrant},
+    scheduler::{SchedulerEvent, SlotGrant},
 };
 use std::{collections::BTreeMap, time::Duration};
 
@@ -79,7 +79,7 @@
 fn grant_bounds_the_seats_in_use() {
     let mut bench = SchedulerBench::new(1, 8);
     let upstream = "u0".parse().unwrap();
-    bench.grants.insert(upstream, SeatGrant { seats: 2 });
+    bench.grants.insert(upstream, SlotGrant { slots: 2 });
     for _ in 0..6 {
         bench.send(&BenchRequest::default());
     }
--- a/crates/savorywood-experiment/src/arbiter.rs
+++ b/crates/savorywood-experiment/src/arbiter.rs
@@ -3,7 +3,7 @@
 use crate::{daemon_host::DaemonHost, names::NameBook};
 use savorywood_core::{
     credits::allocate::{allocate, capacity_of},
-    scheduler::SeatGrant,
+    scheduler::SlotGrant,
 };
 use savorywood_protocol::{HostName, MonotonicTime, UpstreamName, peer::credits::UpstreamDemand};
 use std::{collections::BTreeMap, time::Duration};
@@ -54,7 +54,8 @@
     let shares = allocate(&demands, capacity_of(&demands, declared));
     for (host, name) in hosts.iter_mut().zip(&names.hosts) {
         let seats = shares.get(name).copied().unwrap_or_default();
-        host.grants.insert(upstream.clone(), SeatGrant { seats });
+        host.grants
+            .insert(upstream.clone(), SlotGrant { slots: seats });
     }
 }
 
@@ -62,8 +63,8 @@
     let tiers = host.scheduler.demand(upstream).into_iter();
     UpstreamDemand {
         upstream: upstream.clone(),
-        limit: host.scheduler.limit(upstream).unwrap_or_default(),
-        in_use: host.scheduler.seats_in_use(upstream),
+        limit: host.scheduler.slot_limit(upstream).unwrap_or_default(),
+        in_use: host.scheduler.slots_in_use(upstream),
         tiers: tiers.filter(|tier| tier.seats > 0).collect(),
         shedding: None,
     }
--- a/crates/savorywood-experiment/src/daemon_host.rs
+++ b/crates/savorywood-experiment/src/daemon_host.rs
@@ -2,7 +2,7 @@
 
 use savorywood_core::{
     ConfigView, DaemonEffect, EffectQueue,
-    scheduler::{RequestScheduler, SchedulerEvent, SchedulerOptions, SchedulerView, SeatGrant},
+    scheduler::{RequestScheduler, SchedulerEvent, SchedulerOptions, SchedulerView, SlotGrant},
 };
 use savorywood_protocol::{CoreTime, MonotonicTime, UpstreamName, ZoneName};
 use std::{
@@ -17,7 +17,7 @@
     /// The scheduler.
     pub scheduler: RequestScheduler,
     /// Seats granted to it.
-    pub grants: BTreeMap<UpstreamName, SeatGrant>,
+    pub grants: BTreeMap<UpstreamName, SlotGrant>,
     /// Processor time spent in it.
     pub spent: Duration,
     config: Rc<ConfigView>,
