--- a/crates/savorywood-core/src/claims.rs
+++ b/crates/savorywood-core/src/claims.rs
@@ -23,7 +23,7 @@
     effect::EffectQueue,
     event::{DutyKind, TimerKey, UpstreamEvent},
     invariant::{self, InvariantName},
-    request::{KeptAnswer, QueuedRequest},
+    request::{QueuedRequest, StoredResponse},
     view::MemberView,
 };
 use batch::{BatchItem, CommitPace, WriteKind};
@@ -98,7 +98,7 @@
         /// Call that was answered.
         request: RequestId,
         /// Its answer.
-        answer: Box<KeptAnswer>,
+        answer: Box<StoredResponse>,
     },
     /// The scheduler is done with the call without an answer: refused, or its caller left.
     Closed {
--- a/crates/savorywood-core/src/claims/outcome.rs
+++ b/crates/savorywood-core/src/claims/outcome.rs
@@ -1,7 +1,7 @@
 //! How claimed calls end, and what is recorded of it.
 
 use super::{ClaimOutcome, ClaimStage, ClaimState, ClaimView, RecordedAnswer, batch::WriteKind};
-use crate::{effect::EffectQueue, event::UpstreamEvent, request::KeptAnswer};
+use crate::{effect::EffectQueue, event::UpstreamEvent, request::StoredResponse};
 use savorywood_protocol::{CoreTime, RequestId};
 
 impl ClaimState {
@@ -38,7 +38,7 @@
         }
     }
 
-    pub(super) fn answer_kept(&mut self, request: RequestId, answer: &KeptAnswer) {
+    pub(super) fn answer_kept(&mut self, request: RequestId, answer: &StoredResponse) {
         let max_body = self.options.max_kept_body;
         if let Some(claim) = self.open.get_mut(&request) {
             claim.answer = Some(RecordedAnswer::from_kept(answer, max_body));
--- a/crates/savorywood-core/src/claims/record.rs
+++ b/crates/savorywood-core/src/claims/record.rs
@@ -1,6 +1,6 @@
 //! What a claim's row holds.
 
-use crate::request::KeptAnswer;
+use crate::request::StoredResponse;
 use base64::{Engine, engine::general_purpose::STANDARD};
 use savorywood_protocol::{HostIncarnation, HostName, ServiceName, WallTime};
 use serde::{Deserialize, Serialize};
@@ -117,7 +117,7 @@
 impl RecordedAnswer {
     /// Takes down an answer; a body over the limit is left out.
     #[must_use]
-    pub fn from_kept(answer: &KeptAnswer, max_body: usize) -> Self {
+    pub fn from_kept(answer: &StoredResponse, max_body: usize) -> Self {
         let body = answer.body.as_ref().filter(|body| body.len() <= max_body);
         Self {
             status: answer.status,
@@ -128,9 +128,9 @@
 
     /// The answer as it was.
     #[must_use]
-    pub fn to_kept(&self) -> KeptAnswer {
+    pub fn to_kept(&self) -> StoredResponse {
         let body = self.body.as_ref();
-        KeptAnswer {
+        StoredResponse {
             status: self.status,
             content_type: self.content_type.clone(),
             body: body.and_then(|body| STANDARD.decode(body).ok()),
--- a/crates/savorywood-core/src/effect.rs
+++ b/crates/savorywood-core/src/effect.rs
@@ -5,7 +5,7 @@
     invariant::InvariantBreach,
     operator::{OperatorCall, OperatorReply},
     order::{OrderCall, UpstreamOrder},
-    request::KeptAnswer,
+    request::StoredResponse,
 };
 use savorywood_protocol::{
     AttemptNumber, HostName, MonotonicTime, RequestId, RequestRefusal, UpstreamName,
@@ -167,7 +167,7 @@
         /// The repeat.
         request: RequestId,
         /// Answer of the first call.
-        answer: Box<KeptAnswer>,
+        answer: Box<StoredResponse>,
     },
     /// Ask a daemon for its whole configuration, by TCP.
     FetchSnapshot {
--- a/crates/savorywood-core/src/event.rs
+++ b/crates/savorywood-core/src/event.rs
@@ -3,7 +3,7 @@
 use crate::{
     operator::{OperatorCall, OperatorRequest},
     order::{OrderAnswer, OrderCall},
-    request::{KeptAnswer, RequestArrival, ResumeArrival},
+    request::{RequestArrival, ResumeArrival, StoredResponse},
     snapshot::ConfigSnapshot,
 };
 use savorywood_protocol::{
@@ -262,7 +262,7 @@
         /// Request that was answered.
         request: RequestId,
         /// Its answer.
-        answer: Box<KeptAnswer>,
+        answer: Box<StoredResponse>,
     },
     /// The host list was read.
     HostsListed(Vec<HostEntry>),
--- a/crates/savorywood-core/src/lib.rs
+++ b/crates/savorywood-core/src/lib.rs
@@ -39,7 +39,7 @@
 pub use operator::{OperatorCall, OperatorReply, OperatorRequest};
 pub use order::{OrderAnswer, OrderCall, UpstreamOrder};
 pub use request::{
-    KeptAnswer, PromptShape, QueuedRequest, RequestArrival, ResumeArrival, TokenDigest,
+    PromptShape, QueuedRequest, RequestArrival, ResumeArrival, StoredResponse, TokenDigest,
 };
 pub use snapshot::ConfigSnapshot;
 pub use view::{ConfigView, MemberRecord, MemberView, VersionSplit};
--- a/crates/savorywood-core/src/request.rs
+++ b/crates/savorywood-core/src/request.rs
@@ -83,7 +83,7 @@
 
 /// Answer of a call that may not be repeated, kept so that a repeat gets the same.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct KeptAnswer {
+pub struct StoredResponse {
     /// HTTP status.
     pub status: u16,
     /// Value of `Content-Type`; empty when there was none.
--- a/crates/savorywood-core/tests/claim/store.rs
+++ b/crates/savorywood-core/tests/claim/store.rs
@@ -3,8 +3,8 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use savorywood_core::{
-    AnswerReport, BreakCause, DaemonEffect, EffectQueue, KeptAnswer, MemberView, PromptShape,
-    QueuedRequest, TimerKey, UpstreamEvent,
+    AnswerReport, BreakCause, DaemonEffect, EffectQueue, MemberView, PromptShape, QueuedRequest,
+    StoredResponse, TimerKey, UpstreamEvent,
     claims::{ClaimEvent, ClaimOptions, ClaimState, ClaimVerdict, ClaimView, ClaimWish},
 };
 use savorywood_protocol::{
@@ -300,7 +300,7 @@
             }
             return;
         }
-        let answer = Box::new(KeptAnswer {
+        let answer = Box::new(StoredResponse {
             status: 201,
             content_type: "text/plain".to_owned(),
             body: Some(b"charged".to_vec()),
--- a/crates/savorywood-core/tests/claim_keys.rs
+++ b/crates/savorywood-core/tests/claim_keys.rs
@@ -5,7 +5,8 @@
 mod store;
 
 use savorywood_core::{
-    AnswerReport, DaemonEffect, EffectQueue, KeptAnswer, MemberRecord, MemberView, UpstreamEvent,
+    AnswerReport, DaemonEffect, EffectQueue, MemberRecord, MemberView, StoredResponse,
+    UpstreamEvent,
     claims::{ClaimEvent, ClaimKey, ClaimOptions, ClaimState, ClaimView, ClaimWish},
 };
 use savorywood_protocol::{
@@ -29,7 +30,7 @@
     members: MemberView,
     granted: Vec<RequestId>,
     refusals: Vec<RequestRefusal>,
-    replays: Vec<KeptAnswer>,
+    replays: Vec<StoredResponse>,
     commits: usize,
 }
 
@@ -104,7 +105,7 @@
 
     fn finish(&mut self, request: u128, body: Vec<u8>) {
         let request = RequestId(request);
-        let answer = Box::new(KeptAnswer {
+        let answer = Box::new(StoredResponse {
             status: 200,
             content_type: String::new(),
             body: Some(body),
--- a/crates/savorywood-core/tests/whole/callers.rs
+++ b/crates/savorywood-core/tests/whole/callers.rs
@@ -9,7 +9,7 @@
 };
 use rand::Rng;
 use savorywood_core::{
-    CallerEvent, DaemonEvent, KeptAnswer, PromptShape, RequestArrival, ResumeArrival,
+    CallerEvent, DaemonEvent, PromptShape, RequestArrival, ResumeArrival, StoredResponse,
     effect::ResumeOrder,
 };
 use savorywood_protocol::{AttemptNumber, RequestId, resume_token::ResumeToken};
@@ -206,7 +206,7 @@
         self.later(REST_MICROS, Pending::Resumed { to, request });
     }
 
-    pub(crate) fn replay(&mut self, request: RequestId, mut answer: KeptAnswer) {
+    pub(crate) fn replay(&mut self, request: RequestId, mut answer: StoredResponse) {
         if self.sabotage == Some(WorldSabotage::SwapReplays) {
             answer.body = Some(b"another key".to_vec());
         }
--- a/crates/savorywood-core/tests/whole/ledger.rs
+++ b/crates/savorywood-core/tests/whole/ledger.rs
@@ -1,6 +1,6 @@
 //! What is seen from outside: callers' requests, what ran, and which rules were broken.
 
-use savorywood_core::{BreakCause, KeptAnswer};
+use savorywood_core::{BreakCause, StoredResponse};
 use savorywood_protocol::{
     AttemptNumber, HostName, OutcomeKind, RefusalCode, RequestId, RequestRefusal, UpstreamName,
 };
@@ -217,7 +217,7 @@
     }
 
     /// A recorded answer is given to a repeat.
-    pub fn replay(&mut self, request: RequestId, answer: &KeptAnswer) {
+    pub fn replay(&mut self, request: RequestId, answer: &StoredResponse) {
         let key = self.calls.get(&request).map(|call| call.key.clone());
         let body = answer.body.as_deref();
         if key.as_deref().map(str::as_bytes) != body {
--- a/crates/savorywood-core/tests/whole/upstreams.rs
+++ b/crates/savorywood-core/tests/whole/upstreams.rs
@@ -8,7 +8,7 @@
 };
 use rand::Rng;
 use savorywood_core::{
-    AnswerReport, BreakCause, DaemonEvent, DispatchOrder, KeptAnswer, UpstreamEvent,
+    AnswerReport, BreakCause, DaemonEvent, DispatchOrder, StoredResponse, UpstreamEvent,
 };
 use savorywood_protocol::{AttemptNumber, RequestId};
 
@@ -178,7 +178,7 @@
         if call.kind != CallKind::Charge {
             return;
         }
-        let answer = Box::new(KeptAnswer {
+        let answer = Box::new(StoredResponse {
             status: 201,
             content_type: "text/plain".to_owned(),
             body: Some(call.key.clone().into_bytes()),
--- a/crates/savorywood-daemon/src/registry.rs
+++ b/crates/savorywood-daemon/src/registry.rs
@@ -1,7 +1,7 @@
 //! Requests that wait for a decision of the core.
 
 use async_channel::{Receiver, Sender};
-use savorywood_core::{DispatchOrder, KeptAnswer, effect::ResumeOrder};
+use savorywood_core::{DispatchOrder, StoredResponse, effect::ResumeOrder};
 use savorywood_protocol::{AttemptNumber, RequestId, RequestRefusal};
 use std::{
     collections::HashMap,
@@ -18,7 +18,7 @@
     /// Read on a stream that another daemon began.
     Resume(ResumeOrder),
     /// Give the recorded answer.
-    Replay(Box<KeptAnswer>),
+    Replay(Box<StoredResponse>),
     /// Give the attempt up.
     Cancel(AttemptNumber),
 }
--- a/crates/savorywood-daemon/src/relay/attempt.rs
+++ b/crates/savorywood-daemon/src/relay/attempt.rs
@@ -10,7 +10,8 @@
 use futures_lite::future;
 use http_types::{Body, Method, Request, Response, Url};
 use savorywood_core::{
-    AnswerReport, BreakCause, DaemonEvent, DispatchOrder, InvariantName, KeptAnswer, UpstreamEvent,
+    AnswerReport, BreakCause, DaemonEvent, DispatchOrder, InvariantName, StoredResponse,
+    UpstreamEvent,
 };
 use savorywood_http::{
     BodySender, CallRequest, SendError, UpstreamAnswer, body::BodyPair, body_channel,
@@ -288,7 +289,7 @@
         if self.task.call.idempotent {
             return;
         }
-        let answer = KeptAnswer {
+        let answer = StoredResponse {
             status,
             content_type: observer.content_type().to_owned(),
             body: observer.into_kept(),
--- a/crates/savorywood-daemon/src/relay/task.rs
+++ b/crates/savorywood-daemon/src/relay/task.rs
@@ -10,7 +10,7 @@
 use futures_lite::future;
 use http_types::{Method, Response};
 use savorywood_core::{
-    CallerEvent, DaemonEvent, DispatchOrder, KeptAnswer, RequestArrival, UpstreamEvent,
+    CallerEvent, DaemonEvent, DispatchOrder, RequestArrival, StoredResponse, UpstreamEvent,
 };
 use savorywood_protocol::{
     AttemptNumber, MonotonicTime, OutcomeKind, RefusalCode, RequestId, RequestRefusal, TeamName,
@@ -265,7 +265,7 @@
 }
 
 /// A recorded answer, given again.
-fn replayed(answer: KeptAnswer, request: RequestId) -> Response {
+fn replayed(answer: StoredResponse, request: RequestId) -> Response {
     let mut response = Response::new(problem::status_code(answer.status));
     let outcome: &'static str = OutcomeKind::Ran.into();
     response.insert_header(OUTCOME_HEADER, outcome);
