--- a/crates/savorywood-core/src/burn.rs
+++ b/crates/savorywood-core/src/burn.rs
@@ -31,12 +31,12 @@
 
 /// Counts of one daemon since it began.
 #[derive(Debug, Clone, Default)]
-pub struct BurnLedger {
+pub struct BurnTracker {
     series: BTreeMap<SeriesKey, BurnSeries>,
     untracked: u64,
 }
 
-impl BurnLedger {
+impl BurnTracker {
     /// Counts one request that ended.
     pub fn record(
         &mut self,
--- a/crates/savorywood-core/src/daemon.rs
+++ b/crates/savorywood-core/src/daemon.rs
@@ -14,7 +14,7 @@
 pub use reads::DaemonUnready;
 
 use crate::{
-    burn::BurnLedger,
+    burn::BurnTracker,
     claims::{ClaimEvent, ClaimOptions, ClaimState},
     config::{ConfigEvent, ConfigOptions, ConfigState, ConfigVerdict},
     credits::{CreditEvent, CreditOptions, CreditState},
@@ -112,7 +112,7 @@
     leaving_upstreams: BTreeSet<UpstreamName>,
     scheduler: RequestScheduler,
     inputs: SchedulerInputs,
-    burn: BurnLedger,
+    burn: BurnTracker,
     objectives: ObjectiveTracker,
     started_at: MonotonicTime,
 }
@@ -162,7 +162,7 @@
             leaving_upstreams: BTreeSet::new(),
             scheduler: RequestScheduler::new(SchedulerOptions::new(seed)),
             inputs: SchedulerInputs::default(),
-            burn: BurnLedger::default(),
+            burn: BurnTracker::default(),
             objectives: ObjectiveTracker::default(),
             started_at: MonotonicTime::default(),
             options,
--- a/crates/savorywood-core/src/daemon/objectives.rs
+++ b/crates/savorywood-core/src/daemon/objectives.rs
@@ -1,6 +1,6 @@
 //! Measures each request against its service's objectives.
 
-use crate::{burn::BurnLedger, event::UpstreamEvent, request::QueuedRequest};
+use crate::{burn::BurnTracker, event::UpstreamEvent, request::QueuedRequest};
 use savorywood_protocol::{
     MonotonicTime, RequestId, ServiceName, TierRank, burn::BurnObjective,
     resource::ServiceObjectives,
@@ -58,14 +58,14 @@
 
     /// A request was refused after it had been admitted, or at once for want of room: its
     /// deadline was missed.
-    pub fn refused(&mut self, now: MonotonicTime, request: RequestId, burn: &mut BurnLedger) {
+    pub fn refused(&mut self, now: MonotonicTime, request: RequestId, burn: &mut BurnTracker) {
         if let Some(measured) = self.requests.remove(&request) {
             measured.record(now, BurnObjective::Deadline, false, burn);
         }
     }
 
     /// Notes what an upstream did.
-    pub fn upstream(&mut self, now: MonotonicTime, event: &UpstreamEvent, burn: &mut BurnLedger) {
+    pub fn upstream(&mut self, now: MonotonicTime, event: &UpstreamEvent, burn: &mut BurnTracker) {
         match event {
             UpstreamEvent::FirstToken { request, .. } => {
                 if let Some(measured) = self.requests.get_mut(request) {
@@ -91,7 +91,7 @@
 }
 
 impl MeasuredRequest {
-    fn finish(&self, now: MonotonicTime, burn: &mut BurnLedger) {
+    fn finish(&self, now: MonotonicTime, burn: &mut BurnTracker) {
         let first_at = self.first_at.unwrap_or(now);
         let first_limit = Duration::from_millis(self.objectives.first_token_ms.into());
         let first_met = first_at.since(self.arrived_at) <= first_limit;
@@ -110,7 +110,7 @@
         now: MonotonicTime,
         objective: BurnObjective,
         met: bool,
-        burn: &mut BurnLedger,
+        burn: &mut BurnTracker,
     ) {
         burn.record(now, &self.service, self.rank, objective, met);
     }
--- a/crates/savorywood-core/src/lib.rs
+++ b/crates/savorywood-core/src/lib.rs
@@ -28,7 +28,7 @@
 pub mod stop;
 pub mod view;
 
-pub use burn::BurnLedger;
+pub use burn::BurnTracker;
 pub use daemon::{CoreOptions, DaemonCore};
 pub use effect::{DaemonEffect, DispatchOrder, EffectQueue, LogField, LogLevel, LogLine};
 pub use event::{
--- a/crates/savorywood-core/tests/burn.rs
+++ b/crates/savorywood-core/tests/burn.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used, reason = "a test that can't be set up fails")]
 
 use quickcheck::quickcheck;
-use savorywood_core::{BurnLedger, burn::MAX_SERIES};
+use savorywood_core::{BurnTracker, burn::MAX_SERIES};
 use savorywood_protocol::{
     MonotonicTime, ServiceName, TierRank,
     burn::{BurnObjective, BurnSample, BurnWindow},
@@ -20,7 +20,7 @@
     counted.map(|sample| sample.total).sum()
 }
 
-fn record(ledger: &mut BurnLedger, seconds: u64, name: &str, met: bool) {
+fn record(ledger: &mut BurnTracker, seconds: u64, name: &str, met: bool) {
     let now = MonotonicTime(seconds * 1_000_000);
     ledger.record(
         now,
@@ -33,7 +33,7 @@
 
 #[test]
 fn counts_leave_each_window_as_it_passes() {
-    let mut ledger = BurnLedger::default();
+    let mut ledger = BurnTracker::default();
     record(&mut ledger, 1_000, "notes", true);
     record(&mut ledger, 1_000, "notes", false);
     let windows = |seconds: u64| {
@@ -54,7 +54,7 @@
 /// would grow until the host kills it.
 #[test]
 fn series_are_bounded_and_old_ones_make_room() {
-    let mut ledger = BurnLedger::default();
+    let mut ledger = BurnTracker::default();
     for number in 0..MAX_SERIES + 20 {
         record(&mut ledger, 10, &format!("s{number}"), true);
     }
@@ -69,7 +69,7 @@
     /// Each window holds at least what ended within 29 thirtieths of it, at most what ended
     /// within all of it.
     fn windows_hold_what_ended_within_them(steps: Vec<(u16, bool)>) -> bool {
-        let mut ledger = BurnLedger::default();
+        let mut ledger = BurnTracker::default();
         let mut ends = Vec::new();
         let mut now = 0_u64;
         for (step, met) in steps {
