--- a/crates/savorywood-core/src/daemon/callers.rs
+++ b/crates/savorywood-core/src/daemon/callers.rs
@@ -25,7 +25,7 @@
             return;
         }
         let config = self.config.view();
-        let request = match intake::resolve(now.monotonic, arrival, config) {
+        let request = match intake::resolve_request(now.monotonic, arrival, config) {
             Ok(request) => request,
             Err(refusal) => return effects.refuse(arrival.request, refusal),
         };
--- a/crates/savorywood-core/src/intake.rs
+++ b/crates/savorywood-core/src/intake.rs
@@ -18,7 +18,7 @@
 /// # Errors
 ///
 /// The refusal to give at once; nothing has run.
-pub fn resolve(
+pub fn resolve_request(
     now: MonotonicTime,
     arrival: &RequestArrival,
     config: &ConfigView,
--- a/crates/savorywood-core/src/resume.rs
+++ b/crates/savorywood-core/src/resume.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// Age up to which a resume token is taken. Upstreams keep streams for a bounded time.
-pub const MAX_TOKEN_AGE: Duration = Duration::from_secs(600);
+pub const MAX_RESUME_TOKEN_AGE: Duration = Duration::from_secs(600);
 
 /// Decides what to do for a caller that wants the rest of a stream.
 ///
@@ -31,8 +31,14 @@
                       the stream";
         RequestRefusal::unknown(RefusalCode::Unauthorized, detail)
     })?;
-    let token = ResumeToken::verify(&arrival.resume_token, key, team, now.wall, MAX_TOKEN_AGE)
-        .map_err(|error| RequestRefusal::unknown(RefusalCode::BadResumeToken, error.to_string()))?;
+    let token = ResumeToken::verify(
+        &arrival.resume_token,
+        key,
+        team,
+        now.wall,
+        MAX_RESUME_TOKEN_AGE,
+    )
+    .map_err(|error| RequestRefusal::unknown(RefusalCode::BadResumeToken, error.to_string()))?;
     let upstream = find_upstream(&token, config)?;
     Ok(ResumeOrder {
         request: arrival.request,
--- a/crates/savorywood-core/tests/claim_resume.rs
+++ b/crates/savorywood-core/tests/claim_resume.rs
@@ -2,7 +2,7 @@
 
 use savorywood_core::{
     ConfigView, ResumeArrival, TokenDigest,
-    resume::{MAX_TOKEN_AGE, resolve_resume},
+    resume::{MAX_RESUME_TOKEN_AGE, resolve_resume},
 };
 use savorywood_protocol::{
     AttemptNumber, CoreTime, MonotonicTime, OutcomeKind, RefusalCode, RequestId, WallTime,
@@ -75,7 +75,7 @@
     let key = ResumeKey::derive(b"secret");
     let other = ResumeKey::derive(b"other");
     let able = config(r#""resume""#, false);
-    let late = now().after(MAX_TOKEN_AGE + Duration::from_secs(1));
+    let late = now().after(MAX_RESUME_TOKEN_AGE + Duration::from_secs(1));
     let nobody = ResumeArrival {
         token: None,
         ..arrival(&key)
