--- a/crates/savorywood-core/src/daemon/sharing.rs
+++ b/crates/savorywood-core/src/daemon/sharing.rs
@@ -238,7 +238,7 @@
             if held.request.deadline_at <= now.monotonic {
                 self.give_refusal(now, request, held.expired(), effects);
             } else {
-                let event = SchedulerEvent::Returned {
+                let event = SchedulerEvent::Resubmitted {
                     attempt: self.gate.next_attempt(request),
                     request: Box::new(held.request),
                 };
--- a/crates/savorywood-core/src/scheduler.rs
+++ b/crates/savorywood-core/src/scheduler.rs
@@ -77,7 +77,7 @@
     /// A request was resolved, and claimed where it may not be repeated.
     Arrived(Box<QueuedRequest>),
     /// A request that was turned away and held comes again.
-    Returned {
+    Resubmitted {
         /// The request.
         request: Box<QueuedRequest>,
         /// Attempt that comes next.
@@ -163,7 +163,7 @@
             SchedulerEvent::Arrived(request) => {
                 self.arrive(now, *request, AttemptNumber::default(), view, effects);
             }
-            SchedulerEvent::Returned { request, attempt } => {
+            SchedulerEvent::Resubmitted { request, attempt } => {
                 self.arrive(now, *request, attempt, view, effects);
             }
             SchedulerEvent::CallerLeft { request } => {
--- a/crates/savorywood-core/src/scheduler/counters.rs
+++ b/crates/savorywood-core/src/scheduler/counters.rs
@@ -42,14 +42,14 @@
     /// Attempts that broke.
     pub broken: u64,
     /// Callers that left before their answer ended.
-    pub left: u64,
+    pub caller_left: u64,
 }
 
 /// How far predictions of output lengths were off, in tokens.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct EstimateCounters {
     /// Answers that were compared.
-    pub answers: u64,
+    pub responses: u64,
     /// Sum of the tokens generated.
     pub actual_tokens: u64,
     /// Sum of the absolute differences.
--- a/crates/savorywood-core/src/scheduler/dispatch.rs
+++ b/crates/savorywood-core/src/scheduler/dispatch.rs
@@ -316,7 +316,7 @@
         effects: &mut EffectQueue,
     ) {
         if let Some(waiting) = self.unqueue(request) {
-            self.counters.tier(waiting.request.rank).left += 1;
+            self.counters.tier(waiting.request.rank).caller_left += 1;
             return;
         }
         let attempt = self.attempts.current(request);
@@ -325,7 +325,7 @@
         };
         effects.push(DaemonEffect::CancelAttempt { request, attempt });
         if let Some(record) = self.release(AttemptKey { request, attempt }) {
-            self.counters.tier(record.request.rank).left += 1;
+            self.counters.tier(record.request.rank).caller_left += 1;
             self.counters.prefill.total += u64::from(record.uncached);
             self.counters.prefill.cancelled += u64::from(record.uncached);
             self.fill(now, record.upstream, view, effects);
--- a/crates/savorywood-core/src/scheduler/progress.rs
+++ b/crates/savorywood-core/src/scheduler/progress.rs
@@ -178,7 +178,7 @@
             service.miss_share.record(now, f64::from(uncached) / prompt);
         }
         let estimates = &mut self.counters.estimates;
-        estimates.answers += 1;
+        estimates.responses += 1;
         estimates.actual_tokens += u64::from(output);
         estimates.error_tokens += u64::from(output.abs_diff(record.estimate.output_median));
     }
--- a/crates/savorywood-core/tests/scheduler_rules/repeat.rs
+++ b/crates/savorywood-core/tests/scheduler_rules/repeat.rs
@@ -150,7 +150,7 @@
             .clone()
             .map(|tier| {
                 let refused: u64 = tier.refused.values().sum();
-                refused + tier.in_time + tier.late + tier.broken + tier.left
+                refused + tier.in_time + tier.late + tier.broken + tier.caller_left
             })
             .sum();
         let arrived: u64 = tiers.map(|tier| tier.arrived).sum();
--- a/crates/savorywood-daemon/src/metrics/core.rs
+++ b/crates/savorywood-daemon/src/metrics/core.rs
@@ -92,7 +92,7 @@
             ("in-time", tier.in_time),
             ("late", tier.late),
             ("broken", tier.broken),
-            ("left", tier.left),
+            ("left", tier.caller_left),
         ];
         for (end, count) in ends {
             raise_to(&self.tier_requests, &[rank, end], count);
