--- a/crates/savorywood-core/src/scheduler/admission.rs
+++ b/crates/savorywood-core/src/scheduler/admission.rs
@@ -4,7 +4,7 @@
     RequestScheduler, SchedulerMechanism, SchedulerView,
     cost::CostEstimate,
     queue::WaitingRequest,
-    service::{SeatCount, ServiceState},
+    service::{ServiceState, SlotCount},
 };
 use crate::{effect::EffectQueue, request::QueuedRequest};
 use savorywood_protocol::{
@@ -62,7 +62,7 @@
         }
         if let Some(service) = self.services.get_mut(&name) {
             let meter = service.arrivals.entry(waiting.request.rank).or_default();
-            meter.record(now, waiting.seat_micros as f64 / MICROS);
+            meter.record(now, waiting.slot_micros as f64 / MICROS);
         }
         let mut waiting = waiting;
         let wait = self.expected_wait(now, &waiting, view);
@@ -116,7 +116,7 @@
             request,
             attempt,
             estimate,
-            seat_micros: u64::try_from(mean.as_micros()).unwrap_or(u64::MAX),
+            slot_micros: u64::try_from(mean.as_micros()).unwrap_or(u64::MAX),
             latest_start,
             avoid: None,
         }
@@ -195,20 +195,20 @@
         view: SchedulerView<'_>,
     ) -> Duration {
         let name = &waiting.request.service;
-        self.count_seats(now, name, view);
+        self.refresh_slot_count(now, name, view);
         let Some(service) = self.services.get(name) else {
             return Duration::ZERO;
         };
         if !service.saturated {
             return Duration::ZERO;
         }
-        let seats = seats_left(now, service, waiting.request.rank);
+        let slots = slots_left(now, service, waiting.request.rank);
         let ahead = service.queue.work_ahead(&waiting.request) as f64 / MICROS;
-        let turnover = waiting.seat_micros as f64 / MICROS / 2.0;
-        Duration::from_secs_f64(((ahead + turnover) / seats).min(3_600.0))
+        let turnover = waiting.slot_micros as f64 / MICROS / 2.0;
+        Duration::from_secs_f64(((ahead + turnover) / slots).min(3_600.0))
     }
 
-    pub(super) fn count_seats(
+    pub(super) fn refresh_slot_count(
         &mut self,
         now: MonotonicTime,
         name: &ServiceName,
@@ -217,25 +217,25 @@
         let Some(service) = self.services.get_mut(name) else {
             return;
         };
-        let counted = service.seat_count.counted_at;
+        let counted = service.slot_count.counted_at;
         if counted.is_some_and(|at| now.since(at) < COUNT_EVERY) {
             return;
         }
         let usual = service.usual_speed(&objectives_of(name, view));
-        let mut count = SeatCount {
-            seats: 0.0,
+        let mut count = SlotCount {
+            slots: 0.0,
             fast_gap: usual.gap,
             counted_at: Some(now),
         };
         for state in service.members.iter().filter_map(|id| self.fleet.get(*id)) {
             let grant = view.grants.get(&state.name);
-            let seats = state.allowance(now, grant).seats;
-            count.seats += f64::from(seats);
-            if seats > 0 {
+            let slots = state.allowance(now, grant).slots;
+            count.slots += f64::from(slots);
+            if slots > 0 {
                 count.fast_gap = count.fast_gap.min(state.speed.estimate(usual).gap);
             }
         }
-        service.seat_count = count;
+        service.slot_count = count;
     }
 
     /// Puts a request into its service's queue.
@@ -255,10 +255,10 @@
 }
 
 /// Seats that higher tiers leave to a tier.
-pub(super) fn seats_left(now: MonotonicTime, service: &ServiceState, rank: TierRank) -> f64 {
-    let seats = service.seat_count.seats.max(1.0);
-    let left = seats - service.higher_load(now, rank);
-    left.max(seats * LEAST_SHARE)
+pub(super) fn slots_left(now: MonotonicTime, service: &ServiceState, rank: TierRank) -> f64 {
+    let slots = service.slot_count.slots.max(1.0);
+    let left = slots - service.higher_load(now, rank);
+    left.max(slots * LEAST_SHARE)
 }
 
 fn whole_time(
--- a/crates/savorywood-core/src/scheduler/dispatch.rs
+++ b/crates/savorywood-core/src/scheduler/dispatch.rs
@@ -5,7 +5,7 @@
     fleet::UpstreamId,
     queue::{FrontSpan, WaitingRequest},
     routing::{PickFailure, PickedUpstream, SampleDraw},
-    service::WantedSeats,
+    service::SlotDemand,
     table::{AttemptKey, AttemptRecord},
 };
 use crate::{
@@ -47,7 +47,7 @@
         view: SchedulerView<'_>,
         effects: &mut EffectQueue,
     ) {
-        self.count_seats(now, name, view);
+        self.refresh_slot_count(now, name, view);
         loop {
             let draw = SampleDraw(self.rng.random());
             let Some(service) = self.services.get(name) else {
@@ -105,7 +105,7 @@
             && service.queue.is_empty()
         {
             service.saturated = false;
-            service.wanted = WantedSeats::default();
+            service.demand = SlotDemand::default();
         }
         self.drain(now, &name, view, effects);
     }
@@ -128,7 +128,7 @@
             return None;
         }
         // Others want its seats: they may hold what this daemon would have to prefill.
-        let scarce = f64::from(state.seats_used + 1) > f64::from(allowance.seats) * SCARCE_SHARE;
+        let scarce = f64::from(state.slots_used + 1) > f64::from(allowance.slots) * SCARCE_SHARE;
         let contended = grant.is_some() && scarce;
         let mut second: Option<PlannedDispatch> = None;
         for waiting in service.queue.front(HOLDER_SPAN) {
@@ -254,8 +254,8 @@
             self.counters.tier(rank).dispatched += 1;
         }
         if let Some(state) = self.fleet.get_mut(picked.upstream) {
-            state.health.note_dispatch(now, state.seats_used == 0);
-            state.seats_used += 1;
+            state.health.note_dispatch(now, state.slots_used == 0);
+            state.slots_used += 1;
             state.tokens_used += batch_tokens;
             state.pending_prefill += u64::from(picked.uncached);
             let grant = view.grants.get(&state.name);
@@ -269,7 +269,7 @@
     pub(super) fn release(&mut self, key: AttemptKey) -> Option<AttemptRecord> {
         let record = self.attempts.remove(key)?;
         if let Some(state) = self.fleet.get_mut(record.upstream) {
-            state.seats_used = state.seats_used.saturating_sub(1);
+            state.slots_used = state.slots_used.saturating_sub(1);
             state.tokens_used = state.tokens_used.saturating_sub(record.batch_tokens());
             if record.first_at.is_none() {
                 let pending = u64::from(record.uncached);
--- a/crates/savorywood-core/src/scheduler/fleet.rs
+++ b/crates/savorywood-core/src/scheduler/fleet.rs
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct WorkAllowance {
     /// Requests at once.
-    pub seats: u32,
+    pub slots: u32,
     /// Batch tokens at once.
     pub tokens: u64,
 }
@@ -60,7 +60,7 @@
     /// Learned speed.
     pub speed: SpeedMeter,
     /// Attempts of this daemon under way there.
-    pub seats_used: u32,
+    pub slots_used: u32,
     /// Batch tokens of those attempts.
     pub tokens_used: u64,
     /// Prompt tokens dispatched of which no first token has come.
@@ -82,7 +82,7 @@
             limit: AdaptiveLimit::new(spec.seats, spec.batch_tokens),
             health: UpstreamHealth::new(now, cold),
             speed: SpeedMeter::default(),
-            seats_used: 0,
+            slots_used: 0,
             tokens_used: 0,
             pending_prefill: 0,
             hint: None,
@@ -99,28 +99,28 @@
     /// What it may hold now.
     #[must_use]
     pub fn allowance(&self, now: MonotonicTime, grant: Option<&SlotGrant>) -> WorkAllowance {
-        let limit = self.limit.seats();
+        let limit = self.limit.slots();
         let granted = grant.map_or(limit, |grant| grant.slots.min(limit));
         let share = self.health.share(now);
         if self.closed || self.leaving || granted == 0 || share <= 0.0 {
             return WorkAllowance::default();
         }
-        let seats = ((f64::from(granted) * share) as u32).max(1);
+        let slots = ((f64::from(granted) * share) as u32).max(1);
         let tokens = (self.limit.tokens() as f64 * share) as u64;
-        WorkAllowance { seats, tokens }
+        WorkAllowance { slots, tokens }
     }
 
     /// Whether work of this size fits. Any size fits an empty upstream.
     #[must_use]
     pub fn has_room(&self, allowance: WorkAllowance, batch_tokens: u64) -> bool {
         let fits = self.tokens_used + batch_tokens <= allowance.tokens;
-        self.seats_used < allowance.seats && (fits || self.seats_used == 0)
+        self.slots_used < allowance.slots && (fits || self.slots_used == 0)
     }
 
     /// Whether nothing has come from it for too long although it has work.
     #[must_use]
     pub fn is_silent(&self, now: MonotonicTime, speed: SpeedEstimate) -> bool {
-        if self.seats_used == 0 {
+        if self.slots_used == 0 {
             return false;
         }
         let first = speed.first_token(self.pending_prefill as f64);
@@ -130,9 +130,9 @@
 
     /// Notes the use of the allowance for the limit.
     pub fn note_use(&mut self, allowance: WorkAllowance) {
-        let seats = f64::from(self.seats_used) / f64::from(allowance.seats.max(1));
+        let slots = f64::from(self.slots_used) / f64::from(allowance.slots.max(1));
         let tokens = self.tokens_used as f64 / allowance.tokens.max(1) as f64;
-        self.limit.note_use(LimitUse { seats, tokens });
+        self.limit.note_use(LimitUse { slots, tokens });
     }
 
     /// Notes a load report.
@@ -207,7 +207,7 @@
                 continue;
             }
             state.closed = true;
-            if state.seats_used == 0 {
+            if state.slots_used == 0 {
                 gone.push(*id);
             }
         }
--- a/crates/savorywood-core/src/scheduler/limit.rs
+++ b/crates/savorywood-core/src/scheduler/limit.rs
@@ -51,7 +51,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct LimitUse {
     /// Most seats in use, as a share of those allowed.
-    pub seats: f64,
+    pub slots: f64,
     /// Most batch tokens in use, as a share of those allowed.
     pub tokens: f64,
 }
@@ -110,9 +110,9 @@
 /// Limit of one upstream.
 #[derive(Debug, Clone)]
 pub struct AdaptiveLimit {
-    start_seats: f64,
-    start_tokens: f64,
-    seats: f64,
+    declared_slots: f64,
+    declared_tokens: f64,
+    slots: f64,
     tokens: f64,
     peak: LimitUse,
     firsts: LatencyWindow,
@@ -124,16 +124,16 @@
 impl AdaptiveLimit {
     /// A limit that begins at the declared figures.
     #[must_use]
-    pub fn new(seats: u32, tokens: u32) -> Self {
-        let start_seats = f64::from(seats.max(1));
-        let start_tokens = f64::from(tokens.max(1));
+    pub fn new(slots: u32, tokens: u32) -> Self {
+        let declared_slots = f64::from(slots.max(1));
+        let declared_tokens = f64::from(tokens.max(1));
         Self {
-            start_seats,
-            start_tokens,
-            seats: start_seats,
-            tokens: start_tokens,
+            declared_slots,
+            declared_tokens,
+            slots: declared_slots,
+            tokens: declared_tokens,
             peak: LimitUse {
-                seats: 0.0,
+                slots: 0.0,
                 tokens: 0.0,
             },
             firsts: LatencyWindow::default(),
@@ -145,8 +145,8 @@
 
     /// Seats at once.
     #[must_use]
-    pub fn seats(&self) -> u32 {
-        (self.seats as u32).max(1)
+    pub fn slots(&self) -> u32 {
+        (self.slots as u32).max(1)
     }
 
     /// Batch tokens at once.
@@ -157,7 +157,7 @@
 
     /// Notes how much of the allowance was in use.
     pub fn note_use(&mut self, used: LimitUse) {
-        self.peak.seats = self.peak.seats.max(used.seats);
+        self.peak.slots = self.peak.slots.max(used.slots);
         self.peak.tokens = self.peak.tokens.max(used.tokens);
     }
 
@@ -180,8 +180,8 @@
     pub fn adjust(&mut self, now: MonotonicTime, targets: LatencyTargets) {
         if self.gaps.is_full(now, WINDOW_GAPS) {
             let gap = self.gaps.take(now).mean();
-            let floor = self.start_seats * GAP_CUT_FLOOR;
-            if gap > targets.gap && self.seats > floor {
+            let floor = self.declared_slots * GAP_CUT_FLOOR;
+            if gap > targets.gap && self.slots > floor {
                 self.cut(targets.gap / gap);
             }
         }
@@ -196,7 +196,7 @@
                 self.grow();
             }
             self.peak = LimitUse {
-                seats: 0.0,
+                slots: 0.0,
                 tokens: 0.0,
             };
         }
@@ -205,10 +205,10 @@
     fn cut(&mut self, factor: f64) {
         self.searching = false;
         let factor = factor.max(MIN_CUT);
-        if self.peak.seats >= self.peak.tokens {
-            self.seats = (self.seats * factor).max(1.0);
+        if self.peak.slots >= self.peak.tokens {
+            self.slots = (self.slots * factor).max(1.0);
         } else {
-            let least = self.start_tokens / MAX_GROWTH;
+            let least = self.declared_tokens / MAX_GROWTH;
             self.tokens = (self.tokens * factor).max(least);
         }
     }
@@ -219,12 +219,12 @@
         } else {
             GROW_SHARE
         };
-        if self.peak.seats >= FULL_USE {
-            let most = self.start_seats * MAX_GROWTH;
-            self.seats = (self.seats + (self.seats * share).max(0.5)).min(most);
+        if self.peak.slots >= FULL_USE {
+            let most = self.declared_slots * MAX_GROWTH;
+            self.slots = (self.slots + (self.slots * share).max(0.5)).min(most);
         }
         if self.peak.tokens >= FULL_USE {
-            let most = self.start_tokens * MAX_GROWTH;
+            let most = self.declared_tokens * MAX_GROWTH;
             self.tokens = (self.tokens * (1.0 + share)).min(most);
         }
     }
--- a/crates/savorywood-core/src/scheduler/limit/tests.rs
+++ b/crates/savorywood-core/src/scheduler/limit/tests.rs
@@ -33,14 +33,14 @@
 
 /// Lets the limit be in full use for some seconds; gives its seats second by second.
 fn run(limit: &mut AdaptiveLimit, engine: PlainEngine, from: u64, seconds: u64) -> Vec<u32> {
-    let mut seats = Vec::new();
+    let mut slots = Vec::new();
     for second in from..from + seconds {
         for part in 0..4 {
             let now = MonotonicTime(second * 1_000_000 + part * 250_000);
-            let work = f64::from(limit.seats());
+            let work = f64::from(limit.slots());
             let took = Duration::from_secs_f64(engine.first_token(work));
             limit.note_use(LimitUse {
-                seats: 1.0,
+                slots: 1.0,
                 tokens: 0.2,
             });
             limit.note_first_token(now, took, 500);
@@ -49,9 +49,9 @@
             limit.note_tokens(gaps, 32);
             limit.adjust(now, TARGETS);
         }
-        seats.push(limit.seats());
+        slots.push(limit.slots());
     }
-    seats
+    slots
 }
 
 const ENGINE: PlainEngine = PlainEngine {
@@ -66,8 +66,8 @@
 #[test]
 fn limit_finds_the_batch_of_the_engine() {
     let mut limit = AdaptiveLimit::new(8, 65_536);
-    let seats = run(&mut limit, ENGINE, 0, 120);
-    let settled = &seats[60..];
+    let slots = run(&mut limit, ENGINE, 0, 120);
+    let settled = &slots[60..];
     let least = settled.iter().min().copied().unwrap();
     let most = settled.iter().max().copied().unwrap();
     assert!(least >= 30 && most <= 52, "between {least} and {most}");
@@ -103,6 +103,6 @@
         step: 0.09,
         ..ENGINE
     };
-    let seats = run(&mut limit, old, 0, 120);
-    assert!(seats[110] >= 7, "{} seats", seats[110]);
+    let slots = run(&mut limit, old, 0, 120);
+    assert!(slots[110] >= 7, "{} seats", slots[110]);
 }
--- a/crates/savorywood-core/src/scheduler/pressure.rs
+++ b/crates/savorywood-core/src/scheduler/pressure.rs
@@ -1,6 +1,6 @@
 //! What other duties read of the scheduler: demand, limits and pressure.
 
-use super::{RequestScheduler, fleet::UpstreamId, queue::FrontSpan, service::WantedSeats};
+use super::{RequestScheduler, fleet::UpstreamId, queue::FrontSpan, service::SlotDemand};
 use savorywood_protocol::{
     MonotonicTime, ServiceName, TierRank, UpstreamName, peer::credits::TierDemand,
 };
@@ -30,26 +30,26 @@
         let Some(id) = self.fleet.id(upstream) else {
             return Vec::new();
         };
-        let mut seats: BTreeMap<TierRank, f64> = BTreeMap::new();
+        let mut slots: BTreeMap<TierRank, f64> = BTreeMap::new();
         if let Some(state) = self.fleet.get(id)
             && let Some(service) = self.services.get(&state.service)
         {
             let members = service.members.len().max(1) as f64;
-            for (rank, wanted) in &service.wanted.anywhere {
-                *seats.entry(*rank).or_default() += wanted / members;
+            for (rank, demand) in &service.demand.anywhere {
+                *slots.entry(*rank).or_default() += demand / members;
             }
-            for (rank, wanted) in service.wanted.held.get(&id).into_iter().flatten() {
-                *seats.entry(*rank).or_default() += wanted;
+            for (rank, demand) in service.demand.on_holders.get(&id).into_iter().flatten() {
+                *slots.entry(*rank).or_default() += demand;
             }
         }
-        for (rank, used) in self.attempts.seats_by_tier(id) {
-            *seats.entry(rank).or_default() += f64::from(used);
+        for (rank, used) in self.attempts.slots_by_tier(id) {
+            *slots.entry(rank).or_default() += f64::from(used);
         }
-        let demands = seats.into_iter();
+        let demands = slots.into_iter();
         demands
-            .map(|(rank, seats)| TierDemand {
+            .map(|(rank, slots)| TierDemand {
                 rank,
-                seats: seats.ceil() as u32,
+                seats: slots.ceil() as u32,
             })
             .collect()
     }
@@ -58,24 +58,24 @@
     #[must_use]
     pub fn slots_in_use(&self, upstream: &UpstreamName) -> u32 {
         let id = self.fleet.id(upstream);
-        let seats = id
+        let slots = id
             .into_iter()
-            .flat_map(|id| self.attempts.seats_by_tier(id));
-        seats.map(|(_, count)| count).sum()
+            .flat_map(|id| self.attempts.slots_by_tier(id));
+        slots.map(|(_, count)| count).sum()
     }
 
     /// Counts what waits by where it would like to go. A part is looked at and taken for all.
-    pub(super) fn count_wanted(&mut self, now: MonotonicTime, name: &ServiceName) {
+    pub(super) fn refresh_slot_demand(&mut self, now: MonotonicTime, name: &ServiceName) {
         let Some(service) = self.services.get(name) else {
             return;
         };
-        let counted = service.wanted.counted_at;
+        let counted = service.demand.counted_at;
         if counted.is_some_and(|at| now.since(at) < COUNT_EVERY) {
             return;
         }
-        let mut wanted = WantedSeats {
+        let mut demand = SlotDemand {
             counted_at: Some(now),
-            ..WantedSeats::default()
+            ..SlotDemand::default()
         };
         let sampled = service.queue.len().min(MAX_SAMPLE);
         let weight = service.queue.len() as f64 / sampled.max(1) as f64;
@@ -87,16 +87,16 @@
                 .flat_map(|hash| self.prefixes.holders(hash))
                 .collect();
             if holders.is_empty() {
-                *wanted.anywhere.entry(rank).or_default() += weight;
+                *demand.anywhere.entry(rank).or_default() += weight;
             }
             let share = weight / holders.len().max(1) as f64;
             for holder in holders {
-                let tiers = wanted.held.entry(holder).or_default();
+                let tiers = demand.on_holders.entry(holder).or_default();
                 *tiers.entry(rank).or_default() += share;
             }
         }
         if let Some(service) = self.services.get_mut(name) {
-            service.wanted = wanted;
+            service.demand = demand;
         }
     }
 
@@ -105,7 +105,7 @@
     pub fn slot_limit(&self, upstream: &UpstreamName) -> Option<u32> {
         let id = self.fleet.id(upstream)?;
         let state = self.fleet.get(id)?;
-        Some(state.limit.seats())
+        Some(state.limit.slots())
     }
 
     /// How pressed a service is here.
--- a/crates/savorywood-core/src/scheduler/queue.rs
+++ b/crates/savorywood-core/src/scheduler/queue.rs
@@ -21,7 +21,7 @@
     /// Predicted size.
     pub estimate: CostEstimate,
     /// Predicted time on a seat, in microseconds.
-    pub seat_micros: u64,
+    pub slot_micros: u64,
     /// Dispatched later than this it can't meet its deadline.
     pub latest_start: MonotonicTime,
     /// Until then it may be kept for an upstream that holds its prefix.
--- a/crates/savorywood-core/src/scheduler/queue/fair.rs
+++ b/crates/savorywood-core/src/scheduler/queue/fair.rs
@@ -75,8 +75,8 @@
                 lane: key.clone(),
             });
         }
-        self.work += waiting.seat_micros;
-        lane.work += waiting.seat_micros;
+        self.work += waiting.slot_micros;
+        lane.work += waiting.slot_micros;
         lane.waiting.insert(sequence, waiting);
         self.order.insert(sequence, key);
     }
@@ -130,8 +130,8 @@
         let key = self.order.remove(&sequence)?;
         let lane = self.lanes.get_mut(&key)?;
         let waiting = lane.waiting.remove(&sequence)?;
-        self.work -= waiting.seat_micros;
-        lane.work -= waiting.seat_micros;
+        self.work -= waiting.slot_micros;
+        lane.work -= waiting.slot_micros;
         let mut turn = LaneTurn {
             tag: lane.tag,
             lane: key,
--- a/crates/savorywood-core/src/scheduler/routing.rs
+++ b/crates/savorywood-core/src/scheduler/routing.rs
@@ -214,7 +214,7 @@
             waiting,
             objectives,
             usual: service.usual_speed(&objectives),
-            fast_gap: service.seat_count.fast_gap,
+            fast_gap: service.slot_count.fast_gap,
             matches,
             check_silence: self.options.has(SchedulerMechanism::Ejection)
                 && service.members.len() > 1,
--- a/crates/savorywood-core/src/scheduler/routing/score.rs
+++ b/crates/savorywood-core/src/scheduler/routing/score.rs
@@ -58,7 +58,7 @@
     let pending = state.pending_prefill as f64;
     let hint = state.waiting_hint(context.now) * speed.first_token(f64::from(uncached));
     let first = speed.first_token(pending + f64::from(uncached)) + hint;
-    let full = f64::from(state.seats_used + 1) / f64::from(allowance.seats.max(1));
+    let full = f64::from(state.slots_used + 1) / f64::from(allowance.slots.max(1));
     let gap = speed.gap * (1.0 + BATCH_FACTOR * full);
     let left = waiting.request.deadline_at.since(context.now).as_secs_f64();
     let long = first + speed.gap * f64::from(waiting.estimate.output_high);
--- a/crates/savorywood-core/src/scheduler/service.rs
+++ b/crates/savorywood-core/src/scheduler/service.rs
@@ -43,9 +43,9 @@
 
 /// Seats that the service has for this daemon, counted now and then.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct SeatCount {
+pub struct SlotCount {
     /// Seats allowed on all its upstreams.
-    pub seats: f64,
+    pub slots: f64,
     /// Shortest usual time between tokens of those upstreams, in seconds.
     pub fast_gap: f64,
     /// When they were counted; `None` if never.
@@ -54,9 +54,9 @@
 
 /// Seats wanted by waiting requests, by upstream and tier.
 #[derive(Debug, Default)]
-pub struct WantedSeats {
+pub struct SlotDemand {
     /// Seats wanted on upstreams that hold the prefix.
-    pub held: BTreeMap<UpstreamId, BTreeMap<TierRank, f64>>,
+    pub on_holders: BTreeMap<UpstreamId, BTreeMap<TierRank, f64>>,
     /// Seats wanted anywhere.
     pub anywhere: BTreeMap<TierRank, f64>,
     /// When they were counted; `None` if never.
@@ -83,9 +83,9 @@
     /// Seat time arriving, by tier.
     pub arrivals: BTreeMap<TierRank, RateMeter>,
     /// Seats counted last.
-    pub seat_count: SeatCount,
+    pub slot_count: SlotCount,
     /// Seats wanted by what waits, where its prefixes are held.
-    pub wanted: WantedSeats,
+    pub demand: SlotDemand,
     /// When a request of a tier was refused for load last.
     pub shed_at: BTreeMap<TierRank, MonotonicTime>,
 }
@@ -103,8 +103,8 @@
             speed: SpeedMeter::default(),
             miss_share: DecayedMean::default(),
             arrivals: BTreeMap::new(),
-            seat_count: SeatCount::default(),
-            wanted: WantedSeats::default(),
+            slot_count: SlotCount::default(),
+            demand: SlotDemand::default(),
             shed_at: BTreeMap::new(),
         }
     }
--- a/crates/savorywood-core/src/scheduler/shedding.rs
+++ b/crates/savorywood-core/src/scheduler/shedding.rs
@@ -2,7 +2,7 @@
 
 use super::{
     RequestScheduler, SchedulerView,
-    admission::{MICROS, seats_left},
+    admission::{MICROS, slots_left},
     queue::WaitingRequest,
     retry::return_after,
 };
@@ -98,9 +98,9 @@
         let Some(service) = self.services.get(&waiting.request.service) else {
             return return_after(Duration::ZERO, jitter);
         };
-        let seats = seats_left(now, service, waiting.request.rank);
+        let slots = slots_left(now, service, waiting.request.rank);
         let ahead = service.queue.work_ahead(&waiting.request) as f64 / MICROS;
-        let wait = Duration::from_secs_f64((ahead / seats).min(3_600.0));
+        let wait = Duration::from_secs_f64((ahead / slots).min(3_600.0));
         return_after(wait, jitter)
     }
 }
--- a/crates/savorywood-core/src/scheduler/table.rs
+++ b/crates/savorywood-core/src/scheduler/table.rs
@@ -58,7 +58,7 @@
 pub struct AttemptTable {
     records: BTreeMap<RequestId, AttemptRecord>,
     deadlines: BTreeSet<AttemptDeadline>,
-    seats: BTreeMap<UpstreamId, BTreeMap<TierRank, u32>>,
+    slots: BTreeMap<UpstreamId, BTreeMap<TierRank, u32>>,
 }
 
 impl AttemptTable {
@@ -68,8 +68,8 @@
         if self.records.contains_key(&request) {
             return false;
         }
-        let seats = self.seats.entry(record.upstream).or_default();
-        *seats.entry(record.request.rank).or_default() += 1;
+        let slots = self.slots.entry(record.upstream).or_default();
+        *slots.entry(record.request.rank).or_default() += 1;
         self.deadlines.insert(deadline_of(&record));
         self.records.insert(request, record);
         true
@@ -82,11 +82,11 @@
         }
         let record = self.records.remove(&key.request)?;
         self.deadlines.remove(&deadline_of(&record));
-        if let Some(seats) = self.seats.get_mut(&record.upstream) {
-            if let Some(count) = seats.get_mut(&record.request.rank) {
+        if let Some(slots) = self.slots.get_mut(&record.upstream) {
+            if let Some(count) = slots.get_mut(&record.request.rank) {
                 *count = count.saturating_sub(1);
             }
-            seats.retain(|_, count| *count > 0);
+            slots.retain(|_, count| *count > 0);
         }
         Some(record)
     }
@@ -103,12 +103,12 @@
     }
 
     /// Attempts under way on an upstream, by tier.
-    pub fn seats_by_tier(
+    pub fn slots_by_tier(
         &self,
         upstream: UpstreamId,
     ) -> impl Iterator<Item = (TierRank, u32)> + '_ {
-        let seats = self.seats.get(&upstream).into_iter().flatten();
-        seats.map(|(rank, count)| (*rank, *count))
+        let slots = self.slots.get(&upstream).into_iter().flatten();
+        slots.map(|(rank, count)| (*rank, *count))
     }
 
     /// Earliest deadline of an attempt under way.
@@ -124,7 +124,7 @@
 
     /// Forgets the seats of an upstream that is gone.
     pub fn forget(&mut self, upstream: UpstreamId) {
-        self.seats.remove(&upstream);
+        self.slots.remove(&upstream);
     }
 
     /// Attempts under way.
--- a/crates/savorywood-core/src/scheduler/topology.rs
+++ b/crates/savorywood-core/src/scheduler/topology.rs
@@ -25,7 +25,7 @@
         let waiting = waiting.filter(|(_, service)| !service.queue.is_empty());
         let names: Vec<ServiceName> = waiting.map(|(name, _)| name.clone()).collect();
         for name in &names {
-            self.count_wanted(now, name);
+            self.refresh_slot_demand(now, name);
             self.enforce_floor(now, name, view, effects);
             let Some(service) = self.services.get(name) else {
                 continue;
