--- a/crates/savorywood-core/src/scheduler.rs
+++ b/crates/savorywood-core/src/scheduler.rs
@@ -158,20 +158,20 @@
         let changed = matches!(event, SchedulerEvent::ViewChanged);
         self.refresh_topology(now, view, changed);
         self.expire_waiting(now, effects);
-        self.cancel_overdue(now, view, effects);
+        self.cancel_expired(now, view, effects);
         match event {
             SchedulerEvent::Arrived(request) => {
-                self.arrive(now, *request, AttemptNumber::default(), view, effects);
+                self.handle_arrival(now, *request, AttemptNumber::default(), view, effects);
             }
             SchedulerEvent::Resubmitted { request, attempt } => {
-                self.arrive(now, *request, attempt, view, effects);
+                self.handle_arrival(now, *request, attempt, view, effects);
             }
             SchedulerEvent::CallerLeft { request } => {
-                self.caller_left(now, request, view, effects);
+                self.handle_caller_left(now, request, view, effects);
             }
             SchedulerEvent::Upstream(event) => self.upstream(now, &event, view, effects),
             SchedulerEvent::TimerFired { number } => self.timer(now, number, view, effects),
-            SchedulerEvent::ViewChanged => self.look_again(now, view, effects),
+            SchedulerEvent::ViewChanged => self.dispatch_all_waiting(now, view, effects),
         }
         self.plan_timers(now, effects);
     }
--- a/crates/savorywood-core/src/scheduler/admission.rs
+++ b/crates/savorywood-core/src/scheduler/admission.rs
@@ -14,28 +14,28 @@
 use std::time::Duration;
 
 /// Requests of a service that wait at most, and with it the memory of its queue.
-pub const MAX_WAITING: usize = 4_096;
+pub const MAX_WAITING_REQUESTS: usize = 4_096;
 /// Seats are counted again after this long.
-const COUNT_EVERY: Duration = Duration::from_millis(50);
+const SLOT_COUNT_INTERVAL: Duration = Duration::from_millis(50);
 /// Least share of the seats that a tier is taken to get when higher ones want them all.
-const LEAST_SHARE: f64 = 0.05;
+const MIN_SLOT_FRACTION: f64 = 0.05;
 /// Share of the predicted time that must be left when work begins. More than one: work that is
 /// begun and then late has cost a seat and its prefill, a refusal costs neither.
-const NEEDED_SHARE: f64 = 1.2;
+const SATURATED_TIME_FACTOR: f64 = 1.2;
 /// The same while upstreams have room: a seat that nobody else wants costs nothing.
-const IDLE_NEEDED_SHARE: f64 = 0.8;
+const IDLE_TIME_FACTOR: f64 = 0.8;
 /// Share of the first-token objective for which a request may be kept for an upstream that holds
 /// its prefix.
 /// Share of the time until it is hopeless after which a request goes first in its tier, whatever is
 /// cached where.
-const PRESSING_SHARE: f64 = 0.75;
-const PATIENT_SHARE: f64 = 0.8;
+const URGENT_SLACK_FRACTION: f64 = 0.75;
+const AFFINITY_WAIT_FRACTION: f64 = 0.8;
 /// Share of the time until it is hopeless for which it may be kept so.
-const PATIENT_SLACK: f64 = 0.6;
-pub(super) const MICROS: f64 = 1e6;
+const AFFINITY_SLACK_FRACTION: f64 = 0.6;
+pub(super) const MICROS_PER_SECOND: f64 = 1e6;
 
 impl RequestScheduler {
-    pub(super) fn arrive(
+    pub(super) fn handle_arrival(
         &mut self,
         now: MonotonicTime,
         request: QueuedRequest,
@@ -44,36 +44,41 @@
         effects: &mut EffectQueue,
     ) {
         self.counters.tier(request.rank).arrived += 1;
-        self.retries.earn();
+        self.retries.deposit();
         let name = request.service.clone();
-        let waiting = self.appraise(now, request, attempt, view);
+        let waiting = self.estimate_request(now, request, attempt, view);
         // Below the floor it takes its place in the order of shedding. Refused last, it would be a
         // lower tier that still waits while a higher one is shed.
         let floor = view.floors.get(&name);
         let is_below = floor.is_some_and(|floor| waiting.request.rank > *floor);
         if is_below && self.services.contains_key(&name) {
-            self.enqueue(waiting);
+            self.enqueue_waiting(waiting);
             return self.enforce_floor(now, &name, view, effects);
         }
         self.enforce_floor(now, &name, view, effects);
-        if let Err(refusal) = self.admit(now, &waiting, view, effects) {
-            self.shed(now, &waiting, refusal, effects);
+        if let Err(refusal) = self.check_admission(now, &waiting, view, effects) {
+            self.refuse(now, &waiting, refusal, effects);
             return;
         }
         if let Some(service) = self.services.get_mut(&name) {
             let meter = service.arrivals.entry(waiting.request.rank).or_default();
-            meter.record(now, waiting.slot_micros as f64 / MICROS);
+            meter.record(now, waiting.slot_micros as f64 / MICROS_PER_SECOND);
         }
         let mut waiting = waiting;
         let wait = self.expected_wait(now, &waiting, view);
-        let longest_patience = waiting.pressing_at.since(now).mul_f64(PATIENT_SLACK);
-        waiting.patient_until = waiting.patient_until.max(now + wait.min(longest_patience));
-        self.enqueue(waiting);
-        self.drain(now, &name, view, effects);
+        let max_affinity_wait = waiting
+            .urgent_at
+            .since(now)
+            .mul_f64(AFFINITY_SLACK_FRACTION);
+        waiting.affinity_wait_until = waiting
+            .affinity_wait_until
+            .max(now + wait.min(max_affinity_wait));
+        self.enqueue_waiting(waiting);
+        self.dispatch_waiting(now, &name, view, effects);
     }
 
     /// Predicts size and time of a request.
-    pub(super) fn appraise(
+    pub(super) fn estimate_request(
         &self,
         now: MonotonicTime,
         request: QueuedRequest,
@@ -83,47 +88,47 @@
         let by_team = self.options.has(SchedulerMechanism::TeamCosts);
         let estimate = self.costs.predict(&request, by_team);
         let service = self.services.get(&request.service);
-        let objectives = objectives_of(&request.service, view);
-        let mean = whole_time(service, estimate, estimate.output_mean, &objectives);
-        let needed = whole_time(service, estimate, estimate.output_median, &objectives);
+        let objectives = service_objectives(&request.service, view);
+        let mean = completion_time(service, estimate, estimate.output_mean, &objectives);
+        let needed = completion_time(service, estimate, estimate.output_median, &objectives);
         let known = estimate.learned && service.is_some_and(|service| service.speed.is_known());
         let latest_start = if known && self.options.has(SchedulerMechanism::DeadlineAdmission) {
             let saturated = service.is_some_and(|service| service.saturated);
             let share = if saturated {
-                NEEDED_SHARE
+                SATURATED_TIME_FACTOR
             } else {
-                IDLE_NEEDED_SHARE
+                IDLE_TIME_FACTOR
             };
             request.deadline_at - needed.mul_f64(share)
         } else {
             request.deadline_at
         };
-        let held_prefix = if self.options.has(SchedulerMechanism::Affinity) {
+        let cached_prefix = if self.options.has(SchedulerMechanism::Affinity) {
             let hashes = &request.prompt.prefix_hashes;
             self.prefixes.longest_held(now, hashes)
         } else {
             None
         };
         let first_token = Duration::from_millis(objectives.first_token_ms.into());
-        let patience = first_token.mul_f64(PATIENT_SHARE);
+        let patience = first_token.mul_f64(AFFINITY_WAIT_FRACTION);
         // A long answer must still be in time after the wait for a holder of its prefix.
-        let longest = whole_time(service, estimate, estimate.output_high, &objectives);
+        let longest = completion_time(service, estimate, estimate.output_high, &objectives);
         let slack = (request.deadline_at - longest).since(now);
         WaitingRequest {
-            patient_until: now + patience.min(slack.mul_f64(PATIENT_SLACK)),
-            pressing_at: now + slack.mul_f64(PRESSING_SHARE),
-            held_prefix,
+            affinity_wait_until: now + patience.min(slack.mul_f64(AFFINITY_SLACK_FRACTION)),
+            urgent_at: now + slack.mul_f64(URGENT_SLACK_FRACTION),
+            cached_prefix,
             request,
             attempt,
             estimate,
             slot_micros: u64::try_from(mean.as_micros()).unwrap_or(u64::MAX),
             latest_start,
-            avoid: None,
+            excluded_upstream: None,
         }
     }
 
     /// Decides whether a request may wait. Lower tiers make room for it first.
-    fn admit(
+    fn check_admission(
         &mut self,
         now: MonotonicTime,
         waiting: &WaitingRequest,
@@ -144,7 +149,7 @@
         if waiting.latest_start <= now {
             return Err(RefusalCode::DeadlineExceeded);
         }
-        self.make_room(now, waiting, effects)?;
+        self.evict_lower_tier(now, waiting, effects)?;
         if !self.options.has(SchedulerMechanism::DeadlineAdmission) {
             return Ok(());
         }
@@ -163,7 +168,7 @@
     }
 
     /// Keeps the queue within its bound by shedding the lowest tier's newest request.
-    fn make_room(
+    fn evict_lower_tier(
         &mut self,
         now: MonotonicTime,
         waiting: &WaitingRequest,
@@ -173,7 +178,7 @@
         let Some(service) = self.services.get(name) else {
             return Err(RefusalCode::NoUpstream);
         };
-        if service.queue.len() < MAX_WAITING {
+        if service.queue.len() < MAX_WAITING_REQUESTS {
             return Ok(());
         }
         let lowest = service.queue.lowest_rank();
@@ -181,7 +186,7 @@
             return Err(RefusalCode::Overloaded);
         }
         if let Some(victim) = service.queue.shed_candidate() {
-            self.shed_waiting(now, victim, RefusalCode::Overloaded, effects);
+            self.refuse_waiting(now, victim, RefusalCode::Overloaded, effects);
         }
         Ok(())
     }
@@ -203,8 +208,8 @@
             return Duration::ZERO;
         }
         let slots = slots_left(now, service, waiting.request.rank);
-        let ahead = service.queue.work_ahead(&waiting.request) as f64 / MICROS;
-        let turnover = waiting.slot_micros as f64 / MICROS / 2.0;
+        let ahead = service.queue.work_ahead(&waiting.request) as f64 / MICROS_PER_SECOND;
+        let turnover = waiting.slot_micros as f64 / MICROS_PER_SECOND / 2.0;
         Duration::from_secs_f64(((ahead + turnover) / slots).min(3_600.0))
     }
 
@@ -218,13 +223,13 @@
             return;
         };
         let counted = service.slot_count.counted_at;
-        if counted.is_some_and(|at| now.since(at) < COUNT_EVERY) {
+        if counted.is_some_and(|at| now.since(at) < SLOT_COUNT_INTERVAL) {
             return;
         }
-        let usual = service.usual_speed(&objectives_of(name, view));
+        let usual = service.typical_speed(&service_objectives(name, view));
         let mut count = SlotCount {
             slots: 0.0,
-            fast_gap: usual.gap,
+            fastest_gap: usual.gap,
             counted_at: Some(now),
         };
         for state in service.members.iter().filter_map(|id| self.fleet.get(*id)) {
@@ -232,14 +237,14 @@
             let slots = state.allowance(now, grant).slots;
             count.slots += f64::from(slots);
             if slots > 0 {
-                count.fast_gap = count.fast_gap.min(state.speed.estimate(usual).gap);
+                count.fastest_gap = count.fastest_gap.min(state.speed.estimate(usual).gap);
             }
         }
         service.slot_count = count;
     }
 
     /// Puts a request into its service's queue.
-    pub(super) fn enqueue(&mut self, waiting: WaitingRequest) {
+    pub(super) fn enqueue_waiting(&mut self, waiting: WaitingRequest) {
         let Some(service) = self.services.get_mut(&waiting.request.service) else {
             return;
         };
@@ -248,7 +253,7 @@
     }
 
     /// Takes a request out of its service's queue, wherever it waits.
-    pub(super) fn unqueue(&mut self, request: RequestId) -> Option<WaitingRequest> {
+    pub(super) fn remove_waiting(&mut self, request: RequestId) -> Option<WaitingRequest> {
         let service = self.waits.remove(request)?;
         self.services.get_mut(&service)?.queue.remove(request)
     }
@@ -257,11 +262,11 @@
 /// Seats that higher tiers leave to a tier.
 pub(super) fn slots_left(now: MonotonicTime, service: &ServiceState, rank: TierRank) -> f64 {
     let slots = service.slot_count.slots.max(1.0);
-    let left = slots - service.higher_load(now, rank);
-    left.max(slots * LEAST_SHARE)
+    let left = slots - service.higher_tier_load(now, rank);
+    left.max(slots * MIN_SLOT_FRACTION)
 }
 
-fn whole_time(
+fn completion_time(
     service: Option<&ServiceState>,
     estimate: CostEstimate,
     output: u32,
@@ -270,13 +275,13 @@
     let Some(service) = service else {
         return Duration::ZERO;
     };
-    let miss_share = service.miss_share.value().unwrap_or(1.0);
-    let uncached = f64::from(estimate.prompt) * miss_share;
-    let speed = service.usual_speed(objectives);
+    let miss_ratio = service.miss_ratio.value().unwrap_or(1.0);
+    let uncached = f64::from(estimate.prompt) * miss_ratio;
+    let speed = service.typical_speed(objectives);
     Duration::from_secs_f64(speed.whole(uncached, f64::from(output)).min(3_600.0))
 }
 
-pub(super) fn objectives_of(name: &ServiceName, view: SchedulerView<'_>) -> ServiceObjectives {
+pub(super) fn service_objectives(name: &ServiceName, view: SchedulerView<'_>) -> ServiceObjectives {
     let spec = view.config.services.get(name);
     spec.map(|spec| spec.objectives).unwrap_or_default()
 }
--- a/crates/savorywood-core/src/scheduler/dispatch.rs
+++ b/crates/savorywood-core/src/scheduler/dispatch.rs
@@ -3,7 +3,7 @@
 use super::{
     RequestScheduler, SchedulerMechanism, SchedulerView,
     fleet::UpstreamId,
-    queue::{FrontSpan, WaitingRequest},
+    queue::{ScanLimit, WaitingRequest},
     routing::{PickFailure, PickedUpstream, SampleDraw},
     service::SlotDemand,
     table::{AttemptKey, AttemptRecord},
@@ -19,17 +19,17 @@
 
 /// Teams looked at for a request that may go to an upstream, when the first one's version has no
 /// room or another's prefix is cached there.
-const HEADS_COMPARED: usize = 6;
+const MAX_HEADS_COMPARED: usize = 6;
 /// Attempts of one request at most.
 const MAX_ATTEMPTS: u32 = 3;
 /// Requests looked at for one whose prefix a free upstream holds.
-const HOLDER_SPAN: FrontSpan = FrontSpan {
-    of_team: 4,
-    of_tier: 12,
+const AFFINITY_SCAN: ScanLimit = ScanLimit {
+    per_team: 4,
+    per_tier: 12,
 };
 
 /// Share of its allowance from which an upstream that is shared by grants is scarce.
-const SCARCE_SHARE: f64 = 0.5;
+const SCARCE_USE_FRACTION: f64 = 0.5;
 
 /// A waiting request and where it goes.
 #[derive(Debug, Clone, Copy)]
@@ -40,7 +40,7 @@
 
 impl RequestScheduler {
     /// Dispatches what waits for a service as long as some upstream has room.
-    pub(super) fn drain(
+    pub(super) fn dispatch_waiting(
         &mut self,
         now: MonotonicTime,
         name: &ServiceName,
@@ -56,7 +56,7 @@
             if service.saturated || service.queue.is_empty() {
                 return;
             }
-            if let Some(planned) = self.plan_any(now, name, view, draw) {
+            if let Some(planned) = self.plan_for_any_upstream(now, name, view, draw) {
                 self.dispatch(now, planned, view, effects);
             } else if let Some(service) = self.services.get_mut(name) {
                 service.saturated = true;
@@ -64,7 +64,7 @@
         }
     }
 
-    fn plan_any(
+    fn plan_for_any_upstream(
         &self,
         now: MonotonicTime,
         name: &ServiceName,
@@ -72,15 +72,15 @@
         draw: SampleDraw,
     ) -> Option<PlannedDispatch> {
         let service = self.services.get(name)?;
-        for waiting in service.queue.heads().take(HEADS_COMPARED) {
+        for waiting in service.queue.heads().take(MAX_HEADS_COMPARED) {
             let request = waiting.request.request;
-            match self.pick(now, waiting, view, draw) {
+            match self.pick_upstream(now, waiting, view, draw) {
                 Ok(picked) => return Some(PlannedDispatch { request, picked }),
                 Err(
                     PickFailure::OtherVersion | PickFailure::TooSlow | PickFailure::HeldElsewhere,
                 ) => {}
                 // A request that could not reach one upstream must not hold up the others.
-                Err(PickFailure::Full) if waiting.avoid.is_some() => {}
+                Err(PickFailure::Full) if waiting.excluded_upstream.is_some() => {}
                 Err(PickFailure::Full) => return None,
             }
         }
@@ -88,7 +88,7 @@
     }
 
     /// Gives an upstream that has become free what waits.
-    pub(super) fn fill(
+    pub(super) fn fill_upstream(
         &mut self,
         now: MonotonicTime,
         upstream: UpstreamId,
@@ -98,7 +98,7 @@
         let Some(name) = self.fleet.get(upstream).map(|state| state.service.clone()) else {
             return;
         };
-        while let Some(planned) = self.plan_this(now, &name, upstream, view) {
+        while let Some(planned) = self.plan_for_upstream(now, &name, upstream, view) {
             self.dispatch(now, planned, view, effects);
         }
         if let Some(service) = self.services.get_mut(&name)
@@ -107,10 +107,10 @@
             service.saturated = false;
             service.demand = SlotDemand::default();
         }
-        self.drain(now, &name, view, effects);
+        self.dispatch_waiting(now, &name, view, effects);
     }
 
-    fn plan_this(
+    fn plan_for_upstream(
         &self,
         now: MonotonicTime,
         name: &ServiceName,
@@ -128,31 +128,32 @@
             return None;
         }
         // Others want its seats: they may hold what this daemon would have to prefill.
-        let scarce = f64::from(state.slots_used + 1) > f64::from(allowance.slots) * SCARCE_SHARE;
+        let scarce =
+            f64::from(state.slots_used + 1) > f64::from(allowance.slots) * SCARCE_USE_FRACTION;
         let contended = grant.is_some() && scarce;
         let mut second: Option<PlannedDispatch> = None;
-        for waiting in service.queue.front(HOLDER_SPAN) {
+        for waiting in service.queue.front(AFFINITY_SCAN) {
             let hit = waiting
-                .held_prefix
+                .cached_prefix
                 .is_some_and(|hash| self.prefixes.holds(upstream, hash));
-            let unheld = waiting.held_prefix.is_none();
-            let pressing = waiting.pressing_at <= now;
-            let urgent = unheld || pressing || (waiting.patient_until <= now && !contended);
+            let unheld = waiting.cached_prefix.is_none();
+            let pressing = waiting.urgent_at <= now;
+            let urgent = unheld || pressing || (waiting.affinity_wait_until <= now && !contended);
             if !hit && (!urgent || second.is_some()) {
                 continue;
             }
             let request = waiting.request.request;
-            match self.pick_this(now, waiting, upstream, view) {
+            match self.check_upstream(now, waiting, upstream, view) {
                 Ok(picked) if hit => return Some(PlannedDispatch { request, picked }),
                 Ok(picked)
-                    if pressing || unheld || waiting.is_worth_a_miss(now, picked.miss_time) =>
+                    if pressing || unheld || waiting.accepts_cache_miss(now, picked.miss_time) =>
                 {
                     second = Some(PlannedDispatch { request, picked });
                 }
-                Err(PickFailure::Full) if waiting.avoid != Some(upstream) => break,
+                Err(PickFailure::Full) if waiting.excluded_upstream != Some(upstream) => break,
                 Ok(_) | Err(_) => {}
             }
-            if second.is_some() && waiting.pressing_at <= now {
+            if second.is_some() && waiting.urgent_at <= now {
                 break;
             }
         }
@@ -179,7 +180,7 @@
             .get(picked.upstream)
             .and_then(|state| view.config.upstreams.get_key_value(&state.name));
         let Some((upstream, spec)) = spec else {
-            self.shed(now, &waiting, RefusalCode::NoUpstream, effects);
+            self.refuse(now, &waiting, RefusalCode::NoUpstream, effects);
             return;
         };
         let order = DispatchOrder {
@@ -189,7 +190,7 @@
             address: spec.address,
             deadline_at: waiting.request.deadline_at,
         };
-        self.count_split(&name, &waiting, picked, view);
+        self.record_split(&name, &waiting, picked, view);
         let fresh = self.record(now, waiting, picked, view);
         // Two records of one request would be two dispatches: the caller's work would run twice.
         invariant::check(effects, InvariantName::DispatchAtMostOnce, fresh, || {
@@ -200,7 +201,7 @@
         }
     }
 
-    fn count_split(
+    fn record_split(
         &mut self,
         name: &ServiceName,
         waiting: &WaitingRequest,
@@ -232,7 +233,7 @@
         let rank = waiting.request.rank;
         let hashes = &waiting.request.prompt.prefix_hashes;
         if self.options.has(SchedulerMechanism::Affinity) {
-            self.prefixes.note_dispatch(now, picked.upstream, hashes);
+            self.prefixes.record_dispatch(now, picked.upstream, hashes);
         }
         let record = AttemptRecord {
             request: waiting.request,
@@ -254,13 +255,13 @@
             self.counters.tier(rank).dispatched += 1;
         }
         if let Some(state) = self.fleet.get_mut(picked.upstream) {
-            state.health.note_dispatch(now, state.slots_used == 0);
+            state.health.record_dispatch(now, state.slots_used == 0);
             state.slots_used += 1;
             state.tokens_used += batch_tokens;
             state.pending_prefill += u64::from(picked.uncached);
             let grant = view.grants.get(&state.name);
             let allowance = state.allowance(now, grant);
-            state.note_use(allowance);
+            state.record_use(allowance);
         }
         true
     }
@@ -280,7 +281,7 @@
     }
 
     /// No byte left this host, so another upstream may be tried: this is not a second dispatch.
-    pub(super) fn not_sent(
+    pub(super) fn handle_not_sent(
         &mut self,
         now: MonotonicTime,
         key: AttemptKey,
@@ -292,30 +293,30 @@
         };
         let upstream = record.upstream;
         let name = record.request.service.clone();
-        self.note_failure(now, upstream);
-        let mut waiting = self.appraise(now, record.request, key.attempt.next(), view);
-        waiting.avoid = Some(upstream);
+        self.record_failure(now, upstream);
+        let mut waiting = self.estimate_request(now, record.request, key.attempt.next(), view);
+        waiting.excluded_upstream = Some(upstream);
         let others = self.services.get(&name);
         let others = others.is_some_and(|service| service.members.len() > 1);
         let timely = waiting.latest_start > now;
-        if others && timely && key.attempt.0 + 1 < MAX_ATTEMPTS && self.retries.spend() {
+        if others && timely && key.attempt.0 + 1 < MAX_ATTEMPTS && self.retries.try_spend() {
             self.counters.retries += 1;
-            self.enqueue(waiting);
+            self.enqueue_waiting(waiting);
         } else {
-            self.shed(now, &waiting, RefusalCode::NoUpstream, effects);
+            self.refuse(now, &waiting, RefusalCode::NoUpstream, effects);
         }
-        self.fill(now, upstream, view, effects);
+        self.fill_upstream(now, upstream, view, effects);
     }
 
     /// Nobody waits for the answer any longer: stop its work wherever it is.
-    pub(super) fn caller_left(
+    pub(super) fn handle_caller_left(
         &mut self,
         now: MonotonicTime,
         request: RequestId,
         view: SchedulerView<'_>,
         effects: &mut EffectQueue,
     ) {
-        if let Some(waiting) = self.unqueue(request) {
+        if let Some(waiting) = self.remove_waiting(request) {
             self.counters.tier(waiting.request.rank).caller_left += 1;
             return;
         }
@@ -328,13 +329,13 @@
             self.counters.tier(record.request.rank).caller_left += 1;
             self.counters.prefill.total += u64::from(record.uncached);
             self.counters.prefill.cancelled += u64::from(record.uncached);
-            self.fill(now, record.upstream, view, effects);
+            self.fill_upstream(now, record.upstream, view, effects);
         }
     }
 
     /// Stops attempts whose deadline has passed: their answers are of no use to anybody, and the
     /// seats are.
-    pub(super) fn cancel_overdue(
+    pub(super) fn cancel_expired(
         &mut self,
         now: MonotonicTime,
         view: SchedulerView<'_>,
@@ -352,7 +353,7 @@
             self.counters.tier(record.request.rank).late += 1;
             self.counters.prefill.total += u64::from(record.uncached);
             self.counters.prefill.late += u64::from(record.uncached);
-            self.fill(now, record.upstream, view, effects);
+            self.fill_upstream(now, record.upstream, view, effects);
         }
     }
 }
--- a/crates/savorywood-core/src/scheduler/fleet.rs
+++ b/crates/savorywood-core/src/scheduler/fleet.rs
@@ -119,24 +119,24 @@
 
     /// Whether nothing has come from it for too long although it has work.
     #[must_use]
-    pub fn is_silent(&self, now: MonotonicTime, speed: SpeedEstimate) -> bool {
+    pub fn is_stalled(&self, now: MonotonicTime, speed: SpeedEstimate) -> bool {
         if self.slots_used == 0 {
             return false;
         }
         let first = speed.first_token(self.pending_prefill as f64);
         let usual = Duration::from_secs_f64(first + speed.gap * SILENT_GAPS);
-        self.health.is_silent(now, usual)
+        self.health.is_stalled(now, usual)
     }
 
     /// Notes the use of the allowance for the limit.
-    pub fn note_use(&mut self, allowance: WorkAllowance) {
+    pub fn record_use(&mut self, allowance: WorkAllowance) {
         let slots = f64::from(self.slots_used) / f64::from(allowance.slots.max(1));
         let tokens = self.tokens_used as f64 / allowance.tokens.max(1) as f64;
-        self.limit.note_use(LimitUse { slots, tokens });
+        self.limit.record_use(LimitUse { slots, tokens });
     }
 
     /// Notes a load report.
-    pub fn note_load(&mut self, now: MonotonicTime, report: LoadReport) {
+    pub fn record_load(&mut self, now: MonotonicTime, report: LoadReport) {
         self.hint = Some(LoadHint {
             report,
             received_at: now,
--- a/crates/savorywood-core/src/scheduler/health.rs
+++ b/crates/savorywood-core/src/scheduler/health.rs
@@ -79,7 +79,7 @@
     }
 
     /// An attempt begins. With none under way before, silence is counted from now.
-    pub fn note_dispatch(&mut self, now: MonotonicTime, was_idle: bool) {
+    pub fn record_dispatch(&mut self, now: MonotonicTime, was_idle: bool) {
         if was_idle {
             self.heard_at = now;
         }
@@ -92,7 +92,7 @@
     }
 
     /// The upstream said something.
-    pub fn note_heard(&mut self, now: MonotonicTime) {
+    pub fn record_data(&mut self, now: MonotonicTime) {
         self.heard_at = now;
     }
 
@@ -104,14 +104,14 @@
     /// for half of its silence: one that is well answers the next call, one that stalls loses
     /// ever fewer.
     #[must_use]
-    pub fn is_silent(&self, now: MonotonicTime, usual: Duration) -> bool {
+    pub fn is_stalled(&self, now: MonotonicTime, usual: Duration) -> bool {
         let silence = now.since(self.heard_at);
         let untried = now.since(self.sent_at);
         silence > MIN_SILENCE.max(usual * 4) && untried < silence / 2
     }
 
     /// An attempt ended well.
-    pub fn note_success(&mut self, now: MonotonicTime) {
+    pub fn record_success(&mut self, now: MonotonicTime) {
         self.failures = 0;
         self.state = match self.state {
             HealthState::Probation { successes } if successes + 1 >= PROBATION_SUCCESSES => {
@@ -131,7 +131,7 @@
     }
 
     /// An attempt failed. Says whether the upstream should be taken out.
-    pub fn note_failure(&mut self) -> bool {
+    pub fn record_failure(&mut self) -> bool {
         self.failures += 1;
         let tried = matches!(self.state, HealthState::Probation { .. });
         tried || self.failures >= FAILURE_LIMIT
--- a/crates/savorywood-core/src/scheduler/limit.rs
+++ b/crates/savorywood-core/src/scheduler/limit.rs
@@ -156,13 +156,13 @@
     }
 
     /// Notes how much of the allowance was in use.
-    pub fn note_use(&mut self, used: LimitUse) {
+    pub fn record_use(&mut self, used: LimitUse) {
         self.peak.slots = self.peak.slots.max(used.slots);
         self.peak.tokens = self.peak.tokens.max(used.tokens);
     }
 
     /// Notes a first token.
-    pub fn note_first_token(&mut self, now: MonotonicTime, took: Duration, uncached: u32) {
+    pub fn record_first_token(&mut self, now: MonotonicTime, took: Duration, uncached: u32) {
         let took = took.as_secs_f64();
         let ratio = took / (f64::from(uncached) + OVERHEAD_TOKENS);
         self.firsts.count += 1;
@@ -171,7 +171,7 @@
     }
 
     /// Notes tokens after the first.
-    pub fn note_tokens(&mut self, took: Duration, count: u32) {
+    pub fn record_tokens(&mut self, took: Duration, count: u32) {
         self.gaps.count += count;
         self.gaps.seconds += took.as_secs_f64();
     }
--- a/crates/savorywood-core/src/scheduler/limit/tests.rs
+++ b/crates/savorywood-core/src/scheduler/limit/tests.rs
@@ -39,14 +39,14 @@
             let now = MonotonicTime(second * 1_000_000 + part * 250_000);
             let work = f64::from(limit.slots());
             let took = Duration::from_secs_f64(engine.first_token(work));
-            limit.note_use(LimitUse {
+            limit.record_use(LimitUse {
                 slots: 1.0,
                 tokens: 0.2,
             });
-            limit.note_first_token(now, took, 500);
-            limit.note_first_token(now, took, 500);
+            limit.record_first_token(now, took, 500);
+            limit.record_first_token(now, took, 500);
             let gaps = Duration::from_secs_f64(engine.gap(work) * 32.0);
-            limit.note_tokens(gaps, 32);
+            limit.record_tokens(gaps, 32);
             limit.adjust(now, TARGETS);
         }
         slots.push(limit.slots());
--- a/crates/savorywood-core/src/scheduler/prefix.rs
+++ b/crates/savorywood-core/src/scheduler/prefix.rs
@@ -66,7 +66,7 @@
 
 impl PrefixIndex {
     /// Notes that an upstream is given a prompt and so will hold its prefixes.
-    pub fn note_dispatch(&mut self, now: MonotonicTime, upstream: UpstreamId, hashes: &[u64]) {
+    pub fn record_dispatch(&mut self, now: MonotonicTime, upstream: UpstreamId, hashes: &[u64]) {
         let epoch = self.epoch(upstream);
         for index in positions(hashes.len()) {
             let Some(hash) = hashes.get(index) else {
@@ -164,7 +164,7 @@
     /// Takes in events of an upstream's cache. A jump in their numbers makes all that is known of
     /// that upstream unsure: a lost `Removed` would leave a prefix that is gone, a lost `Stored`
     /// costs nothing but a chance.
-    pub fn note_events(
+    pub fn apply_events(
         &mut self,
         now: MonotonicTime,
         upstream: UpstreamId,
--- a/crates/savorywood-core/src/scheduler/pressure.rs
+++ b/crates/savorywood-core/src/scheduler/pressure.rs
@@ -1,6 +1,6 @@
 //! What other duties read of the scheduler: demand, limits and pressure.
 
-use super::{RequestScheduler, fleet::UpstreamId, queue::FrontSpan, service::SlotDemand};
+use super::{RequestScheduler, fleet::UpstreamId, queue::ScanLimit, service::SlotDemand};
 use savorywood_protocol::{
     MonotonicTime, ServiceName, TierRank, UpstreamName, peer::credits::TierDemand,
 };
@@ -79,9 +79,9 @@
         };
         let sampled = service.queue.len().min(MAX_SAMPLE);
         let weight = service.queue.len() as f64 / sampled.max(1) as f64;
-        for waiting in service.queue.front(FrontSpan::ALL).take(sampled) {
+        for waiting in service.queue.front(ScanLimit::UNLIMITED).take(sampled) {
             let rank = waiting.request.rank;
-            let hash = waiting.held_prefix;
+            let hash = waiting.cached_prefix;
             let holders: Vec<UpstreamId> = hash
                 .into_iter()
                 .flat_map(|hash| self.prefixes.holders(hash))
@@ -121,7 +121,7 @@
                 rank,
                 seats: u32::try_from(count).unwrap_or(u32::MAX),
             });
-        let mut shed = state.shed_at.iter();
+        let mut shed = state.last_shed_at.iter();
         let shedding = shed.find(|(_, at)| now.since(**at) < SHED_MEMORY);
         ServicePressure {
             waiting: waiting.collect(),
--- a/crates/savorywood-core/src/scheduler/progress.rs
+++ b/crates/savorywood-core/src/scheduler/progress.rs
@@ -2,7 +2,7 @@
 
 use super::{
     RequestScheduler, SchedulerMechanism, SchedulerView,
-    admission::objectives_of,
+    admission::service_objectives,
     fleet::UpstreamId,
     limit::LatencyTargets,
     table::{AttemptKey, AttemptRecord},
@@ -32,7 +32,7 @@
         match event {
             UpstreamEvent::NotSent { request, attempt } => {
                 let key = attempt_key(*request, *attempt);
-                self.not_sent(now, key, view, effects);
+                self.handle_not_sent(now, key, view, effects);
             }
             UpstreamEvent::FirstToken { request, attempt } => {
                 self.first_token(now, attempt_key(*request, *attempt));
@@ -61,14 +61,14 @@
             UpstreamEvent::LoadReported { upstream, report } => {
                 let id = self.fleet.id(upstream);
                 if let Some(state) = id.and_then(|id| self.fleet.get_mut(id)) {
-                    state.note_load(now, *report);
+                    state.record_load(now, *report);
                 }
             }
             UpstreamEvent::CacheChanged { upstream, batch } => {
                 if let Some(id) = self.fleet.id(upstream)
                     && self.options.has(SchedulerMechanism::Affinity)
                 {
-                    self.prefixes.note_events(now, id, batch);
+                    self.prefixes.apply_events(now, id, batch);
                 }
             }
         }
@@ -90,9 +90,9 @@
             service.speed.first_token(now, took, uncached);
         }
         if let Some(state) = self.fleet.get_mut(record.upstream) {
-            state.health.note_heard(now);
+            state.health.record_data(now);
             state.speed.first_token(now, took, uncached);
-            state.limit.note_first_token(now, took, uncached);
+            state.limit.record_first_token(now, took, uncached);
             state.pending_prefill = state.pending_prefill.saturating_sub(uncached.into());
         }
     }
@@ -117,9 +117,9 @@
             service.speed.tokens(now, took, count);
         }
         if let Some(state) = self.fleet.get_mut(upstream) {
-            state.health.note_heard(now);
+            state.health.record_data(now);
             state.speed.tokens(now, took, count);
-            state.limit.note_tokens(took, count);
+            state.limit.record_tokens(took, count);
         }
         self.adjust_limit(now, upstream, view);
     }
@@ -131,7 +131,7 @@
         let Some(state) = self.fleet.get_mut(upstream) else {
             return;
         };
-        let objectives = objectives_of(&state.service, view);
+        let objectives = service_objectives(&state.service, view);
         let targets = LatencyTargets {
             first_token: f64::from(objectives.first_token_ms.max(1)) / 1_000.0,
             gap: f64::from(objectives.token_gap_ms.max(1)) / 1_000.0,
@@ -152,15 +152,15 @@
             return;
         };
         if report.status >= SERVER_ERROR {
-            self.note_failure(now, record.upstream);
+            self.record_failure(now, record.upstream);
         } else if let Some(state) = self.fleet.get_mut(record.upstream) {
-            state.health.note_heard(now);
-            state.health.note_success(now);
+            state.health.record_data(now);
+            state.health.record_success(now);
         }
         self.learn_cost(now, &record, report);
         self.count_finished(now, &record, report);
         self.adjust_limit(now, record.upstream, view);
-        self.fill(now, record.upstream, view, effects);
+        self.fill_upstream(now, record.upstream, view, effects);
     }
 
     fn learn_cost(&mut self, now: MonotonicTime, record: &AttemptRecord, report: AnswerReport) {
@@ -175,7 +175,7 @@
             service.queue.correct(&record.request, charged, actual);
             let prompt = f64::from(record.request.prompt.tokens.max(1));
             let uncached = prefilled(record, report);
-            service.miss_share.record(now, f64::from(uncached) / prompt);
+            service.miss_ratio.record(now, f64::from(uncached) / prompt);
         }
         let estimates = &mut self.counters.estimates;
         estimates.responses += 1;
@@ -218,18 +218,18 @@
         self.counters.tier(record.request.rank).broken += 1;
         self.counters.prefill.total += u64::from(record.uncached);
         self.counters.prefill.broken += u64::from(record.uncached);
-        if self.note_failure(now, record.upstream)
+        if self.record_failure(now, record.upstream)
             && let Some(state) = self.fleet.get(record.upstream)
         {
             let line = LogLine::new(LogLevel::Warn, "upstream-ejected");
             let line = line.with("upstream", &state.name).with("cause", cause);
             effects.log(line);
         }
-        self.fill(now, record.upstream, view, effects);
+        self.fill_upstream(now, record.upstream, view, effects);
     }
 
     /// Counts a failure; says whether it took the upstream out.
-    pub(super) fn note_failure(&mut self, now: MonotonicTime, upstream: UpstreamId) -> bool {
+    pub(super) fn record_failure(&mut self, now: MonotonicTime, upstream: UpstreamId) -> bool {
         if !self.options.has(SchedulerMechanism::Ejection) {
             return false;
         }
@@ -238,7 +238,7 @@
         let Some(state) = self.fleet.get_mut(upstream) else {
             return false;
         };
-        let eject = state.health.note_failure() && may_eject;
+        let eject = state.health.record_failure() && may_eject;
         if eject {
             state.health.eject(now, jitter);
             self.counters.ejections += 1;
@@ -276,4 +276,4 @@
 }
 
 /// Time between two looks at a queue that nothing else wakes: ejections end, ramps go on.
-pub(super) const TICK_TIME: Duration = Duration::from_millis(100);
+pub(super) const TICK_INTERVAL: Duration = Duration::from_millis(100);
--- a/crates/savorywood-core/src/scheduler/queue.rs
+++ b/crates/savorywood-core/src/scheduler/queue.rs
@@ -9,7 +9,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 /// Times that a prefill which another upstream could spare is waited out, before it is done.
-const MISS_PATIENCE: f64 = 4.0;
+const MISS_WAIT_FACTOR: f64 = 4.0;
 
 /// A request that waits for an upstream.
 #[derive(Debug, Clone)]
@@ -25,21 +25,21 @@
     /// Dispatched later than this it can't meet its deadline.
     pub latest_start: MonotonicTime,
     /// Until then it may be kept for an upstream that holds its prefix.
-    pub patient_until: MonotonicTime,
+    pub affinity_wait_until: MonotonicTime,
     /// From then on it goes before others of its tier, whatever is cached where.
-    pub pressing_at: MonotonicTime,
+    pub urgent_at: MonotonicTime,
     /// Hash of the longest prefix that some upstream was known to hold when it arrived.
-    pub held_prefix: Option<u64>,
+    pub cached_prefix: Option<u64>,
     /// Upstream that could not be reached by the last attempt.
-    pub avoid: Option<UpstreamId>,
+    pub excluded_upstream: Option<UpstreamId>,
 }
 
 impl WaitingRequest {
     /// Whether it has waited long enough for an upstream that holds its prefix to take one that
     /// needs `miss_time` to prefill it: the longer that takes, the longer it waits.
     #[must_use]
-    pub fn is_worth_a_miss(&self, now: MonotonicTime, miss_time: Duration) -> bool {
-        now >= self.patient_until + miss_time.mul_f64(MISS_PATIENCE)
+    pub fn accepts_cache_miss(&self, now: MonotonicTime, miss_time: Duration) -> bool {
+        now >= self.affinity_wait_until + miss_time.mul_f64(MISS_WAIT_FACTOR)
     }
 }
 
@@ -61,18 +61,18 @@
 
 /// How many waiting requests are looked at.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct FrontSpan {
+pub struct ScanLimit {
     /// Of one team in one tier.
-    pub of_team: usize,
+    pub per_team: usize,
     /// Of one tier.
-    pub of_tier: usize,
+    pub per_tier: usize,
 }
 
-impl FrontSpan {
+impl ScanLimit {
     /// All of them.
-    pub const ALL: Self = Self {
-        of_team: usize::MAX,
-        of_tier: usize::MAX,
+    pub const UNLIMITED: Self = Self {
+        per_team: usize::MAX,
+        per_tier: usize::MAX,
     };
 }
 
@@ -139,9 +139,9 @@
     }
 
     /// The first few requests of each team that is next, highest tier first.
-    pub fn front(&self, span: FrontSpan) -> impl Iterator<Item = &WaitingRequest> {
+    pub fn front(&self, span: ScanLimit) -> impl Iterator<Item = &WaitingRequest> {
         let tiers = self.tiers.values();
-        tiers.flat_map(move |tier| tier.front(span.of_team).take(span.of_tier))
+        tiers.flat_map(move |tier| tier.front(span.per_team).take(span.per_tier))
     }
 
     /// Takes a request out to dispatch it: its team is charged.
--- a/crates/savorywood-core/src/scheduler/routing.rs
+++ b/crates/savorywood-core/src/scheduler/routing.rs
@@ -3,7 +3,7 @@
 mod score;
 
 use super::{
-    RequestScheduler, SchedulerMechanism, SchedulerView, admission::objectives_of,
+    RequestScheduler, SchedulerMechanism, SchedulerView, admission::service_objectives,
     fleet::UpstreamId, prefix::PrefixMatch, queue::WaitingRequest, service::ServiceState,
     speed::SpeedEstimate, split::SplitSide,
 };
@@ -68,9 +68,9 @@
     waiting: &'a WaitingRequest,
     objectives: ServiceObjectives,
     usual: SpeedEstimate,
-    fast_gap: f64,
+    fastest_gap: f64,
     matches: Vec<PrefixMatch>,
-    check_silence: bool,
+    check_stalls: bool,
     wanted: WantedVersion<'a>,
 }
 
@@ -125,7 +125,7 @@
         let cached = prompt - picked.uncached;
         let missed = picked.cached_elsewhere.saturating_sub(cached);
         let large = missed > 0 && missed >= prompt / 4;
-        if large && self.now < self.waiting.patient_until {
+        if large && self.now < self.waiting.affinity_wait_until {
             return Err(PickFailure::HeldElsewhere);
         }
         Ok(picked)
@@ -134,7 +134,7 @@
 
 impl RequestScheduler {
     /// Chooses the upstream on which a request is expected to be whole first.
-    pub(super) fn pick(
+    pub(super) fn pick_upstream(
         &self,
         now: MonotonicTime,
         waiting: &WaitingRequest,
@@ -159,7 +159,7 @@
         let all = back.iter().chain(front).copied();
         let mut found = Err(compared.err().unwrap_or(PickFailure::Full));
         for id in all {
-            match self.appraise_upstream(&context, id) {
+            match self.evaluate_upstream(&context, id) {
                 Ok(picked) if context.wanted.prefers(picked.side) => return Ok(picked),
                 Ok(picked) => found = Ok(picked),
                 Err(PickFailure::Full) => {}
@@ -171,7 +171,7 @@
     }
 
     /// Checks whether one upstream that has just become free may have a request.
-    pub(super) fn pick_this(
+    pub(super) fn check_upstream(
         &self,
         now: MonotonicTime,
         waiting: &WaitingRequest,
@@ -183,7 +183,7 @@
             return Err(PickFailure::Full);
         };
         let context = self.context(now, name, service, waiting, view);
-        self.appraise_upstream(&context, upstream)
+        self.evaluate_upstream(&context, upstream)
     }
 
     fn context<'a>(
@@ -194,7 +194,7 @@
         waiting: &'a WaitingRequest,
         view: SchedulerView<'a>,
     ) -> PickContext<'a> {
-        let objectives = objectives_of(name, view);
+        let objectives = service_objectives(name, view);
         let hashes = &waiting.request.prompt.prefix_hashes;
         let wanted = self.wanted_version(name, service, waiting, view);
         let mut matches = if self.options.has(SchedulerMechanism::Affinity) {
@@ -213,10 +213,10 @@
             view,
             waiting,
             objectives,
-            usual: service.usual_speed(&objectives),
-            fast_gap: service.slot_count.fast_gap,
+            usual: service.typical_speed(&objectives),
+            fastest_gap: service.slot_count.fastest_gap,
             matches,
-            check_silence: self.options.has(SchedulerMechanism::Ejection)
+            check_stalls: self.options.has(SchedulerMechanism::Ejection)
                 && service.members.len() > 1,
             wanted,
         }
@@ -246,7 +246,7 @@
     ) -> Result<PickedUpstream, PickFailure> {
         let mut best = Err(PickFailure::Full);
         for id in candidates {
-            best = match (best, self.appraise_upstream(context, id)) {
+            best = match (best, self.evaluate_upstream(context, id)) {
                 (Ok(old), Ok(new)) => Ok(better(context, old, new)),
                 (Err(_), Ok(new)) => Ok(new),
                 (Err(PickFailure::Full), Err(failure)) => Err(failure),
@@ -257,7 +257,7 @@
     }
 
     /// Says how long the request would take on one upstream, if it may go there.
-    fn appraise_upstream(
+    fn evaluate_upstream(
         &self,
         context: &PickContext<'_>,
         id: UpstreamId,
@@ -269,11 +269,11 @@
         let grant = context.view.grants.get(&state.name);
         let allowance = state.allowance(context.now, grant);
         let room = state.has_room(allowance, waiting.estimate.batch_tokens());
-        if !room || waiting.avoid == Some(id) {
+        if !room || waiting.excluded_upstream == Some(id) {
             return Err(PickFailure::Full);
         }
         let speed = state.speed.estimate(context.usual);
-        if context.check_silence && state.is_silent(context.now, speed) {
+        if context.check_stalls && state.is_stalled(context.now, speed) {
             return Err(PickFailure::Full);
         }
         let side = context.wanted.allows(&state.version)?;
--- a/crates/savorywood-core/src/scheduler/routing/score.rs
+++ b/crates/savorywood-core/src/scheduler/routing/score.rs
@@ -64,7 +64,7 @@
     let long = first + speed.gap * f64::from(waiting.estimate.output_high);
     let late_end = (long - left).max(0.0);
     let can_wait = waiting.latest_start > context.now + LAST_CALL;
-    if late_end > 0.0 && can_wait && speed.gap > context.fast_gap * SLOW_FACTOR {
+    if late_end > 0.0 && can_wait && speed.gap > context.fastest_gap * SLOW_FACTOR {
         return Err(PickFailure::TooSlow);
     }
     let decode = gap * f64::from(waiting.estimate.output_mean) * DECODE_WEIGHT;
--- a/crates/savorywood-core/src/scheduler/service.rs
+++ b/crates/savorywood-core/src/scheduler/service.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 
 /// Seconds over which arrivals of a tier are averaged.
-const RATE_SECONDS: f64 = 5.0;
+const RATE_DECAY_SECONDS: f64 = 5.0;
 /// Tokens of the prompt for which the first-token objective is taken to be meant, until the
 /// service's speed is known.
 const OBJECTIVE_PROMPT_TOKENS: f64 = 2_048.0;
@@ -25,19 +25,19 @@
 impl RateMeter {
     /// Adds an amount.
     pub fn record(&mut self, now: MonotonicTime, amount: f64) {
-        self.sum = self.faded(now) + amount;
+        self.sum = self.decayed(now) + amount;
         self.updated_at = now;
     }
 
-    fn faded(&self, now: MonotonicTime) -> f64 {
+    fn decayed(&self, now: MonotonicTime) -> f64 {
         let age = now.since(self.updated_at).as_secs_f64();
-        self.sum * (-age / RATE_SECONDS).exp()
+        self.sum * (-age / RATE_DECAY_SECONDS).exp()
     }
 
     /// Amount per second.
     #[must_use]
     pub fn rate(&self, now: MonotonicTime) -> f64 {
-        self.faded(now) / RATE_SECONDS
+        self.decayed(now) / RATE_DECAY_SECONDS
     }
 }
 
@@ -47,7 +47,7 @@
     /// Seats allowed on all its upstreams.
     pub slots: f64,
     /// Shortest usual time between tokens of those upstreams, in seconds.
-    pub fast_gap: f64,
+    pub fastest_gap: f64,
     /// When they were counted; `None` if never.
     pub counted_at: Option<MonotonicTime>,
 }
@@ -79,7 +79,7 @@
     /// Speed of all its upstreams taken together.
     pub speed: SpeedMeter,
     /// Share of prompt tokens that caches did not hold.
-    pub miss_share: DecayedMean,
+    pub miss_ratio: DecayedMean,
     /// Seat time arriving, by tier.
     pub arrivals: BTreeMap<TierRank, RateMeter>,
     /// Seats counted last.
@@ -87,7 +87,7 @@
     /// Seats wanted by what waits, where its prefixes are held.
     pub demand: SlotDemand,
     /// When a request of a tier was refused for load last.
-    pub shed_at: BTreeMap<TierRank, MonotonicTime>,
+    pub last_shed_at: BTreeMap<TierRank, MonotonicTime>,
 }
 
 impl ServiceState {
@@ -101,17 +101,17 @@
             saturated: false,
             splits: SplitMeter::default(),
             speed: SpeedMeter::default(),
-            miss_share: DecayedMean::default(),
+            miss_ratio: DecayedMean::default(),
             arrivals: BTreeMap::new(),
             slot_count: SlotCount::default(),
             demand: SlotDemand::default(),
-            shed_at: BTreeMap::new(),
+            last_shed_at: BTreeMap::new(),
         }
     }
 
     /// Speed to expect of an upstream of which nothing is known.
     #[must_use]
-    pub fn usual_speed(&self, objectives: &ServiceObjectives) -> SpeedEstimate {
+    pub fn typical_speed(&self, objectives: &ServiceObjectives) -> SpeedEstimate {
         let first = f64::from(objectives.first_token_ms) / 1_000.0;
         let unknown = SpeedEstimate {
             overhead: first / 4.0,
@@ -123,7 +123,7 @@
 
     /// Seats that higher tiers are expected to take, by their arrivals.
     #[must_use]
-    pub fn higher_load(&self, now: MonotonicTime, rank: TierRank) -> f64 {
+    pub fn higher_tier_load(&self, now: MonotonicTime, rank: TierRank) -> f64 {
         let higher = self.arrivals.range(..rank);
         higher.map(|(_, meter)| meter.rate(now)).sum()
     }
--- a/crates/savorywood-core/src/scheduler/shedding.rs
+++ b/crates/savorywood-core/src/scheduler/shedding.rs
@@ -2,9 +2,9 @@
 
 use super::{
     RequestScheduler, SchedulerView,
-    admission::{MICROS, slots_left},
+    admission::{MICROS_PER_SECOND, slots_left},
     queue::WaitingRequest,
-    retry::return_after,
+    retry::retry_after_delay,
 };
 use crate::{
     effect::EffectQueue,
@@ -34,31 +34,31 @@
                 .is_some_and(|rank| rank > *floor)
             && let Some(victim) = service.queue.shed_candidate()
         {
-            self.shed_waiting(now, victim, RefusalCode::TierShed, effects);
+            self.refuse_waiting(now, victim, RefusalCode::TierShed, effects);
         }
     }
 
     /// Refuses what can't meet its deadline any more, at once.
     pub(super) fn expire_waiting(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
         while let Some(request) = self.waits.overdue(now) {
-            self.shed_waiting(now, request, RefusalCode::DeadlineExceeded, effects);
+            self.refuse_waiting(now, request, RefusalCode::DeadlineExceeded, effects);
         }
     }
 
-    pub(super) fn shed_waiting(
+    pub(super) fn refuse_waiting(
         &mut self,
         now: MonotonicTime,
         request: RequestId,
         code: RefusalCode,
         effects: &mut EffectQueue,
     ) {
-        if let Some(waiting) = self.unqueue(request) {
-            self.shed(now, &waiting, code, effects);
+        if let Some(waiting) = self.remove_waiting(request) {
+            self.refuse(now, &waiting, code, effects);
         }
     }
 
     /// Gives a request its final answer. Nothing of it has reached an upstream.
-    pub(super) fn shed(
+    pub(super) fn refuse(
         &mut self,
         now: MonotonicTime,
         waiting: &WaitingRequest,
@@ -70,14 +70,15 @@
         if for_load {
             self.check_shed_order(&waiting.request, effects);
         }
-        let retry_after = self.return_time(now, waiting);
+        let retry_after = self.estimate_retry_after(now, waiting);
         if let Some(service) = self.services.get_mut(&waiting.request.service)
             && for_load
         {
-            service.shed_at.insert(rank, now);
+            service.last_shed_at.insert(rank, now);
         }
         *self.counters.tier(rank).refused.entry(code).or_default() += 1;
-        let refusal = RequestRefusal::not_run(code, detail_of(code)).with_retry_after(retry_after);
+        let refusal =
+            RequestRefusal::not_run(code, refusal_detail(code)).with_retry_after(retry_after);
         effects.refuse(waiting.request.request, refusal);
     }
 
@@ -93,19 +94,19 @@
     }
 
     /// When to tell a refused caller to come back: once the work ahead of its tier is done.
-    fn return_time(&mut self, now: MonotonicTime, waiting: &WaitingRequest) -> Duration {
+    fn estimate_retry_after(&mut self, now: MonotonicTime, waiting: &WaitingRequest) -> Duration {
         let jitter: f64 = self.rng.random();
         let Some(service) = self.services.get(&waiting.request.service) else {
-            return return_after(Duration::ZERO, jitter);
+            return retry_after_delay(Duration::ZERO, jitter);
         };
         let slots = slots_left(now, service, waiting.request.rank);
-        let ahead = service.queue.work_ahead(&waiting.request) as f64 / MICROS;
+        let ahead = service.queue.work_ahead(&waiting.request) as f64 / MICROS_PER_SECOND;
         let wait = Duration::from_secs_f64((ahead / slots).min(3_600.0));
-        return_after(wait, jitter)
+        retry_after_delay(wait, jitter)
     }
 }
 
-fn detail_of(code: RefusalCode) -> &'static str {
+fn refusal_detail(code: RefusalCode) -> &'static str {
     match code {
         RefusalCode::TierShed => "this tier is not admitted now; come back after the given time",
         RefusalCode::DeadlineExceeded => {
--- a/crates/savorywood-core/src/scheduler/timers.rs
+++ b/crates/savorywood-core/src/scheduler/timers.rs
@@ -1,6 +1,6 @@
 //! The scheduler's timers, set again only when their time changes.
 
-use super::{RequestScheduler, SchedulerView, progress::TICK_TIME};
+use super::{RequestScheduler, SchedulerView, progress::TICK_INTERVAL};
 use crate::{
     effect::EffectQueue,
     event::{DutyKind, TimerKey},
@@ -35,7 +35,7 @@
             ATTEMPT_TIMER => self.timers.attempt_at = None,
             TICK_TIMER => {
                 self.timers.tick_at = None;
-                self.look_again(now, view, effects);
+                self.dispatch_all_waiting(now, view, effects);
             }
             _ => {}
         }
@@ -52,7 +52,7 @@
             effects,
         );
         if self.waits.len() > 0 && self.timers.tick_at.is_none() {
-            let tick_at = Some(now + TICK_TIME);
+            let tick_at = Some(now + TICK_INTERVAL);
             set_earlier(&mut self.timers.tick_at, tick_at, TICK_TIMER, effects);
         }
     }
--- a/crates/savorywood-core/src/scheduler/topology.rs
+++ b/crates/savorywood-core/src/scheduler/topology.rs
@@ -15,7 +15,7 @@
 
 impl RequestScheduler {
     /// Looks again at every service in which something waits.
-    pub(super) fn look_again(
+    pub(super) fn dispatch_all_waiting(
         &mut self,
         now: MonotonicTime,
         view: SchedulerView<'_>,
@@ -37,7 +37,7 @@
             let offset = self.rng.random_range(0..members.len());
             members.rotate_left(offset);
             for upstream in members {
-                self.fill(now, upstream, view, effects);
+                self.fill_upstream(now, upstream, view, effects);
             }
         }
     }
