--- a/crates/savorywood-core/src/scheduler.rs
+++ b/crates/savorywood-core/src/scheduler.rs
@@ -4,13 +4,13 @@
 mod cost;
 mod counters;
 mod dispatch;
+mod feedback;
 mod fleet;
 mod health;
 mod limit;
 mod options;
 mod prefix;
 mod pressure;
-mod progress;
 mod queue;
 mod retry;
 mod routing;
@@ -46,7 +46,7 @@
 use service::ServiceState;
 use std::collections::{BTreeMap, BTreeSet};
 use table::AttemptTable;
-use timers::TimerPlan;
+use timers::PlannedTimers;
 use waits::WaitIndex;
 
 /// What the scheduler reads of other duties in a step.
@@ -111,10 +111,10 @@
     prefixes: PrefixIndex,
     waits: WaitIndex,
     retries: RetryBudget,
-    timers: TimerPlan,
+    timers: PlannedTimers,
     counters: SchedulerCounters,
     revision: Option<ConfigRevision>,
-    declared: usize,
+    declared_upstreams: usize,
     leaving: BTreeSet<UpstreamName>,
 }
 
@@ -138,10 +138,10 @@
             prefixes: PrefixIndex::default(),
             waits: WaitIndex::default(),
             retries: RetryBudget::default(),
-            timers: TimerPlan::default(),
+            timers: PlannedTimers::default(),
             counters: SchedulerCounters::default(),
             revision: None,
-            declared: 0,
+            declared_upstreams: 0,
             leaving: BTreeSet::new(),
         }
     }
@@ -169,11 +169,13 @@
             SchedulerEvent::CallerLeft { request } => {
                 self.handle_caller_left(now, request, view, effects);
             }
-            SchedulerEvent::Upstream(event) => self.upstream(now, &event, view, effects),
-            SchedulerEvent::TimerFired { number } => self.timer(now, number, view, effects),
+            SchedulerEvent::Upstream(event) => {
+                self.handle_upstream_event(now, &event, view, effects)
+            }
+            SchedulerEvent::TimerFired { number } => self.handle_timer(now, number, view, effects),
             SchedulerEvent::ViewChanged => self.dispatch_all_waiting(now, view, effects),
         }
-        self.plan_timers(now, effects);
+        self.set_timers(now, effects);
     }
 
     /// Requests that wait or run, for the planned stop.
--- a/crates/savorywood-core/src/scheduler/admission.rs
+++ b/crates/savorywood-core/src/scheduler/admission.rs
@@ -91,7 +91,8 @@
         let objectives = service_objectives(&request.service, view);
         let mean = completion_time(service, estimate, estimate.output_mean, &objectives);
         let needed = completion_time(service, estimate, estimate.output_median, &objectives);
-        let known = estimate.learned && service.is_some_and(|service| service.speed.is_known());
+        let known =
+            estimate.observed && service.is_some_and(|service| service.speed.has_token_gap());
         let latest_start = if known && self.options.has(SchedulerMechanism::DeadlineAdmission) {
             let saturated = service.is_some_and(|service| service.saturated);
             let share = if saturated {
@@ -105,7 +106,7 @@
         };
         let cached_prefix = if self.options.has(SchedulerMechanism::Affinity) {
             let hashes = &request.prompt.prefix_hashes;
-            self.prefixes.longest_held(now, hashes)
+            self.prefixes.longest_cached(now, hashes)
         } else {
             None
         };
@@ -278,7 +279,11 @@
     let miss_ratio = service.miss_ratio.value().unwrap_or(1.0);
     let uncached = f64::from(estimate.prompt) * miss_ratio;
     let speed = service.typical_speed(objectives);
-    Duration::from_secs_f64(speed.whole(uncached, f64::from(output)).min(3_600.0))
+    Duration::from_secs_f64(
+        speed
+            .completion_seconds(uncached, f64::from(output))
+            .min(3_600.0),
+    )
 }
 
 pub(super) fn service_objectives(name: &ServiceName, view: SchedulerView<'_>) -> ServiceObjectives {
--- a/crates/savorywood-core/src/scheduler/cost.rs
+++ b/crates/savorywood-core/src/scheduler/cost.rs
@@ -13,11 +13,11 @@
 /// Teams with a sketch of their own, over all routes.
 const MAX_TEAM_SKETCHES: usize = 16_384;
 /// Samples before a team's own sketch is believed.
-const TEAM_MIN_WEIGHT: u32 = 8;
+const MIN_TEAM_SKETCH_WEIGHT: u32 = 8;
 /// Output tokens assumed before anything was seen.
 const DEFAULT_OUTPUT_TOKENS: u32 = 256;
 /// Sketches looked at to find an idle one.
-const EVICTION_SCAN: usize = 32;
+const EVICTION_SCAN_LENGTH: usize = 32;
 
 /// Predicted size of one request, in tokens.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -32,7 +32,7 @@
     pub output_high: u32,
     /// Whether the figures were learned; otherwise they are a guess on which no request may be
     /// refused.
-    pub learned: bool,
+    pub observed: bool,
 }
 
 impl CostEstimate {
@@ -54,7 +54,7 @@
     sketch: QuantileSketch,
     teams: BTreeMap<TeamName, TeamSketch>,
     /// Team up to which idle ones were looked for last.
-    evicted_to: Option<TeamName>,
+    eviction_cursor: Option<TeamName>,
 }
 
 /// Learned output lengths. Memory is bounded by [`MAX_ROUTES`] and [`MAX_TEAM_SKETCHES`].
@@ -71,20 +71,21 @@
         let route = self.route(request);
         let team = route
             .and_then(|route| route.teams.get(&request.team))
-            .filter(|team| by_team && team.sketch.weight() >= TEAM_MIN_WEIGHT);
+            .filter(|team| by_team && team.sketch.weight() >= MIN_TEAM_SKETCH_WEIGHT);
         let sketch = match (team, route) {
             (Some(team), _) => Some(&team.sketch),
             (None, Some(route)) => Some(&route.sketch),
             (None, None) => None,
         };
-        let most = request.prompt.max_output_tokens.unwrap_or(u32::MAX).max(1);
-        let read = |value: Option<u32>| value.unwrap_or(DEFAULT_OUTPUT_TOKENS).clamp(1, most);
+        let max_tokens = request.prompt.max_output_tokens.unwrap_or(u32::MAX).max(1);
+        let bounded =
+            |value: Option<u32>| value.unwrap_or(DEFAULT_OUTPUT_TOKENS).clamp(1, max_tokens);
         CostEstimate {
-            learned: sketch.is_some(),
+            observed: sketch.is_some(),
             prompt: request.prompt.tokens,
-            output_median: read(sketch.and_then(|sketch| sketch.quantile(500))),
-            output_mean: read(sketch.and_then(QuantileSketch::mean)),
-            output_high: read(sketch.and_then(|sketch| sketch.quantile(900))),
+            output_median: bounded(sketch.and_then(|sketch| sketch.quantile(500))),
+            output_mean: bounded(sketch.and_then(QuantileSketch::mean)),
+            output_high: bounded(sketch.and_then(|sketch| sketch.quantile(900))),
         }
     }
 
@@ -115,7 +116,7 @@
             team.used_at = self.clock;
             return;
         }
-        if self.team_sketches >= MAX_TEAM_SKETCHES && !evict_idle(route) {
+        if self.team_sketches >= MAX_TEAM_SKETCHES && !evict_least_recent(route) {
             return;
         }
         if self.team_sketches < MAX_TEAM_SKETCHES {
@@ -131,19 +132,19 @@
 
 /// Drops the idlest of a few teams of a route; says whether there was one. The few are those that
 /// follow, by name, the ones looked at last time, so that every team is looked at in turn.
-fn evict_idle(route: &mut RouteSketch) -> bool {
-    let after = match route.evicted_to.take() {
+fn evict_least_recent(route: &mut RouteSketch) -> bool {
+    let after = match route.eviction_cursor.take() {
         Some(name) => Bound::Excluded(name),
         None => Bound::Unbounded,
     };
     let span = (after, Bound::Unbounded);
-    let sample: Vec<_> = route.teams.range(span).take(EVICTION_SCAN).collect();
+    let sample: Vec<_> = route.teams.range(span).take(EVICTION_SCAN_LENGTH).collect();
     // At the end of the names the next call begins with the first again.
-    if sample.len() == EVICTION_SCAN {
-        route.evicted_to = sample.last().map(|(name, _)| (*name).clone());
+    if sample.len() == EVICTION_SCAN_LENGTH {
+        route.eviction_cursor = sample.last().map(|(name, _)| (*name).clone());
     }
-    let idlest = sample.iter().min_by_key(|(_, team)| team.used_at);
-    let Some(name) = idlest.map(|(name, _)| (*name).clone()) else {
+    let least_recent = sample.iter().min_by_key(|(_, team)| team.used_at);
+    let Some(name) = least_recent.map(|(name, _)| (*name).clone()) else {
         return false;
     };
     route.teams.remove(&name).is_some()
--- a/crates/savorywood-core/src/scheduler/cost/quantile.rs
+++ b/crates/savorywood-core/src/scheduler/cost/quantile.rs
@@ -29,7 +29,7 @@
         if self.weight >= MAX_WEIGHT {
             self.halve();
         }
-        self.buckets[bucket_of(tokens)] += 1;
+        self.buckets[bucket_index(tokens)] += 1;
         self.weight += 1;
     }
 
@@ -57,10 +57,10 @@
         for (index, count) in self.buckets.iter().enumerate() {
             seen += u32::from(*count);
             if seen >= rank {
-                return Some(middle_of(index));
+                return Some(bucket_midpoint(index));
             }
         }
-        Some(middle_of(BUCKET_COUNT - 1))
+        Some(bucket_midpoint(BUCKET_COUNT - 1))
     }
 
     /// Mean length; `None` without samples.
@@ -71,18 +71,18 @@
         }
         let counts = self.buckets.iter().enumerate();
         let sum: u64 = counts
-            .map(|(index, count)| u64::from(*count) * u64::from(middle_of(index)))
+            .map(|(index, count)| u64::from(*count) * u64::from(bucket_midpoint(index)))
             .sum();
         u32::try_from(sum / u64::from(self.weight)).ok()
     }
 }
 
-fn bucket_of(tokens: u32) -> usize {
+fn bucket_index(tokens: u32) -> usize {
     let octave = f64::from(tokens.max(1)).log2();
     let index = (octave * BUCKETS_PER_OCTAVE).round() as usize;
     index.min(BUCKET_COUNT - 1)
 }
 
-fn middle_of(index: usize) -> u32 {
+fn bucket_midpoint(index: usize) -> u32 {
     (index as f64 / BUCKETS_PER_OCTAVE).exp2().round() as u32
 }
--- a/crates/savorywood-core/src/scheduler/dispatch.rs
+++ b/crates/savorywood-core/src/scheduler/dispatch.rs
@@ -4,7 +4,7 @@
     RequestScheduler, SchedulerMechanism, SchedulerView,
     fleet::UpstreamId,
     queue::{ScanLimit, WaitingRequest},
-    routing::{PickFailure, PickedUpstream, SampleDraw},
+    routing::{PickFailure, PickedUpstream, SampleRng},
     service::SlotDemand,
     table::{AttemptKey, AttemptRecord},
 };
@@ -49,14 +49,14 @@
     ) {
         self.refresh_slot_count(now, name, view);
         loop {
-            let draw = SampleDraw(self.rng.random());
+            let sample_rng = SampleRng(self.rng.random());
             let Some(service) = self.services.get(name) else {
                 return;
             };
             if service.saturated || service.queue.is_empty() {
                 return;
             }
-            if let Some(planned) = self.plan_for_any_upstream(now, name, view, draw) {
+            if let Some(planned) = self.plan_for_any_upstream(now, name, view, sample_rng) {
                 self.dispatch(now, planned, view, effects);
             } else if let Some(service) = self.services.get_mut(name) {
                 service.saturated = true;
@@ -69,19 +69,19 @@
         now: MonotonicTime,
         name: &ServiceName,
         view: SchedulerView<'_>,
-        draw: SampleDraw,
+        sample_rng: SampleRng,
     ) -> Option<PlannedDispatch> {
         let service = self.services.get(name)?;
         for waiting in service.queue.heads().take(MAX_HEADS_COMPARED) {
             let request = waiting.request.request;
-            match self.pick_upstream(now, waiting, view, draw) {
+            match self.pick_upstream(now, waiting, view, sample_rng) {
                 Ok(picked) => return Some(PlannedDispatch { request, picked }),
                 Err(
-                    PickFailure::OtherVersion | PickFailure::TooSlow | PickFailure::HeldElsewhere,
+                    PickFailure::WrongVersion | PickFailure::TooSlow | PickFailure::CachedElsewhere,
                 ) => {}
                 // A request that could not reach one upstream must not hold up the others.
-                Err(PickFailure::Full) if waiting.excluded_upstream.is_some() => {}
-                Err(PickFailure::Full) => return None,
+                Err(PickFailure::NoCapacity) if waiting.excluded_upstream.is_some() => {}
+                Err(PickFailure::NoCapacity) => return None,
             }
         }
         None
@@ -131,33 +131,38 @@
         let scarce =
             f64::from(state.slots_used + 1) > f64::from(allowance.slots) * SCARCE_USE_FRACTION;
         let contended = grant.is_some() && scarce;
-        let mut second: Option<PlannedDispatch> = None;
+        let mut fallback: Option<PlannedDispatch> = None;
         for waiting in service.queue.front(AFFINITY_SCAN) {
-            let hit = waiting
+            let is_cached_here = waiting
                 .cached_prefix
-                .is_some_and(|hash| self.prefixes.holds(upstream, hash));
-            let unheld = waiting.cached_prefix.is_none();
-            let pressing = waiting.urgent_at <= now;
-            let urgent = unheld || pressing || (waiting.affinity_wait_until <= now && !contended);
-            if !hit && (!urgent || second.is_some()) {
+                .is_some_and(|hash| self.prefixes.is_cached_on(upstream, hash));
+            let is_uncached = waiting.cached_prefix.is_none();
+            let is_urgent = waiting.urgent_at <= now;
+            let may_miss_cache =
+                is_uncached || is_urgent || (waiting.affinity_wait_until <= now && !contended);
+            if !is_cached_here && (!may_miss_cache || fallback.is_some()) {
                 continue;
             }
             let request = waiting.request.request;
             match self.check_upstream(now, waiting, upstream, view) {
-                Ok(picked) if hit => return Some(PlannedDispatch { request, picked }),
+                Ok(picked) if is_cached_here => return Some(PlannedDispatch { request, picked }),
                 Ok(picked)
-                    if pressing || unheld || waiting.accepts_cache_miss(now, picked.miss_time) =>
+                    if is_urgent
+                        || is_uncached
+                        || waiting.accepts_cache_miss(now, picked.miss_time) =>
                 {
-                    second = Some(PlannedDispatch { request, picked });
+                    fallback = Some(PlannedDispatch { request, picked });
+                }
+                Err(PickFailure::NoCapacity) if waiting.excluded_upstream != Some(upstream) => {
+                    break;
                 }
-                Err(PickFailure::Full) if waiting.excluded_upstream != Some(upstream) => break,
                 Ok(_) | Err(_) => {}
             }
-            if second.is_some() && waiting.urgent_at <= now {
+            if fallback.is_some() && waiting.urgent_at <= now {
                 break;
             }
         }
-        second
+        fallback
     }
 
     fn dispatch(
@@ -191,12 +196,12 @@
             deadline_at: waiting.request.deadline_at,
         };
         self.record_split(&name, &waiting, picked, view);
-        let fresh = self.record(now, waiting, picked, view);
+        let is_new = self.record(now, waiting, picked, view);
         // Two records of one request would be two dispatches: the caller's work would run twice.
-        invariant::check(effects, InvariantName::DispatchAtMostOnce, fresh, || {
+        invariant::check(effects, InvariantName::DispatchAtMostOnce, is_new, || {
             format!("request={} is on record already", order.request)
         });
-        if fresh {
+        if is_new {
             effects.push(DaemonEffect::Dispatch(order));
         }
     }
@@ -242,9 +247,9 @@
             estimate: waiting.estimate,
             uncached: picked.uncached,
             cached_elsewhere: picked.cached_elsewhere,
-            sent_at: now,
-            first_at: None,
-            heard_at: now,
+            dispatched_at: now,
+            first_token_at: None,
+            last_token_at: now,
             tokens: 0,
         };
         let batch_tokens = record.batch_tokens();
@@ -267,12 +272,12 @@
     }
 
     /// Takes an attempt off the record and its load off the upstream.
-    pub(super) fn release(&mut self, key: AttemptKey) -> Option<AttemptRecord> {
+    pub(super) fn release_attempt(&mut self, key: AttemptKey) -> Option<AttemptRecord> {
         let record = self.attempts.remove(key)?;
         if let Some(state) = self.fleet.get_mut(record.upstream) {
             state.slots_used = state.slots_used.saturating_sub(1);
             state.tokens_used = state.tokens_used.saturating_sub(record.batch_tokens());
-            if record.first_at.is_none() {
+            if record.first_token_at.is_none() {
                 let pending = u64::from(record.uncached);
                 state.pending_prefill = state.pending_prefill.saturating_sub(pending);
             }
@@ -288,7 +293,7 @@
         view: SchedulerView<'_>,
         effects: &mut EffectQueue,
     ) {
-        let Some(record) = self.release(key) else {
+        let Some(record) = self.release_attempt(key) else {
             return;
         };
         let upstream = record.upstream;
@@ -325,7 +330,7 @@
             return;
         };
         effects.push(DaemonEffect::CancelAttempt { request, attempt });
-        if let Some(record) = self.release(AttemptKey { request, attempt }) {
+        if let Some(record) = self.release_attempt(AttemptKey { request, attempt }) {
             self.counters.tier(record.request.rank).caller_left += 1;
             self.counters.prefill.total += u64::from(record.uncached);
             self.counters.prefill.cancelled += u64::from(record.uncached);
@@ -341,9 +346,9 @@
         view: SchedulerView<'_>,
         effects: &mut EffectQueue,
     ) {
-        while let Some(request) = self.attempts.overdue(now) {
+        while let Some(request) = self.attempts.next_expired(now) {
             let attempt = self.attempts.current(request).unwrap_or_default();
-            let Some(record) = self.release(AttemptKey { request, attempt }) else {
+            let Some(record) = self.release_attempt(AttemptKey { request, attempt }) else {
                 return;
             };
             effects.push(DaemonEffect::CancelAttempt { request, attempt });
--- a/crates/savorywood-core/src/scheduler/progress.rs
+++ b/crates/savorywood-core/src/scheduler/feedback.rs
@@ -16,13 +16,13 @@
 use std::time::Duration;
 
 /// Least status of an upstream's own failure.
-const SERVER_ERROR: u16 = 500;
+const MIN_SERVER_ERROR_STATUS: u16 = 500;
 /// Largest share of a service's upstreams that may be out at once, as a divisor. When more fail,
 /// the fault is likelier the load or this host, and the rest would be overrun.
-const EJECTED_DIVISOR: usize = 3;
+const MAX_EJECTED_DIVISOR: usize = 3;
 
 impl RequestScheduler {
-    pub(super) fn upstream(
+    pub(super) fn handle_upstream_event(
         &mut self,
         now: MonotonicTime,
         event: &UpstreamEvent,
@@ -35,20 +35,20 @@
                 self.handle_not_sent(now, key, view, effects);
             }
             UpstreamEvent::FirstToken { request, attempt } => {
-                self.first_token(now, attempt_key(*request, *attempt));
+                self.handle_first_token(now, attempt_key(*request, *attempt));
             }
             UpstreamEvent::Tokens {
                 request,
                 attempt,
                 count,
-            } => self.tokens(now, attempt_key(*request, *attempt), *count, view),
+            } => self.handle_tokens(now, attempt_key(*request, *attempt), *count, view),
             UpstreamEvent::Finished {
                 request,
                 attempt,
                 report,
             } => {
                 let key = attempt_key(*request, *attempt);
-                self.finished(now, key, *report, view, effects);
+                self.handle_finished(now, key, *report, view, effects);
             }
             UpstreamEvent::Broken {
                 request,
@@ -56,7 +56,7 @@
                 cause,
             } => {
                 let key = attempt_key(*request, *attempt);
-                self.broken(now, key, *cause, view, effects);
+                self.handle_broken(now, key, *cause, view, effects);
             }
             UpstreamEvent::LoadReported { upstream, report } => {
                 let id = self.fleet.id(upstream);
@@ -74,51 +74,57 @@
         }
     }
 
-    fn first_token(&mut self, now: MonotonicTime, key: AttemptKey) {
+    fn handle_first_token(&mut self, now: MonotonicTime, key: AttemptKey) {
         let Some(record) = self.attempts.get_mut(key) else {
             return;
         };
-        if record.first_at.is_some() {
+        if record.first_token_at.is_some() {
             return;
         }
-        record.first_at = Some(now);
-        record.heard_at = now;
+        record.first_token_at = Some(now);
+        record.last_token_at = now;
         record.tokens += 1;
-        let took = now.since(record.sent_at);
+        let took = now.since(record.dispatched_at);
         let uncached = record.uncached;
         if let Some(service) = self.services.get_mut(&record.request.service) {
-            service.speed.first_token(now, took, uncached);
+            service.speed.record_first_token(now, took, uncached);
         }
         if let Some(state) = self.fleet.get_mut(record.upstream) {
             state.health.record_data(now);
-            state.speed.first_token(now, took, uncached);
+            state.speed.record_first_token(now, took, uncached);
             state.limit.record_first_token(now, took, uncached);
             state.pending_prefill = state.pending_prefill.saturating_sub(uncached.into());
         }
     }
 
-    fn tokens(&mut self, now: MonotonicTime, key: AttemptKey, count: u32, view: SchedulerView<'_>) {
+    fn handle_tokens(
+        &mut self,
+        now: MonotonicTime,
+        key: AttemptKey,
+        count: u32,
+        view: SchedulerView<'_>,
+    ) {
         if self
             .attempts
             .get_mut(key)
-            .is_some_and(|record| record.first_at.is_none())
+            .is_some_and(|record| record.first_token_at.is_none())
         {
-            self.first_token(now, key);
+            self.handle_first_token(now, key);
             return;
         }
         let Some(record) = self.attempts.get_mut(key) else {
             return;
         };
-        let took = now.since(record.heard_at);
-        record.heard_at = now;
+        let took = now.since(record.last_token_at);
+        record.last_token_at = now;
         record.tokens = record.tokens.saturating_add(count);
         let upstream = record.upstream;
         if let Some(service) = self.services.get_mut(&record.request.service) {
-            service.speed.tokens(now, took, count);
+            service.speed.record_tokens(now, took, count);
         }
         if let Some(state) = self.fleet.get_mut(upstream) {
             state.health.record_data(now);
-            state.speed.tokens(now, took, count);
+            state.speed.record_tokens(now, took, count);
             state.limit.record_tokens(took, count);
         }
         self.adjust_limit(now, upstream, view);
@@ -139,7 +145,7 @@
         state.limit.adjust(now, targets);
     }
 
-    fn finished(
+    fn handle_finished(
         &mut self,
         now: MonotonicTime,
         key: AttemptKey,
@@ -147,24 +153,24 @@
         view: SchedulerView<'_>,
         effects: &mut EffectQueue,
     ) {
-        self.first_token(now, key);
-        let Some(record) = self.release(key) else {
+        self.handle_first_token(now, key);
+        let Some(record) = self.release_attempt(key) else {
             return;
         };
-        if report.status >= SERVER_ERROR {
+        if report.status >= MIN_SERVER_ERROR_STATUS {
             self.record_failure(now, record.upstream);
         } else if let Some(state) = self.fleet.get_mut(record.upstream) {
             state.health.record_data(now);
             state.health.record_success(now);
         }
-        self.learn_cost(now, &record, report);
+        self.record_cost(now, &record, report);
         self.count_finished(now, &record, report);
         self.adjust_limit(now, record.upstream, view);
         self.fill_upstream(now, record.upstream, view, effects);
     }
 
-    fn learn_cost(&mut self, now: MonotonicTime, record: &AttemptRecord, report: AnswerReport) {
-        if report.status >= SERVER_ERROR {
+    fn record_cost(&mut self, now: MonotonicTime, record: &AttemptRecord, report: AnswerReport) {
+        if report.status >= MIN_SERVER_ERROR_STATUS {
             return;
         }
         let output = report.output_tokens.max(record.tokens);
@@ -172,9 +178,11 @@
         let actual = u64::from(record.estimate.prompt) + u64::from(output);
         if let Some(service) = self.services.get_mut(&record.request.service) {
             let charged = record.batch_tokens();
-            service.queue.correct(&record.request, charged, actual);
+            service
+                .queue
+                .correct_charge(&record.request, charged, actual);
             let prompt = f64::from(record.request.prompt.tokens.max(1));
-            let uncached = prefilled(record, report);
+            let uncached = prefilled_tokens(record, report);
             service.miss_ratio.record(now, f64::from(uncached) / prompt);
         }
         let estimates = &mut self.counters.estimates;
@@ -184,7 +192,7 @@
     }
 
     fn count_finished(&mut self, now: MonotonicTime, record: &AttemptRecord, report: AnswerReport) {
-        let uncached = prefilled(record, report);
+        let uncached = prefilled_tokens(record, report);
         let prefill = &mut self.counters.prefill;
         prefill.total += u64::from(uncached);
         let late = now > record.request.deadline_at;
@@ -204,7 +212,7 @@
     }
 
     /// A byte may have left, so the request is never sent again; the shell answers its caller.
-    fn broken(
+    fn handle_broken(
         &mut self,
         now: MonotonicTime,
         key: AttemptKey,
@@ -212,7 +220,7 @@
         view: SchedulerView<'_>,
         effects: &mut EffectQueue,
     ) {
-        let Some(record) = self.release(key) else {
+        let Some(record) = self.release_attempt(key) else {
             return;
         };
         self.counters.tier(record.request.rank).broken += 1;
@@ -254,9 +262,9 @@
         };
         let members = service.members.iter();
         let states = members.filter_map(|id| self.fleet.get(*id));
-        let out = states.filter(|state| state.health.is_ejected(now)).count();
-        let allowed = (service.members.len() / EJECTED_DIVISOR).max(1);
-        out < allowed && service.members.len() > 1
+        let ejected = states.filter(|state| state.health.is_ejected(now)).count();
+        let allowed = (service.members.len() / MAX_EJECTED_DIVISOR).max(1);
+        ejected < allowed && service.members.len() > 1
     }
 }
 
@@ -266,7 +274,7 @@
 
 /// Prompt tokens that were really prefilled. An upstream that reports nothing is taken at its
 /// prediction.
-fn prefilled(record: &AttemptRecord, report: AnswerReport) -> u32 {
+fn prefilled_tokens(record: &AttemptRecord, report: AnswerReport) -> u32 {
     if report.prompt_tokens == 0 {
         return record.uncached;
     }
--- a/crates/savorywood-core/src/scheduler/fleet.rs
+++ b/crates/savorywood-core/src/scheduler/fleet.rs
@@ -13,11 +13,11 @@
 use std::{collections::BTreeMap, time::Duration};
 
 /// Load reports older than this say nothing.
-const MAX_HINT_AGE: Duration = Duration::from_secs(10);
+const MAX_LOAD_REPORT_AGE: Duration = Duration::from_secs(10);
 /// Time after which a load report counts for a third.
-const HINT_TAU: Duration = Duration::from_secs(3);
+const LOAD_REPORT_DECAY: Duration = Duration::from_secs(3);
 /// Gaps between tokens that are still no silence.
-const SILENT_GAPS: f64 = 16.0;
+const STALL_TOKEN_GAPS: f64 = 16.0;
 
 /// Short name of an upstream within one scheduler. Never used again for another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -33,7 +33,7 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct LoadHint {
+struct ReceivedLoadReport {
     report: LoadReport,
     received_at: MonotonicTime,
 }
@@ -65,13 +65,13 @@
     pub tokens_used: u64,
     /// Prompt tokens dispatched of which no first token has come.
     pub pending_prefill: u64,
-    hint: Option<LoadHint>,
+    load_report: Option<ReceivedLoadReport>,
 }
 
 impl UpstreamState {
     /// State of an upstream that has just been declared.
     #[must_use]
-    pub fn new(now: MonotonicTime, name: UpstreamName, spec: &UpstreamSpec, cold: bool) -> Self {
+    pub fn new(now: MonotonicTime, name: UpstreamName, spec: &UpstreamSpec, ramp_up: bool) -> Self {
         Self {
             name,
             service: spec.service.clone(),
@@ -80,17 +80,17 @@
             closed: false,
             leaving: false,
             limit: AdaptiveLimit::new(spec.seats, spec.batch_tokens),
-            health: UpstreamHealth::new(now, cold),
+            health: UpstreamHealth::new(now, ramp_up),
             speed: SpeedMeter::default(),
             slots_used: 0,
             tokens_used: 0,
             pending_prefill: 0,
-            hint: None,
+            load_report: None,
         }
     }
 
     /// Takes over what operators may change while it runs.
-    pub fn refresh(&mut self, spec: &UpstreamSpec, zone: &ZoneName) {
+    pub fn apply_spec(&mut self, spec: &UpstreamSpec, zone: &ZoneName) {
         self.version.clone_from(&spec.version);
         self.local = spec.zone == *zone;
         self.closed = spec.draining;
@@ -101,7 +101,7 @@
     pub fn allowance(&self, now: MonotonicTime, grant: Option<&SlotGrant>) -> WorkAllowance {
         let limit = self.limit.slots();
         let granted = grant.map_or(limit, |grant| grant.slots.min(limit));
-        let share = self.health.share(now);
+        let share = self.health.capacity_fraction(now);
         if self.closed || self.leaving || granted == 0 || share <= 0.0 {
             return WorkAllowance::default();
         }
@@ -123,8 +123,8 @@
         if self.slots_used == 0 {
             return false;
         }
-        let first = speed.first_token(self.pending_prefill as f64);
-        let usual = Duration::from_secs_f64(first + speed.gap * SILENT_GAPS);
+        let first = speed.first_token_seconds(self.pending_prefill as f64);
+        let usual = Duration::from_secs_f64(first + speed.gap * STALL_TOKEN_GAPS);
         self.health.is_stalled(now, usual)
     }
 
@@ -137,7 +137,7 @@
 
     /// Notes a load report.
     pub fn record_load(&mut self, now: MonotonicTime, report: LoadReport) {
-        self.hint = Some(LoadHint {
+        self.load_report = Some(ReceivedLoadReport {
             report,
             received_at: now,
         });
@@ -145,16 +145,16 @@
 
     /// Requests that are said to wait inside the engine; old reports count for less.
     #[must_use]
-    pub fn waiting_hint(&self, now: MonotonicTime) -> f64 {
-        let Some(hint) = self.hint else {
+    pub fn reported_waiting(&self, now: MonotonicTime) -> f64 {
+        let Some(load_report) = self.load_report else {
             return 0.0;
         };
-        let age = now.since(hint.received_at) + hint.report.age;
-        if age > MAX_HINT_AGE {
+        let age = now.since(load_report.received_at) + load_report.report.age;
+        if age > MAX_LOAD_REPORT_AGE {
             return 0.0;
         }
-        let weight = (-age.as_secs_f64() / HINT_TAU.as_secs_f64()).exp();
-        f64::from(hint.report.waiting) * weight
+        let weight = (-age.as_secs_f64() / LOAD_REPORT_DECAY.as_secs_f64()).exp();
+        f64::from(load_report.report.waiting) * weight
     }
 }
 
@@ -201,24 +201,24 @@
     /// Closes the upstreams that `keep` does not know any more, and forgets those of them that
     /// have no work. Gives the forgotten ones.
     pub fn retire(&mut self, keep: impl Fn(&UpstreamState) -> bool) -> Vec<UpstreamId> {
-        let mut gone = Vec::new();
+        let mut removed = Vec::new();
         for (id, state) in &mut self.states {
             if keep(state) {
                 continue;
             }
             state.closed = true;
             if state.slots_used == 0 {
-                gone.push(*id);
+                removed.push(*id);
             }
         }
-        for id in &gone {
+        for id in &removed {
             if let Some(state) = self.states.remove(id)
                 && self.ids.get(&state.name) == Some(id)
             {
                 self.ids.remove(&state.name);
             }
         }
-        gone
+        removed
     }
 
     /// Lets another upstream of the same name be declared while the old one's work ends.
--- a/crates/savorywood-core/src/scheduler/limit.rs
+++ b/crates/savorywood-core/src/scheduler/limit.rs
@@ -9,34 +9,34 @@
 use std::time::Duration;
 
 /// Shortest time between two verdicts of a kind: a cut must show its effect before the next.
-const WINDOW_TIME: Duration = Duration::from_millis(1_000);
+const MIN_WINDOW: Duration = Duration::from_millis(1_000);
 /// First tokens that a verdict needs.
-const WINDOW_FIRST_TOKENS: u32 = 4;
+const MIN_FIRST_TOKEN_SAMPLES: u32 = 4;
 /// Gaps that a verdict needs.
-const WINDOW_GAPS: u32 = 32;
+const MIN_GAP_SAMPLES: u32 = 32;
 /// A first token this many times slower than the engine's best is a sign of a queue inside it.
-const STRETCH_LIMIT: f64 = 3.0;
+const CONGESTED_SLOWDOWN: f64 = 3.0;
 /// Least share kept in one cut. One window may be unlucky.
-const MIN_CUT: f64 = 0.8;
+const MIN_CUT_FACTOR: f64 = 0.8;
 /// Congestion below which a limit that is in full use grows. Between this and one it stays,
 /// which is what keeps it from swinging.
-const GROW_BELOW: f64 = 0.7;
+const MAX_GROWTH_CONGESTION: f64 = 0.7;
 /// Growth of a limit in full use, as a share.
-const GROW_SHARE: f64 = 0.06;
+const GROWTH_FRACTION: f64 = 0.06;
 /// The same before the first cut, while the declared figure may be far too low.
-const SEARCH_SHARE: f64 = 0.25;
+const SLOW_START_GROWTH_FRACTION: f64 = 0.25;
 /// Use of the allowance from which the limit is taken to be what holds work back.
-const FULL_USE: f64 = 0.9;
+const FULL_USE_FRACTION: f64 = 0.9;
 /// Share of the declared seats under which slow tokens alone don't cut the limit: an engine of
 /// an old generation may miss the objective with an empty batch too.
-const GAP_CUT_FLOOR: f64 = 0.5;
+const MIN_GAP_CUT_FRACTION: f64 = 0.5;
 /// A limit never grows beyond this many times the declared figure, nor falls below its inverse.
-const MAX_GROWTH: f64 = 8.0;
+const MAX_GROWTH_FACTOR: f64 = 8.0;
 /// Time over which the best first-token time is forgotten: the best of a cool hour must not be
 /// the measure of a hot one, and a queue must not become the measure before it was cut away.
-const BEST_TAU: Duration = Duration::from_secs(60);
+const BASELINE_DECAY: Duration = Duration::from_secs(60);
 /// Tokens that the fixed part of a first token is worth, to compare prompts of all lengths.
-const OVERHEAD_TOKENS: f64 = 512.0;
+const FIXED_OVERHEAD_TOKENS: f64 = 512.0;
 
 /// Latency targets of the service.
 #[derive(Debug, Clone, Copy)]
@@ -62,12 +62,12 @@
     started_at: MonotonicTime,
     count: u32,
     seconds: f64,
-    stretch: f64,
+    slowdown: f64,
 }
 
 impl LatencyWindow {
-    fn is_full(&self, now: MonotonicTime, enough: u32) -> bool {
-        self.count >= enough && now.since(self.started_at) >= WINDOW_TIME
+    fn is_complete(&self, now: MonotonicTime, min_samples: u32) -> bool {
+        self.count >= min_samples && now.since(self.started_at) >= MIN_WINDOW
     }
 
     fn take(&mut self, now: MonotonicTime) -> Self {
@@ -85,21 +85,21 @@
 
 /// Shortest recent first-token time, relative to what was to be prefilled.
 #[derive(Debug, Clone, Copy, Default)]
-struct BestTime {
+struct LatencyBaseline {
     ratio: Option<f64>,
     updated_at: MonotonicTime,
 }
 
-impl BestTime {
+impl LatencyBaseline {
     /// Says how many times longer than the best a sample took.
-    fn stretch(&mut self, now: MonotonicTime, sample: f64) -> f64 {
-        let best = self.ratio.unwrap_or(sample);
+    fn slowdown(&mut self, now: MonotonicTime, sample: f64) -> f64 {
+        let baseline = self.ratio.unwrap_or(sample);
         let age = now.since(self.updated_at).as_secs_f64();
-        let forgotten = 1.0 - (-age / BEST_TAU.as_secs_f64()).exp();
-        let next = if sample < best {
-            (best + sample) / 2.0
+        let decayed = 1.0 - (-age / BASELINE_DECAY.as_secs_f64()).exp();
+        let next = if sample < baseline {
+            (baseline + sample) / 2.0
         } else {
-            best + forgotten * (sample - best).min(best)
+            baseline + decayed * (sample - baseline).min(baseline)
         };
         self.ratio = Some(next);
         self.updated_at = now;
@@ -115,10 +115,10 @@
     slots: f64,
     tokens: f64,
     peak: LimitUse,
-    firsts: LatencyWindow,
+    first_tokens: LatencyWindow,
     gaps: LatencyWindow,
-    best: BestTime,
-    searching: bool,
+    baseline: LatencyBaseline,
+    slow_start: bool,
 }
 
 impl AdaptiveLimit {
@@ -136,10 +136,10 @@
                 slots: 0.0,
                 tokens: 0.0,
             },
-            firsts: LatencyWindow::default(),
+            first_tokens: LatencyWindow::default(),
             gaps: LatencyWindow::default(),
-            best: BestTime::default(),
-            searching: true,
+            baseline: LatencyBaseline::default(),
+            slow_start: true,
         }
     }
 
@@ -164,10 +164,10 @@
     /// Notes a first token.
     pub fn record_first_token(&mut self, now: MonotonicTime, took: Duration, uncached: u32) {
         let took = took.as_secs_f64();
-        let ratio = took / (f64::from(uncached) + OVERHEAD_TOKENS);
-        self.firsts.count += 1;
-        self.firsts.seconds += took;
-        self.firsts.stretch += self.best.stretch(now, ratio);
+        let ratio = took / (f64::from(uncached) + FIXED_OVERHEAD_TOKENS);
+        self.first_tokens.count += 1;
+        self.first_tokens.seconds += took;
+        self.first_tokens.slowdown += self.baseline.slowdown(now, ratio);
     }
 
     /// Notes tokens after the first.
@@ -178,21 +178,21 @@
 
     /// Changes the limit if there is enough evidence.
     pub fn adjust(&mut self, now: MonotonicTime, targets: LatencyTargets) {
-        if self.gaps.is_full(now, WINDOW_GAPS) {
+        if self.gaps.is_complete(now, MIN_GAP_SAMPLES) {
             let gap = self.gaps.take(now).mean();
-            let floor = self.declared_slots * GAP_CUT_FLOOR;
+            let floor = self.declared_slots * MIN_GAP_CUT_FRACTION;
             if gap > targets.gap && self.slots > floor {
                 self.cut(targets.gap / gap);
             }
         }
-        if self.firsts.is_full(now, WINDOW_FIRST_TOKENS) {
-            let window = self.firsts.take(now);
-            let stretch = window.stretch / f64::from(window.count) / STRETCH_LIMIT;
+        if self.first_tokens.is_complete(now, MIN_FIRST_TOKEN_SAMPLES) {
+            let window = self.first_tokens.take(now);
+            let slowdown = window.slowdown / f64::from(window.count) / CONGESTED_SLOWDOWN;
             // A first token far within the objective is no trouble, however good the best was.
-            let congestion = stretch.min(2.0 * window.mean() / targets.first_token);
+            let congestion = slowdown.min(2.0 * window.mean() / targets.first_token);
             if congestion > 1.0 {
                 self.cut(1.0 / congestion);
-            } else if congestion < GROW_BELOW {
+            } else if congestion < MAX_GROWTH_CONGESTION {
                 self.grow();
             }
             self.peak = LimitUse {
@@ -203,29 +203,29 @@
     }
 
     fn cut(&mut self, factor: f64) {
-        self.searching = false;
-        let factor = factor.max(MIN_CUT);
+        self.slow_start = false;
+        let factor = factor.max(MIN_CUT_FACTOR);
         if self.peak.slots >= self.peak.tokens {
             self.slots = (self.slots * factor).max(1.0);
         } else {
-            let least = self.declared_tokens / MAX_GROWTH;
-            self.tokens = (self.tokens * factor).max(least);
+            let min = self.declared_tokens / MAX_GROWTH_FACTOR;
+            self.tokens = (self.tokens * factor).max(min);
         }
     }
 
     fn grow(&mut self) {
-        let share = if self.searching {
-            SEARCH_SHARE
+        let growth = if self.slow_start {
+            SLOW_START_GROWTH_FRACTION
         } else {
-            GROW_SHARE
+            GROWTH_FRACTION
         };
-        if self.peak.slots >= FULL_USE {
-            let most = self.declared_slots * MAX_GROWTH;
-            self.slots = (self.slots + (self.slots * share).max(0.5)).min(most);
+        if self.peak.slots >= FULL_USE_FRACTION {
+            let max = self.declared_slots * MAX_GROWTH_FACTOR;
+            self.slots = (self.slots + (self.slots * growth).max(0.5)).min(max);
         }
-        if self.peak.tokens >= FULL_USE {
-            let most = self.declared_tokens * MAX_GROWTH;
-            self.tokens = (self.tokens * (1.0 + share)).min(most);
+        if self.peak.tokens >= FULL_USE_FRACTION {
+            let max = self.declared_tokens * MAX_GROWTH_FACTOR;
+            self.tokens = (self.tokens * (1.0 + growth)).min(max);
         }
     }
 }
--- a/crates/savorywood-core/src/scheduler/limit/tests.rs
+++ b/crates/savorywood-core/src/scheduler/limit/tests.rs
@@ -11,14 +11,14 @@
 
 /// An engine of which all is known.
 #[derive(Debug, Clone, Copy)]
-struct PlainEngine {
+struct SimulatedEngine {
     slots: f64,
     step: f64,
     per_sequence: f64,
     slowdown: f64,
 }
 
-impl PlainEngine {
+impl SimulatedEngine {
     fn gap(&self, batch: f64) -> f64 {
         (self.step + self.per_sequence * batch.min(self.slots)) * self.slowdown
     }
@@ -32,7 +32,12 @@
 }
 
 /// Lets the limit be in full use for some seconds; gives its seats second by second.
-fn run(limit: &mut AdaptiveLimit, engine: PlainEngine, from: u64, seconds: u64) -> Vec<u32> {
+fn run_at_full_use(
+    limit: &mut AdaptiveLimit,
+    engine: SimulatedEngine,
+    from: u64,
+    seconds: u64,
+) -> Vec<u32> {
     let mut slots = Vec::new();
     for second in from..from + seconds {
         for part in 0..4 {
@@ -54,7 +59,7 @@
     slots
 }
 
-const ENGINE: PlainEngine = PlainEngine {
+const ENGINE: SimulatedEngine = SimulatedEngine {
     slots: 40.0,
     step: 0.02,
     per_sequence: 0.0008,
@@ -64,45 +69,55 @@
 /// The declared seats are a fifth of what the engine holds. If the limit stayed there, four
 /// fifths of the accelerator would stand idle while callers are refused.
 #[test]
-fn limit_finds_the_batch_of_the_engine() {
+fn limit_converges_to_the_batch_size_of_the_engine() {
     let mut limit = AdaptiveLimit::new(8, 65_536);
-    let slots = run(&mut limit, ENGINE, 0, 120);
+    let slots = run_at_full_use(&mut limit, ENGINE, 0, 120);
     let settled = &slots[60..];
-    let least = settled.iter().min().copied().unwrap();
-    let most = settled.iter().max().copied().unwrap();
-    assert!(least >= 30 && most <= 52, "between {least} and {most}");
+    let min = settled.iter().min().copied().unwrap();
+    let max = settled.iter().max().copied().unwrap();
+    assert!(min >= 30 && max <= 52, "between {min} and {max} slots");
 }
 
 /// On a hot afternoon the engine takes twice as long for everything. Tokens come too slowly with
 /// a full batch then; a limit that did not follow would make every answer late, one that swung
 /// would make some late and leave seats empty in turn.
 #[test]
-fn limit_follows_heat_without_swinging_and_recovers() {
+fn limit_follows_a_slowdown_without_oscillating_and_recovers() {
     let mut limit = AdaptiveLimit::new(16, 65_536);
-    run(&mut limit, ENGINE, 0, 60);
-    let hot = PlainEngine {
+    run_at_full_use(&mut limit, ENGINE, 0, 60);
+    let slowed_engine = SimulatedEngine {
         slowdown: 2.0,
         ..ENGINE
     };
-    let heated = run(&mut limit, hot, 60, 90);
-    let settled = &heated[30..];
-    let gap = hot.gap(f64::from(*settled.iter().max().unwrap()));
-    assert!(gap < 0.079 * 1.15, "{gap} s between tokens in the heat");
-    let swing = settled.iter().max().unwrap() - settled.iter().min().unwrap();
-    assert!(swing <= 8, "swings by {swing} seats: {settled:?}");
-    let cooled = run(&mut limit, ENGINE, 150, 90);
-    assert!(cooled[80] >= 30, "only {} seats again", cooled[80]);
+    let slowed = run_at_full_use(&mut limit, slowed_engine, 60, 90);
+    let settled = &slowed[30..];
+    let gap = slowed_engine.gap(f64::from(*settled.iter().max().unwrap()));
+    assert!(
+        gap < 0.079 * 1.15,
+        "{gap} s between tokens during the slowdown"
+    );
+    let oscillation = settled.iter().max().unwrap() - settled.iter().min().unwrap();
+    assert!(
+        oscillation <= 8,
+        "varies by {oscillation} slots: {settled:?}"
+    );
+    let recovered = run_at_full_use(&mut limit, ENGINE, 150, 90);
+    assert!(
+        recovered[80] >= 30,
+        "only {} slots after recovery",
+        recovered[80]
+    );
 }
 
 /// An engine of the oldest generation misses the objective between tokens with any batch. Cutting
 /// further would not make its tokens faster and would waste it.
 #[test]
-fn slow_engine_keeps_half_of_its_declared_seats() {
+fn slow_engine_keeps_half_of_its_declared_slots() {
     let mut limit = AdaptiveLimit::new(16, 65_536);
-    let old = PlainEngine {
+    let slow_engine = SimulatedEngine {
         step: 0.09,
         ..ENGINE
     };
-    let slots = run(&mut limit, old, 0, 120);
-    assert!(slots[110] >= 7, "{} seats", slots[110]);
+    let slots = run_at_full_use(&mut limit, slow_engine, 0, 120);
+    assert!(slots[110] >= 7, "{} slots", slots[110]);
 }
--- a/crates/savorywood-core/src/scheduler/prefix.rs
+++ b/crates/savorywood-core/src/scheduler/prefix.rs
@@ -15,23 +15,23 @@
 /// Prefixes known at most.
 const MAX_PREFIXES: usize = 262_144;
 /// Of the blocks that events tell of, one in two to this power is kept at least.
-const MAX_THINNING: u32 = 4;
+const MAX_SAMPLING_SHIFT: u32 = 4;
 /// Upstreams remembered for a prefix.
 const MAX_HOLDERS: usize = 16;
 /// Positions of a prompt looked at for each doubling of the length.
 const POSITIONS_PER_OCTAVE: f64 = 4.0;
 /// Cache events may be this late. One that is older than a dispatch of ours by less says nothing
 /// of what the dispatch stored.
-const EVENT_LAG: Duration = Duration::from_secs(10);
+const MAX_EVENT_LAG: Duration = Duration::from_secs(10);
 /// Weight of a match that a gap in the events has made unsure.
-const UNSURE_WEIGHT: f64 = 0.7;
+const UNCONFIRMED_WEIGHT: f64 = 0.7;
 /// Knowledge that nothing has confirmed for this long is dropped.
-const MAX_AGE: Duration = Duration::from_secs(600);
+const MAX_ENTRY_AGE: Duration = Duration::from_secs(600);
 
 #[derive(Debug, Clone, Copy)]
 struct PrefixHolder {
     upstream: UpstreamId,
-    seen_at: MonotonicTime,
+    last_seen_at: MonotonicTime,
     epoch: u32,
 }
 
@@ -60,7 +60,7 @@
 pub struct PrefixIndex {
     entries: BTreeMap<u64, PrefixEntry>,
     order: VecDeque<u64>,
-    thinning: u32,
+    sampling_shift: u32,
     feeds: BTreeMap<UpstreamId, EventFeed>,
 }
 
@@ -68,14 +68,14 @@
     /// Notes that an upstream is given a prompt and so will hold its prefixes.
     pub fn record_dispatch(&mut self, now: MonotonicTime, upstream: UpstreamId, hashes: &[u64]) {
         let epoch = self.epoch(upstream);
-        for index in positions(hashes.len()) {
+        for index in sampled_positions(hashes.len()) {
             let Some(hash) = hashes.get(index) else {
                 continue;
             };
             let entry = self.entry(*hash);
-            entry.hold(PrefixHolder {
+            entry.add_holder(PrefixHolder {
                 upstream,
-                seen_at: now,
+                last_seen_at: now,
                 epoch,
             });
         }
@@ -85,14 +85,14 @@
         self.feeds.get(&upstream).map_or(0, |feed| feed.epoch)
     }
 
-    fn is_kept(&self, hash: u64) -> bool {
-        self.entries.contains_key(&hash) || hash.trailing_zeros() >= self.thinning
+    fn is_sampled(&self, hash: u64) -> bool {
+        self.entries.contains_key(&hash) || hash.trailing_zeros() >= self.sampling_shift
     }
 
     fn entry(&mut self, hash: u64) -> &mut PrefixEntry {
         if !self.entries.contains_key(&hash) {
             while self.entries.len() >= MAX_PREFIXES {
-                self.make_room();
+                self.evict_oldest();
             }
             self.order.push_back(hash);
         }
@@ -100,8 +100,8 @@
     }
 
     /// Drops the oldest entries and takes in fewer new ones from now on.
-    fn make_room(&mut self) {
-        self.thinning = (self.thinning + 1).min(MAX_THINNING);
+    fn evict_oldest(&mut self) {
+        self.sampling_shift = (self.sampling_shift + 1).min(MAX_SAMPLING_SHIFT);
         for oldest in self.order.drain(..MAX_PREFIXES / 4) {
             self.entries.remove(&oldest);
         }
@@ -110,7 +110,7 @@
     /// Upstreams that hold a prefix of the prompt, longest match first.
     pub fn find(&self, now: MonotonicTime, hashes: &[u64]) -> Vec<PrefixMatch> {
         let mut matches: Vec<PrefixMatch> = Vec::new();
-        for index in positions(hashes.len()).rev() {
+        for index in sampled_positions(hashes.len()).rev() {
             let Some(entry) = hashes.get(index).and_then(|hash| self.entries.get(hash)) else {
                 continue;
             };
@@ -118,11 +118,11 @@
                 let known = matches
                     .iter()
                     .any(|found| found.upstream == holder.upstream);
-                if known || now.since(holder.seen_at) > MAX_AGE {
+                if known || now.since(holder.last_seen_at) > MAX_ENTRY_AGE {
                     continue;
                 }
-                let sure = holder.epoch == self.epoch(holder.upstream);
-                let weight = if sure { 1.0 } else { UNSURE_WEIGHT };
+                let confirmed = holder.epoch == self.epoch(holder.upstream);
+                let weight = if confirmed { 1.0 } else { UNCONFIRMED_WEIGHT };
                 let blocks = (index + 1) as f64 * weight;
                 let upstream = holder.upstream;
                 matches.push(PrefixMatch { upstream, blocks });
@@ -135,12 +135,12 @@
     }
 
     /// Longest known prefix of the prompt that some upstream holds.
-    pub fn longest_held(&self, now: MonotonicTime, hashes: &[u64]) -> Option<u64> {
-        let mut known = positions(hashes.len()).rev().filter_map(|index| {
+    pub fn longest_cached(&self, now: MonotonicTime, hashes: &[u64]) -> Option<u64> {
+        let mut known = sampled_positions(hashes.len()).rev().filter_map(|index| {
             let hash = hashes.get(index)?;
             let entry = self.entries.get(hash)?;
             let mut holders = entry.holders.iter();
-            let held = holders.any(|holder| now.since(holder.seen_at) <= MAX_AGE);
+            let held = holders.any(|holder| now.since(holder.last_seen_at) <= MAX_ENTRY_AGE);
             held.then_some(*hash)
         });
         known.next()
@@ -153,7 +153,7 @@
     }
 
     /// Whether an upstream is known to hold a prefix.
-    pub fn holds(&self, upstream: UpstreamId, hash: u64) -> bool {
+    pub fn is_cached_on(&self, upstream: UpstreamId, hash: u64) -> bool {
         let entry = self.entries.get(&hash);
         entry.is_some_and(|entry| {
             let mut holders = entry.holders.iter();
@@ -180,19 +180,19 @@
         for event in &batch.events {
             match event {
                 CacheEvent::Stored(hash) => {
-                    if !self.is_kept(*hash) {
+                    if !self.is_sampled(*hash) {
                         continue;
                     }
                     let entry = self.entry(*hash);
-                    entry.hold(PrefixHolder {
+                    entry.add_holder(PrefixHolder {
                         upstream,
-                        seen_at: now,
+                        last_seen_at: now,
                         epoch,
                     });
                 }
                 CacheEvent::Removed(hash) => {
                     if let Some(entry) = self.entries.get_mut(hash) {
-                        entry.release(now, upstream);
+                        entry.remove_holder(now, upstream);
                     }
                 }
                 CacheEvent::Cleared => self.clear(now, upstream),
@@ -202,12 +202,12 @@
 
     fn clear(&mut self, now: MonotonicTime, upstream: UpstreamId) {
         for entry in self.entries.values_mut() {
-            entry.release(now, upstream);
+            entry.remove_holder(now, upstream);
         }
     }
 
     /// Forgets an upstream that is gone.
-    pub fn forget(&mut self, upstream: UpstreamId) {
+    pub fn remove_upstream(&mut self, upstream: UpstreamId) {
         self.feeds.remove(&upstream);
         for entry in self.entries.values_mut() {
             entry.holders.retain(|holder| holder.upstream != upstream);
@@ -216,7 +216,7 @@
 }
 
 impl PrefixEntry {
-    fn hold(&mut self, holder: PrefixHolder) {
+    fn add_holder(&mut self, holder: PrefixHolder) {
         let mut holders = self.holders.iter_mut();
         if let Some(known) = holders.find(|known| known.upstream == holder.upstream) {
             *known = holder;
@@ -224,7 +224,7 @@
         }
         if self.holders.len() >= MAX_HOLDERS {
             let oldest = self.holders.iter().enumerate();
-            let oldest = oldest.min_by_key(|(_, known)| known.seen_at);
+            let oldest = oldest.min_by_key(|(_, known)| known.last_seen_at);
             if let Some((index, _)) = oldest {
                 self.holders.swap_remove(index);
             }
@@ -232,16 +232,16 @@
         self.holders.push(holder);
     }
 
-    fn release(&mut self, now: MonotonicTime, upstream: UpstreamId) {
+    fn remove_holder(&mut self, now: MonotonicTime, upstream: UpstreamId) {
         self.holders.retain(|holder| {
-            let newer = now.since(holder.seen_at) < EVENT_LAG;
+            let newer = now.since(holder.last_seen_at) < MAX_EVENT_LAG;
             holder.upstream != upstream || newer
         });
     }
 }
 
 /// Positions of a prompt at which its prefixes are known: all short ones, then ever fewer.
-fn positions(blocks: usize) -> impl DoubleEndedIterator<Item = usize> {
+fn sampled_positions(blocks: usize) -> impl DoubleEndedIterator<Item = usize> {
     let octaves = (blocks.max(1) as f64).log2() * POSITIONS_PER_OCTAVE;
     let steps = 0..=(octaves as usize);
     let lengths = steps.map(|step| (step as f64 / POSITIONS_PER_OCTAVE).exp2() as usize);
--- a/crates/savorywood-core/src/scheduler/pressure.rs
+++ b/crates/savorywood-core/src/scheduler/pressure.rs
@@ -7,11 +7,11 @@
 use std::{collections::BTreeMap, time::Duration};
 
 /// What waits is counted again after this long.
-const COUNT_EVERY: Duration = Duration::from_millis(90);
+const DEMAND_COUNT_INTERVAL: Duration = Duration::from_millis(90);
 /// Waiting requests looked at in one count.
-const MAX_SAMPLE: usize = 128;
+const MAX_SAMPLED_REQUESTS: usize = 128;
 /// A tier counts as being shed for this long after a refusal for load.
-const SHED_MEMORY: Duration = Duration::from_secs(1);
+const SHEDDING_WINDOW: Duration = Duration::from_secs(1);
 
 /// How pressed a service is at this daemon.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -70,14 +70,14 @@
             return;
         };
         let counted = service.demand.counted_at;
-        if counted.is_some_and(|at| now.since(at) < COUNT_EVERY) {
+        if counted.is_some_and(|at| now.since(at) < DEMAND_COUNT_INTERVAL) {
             return;
         }
         let mut demand = SlotDemand {
             counted_at: Some(now),
             ..SlotDemand::default()
         };
-        let sampled = service.queue.len().min(MAX_SAMPLE);
+        let sampled = service.queue.len().min(MAX_SAMPLED_REQUESTS);
         let weight = service.queue.len() as f64 / sampled.max(1) as f64;
         for waiting in service.queue.front(ScanLimit::UNLIMITED).take(sampled) {
             let rank = waiting.request.rank;
@@ -89,10 +89,10 @@
             if holders.is_empty() {
                 *demand.anywhere.entry(rank).or_default() += weight;
             }
-            let share = weight / holders.len().max(1) as f64;
+            let per_holder = weight / holders.len().max(1) as f64;
             for holder in holders {
                 let tiers = demand.on_holders.entry(holder).or_default();
-                *tiers.entry(rank).or_default() += share;
+                *tiers.entry(rank).or_default() += per_holder;
             }
         }
         if let Some(service) = self.services.get_mut(name) {
@@ -122,7 +122,7 @@
                 seats: u32::try_from(count).unwrap_or(u32::MAX),
             });
         let mut shed = state.last_shed_at.iter();
-        let shedding = shed.find(|(_, at)| now.since(**at) < SHED_MEMORY);
+        let shedding = shed.find(|(_, at)| now.since(**at) < SHEDDING_WINDOW);
         ServicePressure {
             waiting: waiting.collect(),
             shedding: shedding.map(|(rank, _)| *rank),
--- a/crates/savorywood-core/src/scheduler/queue.rs
+++ b/crates/savorywood-core/src/scheduler/queue.rs
@@ -45,7 +45,7 @@
 
 /// Where a request waits.
 #[derive(Debug, Clone, Copy)]
-struct WaitingPlace {
+struct QueuePosition {
     rank: TierRank,
     sequence: u64,
 }
@@ -81,7 +81,7 @@
 pub struct RequestQueue {
     order: QueueOrder,
     tiers: BTreeMap<TierRank, FairQueue>,
-    places: BTreeMap<RequestId, WaitingPlace>,
+    positions: BTreeMap<RequestId, QueuePosition>,
     next_sequence: u64,
 }
 
@@ -92,7 +92,7 @@
         Self {
             order,
             tiers: BTreeMap::new(),
-            places: BTreeMap::new(),
+            positions: BTreeMap::new(),
             next_sequence: 0,
         }
     }
@@ -100,13 +100,13 @@
     /// Requests that wait.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.positions.len()
     }
 
     /// Whether none waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.positions.is_empty()
     }
 
     fn queue_rank(&self, rank: TierRank) -> TierRank {
@@ -126,8 +126,8 @@
         let rank = self.queue_rank(waiting.request.rank);
         let sequence = self.next_sequence;
         self.next_sequence += 1;
-        let place = WaitingPlace { rank, sequence };
-        self.places.insert(waiting.request.request, place);
+        let position = QueuePosition { rank, sequence };
+        self.positions.insert(waiting.request.request, position);
         let lane = self.lane_key(&waiting);
         let tier = self.tiers.entry(rank).or_default();
         tier.push(lane, sequence, waiting);
@@ -146,22 +146,24 @@
 
     /// Takes a request out to dispatch it: its team is charged.
     pub fn take(&mut self, request: RequestId) -> Option<WaitingRequest> {
-        let place = self.places.remove(&request)?;
-        self.tiers.get_mut(&place.rank)?.take(place.sequence)
+        let position = self.positions.remove(&request)?;
+        self.tiers.get_mut(&position.rank)?.take(position.sequence)
     }
 
     /// Takes a request out without a charge.
     pub fn remove(&mut self, request: RequestId) -> Option<WaitingRequest> {
-        let place = self.places.remove(&request)?;
-        self.tiers.get_mut(&place.rank)?.remove(place.sequence)
+        let position = self.positions.remove(&request)?;
+        self.tiers
+            .get_mut(&position.rank)?
+            .remove(position.sequence)
     }
 
     /// Corrects the charge of a team once the real size of a request is known.
-    pub fn correct(&mut self, request: &QueuedRequest, charged: u64, actual: u64) {
+    pub fn correct_charge(&mut self, request: &QueuedRequest, charged: u64, actual: u64) {
         let rank = self.queue_rank(request.rank);
         let lane = self.order.fair.then(|| request.team.clone());
         if let Some(tier) = self.tiers.get_mut(&rank) {
-            tier.correct(&lane, request.weight, charged, actual);
+            tier.correct_charge(&lane, request.weight, charged, actual);
         }
     }
 
--- a/crates/savorywood-core/src/scheduler/queue/fair.rs
+++ b/crates/savorywood-core/src/scheduler/queue/fair.rs
@@ -24,7 +24,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-struct LaneTurn {
+struct LaneTag {
     tag: u64,
     lane: LaneKey,
 }
@@ -33,8 +33,8 @@
 #[derive(Debug, Default)]
 pub struct FairQueue {
     lanes: BTreeMap<LaneKey, TeamLane>,
-    turns: BTreeSet<LaneTurn>,
-    idle: BTreeSet<LaneTurn>,
+    active: BTreeSet<LaneTag>,
+    idle: BTreeSet<LaneTag>,
     order: BTreeMap<u64, LaneKey>,
     virtual_time: u64,
     active_weight: u64,
@@ -63,14 +63,14 @@
         if lane.waiting.is_empty() {
             let tag = lane.tag;
             let lane_key = key.clone();
-            self.idle.remove(&LaneTurn {
+            self.idle.remove(&LaneTag {
                 tag,
                 lane: lane_key,
             });
             lane.tag = tag.max(self.virtual_time);
             lane.weight = u64::from(waiting.request.weight.max(1));
             self.active_weight += lane.weight;
-            self.turns.insert(LaneTurn {
+            self.active.insert(LaneTag {
                 tag: lane.tag,
                 lane: key.clone(),
             });
@@ -83,19 +83,19 @@
 
     /// First request of each lane, next lane first.
     pub fn heads(&self) -> impl Iterator<Item = &WaitingRequest> {
-        self.turns.iter().filter_map(|turn| {
-            let lane = self.lanes.get(&turn.lane)?;
+        self.active.iter().filter_map(|lane_tag| {
+            let lane = self.lanes.get(&lane_tag.lane)?;
             lane.waiting.values().next()
         })
     }
 
     /// First few requests of each lane, next lane first.
-    pub fn front(&self, of_each: usize) -> impl Iterator<Item = &WaitingRequest> {
+    pub fn front(&self, per_lane: usize) -> impl Iterator<Item = &WaitingRequest> {
         let lanes = self
-            .turns
+            .active
             .iter()
-            .filter_map(|turn| self.lanes.get(&turn.lane));
-        lanes.flat_map(move |lane| lane.waiting.values().take(of_each))
+            .filter_map(|lane_tag| self.lanes.get(&lane_tag.lane));
+        lanes.flat_map(move |lane| lane.waiting.values().take(per_lane))
     }
 
     /// Newest request of the tier.
@@ -107,21 +107,21 @@
 
     /// Takes a request out and charges its team.
     pub fn take(&mut self, sequence: u64) -> Option<WaitingRequest> {
-        let tag = self.tag_of(sequence)?;
+        let tag = self.current_tag(sequence)?;
         self.virtual_time = self.virtual_time.max(tag);
         let taken = self.detach(sequence, true);
-        self.forget_idle();
+        self.discard_idle_lanes();
         taken
     }
 
     /// Takes a request out without a charge.
     pub fn remove(&mut self, sequence: u64) -> Option<WaitingRequest> {
         let removed = self.detach(sequence, false);
-        self.forget_idle();
+        self.discard_idle_lanes();
         removed
     }
 
-    fn tag_of(&self, sequence: u64) -> Option<u64> {
+    fn current_tag(&self, sequence: u64) -> Option<u64> {
         let key = self.order.get(&sequence)?;
         self.lanes.get(key).map(|lane| lane.tag)
     }
@@ -132,58 +132,59 @@
         let waiting = lane.waiting.remove(&sequence)?;
         self.work -= waiting.slot_micros;
         lane.work -= waiting.slot_micros;
-        let mut turn = LaneTurn {
+        let mut lane_tag = LaneTag {
             tag: lane.tag,
             lane: key,
         };
-        self.turns.remove(&turn);
+        self.active.remove(&lane_tag);
         if charge {
-            lane.tag += scaled(waiting.estimate.batch_tokens(), lane.weight);
+            lane.tag += virtual_cost(waiting.estimate.batch_tokens(), lane.weight);
         }
-        turn.tag = lane.tag;
+        lane_tag.tag = lane.tag;
         if lane.waiting.is_empty() {
             self.active_weight -= lane.weight;
-            self.idle.insert(turn);
+            self.idle.insert(lane_tag);
         } else {
-            self.turns.insert(turn);
+            self.active.insert(lane_tag);
         }
         Some(waiting)
     }
 
     /// Corrects what a team was charged. A lane that is forgotten has nothing to correct.
-    pub fn correct(&mut self, key: &LaneKey, weight: u32, charged: u64, actual: u64) {
+    pub fn correct_charge(&mut self, key: &LaneKey, weight: u32, charged: u64, actual: u64) {
         let Some(lane) = self.lanes.get_mut(key) else {
             return;
         };
         let weight = u64::from(weight.max(1));
-        let mut turn = LaneTurn {
+        let mut lane_tag = LaneTag {
             tag: lane.tag,
             lane: key.clone(),
         };
         let set = if lane.waiting.is_empty() {
             &mut self.idle
         } else {
-            &mut self.turns
+            &mut self.active
         };
-        set.remove(&turn);
-        let tag = (lane.tag + scaled(actual, weight)).saturating_sub(scaled(charged, weight));
+        set.remove(&lane_tag);
+        let tag =
+            (lane.tag + virtual_cost(actual, weight)).saturating_sub(virtual_cost(charged, weight));
         lane.tag = tag.max(self.virtual_time);
-        turn.tag = lane.tag;
-        set.insert(turn);
+        lane_tag.tag = lane.tag;
+        set.insert(lane_tag);
     }
 
-    fn forget_idle(&mut self) {
+    fn discard_idle_lanes(&mut self) {
         if self.order.is_empty() {
             // With nobody waiting there is no competition to remember shares of.
             self.idle.clear();
             self.lanes.clear();
             return;
         }
-        while let Some(turn) = self.idle.first()
-            && turn.tag <= self.virtual_time
+        while let Some(lane_tag) = self.idle.first()
+            && lane_tag.tag <= self.virtual_time
         {
-            if let Some(turn) = self.idle.pop_first() {
-                self.lanes.remove(&turn.lane);
+            if let Some(lane_tag) = self.idle.pop_first() {
+                self.lanes.remove(&lane_tag.lane);
             }
         }
     }
@@ -201,6 +202,6 @@
     }
 }
 
-fn scaled(tokens: u64, weight: u64) -> u64 {
+fn virtual_cost(tokens: u64, weight: u64) -> u64 {
     (tokens * TAG_SCALE / weight).max(1)
 }
--- a/crates/savorywood-core/src/scheduler/routing.rs
+++ b/crates/savorywood-core/src/scheduler/routing.rs
@@ -16,17 +16,17 @@
 /// more find the faster generations.
 const SAMPLE_SIZE: usize = 6;
 /// Services with no more upstreams than this have all of them compared.
-const COMPARE_ALL: usize = 16;
+const MAX_FULL_COMPARISON: usize = 16;
 
 /// Why no upstream was found.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PickFailure {
     /// None has room.
-    Full,
+    NoCapacity,
     /// Only upstreams of the version whose turn it is not have room.
-    OtherVersion,
+    WrongVersion,
     /// Only upstreams have room that do not hold its prefix, and it can wait for one that does.
-    HeldElsewhere,
+    CachedElsewhere,
     /// Only upstreams have room on which it would be late, and it can wait for a faster one.
     TooSlow,
 }
@@ -49,9 +49,9 @@
 
 /// Numbers for one choice, drawn from one number of the scheduler's generator.
 #[derive(Debug, Clone, Copy)]
-pub struct SampleDraw(pub u64);
+pub struct SampleRng(pub u64);
 
-impl SampleDraw {
+impl SampleRng {
     /// A number below `bound`; zero when that is zero.
     fn below(&mut self, bound: usize) -> usize {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
@@ -67,11 +67,11 @@
     view: SchedulerView<'a>,
     waiting: &'a WaitingRequest,
     objectives: ServiceObjectives,
-    usual: SpeedEstimate,
+    typical_speed: SpeedEstimate,
     fastest_gap: f64,
     matches: Vec<PrefixMatch>,
     check_stalls: bool,
-    wanted: WantedVersion<'a>,
+    version: VersionConstraint<'a>,
 }
 
 /// Share of all traffic, in thousandths.
@@ -79,7 +79,7 @@
 
 /// Versions that may get a request.
 #[derive(Debug, Clone, Copy)]
-enum WantedVersion<'a> {
+enum VersionConstraint<'a> {
     /// Any.
     Any,
     /// One.
@@ -88,7 +88,7 @@
     Side(&'a VersionSplit, SplitSide),
 }
 
-impl WantedVersion<'_> {
+impl VersionConstraint<'_> {
     /// Says under which side of a split a version may get the request, if it may.
     fn allows(self, version: &VersionName) -> Result<Option<SplitSide>, PickFailure> {
         match self {
@@ -98,35 +98,38 @@
             // A completed move leaves nothing to the old version. Without this rule a prompt whose
             // prefix the old one still cached went there for as long as the move was declared.
             Self::Side(split, _) if *version == split.old && split.new_per_mille >= ALL_TRAFFIC => {
-                Err(PickFailure::OtherVersion)
+                Err(PickFailure::WrongVersion)
             }
             // The new version may be full while its turn is: the old one then helps out, and the
             // share is made up for later. Never the other way round: the share is a bound.
             Self::Side(split, _) if *version == split.old => Ok(Some(SplitSide::Old)),
             Self::Side(split, SplitSide::Old) if *version == split.new => {
-                Err(PickFailure::OtherVersion)
+                Err(PickFailure::WrongVersion)
             }
-            Self::Only(_) | Self::Side(..) => Err(PickFailure::Full),
+            Self::Only(_) | Self::Side(..) => Err(PickFailure::NoCapacity),
         }
     }
 
     fn prefers(self, side: Option<SplitSide>) -> bool {
         match self {
             Self::Any | Self::Only(_) => true,
-            Self::Side(_, wanted) => side == Some(wanted),
+            Self::Side(_, preferred) => side == Some(preferred),
         }
     }
 }
 
 impl PickContext<'_> {
     /// Keeps a request for a while for an upstream that holds its prefix, unless this one does.
-    fn keep_for_holder(&self, picked: PickedUpstream) -> Result<PickedUpstream, PickFailure> {
+    fn wait_for_cached_prefix(
+        &self,
+        picked: PickedUpstream,
+    ) -> Result<PickedUpstream, PickFailure> {
         let prompt = self.waiting.request.prompt.tokens;
         let cached = prompt - picked.uncached;
         let missed = picked.cached_elsewhere.saturating_sub(cached);
         let large = missed > 0 && missed >= prompt / 4;
         if large && self.now < self.waiting.affinity_wait_until {
-            return Err(PickFailure::HeldElsewhere);
+            return Err(PickFailure::CachedElsewhere);
         }
         Ok(picked)
     }
@@ -139,30 +142,30 @@
         now: MonotonicTime,
         waiting: &WaitingRequest,
         view: SchedulerView<'_>,
-        mut draw: SampleDraw,
+        mut sample_rng: SampleRng,
     ) -> Result<PickedUpstream, PickFailure> {
         let name = &waiting.request.service;
         let Some(service) = self.services.get(name) else {
-            return Err(PickFailure::Full);
+            return Err(PickFailure::NoCapacity);
         };
-        let sample = sample_members(service, &mut draw);
+        let sample = sample_members(service, &mut sample_rng);
         let context = self.context(now, name, service, waiting, view);
         let holders = context.matches.iter().map(|found| found.upstream);
         let compared = self.best_of(&context, sample.into_iter().chain(holders));
-        let compared = compared.and_then(|picked| context.keep_for_holder(picked));
-        if compared.is_ok() || service.members.len() <= COMPARE_ALL {
+        let compared = compared.and_then(|picked| context.wait_for_cached_prefix(picked));
+        if compared.is_ok() || service.members.len() <= MAX_FULL_COMPARISON {
             return compared;
         }
         // None of the sample has room: look at all, beginning anywhere.
-        let offset = draw.below(service.members.len());
+        let offset = sample_rng.below(service.members.len());
         let (front, back) = service.members.split_at(offset);
         let all = back.iter().chain(front).copied();
-        let mut found = Err(compared.err().unwrap_or(PickFailure::Full));
+        let mut found = Err(compared.err().unwrap_or(PickFailure::NoCapacity));
         for id in all {
             match self.evaluate_upstream(&context, id) {
-                Ok(picked) if context.wanted.prefers(picked.side) => return Ok(picked),
+                Ok(picked) if context.version.prefers(picked.side) => return Ok(picked),
                 Ok(picked) => found = Ok(picked),
-                Err(PickFailure::Full) => {}
+                Err(PickFailure::NoCapacity) => {}
                 Err(failure) if found.is_err() => found = Err(failure),
                 Err(_) => {}
             }
@@ -180,7 +183,7 @@
     ) -> Result<PickedUpstream, PickFailure> {
         let name = &waiting.request.service;
         let Some(service) = self.services.get(name) else {
-            return Err(PickFailure::Full);
+            return Err(PickFailure::NoCapacity);
         };
         let context = self.context(now, name, service, waiting, view);
         self.evaluate_upstream(&context, upstream)
@@ -196,7 +199,7 @@
     ) -> PickContext<'a> {
         let objectives = service_objectives(name, view);
         let hashes = &waiting.request.prompt.prefix_hashes;
-        let wanted = self.wanted_version(name, service, waiting, view);
+        let version = self.version_constraint(name, service, waiting, view);
         let mut matches = if self.options.has(SchedulerMechanism::Affinity) {
             self.prefixes.find(now, hashes)
         } else {
@@ -205,38 +208,38 @@
         // A prefix held by the other version is of no use: nobody waits for it.
         matches.retain(|found| {
             let state = self.fleet.get(found.upstream);
-            let side = state.map(|state| wanted.allows(&state.version));
-            matches!(side, Some(Ok(side)) if wanted.prefers(side))
+            let side = state.map(|state| version.allows(&state.version));
+            matches!(side, Some(Ok(side)) if version.prefers(side))
         });
         PickContext {
             now,
             view,
             waiting,
             objectives,
-            usual: service.typical_speed(&objectives),
+            typical_speed: service.typical_speed(&objectives),
             fastest_gap: service.slot_count.fastest_gap,
             matches,
             check_stalls: self.options.has(SchedulerMechanism::Ejection)
                 && service.members.len() > 1,
-            wanted,
+            version,
         }
     }
 
-    fn wanted_version<'a>(
+    fn version_constraint<'a>(
         &self,
         name: &ServiceName,
         service: &ServiceState,
         waiting: &WaitingRequest,
         view: SchedulerView<'a>,
-    ) -> WantedVersion<'a> {
+    ) -> VersionConstraint<'a> {
         if let Some(split) = view.splits.get(name) {
             let route = waiting.request.route.as_str();
-            let side = service.splits.wanted(split, route, self.options.seed());
-            return WantedVersion::Side(split, side);
+            let side = service.splits.next_side(split, route, self.options.seed());
+            return VersionConstraint::Side(split, side);
         }
         let spec = view.config.services.get(name);
         let version = spec.and_then(|spec| spec.version.as_ref());
-        version.map_or(WantedVersion::Any, WantedVersion::Only)
+        version.map_or(VersionConstraint::Any, VersionConstraint::Only)
     }
 
     fn best_of(
@@ -244,12 +247,12 @@
         context: &PickContext<'_>,
         candidates: impl Iterator<Item = UpstreamId>,
     ) -> Result<PickedUpstream, PickFailure> {
-        let mut best = Err(PickFailure::Full);
+        let mut best = Err(PickFailure::NoCapacity);
         for id in candidates {
             best = match (best, self.evaluate_upstream(context, id)) {
-                (Ok(old), Ok(new)) => Ok(better(context, old, new)),
+                (Ok(old), Ok(new)) => Ok(better_of(context, old, new)),
                 (Err(_), Ok(new)) => Ok(new),
-                (Err(PickFailure::Full), Err(failure)) => Err(failure),
+                (Err(PickFailure::NoCapacity), Err(failure)) => Err(failure),
                 (kept, Err(_)) => kept,
             };
         }
@@ -263,20 +266,20 @@
         id: UpstreamId,
     ) -> Result<PickedUpstream, PickFailure> {
         let Some(state) = self.fleet.get(id) else {
-            return Err(PickFailure::Full);
+            return Err(PickFailure::NoCapacity);
         };
         let waiting = context.waiting;
         let grant = context.view.grants.get(&state.name);
         let allowance = state.allowance(context.now, grant);
         let room = state.has_room(allowance, waiting.estimate.batch_tokens());
         if !room || waiting.excluded_upstream == Some(id) {
-            return Err(PickFailure::Full);
+            return Err(PickFailure::NoCapacity);
         }
-        let speed = state.speed.estimate(context.usual);
+        let speed = state.speed.estimate(context.typical_speed);
         if context.check_stalls && state.is_stalled(context.now, speed) {
-            return Err(PickFailure::Full);
+            return Err(PickFailure::NoCapacity);
         }
-        let side = context.wanted.allows(&state.version)?;
+        let side = context.version.allows(&state.version)?;
         let uncached = uncached_tokens(context, id);
         let cached_elsewhere = cached_elsewhere(context, id);
         let cached = waiting.request.prompt.tokens - uncached;
@@ -299,9 +302,13 @@
 }
 
 /// The better of two, the version whose turn it is before speed.
-fn better(context: &PickContext<'_>, old: PickedUpstream, new: PickedUpstream) -> PickedUpstream {
-    let old_first = context.wanted.prefers(old.side);
-    let new_first = context.wanted.prefers(new.side);
+fn better_of(
+    context: &PickContext<'_>,
+    old: PickedUpstream,
+    new: PickedUpstream,
+) -> PickedUpstream {
+    let old_first = context.version.prefers(old.side);
+    let new_first = context.version.prefers(new.side);
     match (old_first, new_first) {
         (true, false) => old,
         (false, true) => new,
@@ -310,9 +317,9 @@
     }
 }
 
-fn sample_members(service: &ServiceState, draw: &mut SampleDraw) -> Vec<UpstreamId> {
+fn sample_members(service: &ServiceState, sample_rng: &mut SampleRng) -> Vec<UpstreamId> {
     let members = &service.members;
-    if members.len() <= COMPARE_ALL {
+    if members.len() <= MAX_FULL_COMPARISON {
         return members.clone();
     }
     let local = SAMPLE_SIZE * 2 / 3;
@@ -323,7 +330,7 @@
         } else {
             members
         };
-        sample.extend(pool.get(draw.below(pool.len())));
+        sample.extend(pool.get(sample_rng.below(pool.len())));
     }
     sample
 }
--- a/crates/savorywood-core/src/scheduler/shedding.rs
+++ b/crates/savorywood-core/src/scheduler/shedding.rs
@@ -40,7 +40,7 @@
 
     /// Refuses what can't meet its deadline any more, at once.
     pub(super) fn expire_waiting(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
-        while let Some(request) = self.waits.overdue(now) {
+        while let Some(request) = self.waits.next_expired(now) {
             self.refuse_waiting(now, request, RefusalCode::DeadlineExceeded, effects);
         }
     }
--- a/crates/savorywood-core/src/scheduler/speed.rs
+++ b/crates/savorywood-core/src/scheduler/speed.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 /// Time after which an old figure counts for a third against a new one.
-const SPEED_TAU: Duration = Duration::from_secs(10);
+const SPEED_DECAY: Duration = Duration::from_secs(10);
 /// Prompts shorter than this tell of the fixed part of a first token, longer ones of the rest.
-const LONG_PROMPT_TOKENS: u32 = 512;
+const MIN_PREFILL_SAMPLE_TOKENS: u32 = 512;
 /// Share of a sample in the usual case.
-const SAMPLE_SHARE: f64 = 0.2;
+const MIN_SAMPLE_WEIGHT: f64 = 0.2;
 
 /// A mean that forgets by time as well as by samples.
 #[derive(Debug, Clone, Copy, Default)]
@@ -21,11 +21,11 @@
     /// Adds a sample. The longer ago the last one, the more this one counts.
     pub fn record(&mut self, now: MonotonicTime, sample: f64) {
         let age = now.since(self.updated_at).as_secs_f64();
-        let forgotten = 1.0 - (-age / SPEED_TAU.as_secs_f64()).exp();
-        let share = SAMPLE_SHARE.max(forgotten);
+        let time_weight = 1.0 - (-age / SPEED_DECAY.as_secs_f64()).exp();
+        let weight = MIN_SAMPLE_WEIGHT.max(time_weight);
         let value = self
             .value
-            .map_or(sample, |old| old + share * (sample - old));
+            .map_or(sample, |old| old + weight * (sample - old));
         self.value = Some(value);
         self.updated_at = now;
     }
@@ -51,14 +51,14 @@
 impl SpeedEstimate {
     /// Seconds to the first token of a prompt of which `uncached` tokens must be prefilled.
     #[must_use]
-    pub fn first_token(&self, uncached: f64) -> f64 {
+    pub fn first_token_seconds(&self, uncached: f64) -> f64 {
         self.overhead + self.prefill * uncached
     }
 
     /// Seconds to the last of `output` tokens.
     #[must_use]
-    pub fn whole(&self, uncached: f64, output: f64) -> f64 {
-        self.first_token(uncached) + self.gap * output
+    pub fn completion_seconds(&self, uncached: f64, output: f64) -> f64 {
+        self.first_token_seconds(uncached) + self.gap * output
     }
 }
 
@@ -72,9 +72,9 @@
 
 impl SpeedMeter {
     /// Learns from a first token.
-    pub fn first_token(&mut self, now: MonotonicTime, took: Duration, uncached: u32) {
+    pub fn record_first_token(&mut self, now: MonotonicTime, took: Duration, uncached: u32) {
         let took = took.as_secs_f64();
-        if uncached >= LONG_PROMPT_TOKENS {
+        if uncached >= MIN_PREFILL_SAMPLE_TOKENS {
             let overhead = self.overhead.value().unwrap_or(0.0).min(took / 2.0);
             let sample = (took - overhead) / f64::from(uncached);
             self.prefill.record(now, sample);
@@ -85,7 +85,7 @@
     }
 
     /// Learns from `count` tokens that took this long.
-    pub fn tokens(&mut self, now: MonotonicTime, took: Duration, count: u32) {
+    pub fn record_tokens(&mut self, now: MonotonicTime, took: Duration, count: u32) {
         if count > 0 {
             self.gap.record(now, took.as_secs_f64() / f64::from(count));
         }
@@ -93,7 +93,7 @@
 
     /// Whether the time between tokens was seen, without which no end can be predicted.
     #[must_use]
-    pub fn is_known(&self) -> bool {
+    pub fn has_token_gap(&self) -> bool {
         self.gap.value().is_some()
     }
 
--- a/crates/savorywood-core/src/scheduler/table.rs
+++ b/crates/savorywood-core/src/scheduler/table.rs
@@ -30,11 +30,11 @@
     /// Prompt tokens that the best other upstream was known to have cached.
     pub cached_elsewhere: u32,
     /// When it was dispatched.
-    pub sent_at: MonotonicTime,
+    pub dispatched_at: MonotonicTime,
     /// When its first token came.
-    pub first_at: Option<MonotonicTime>,
+    pub first_token_at: Option<MonotonicTime>,
     /// When its last token came.
-    pub heard_at: MonotonicTime,
+    pub last_token_at: MonotonicTime,
     /// Tokens that came.
     pub tokens: u32,
 }
@@ -70,7 +70,7 @@
         }
         let slots = self.slots.entry(record.upstream).or_default();
         *slots.entry(record.request.rank).or_default() += 1;
-        self.deadlines.insert(deadline_of(&record));
+        self.deadlines.insert(attempt_deadline(&record));
         self.records.insert(request, record);
         true
     }
@@ -81,7 +81,7 @@
             return None;
         }
         let record = self.records.remove(&key.request)?;
-        self.deadlines.remove(&deadline_of(&record));
+        self.deadlines.remove(&attempt_deadline(&record));
         if let Some(slots) = self.slots.get_mut(&record.upstream) {
             if let Some(count) = slots.get_mut(&record.request.rank) {
                 *count = count.saturating_sub(1);
@@ -117,13 +117,13 @@
     }
 
     /// Request whose deadline has passed.
-    pub fn overdue(&self, now: MonotonicTime) -> Option<RequestId> {
+    pub fn next_expired(&self, now: MonotonicTime) -> Option<RequestId> {
         let first = self.deadlines.first()?;
         (first.at <= now).then_some(first.request)
     }
 
     /// Forgets the seats of an upstream that is gone.
-    pub fn forget(&mut self, upstream: UpstreamId) {
+    pub fn remove_upstream(&mut self, upstream: UpstreamId) {
         self.slots.remove(&upstream);
     }
 
@@ -133,7 +133,7 @@
     }
 }
 
-fn deadline_of(record: &AttemptRecord) -> AttemptDeadline {
+fn attempt_deadline(record: &AttemptRecord) -> AttemptDeadline {
     AttemptDeadline {
         at: record.request.deadline_at,
         request: record.request.request,
--- a/crates/savorywood-core/src/scheduler/timers.rs
+++ b/crates/savorywood-core/src/scheduler/timers.rs
@@ -1,6 +1,6 @@
 //! The scheduler's timers, set again only when their time changes.
 
-use super::{RequestScheduler, SchedulerView, progress::TICK_INTERVAL};
+use super::{RequestScheduler, SchedulerView, feedback::TICK_INTERVAL};
 use crate::{
     effect::EffectQueue,
     event::{DutyKind, TimerKey},
@@ -16,14 +16,14 @@
 
 /// Times at which the timers are set to fire.
 #[derive(Debug, Default)]
-pub struct TimerPlan {
+pub struct PlannedTimers {
     wait_at: Option<MonotonicTime>,
     attempt_at: Option<MonotonicTime>,
     tick_at: Option<MonotonicTime>,
 }
 
 impl RequestScheduler {
-    pub(super) fn timer(
+    pub(super) fn handle_timer(
         &mut self,
         now: MonotonicTime,
         number: u64,
@@ -41,11 +41,11 @@
         }
     }
 
-    pub(super) fn plan_timers(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
-        let wait_at = self.waits.next_limit();
-        set_earlier(&mut self.timers.wait_at, wait_at, WAIT_TIMER, effects);
+    pub(super) fn set_timers(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
+        let wait_at = self.waits.next_expiry();
+        set_if_earlier(&mut self.timers.wait_at, wait_at, WAIT_TIMER, effects);
         let attempt_at = self.attempts.next_deadline();
-        set_earlier(
+        set_if_earlier(
             &mut self.timers.attempt_at,
             attempt_at,
             ATTEMPT_TIMER,
@@ -53,26 +53,26 @@
         );
         if self.waits.len() > 0 && self.timers.tick_at.is_none() {
             let tick_at = Some(now + TICK_INTERVAL);
-            set_earlier(&mut self.timers.tick_at, tick_at, TICK_TIMER, effects);
+            set_if_earlier(&mut self.timers.tick_at, tick_at, TICK_TIMER, effects);
         }
     }
 }
 
 /// Sets a timer unless it fires early enough already. One that fires too early is set again then:
 /// that is cheaper than moving it with every request that comes and goes.
-fn set_earlier(
+fn set_if_earlier(
     planned: &mut Option<MonotonicTime>,
-    wanted: Option<MonotonicTime>,
+    target: Option<MonotonicTime>,
     number: u64,
     effects: &mut EffectQueue,
 ) {
-    let Some(wanted) = wanted else {
+    let Some(target) = target else {
         return;
     };
-    if planned.is_some_and(|planned| planned <= wanted) {
+    if planned.is_some_and(|planned| planned <= target) {
         return;
     }
-    *planned = Some(wanted);
+    *planned = Some(target);
     let duty = DutyKind::Scheduler;
-    effects.set_timer(TimerKey { duty, number }, wanted);
+    effects.set_timer(TimerKey { duty, number }, target);
 }
--- a/crates/savorywood-core/src/scheduler/topology.rs
+++ b/crates/savorywood-core/src/scheduler/topology.rs
@@ -52,18 +52,18 @@
     ) {
         let revision = view.config.revision;
         let numbered = revision != ConfigRevision::default();
-        let same_size = self.declared == view.config.upstreams.len();
+        let same_size = self.declared_upstreams == view.config.upstreams.len();
         if self.revision == Some(revision) && same_size && (numbered || !changed) {
             return;
         }
-        self.declared = view.config.upstreams.len();
-        let warm = self.revision.is_some();
+        self.declared_upstreams = view.config.upstreams.len();
+        let ramp_up = self.revision.is_some();
         self.revision = Some(revision);
         for name in view.config.services.keys() {
             self.ensure_service(name);
         }
         for (name, spec) in &view.config.upstreams {
-            self.ensure_upstream(now, name, spec, warm, view);
+            self.ensure_upstream(now, name, spec, ramp_up, view);
         }
         self.retire_upstreams(view);
         self.index_members(view);
@@ -93,20 +93,20 @@
         now: MonotonicTime,
         name: &UpstreamName,
         spec: &UpstreamSpec,
-        warm: bool,
+        ramp_up: bool,
         view: SchedulerView<'_>,
     ) {
         self.ensure_service(&spec.service);
         let known = self.fleet.id(name);
         let state = known.and_then(|id| self.fleet.get_mut(id));
         match state {
-            Some(state) if state.service == spec.service => state.refresh(spec, view.zone),
+            Some(state) if state.service == spec.service => state.apply_spec(spec, view.zone),
             other => {
                 if other.is_some() {
                     self.fleet.release_name(name);
                 }
-                let mut state = UpstreamState::new(now, name.clone(), spec, warm);
-                state.refresh(spec, view.zone);
+                let mut state = UpstreamState::new(now, name.clone(), spec, ramp_up);
+                state.apply_spec(spec, view.zone);
                 state.leaving = self.leaving.contains(name);
                 self.fleet.insert(state);
             }
@@ -115,13 +115,13 @@
 
     fn retire_upstreams(&mut self, view: SchedulerView<'_>) {
         let declared = &view.config.upstreams;
-        let gone = self.fleet.retire(|state| {
+        let removed = self.fleet.retire(|state| {
             let spec = declared.get(&state.name);
             spec.is_some_and(|spec| spec.service == state.service)
         });
-        for id in gone {
-            self.prefixes.forget(id);
-            self.attempts.forget(id);
+        for id in removed {
+            self.prefixes.remove_upstream(id);
+            self.attempts.remove_upstream(id);
         }
     }
 
--- a/crates/savorywood-core/src/scheduler/waits.rs
+++ b/crates/savorywood-core/src/scheduler/waits.rs
@@ -52,14 +52,14 @@
 
     /// A request that is hopeless at `now`.
     #[must_use]
-    pub fn overdue(&self, now: MonotonicTime) -> Option<RequestId> {
+    pub fn next_expired(&self, now: MonotonicTime) -> Option<RequestId> {
         let first = self.limits.first()?;
         (first.latest_start <= now).then_some(first.request)
     }
 
     /// When the next request becomes hopeless.
     #[must_use]
-    pub fn next_limit(&self) -> Option<MonotonicTime> {
+    pub fn next_expiry(&self) -> Option<MonotonicTime> {
         self.limits.first().map(|limit| limit.latest_start)
     }
 
