--- a/crates/savorywood-core/src/scheduler.rs
+++ b/crates/savorywood-core/src/scheduler.rs
@@ -1,4 +1,5 @@
-//! Admission, queues, limits and routing: who runs, where, and who is turned away.
+//! Request scheduling: admission control, queueing, routing to upstreams, adaptive limits and load
+//! shedding.
 
 mod admission;
 mod cost;
@@ -49,57 +50,61 @@
 use timers::PlannedTimers;
 use waits::WaitIndex;
 
-/// What the scheduler reads of other duties in a step.
+/// State of other components that the scheduler reads during one step.
 #[derive(Debug, Clone, Copy)]
 pub struct SchedulerView<'a> {
     /// Configuration in force.
     pub config: &'a ConfigView,
     /// Own availability zone.
     pub zone: &'a ZoneName,
-    /// Splits of services whose traffic is moving.
+    /// Version splits of the services that have a traffic move in progress.
     pub splits: &'a BTreeMap<ServiceName, VersionSplit>,
-    /// Seats granted on contended upstreams; an absent upstream is not contended.
+    /// Slots granted to this daemon on contended upstreams. An upstream without an entry is not
+    /// contended and is bounded only by its adaptive limit.
     pub grants: &'a BTreeMap<UpstreamName, SlotGrant>,
-    /// Lowest tier that a service admits; absent when all are.
+    /// Admission floor of each service: the lowest tier that it admits. A service without an entry
+    /// admits all tiers.
     pub floors: &'a BTreeMap<ServiceName, TierRank>,
 }
 
-/// What the arbiter of an upstream allows this daemon.
+/// Slots that the arbiter of a contended upstream allows this daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SlotGrant {
-    /// Seats at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
 }
 
-/// What happens to the scheduler.
+/// Input of the scheduler.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SchedulerEvent {
-    /// A request was resolved, and claimed where it may not be repeated.
+    /// A request was validated, and claimed first if it is not idempotent.
     Arrived(Box<QueuedRequest>),
-    /// A request that was turned away and held comes again.
+    /// A request that was refused for load and then held, until lower tiers of other daemons yield,
+    /// is submitted again.
     Resubmitted {
         /// The request.
         request: Box<QueuedRequest>,
-        /// Attempt that comes next.
+        /// Number of the next attempt.
         attempt: AttemptNumber,
     },
-    /// A caller left.
+    /// The caller closed its connection.
     CallerLeft {
-        /// Its request.
+        /// Request of that caller.
         request: RequestId,
     },
-    /// An upstream did something.
+    /// An upstream reported progress, a result, its load or a cache change.
     Upstream(UpstreamEvent),
-    /// One of its timers fired.
+    /// One of the scheduler's timers fired.
     TimerFired {
-        /// Number of the timer.
+        /// Number of the timer, as given when it was set.
         number: u64,
     },
-    /// Configuration, splits, grants or floors changed.
+    /// Configuration, splits, grants or admission floors changed.
     ViewChanged,
 }
 
-/// State of the scheduler.
+/// Request scheduler of one daemon. It does no I/O: events come in by [`RequestScheduler::step`],
+/// effects go out through the queue.
 #[derive(Debug)]
 pub struct RequestScheduler {
     options: SchedulerOptions,
@@ -125,7 +130,8 @@
 }
 
 impl RequestScheduler {
-    /// A scheduler that knows no upstream yet.
+    /// Creates a scheduler without upstreams. They are added from the configuration at the first
+    /// step.
     #[must_use]
     pub fn new(options: SchedulerOptions) -> Self {
         Self {
@@ -146,7 +152,7 @@
         }
     }
 
-    /// Handles one event.
+    /// Handles one event and appends the resulting effects to `effects`.
     pub fn step(
         &mut self,
         now: CoreTime,
@@ -178,13 +184,13 @@
         self.set_timers(now, effects);
     }
 
-    /// Requests that wait or run, for the planned stop.
+    /// Number of requests that wait or are in progress; a planned stop waits until it is zero.
     #[must_use]
     pub fn open_requests(&self) -> usize {
         self.waits.len() + self.attempts.len()
     }
 
-    /// What it has done.
+    /// Counters since the scheduler was created.
     #[must_use]
     pub fn counters(&self) -> &SchedulerCounters {
         &self.counters
--- a/crates/savorywood-core/src/scheduler/admission.rs
+++ b/crates/savorywood-core/src/scheduler/admission.rs
@@ -1,4 +1,4 @@
-//! Who is let in and who waits.
+//! Admission control: decides which requests are queued and which are refused on arrival.
 
 use super::{
     RequestScheduler, SchedulerMechanism, SchedulerView,
@@ -13,25 +13,29 @@
 };
 use std::time::Duration;
 
-/// Requests of a service that wait at most, and with it the memory of its queue.
+/// Maximum number of waiting requests of one service; bounds the memory of its queue.
 pub const MAX_WAITING_REQUESTS: usize = 4_096;
-/// Seats are counted again after this long.
+/// Minimum interval between two counts of a service's slots.
 const SLOT_COUNT_INTERVAL: Duration = Duration::from_millis(50);
-/// Least share of the seats that a tier is taken to get when higher ones want them all.
+/// Minimum fraction of a service's slots that the wait estimate assumes for a tier, even if the
+/// load of higher tiers uses all of them.
 const MIN_SLOT_FRACTION: f64 = 0.05;
-/// Share of the predicted time that must be left when work begins. More than one: work that is
-/// begun and then late has cost a seat and its prefill, a refusal costs neither.
+/// Fraction of the predicted completion time that must remain until the deadline when a request
+/// starts on a saturated service. More than 1, because a request that starts and then misses its
+/// deadline has used a slot and its prefill, while a refusal uses neither.
 const SATURATED_TIME_FACTOR: f64 = 1.2;
-/// The same while upstreams have room: a seat that nobody else wants costs nothing.
+/// The same fraction while upstreams have free slots: a slot that no other request needs costs
+/// nothing.
 const IDLE_TIME_FACTOR: f64 = 0.8;
-/// Share of the first-token objective for which a request may be kept for an upstream that holds
-/// its prefix.
-/// Share of the time until it is hopeless after which a request goes first in its tier, whatever is
-/// cached where.
+/// Fraction of a request's slack, the time until it can no longer meet its deadline, after which it
+/// is urgent: it goes first in its tier, wherever its prefix is cached.
 const URGENT_SLACK_FRACTION: f64 = 0.75;
+/// Fraction of the first-token objective for which a request may wait for an upstream that has its
+/// prefix cached.
 const AFFINITY_WAIT_FRACTION: f64 = 0.8;
-/// Share of the time until it is hopeless for which it may be kept so.
+/// Fraction of a request's slack that may be spent on that wait.
 const AFFINITY_SLACK_FRACTION: f64 = 0.6;
+/// Divisor from the microseconds of slot time to seconds.
 pub(super) const MICROS_PER_SECOND: f64 = 1e6;
 
 impl RequestScheduler {
@@ -47,8 +51,9 @@
         self.retries.deposit();
         let name = request.service.clone();
         let waiting = self.estimate_request(now, request, attempt, view);
-        // Below the floor it takes its place in the order of shedding. Refused last, it would be a
-        // lower tier that still waits while a higher one is shed.
+        // A request below the admission floor is queued first and then shed in shedding order. If
+        // it were refused after the others, it would be a lower tier that still waits while a
+        // higher one is shed.
         let floor = view.floors.get(&name);
         let is_below = floor.is_some_and(|floor| waiting.request.rank > *floor);
         if is_below && self.services.contains_key(&name) {
@@ -77,7 +82,7 @@
         self.dispatch_waiting(now, &name, view, effects);
     }
 
-    /// Predicts size and time of a request.
+    /// Predicts the size of a request and the times that follow from it.
     pub(super) fn estimate_request(
         &self,
         now: MonotonicTime,
@@ -112,7 +117,8 @@
         };
         let first_token = Duration::from_millis(objectives.first_token_ms.into());
         let patience = first_token.mul_f64(AFFINITY_WAIT_FRACTION);
-        // A long answer must still be in time after the wait for a holder of its prefix.
+        // A long response must still meet the deadline after the wait for an upstream that has the
+        // prefix cached.
         let longest = completion_time(service, estimate, estimate.output_high, &objectives);
         let slack = (request.deadline_at - longest).since(now);
         WaitingRequest {
@@ -124,11 +130,12 @@
             estimate,
             slot_micros: u64::try_from(mean.as_micros()).unwrap_or(u64::MAX),
             latest_start,
-            excluded_upstream: None,
+            excluded: None,
         }
     }
 
-    /// Decides whether a request may wait. Lower tiers make room for it first.
+    /// Decides whether a request may be queued. If the queue is full, requests of lower tiers are
+    /// evicted first.
     fn check_admission(
         &mut self,
         now: MonotonicTime,
@@ -160,15 +167,16 @@
             .get(&request.service)
             .and_then(|service| service.queue.lowest_rank())
             .is_some_and(|lowest| lowest > rank);
-        // A higher tier is not turned away by an estimate while a lower one waits here: it goes
-        // ahead of it, and is refused only once its deadline is really out of reach.
+        // A higher tier is not refused because of an estimate while a lower tier waits in this
+        // queue: it goes ahead of the lower tier, and is refused only when its deadline can't be
+        // met.
         if now + wait > waiting.latest_start && !lower_waits {
             return Err(RefusalCode::Overloaded);
         }
         Ok(())
     }
 
-    /// Keeps the queue within its bound by shedding the lowest tier's newest request.
+    /// Keeps the queue within its bound by shedding the newest request of the lowest tier.
     fn evict_lower_tier(
         &mut self,
         now: MonotonicTime,
@@ -192,8 +200,8 @@
         Ok(())
     }
 
-    /// Time until a request's turn comes: the work that goes before it, over the seats that are
-    /// left by higher tiers.
+    /// Estimates the time until a request is dispatched: the slot time queued ahead of it, divided
+    /// by the slots that higher tiers leave.
     pub(super) fn expected_wait(
         &mut self,
         now: MonotonicTime,
@@ -244,7 +252,7 @@
         service.slot_count = count;
     }
 
-    /// Puts a request into its service's queue.
+    /// Adds a request to its service's queue and to the index of waiting requests.
     pub(super) fn enqueue_waiting(&mut self, waiting: WaitingRequest) {
         let Some(service) = self.services.get_mut(&waiting.request.service) else {
             return;
@@ -253,14 +261,14 @@
         service.queue.push(waiting);
     }
 
-    /// Takes a request out of its service's queue, wherever it waits.
+    /// Removes a waiting request from its service's queue. `None` if it does not wait.
     pub(super) fn remove_waiting(&mut self, request: RequestId) -> Option<WaitingRequest> {
         let service = self.waits.remove(request)?;
         self.services.get_mut(&service)?.queue.remove(request)
     }
 }
 
-/// Seats that higher tiers leave to a tier.
+/// Returns the slots that higher tiers leave to a tier, by their arrival rates.
 pub(super) fn slots_left(now: MonotonicTime, service: &ServiceState, rank: TierRank) -> f64 {
     let slots = service.slot_count.slots.max(1.0);
     let left = slots - service.higher_tier_load(now, rank);
--- a/crates/savorywood-core/src/scheduler/cost.rs
+++ b/crates/savorywood-core/src/scheduler/cost.rs
@@ -1,4 +1,4 @@
-//! Predicted size of a request: prompt and output tokens by service, route and team.
+//! Predicts prompt and output tokens of requests by service, route and team.
 
 mod quantile;
 
@@ -7,36 +7,36 @@
 use savorywood_protocol::{ServiceName, TeamName};
 use std::{collections::BTreeMap, ops::Bound};
 
-/// Routes told apart in a service. Callers choose paths, so their number must have a bound;
-/// further ones share one sketch.
+/// Maximum number of routes with a sketch of their own in a service. Callers choose the paths, so
+/// the number must be bounded; further routes share one sketch.
 const MAX_ROUTES: usize = 256;
-/// Teams with a sketch of their own, over all routes.
+/// Maximum number of teams with a sketch of their own, over all routes.
 const MAX_TEAM_SKETCHES: usize = 16_384;
-/// Samples before a team's own sketch is believed.
+/// Minimum weight of a team's own sketch before it is used instead of the route's.
 const MIN_TEAM_SKETCH_WEIGHT: u32 = 8;
-/// Output tokens assumed before anything was seen.
+/// Output tokens assumed before the first sample.
 const DEFAULT_OUTPUT_TOKENS: u32 = 256;
-/// Sketches looked at to find an idle one.
+/// Number of team sketches examined per eviction.
 const EVICTION_SCAN_LENGTH: usize = 32;
 
 /// Predicted size of one request, in tokens.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct CostEstimate {
-    /// Tokens of the prompt, cached or not.
+    /// Prompt tokens, cached or not.
     pub prompt: u32,
-    /// Output in the middle case.
+    /// Median of the output tokens.
     pub output_median: u32,
-    /// Output on average; larger than the median, since lengths are skewed.
+    /// Mean of the output tokens; larger than the median, since the distribution is skewed.
     pub output_mean: u32,
-    /// Output that nine in ten requests stay below.
+    /// 90th percentile of the output tokens.
     pub output_high: u32,
-    /// Whether the figures were learned; otherwise they are a guess on which no request may be
-    /// refused.
+    /// Whether the output figures come from samples. Otherwise they are defaults, and no request
+    /// may be refused because of them.
     pub observed: bool,
 }
 
 impl CostEstimate {
-    /// Tokens that the request is expected to hold in a batch.
+    /// Returns the tokens that the request is expected to occupy in a batch.
     #[must_use]
     pub fn batch_tokens(&self) -> u64 {
         u64::from(self.prompt) + u64::from(self.output_mean)
@@ -53,11 +53,11 @@
 struct RouteSketch {
     sketch: QuantileSketch,
     teams: BTreeMap<TeamName, TeamSketch>,
-    /// Team up to which idle ones were looked for last.
+    /// Last team examined by the previous eviction; `None` to begin with the first.
     eviction_cursor: Option<TeamName>,
 }
 
-/// Learned output lengths. Memory is bounded by [`MAX_ROUTES`] and [`MAX_TEAM_SKETCHES`].
+/// Distributions of output lengths. Memory is bounded by [`MAX_ROUTES`] and [`MAX_TEAM_SKETCHES`].
 #[derive(Debug, Default)]
 pub struct CostModel {
     services: BTreeMap<ServiceName, BTreeMap<String, RouteSketch>>,
@@ -66,7 +66,8 @@
 }
 
 impl CostModel {
-    /// Predicts a request. A team that is rare on the route borrows the route's lengths.
+    /// Predicts the size of a request. A team with few samples on the route gets the route's
+    /// figures; `by_team` is false if sketches of teams are switched off.
     pub fn predict(&self, request: &QueuedRequest, by_team: bool) -> CostEstimate {
         let route = self.route(request);
         let team = route
@@ -94,7 +95,7 @@
         routes.get(&request.route).or_else(|| routes.get(""))
     }
 
-    /// Learns from a finished answer.
+    /// Records the output length of a finished response.
     pub fn record(&mut self, request: &QueuedRequest, output_tokens: u32) {
         self.clock += 1;
         let routes = self.services.entry(request.service.clone()).or_default();
@@ -130,8 +131,8 @@
     }
 }
 
-/// Drops the idlest of a few teams of a route; says whether there was one. The few are those that
-/// follow, by name, the ones looked at last time, so that every team is looked at in turn.
+/// Evicts the least recently used of the next [`EVICTION_SCAN_LENGTH`] teams of a route, in name
+/// order after the teams examined last time. Returns `false` if the route has no team to evict.
 fn evict_least_recent(route: &mut RouteSketch) -> bool {
     let after = match route.eviction_cursor.take() {
         Some(name) => Bound::Excluded(name),
@@ -139,7 +140,7 @@
     };
     let span = (after, Bound::Unbounded);
     let sample: Vec<_> = route.teams.range(span).take(EVICTION_SCAN_LENGTH).collect();
-    // At the end of the names the next call begins with the first again.
+    // When the names are exhausted, the next call begins with the first one again.
     if sample.len() == EVICTION_SCAN_LENGTH {
         route.eviction_cursor = sample.last().map(|(name, _)| (*name).clone());
     }
--- a/crates/savorywood-core/src/scheduler/cost/quantile.rs
+++ b/crates/savorywood-core/src/scheduler/cost/quantile.rs
@@ -1,13 +1,14 @@
-//! Quantiles of lengths that differ a hundredfold, in bounded memory.
+//! Quantile sketch for lengths that vary by a factor of a hundred, in bounded memory.
 
-/// Buckets to a doubling of the length.
+/// Number of buckets per doubling of the length.
 const BUCKETS_PER_OCTAVE: f64 = 2.0;
-/// Buckets: lengths up to 2^18 tokens, half an octave each.
+/// Number of buckets: lengths up to 2^18 tokens, half an octave each.
 const BUCKET_COUNT: usize = 37;
-/// Weight at which old samples are halved, so that the sketch follows a change.
+/// Weight at which all counts are halved, so that the sketch follows a change of the distribution.
 const MAX_WEIGHT: u32 = 128;
 
-/// A histogram with buckets of equal ratio. Its error is at most half a bucket, about 19%.
+/// Histogram with buckets of equal ratio. The error of a quantile is at most half a bucket, about
+/// 19%.
 #[derive(Debug, Clone)]
 pub struct QuantileSketch {
     buckets: [u8; BUCKET_COUNT],
@@ -24,7 +25,7 @@
 }
 
 impl QuantileSketch {
-    /// Adds a length, in tokens.
+    /// Adds a sample, in tokens.
     pub fn record(&mut self, tokens: u32) {
         if self.weight >= MAX_WEIGHT {
             self.halve();
@@ -40,13 +41,14 @@
         self.weight = self.buckets.iter().map(|count| u32::from(*count)).sum();
     }
 
-    /// Samples that count, older ones less.
+    /// Returns the number of samples, with older ones halved out.
     #[must_use]
     pub fn weight(&self) -> u32 {
         self.weight
     }
 
-    /// Length below which `per_mille` thousandths of the samples lie; `None` without samples.
+    /// Returns the length below which `per_mille` thousandths of the samples lie; `None` without
+    /// samples.
     #[must_use]
     pub fn quantile(&self, per_mille: u32) -> Option<u32> {
         if self.weight == 0 {
@@ -63,7 +65,7 @@
         Some(bucket_midpoint(BUCKET_COUNT - 1))
     }
 
-    /// Mean length; `None` without samples.
+    /// Returns the mean length; `None` without samples.
     #[must_use]
     pub fn mean(&self) -> Option<u32> {
         if self.weight == 0 {
--- a/crates/savorywood-core/src/scheduler/counters.rs
+++ b/crates/savorywood-core/src/scheduler/counters.rs
@@ -1,78 +1,78 @@
-//! What the scheduler has done, for metrics and for the experiment's tables.
+//! Counters of the scheduler, for metrics and for the reports of the simulation.
 
 use savorywood_protocol::{RefusalCode, TierRank};
 use std::collections::BTreeMap;
 
-/// Prefill work of upstreams, in prompt tokens that no cache held.
+/// Prefill work done by upstreams, in prompt tokens that were not cached.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct PrefillCounters {
-    /// All prefill, useful or not.
+    /// All prefill, useful or wasted.
     pub total: u64,
-    /// Spent on requests whose callers left.
+    /// Prefill for requests whose callers disconnected.
     pub cancelled: u64,
-    /// Spent on requests that missed their deadline.
+    /// Prefill for requests that missed their deadline.
     pub late: u64,
-    /// Spent although another upstream was known to hold the prefix.
+    /// Prefill done although another upstream had the prefix cached, as far as the index showed.
     pub cache_miss: u64,
-    /// Spent on requests whose upstream failed.
+    /// Prefill for requests whose upstream failed.
     pub broken: u64,
 }
 
 impl PrefillCounters {
-    /// Wasted prefill of all causes, in tokens.
+    /// Returns the wasted prefill of all causes.
     #[must_use]
     pub fn wasted(&self) -> u64 {
         self.cancelled + self.late + self.cache_miss + self.broken
     }
 }
 
-/// What became of the requests of one tier.
+/// Outcomes of the requests of one tier.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct TierCounters {
-    /// Requests that arrived.
+    /// Requests that arrived, including resubmitted ones.
     pub arrived: u64,
-    /// Requests that were dispatched.
+    /// Requests that were dispatched, without retries.
     pub dispatched: u64,
-    /// Final answers without a run, by reason.
+    /// Requests refused before any upstream executed them, by refusal code.
     pub refused: BTreeMap<RefusalCode, u64>,
-    /// Whole answers within the deadline.
+    /// Complete responses within the deadline.
     pub in_time: u64,
-    /// Answers that ended after the deadline, or were cancelled at it.
+    /// Responses that ended after the deadline, and attempts cancelled at the deadline.
     pub late: u64,
-    /// Attempts that broke.
+    /// Attempts that failed after the request may have been sent.
     pub broken: u64,
-    /// Callers that left before their answer ended.
+    /// Callers that disconnected before their response ended.
     pub caller_left: u64,
 }
 
-/// How far predictions of output lengths were off, in tokens.
+/// Error of the predicted output lengths, in tokens.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct EstimateCounters {
-    /// Answers that were compared.
+    /// Responses whose length was compared with the prediction.
     pub responses: u64,
-    /// Sum of the tokens generated.
+    /// Sum of the output tokens.
     pub actual_tokens: u64,
-    /// Sum of the absolute differences.
+    /// Sum of the absolute differences between predicted and actual output tokens.
     pub error_tokens: u64,
 }
 
-/// Everything that the scheduler counts. All counters only grow.
+/// All counters of the scheduler. They never decrease.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SchedulerCounters {
-    /// By tier.
+    /// Outcomes by tier.
     pub tiers: BTreeMap<TierRank, TierCounters>,
-    /// Prefill, useful and wasted.
+    /// Useful and wasted prefill.
     pub prefill: PrefillCounters,
     /// Error of length predictions.
     pub estimates: EstimateCounters,
-    /// Attempts moved to another upstream because no byte had left.
+    /// Attempts retried on another upstream because no byte had been sent.
     pub retries: u64,
-    /// Upstreams taken out for failures.
+    /// Ejections of upstreams after failures.
     pub ejections: u64,
 }
 
 impl SchedulerCounters {
-    /// Counters of a tier.
+    /// Returns the counters of a tier, created on first use.
     pub(super) fn tier(&mut self, rank: TierRank) -> &mut TierCounters {
         self.tiers.entry(rank).or_default()
     }
--- a/crates/savorywood-core/src/scheduler/dispatch.rs
+++ b/crates/savorywood-core/src/scheduler/dispatch.rs
@@ -1,4 +1,4 @@
-//! From the queue to an upstream, and what happens to the record of it.
+//! Dispatches waiting requests to upstreams and tracks their attempts until they end.
 
 use super::{
     RequestScheduler, SchedulerMechanism, SchedulerView,
@@ -17,21 +17,22 @@
     AttemptNumber, MonotonicTime, RefusalCode, RequestId, RequestRefusal, ServiceName,
 };
 
-/// Teams looked at for a request that may go to an upstream, when the first one's version has no
-/// room or another's prefix is cached there.
+/// Number of teams whose first request is considered when an upstream is sought, in case the
+/// version for the first team's request has no capacity or its prefix is cached elsewhere.
 const MAX_HEADS_COMPARED: usize = 6;
-/// Attempts of one request at most.
+/// Maximum number of attempts of one request.
 const MAX_ATTEMPTS: u32 = 3;
-/// Requests looked at for one whose prefix a free upstream holds.
+/// Number of waiting requests that are searched for one whose prefix a free upstream has cached.
 const AFFINITY_SCAN: ScanLimit = ScanLimit {
     per_team: 4,
     per_tier: 12,
 };
 
-/// Share of its allowance from which an upstream that is shared by grants is scarce.
+/// Fraction of the allowance in use from which the slots of an upstream that is shared by grants
+/// count as scarce.
 const SCARCE_USE_FRACTION: f64 = 0.5;
 
-/// A waiting request and where it goes.
+/// A waiting request and the upstream chosen for it.
 #[derive(Debug, Clone, Copy)]
 struct PlannedDispatch {
     request: RequestId,
@@ -39,7 +40,7 @@
 }
 
 impl RequestScheduler {
-    /// Dispatches what waits for a service as long as some upstream has room.
+    /// Dispatches the waiting requests of a service as long as an upstream has capacity.
     pub(super) fn dispatch_waiting(
         &mut self,
         now: MonotonicTime,
@@ -79,15 +80,17 @@
                 Err(
                     PickFailure::WrongVersion | PickFailure::TooSlow | PickFailure::CachedElsewhere,
                 ) => {}
-                // A request that could not reach one upstream must not hold up the others.
-                Err(PickFailure::NoCapacity) if waiting.excluded_upstream.is_some() => {}
+                // A request that could not reach one upstream must not block the requests behind
+                // it.
+                Err(PickFailure::NoCapacity) if waiting.excluded.is_some() => {}
                 Err(PickFailure::NoCapacity) => return None,
             }
         }
         None
     }
 
-    /// Gives an upstream that has become free what waits.
+    /// Dispatches waiting requests to an upstream that has got a free slot, then to others of its
+    /// service.
     pub(super) fn fill_upstream(
         &mut self,
         now: MonotonicTime,
@@ -127,7 +130,8 @@
         if !state.has_room(allowance, 0) {
             return None;
         }
-        // Others want its seats: they may hold what this daemon would have to prefill.
+        // Other daemons compete for these slots, and may have requests whose prefix is cached here.
+        // A request of this daemon that would need a prefill waits longer for them.
         let scarce =
             f64::from(state.slots_used + 1) > f64::from(allowance.slots) * SCARCE_USE_FRACTION;
         let contended = grant.is_some() && scarce;
@@ -153,9 +157,7 @@
                 {
                     fallback = Some(PlannedDispatch { request, picked });
                 }
-                Err(PickFailure::NoCapacity) if waiting.excluded_upstream != Some(upstream) => {
-                    break;
-                }
+                Err(PickFailure::NoCapacity) if waiting.excluded != Some(upstream) => break,
                 Ok(_) | Err(_) => {}
             }
             if fallback.is_some() && waiting.urgent_at <= now {
@@ -197,9 +199,13 @@
         };
         self.record_split(&name, &waiting, picked, view);
         let is_new = self.record(now, waiting, picked, view);
-        // Two records of one request would be two dispatches: the caller's work would run twice.
+        // Two records of one request would be two dispatches, and the request would be executed
+        // twice.
         invariant::check(effects, InvariantName::DispatchAtMostOnce, is_new, || {
-            format!("request={} is on record already", order.request)
+            format!(
+                "request={} already has an attempt in progress",
+                order.request
+            )
         });
         if is_new {
             effects.push(DaemonEffect::Dispatch(order));
@@ -213,7 +219,7 @@
         picked: PickedUpstream,
         view: SchedulerView<'_>,
     ) {
-        // A retry was counted by its first attempt.
+        // A retry was counted with its first attempt.
         if waiting.attempt != AttemptNumber::default() {
             return;
         }
@@ -227,7 +233,8 @@
         }
     }
 
-    /// Puts an attempt on record. Says `false` when the request is on record already.
+    /// Records an attempt and adds its load to the upstream. Returns `false` if the request already
+    /// has an attempt in progress.
     fn record(
         &mut self,
         now: MonotonicTime,
@@ -271,7 +278,8 @@
         true
     }
 
-    /// Takes an attempt off the record and its load off the upstream.
+    /// Removes the record of an attempt and its load from the upstream. `None` if the attempt is no
+    /// longer in progress.
     pub(super) fn release_attempt(&mut self, key: AttemptKey) -> Option<AttemptRecord> {
         let record = self.attempts.remove(key)?;
         if let Some(state) = self.fleet.get_mut(record.upstream) {
@@ -285,7 +293,8 @@
         Some(record)
     }
 
-    /// No byte left this host, so another upstream may be tried: this is not a second dispatch.
+    /// Retries a request on another upstream. No byte of it was sent, so this is not a second
+    /// dispatch. Refuses it if there is no other upstream, time or retry budget left.
     pub(super) fn handle_not_sent(
         &mut self,
         now: MonotonicTime,
@@ -300,7 +309,7 @@
         let name = record.request.service.clone();
         self.record_failure(now, upstream);
         let mut waiting = self.estimate_request(now, record.request, key.attempt.next(), view);
-        waiting.excluded_upstream = Some(upstream);
+        waiting.excluded = Some(upstream);
         let others = self.services.get(&name);
         let others = others.is_some_and(|service| service.members.len() > 1);
         let timely = waiting.latest_start > now;
@@ -313,7 +322,7 @@
         self.fill_upstream(now, upstream, view, effects);
     }
 
-    /// Nobody waits for the answer any longer: stop its work wherever it is.
+    /// Removes the request of a caller that disconnected, and cancels its attempt if there is one.
     pub(super) fn handle_caller_left(
         &mut self,
         now: MonotonicTime,
@@ -338,8 +347,8 @@
         }
     }
 
-    /// Stops attempts whose deadline has passed: their answers are of no use to anybody, and the
-    /// seats are.
+    /// Cancels attempts whose deadline has passed: nobody needs their responses, and their slots
+    /// become free.
     pub(super) fn cancel_expired(
         &mut self,
         now: MonotonicTime,
@@ -352,7 +361,7 @@
                 return;
             };
             effects.push(DaemonEffect::CancelAttempt { request, attempt });
-            let detail = "the deadline passed while the upstream worked on it";
+            let detail = "the deadline passed while the upstream was processing the request";
             let refusal = RequestRefusal::unknown(RefusalCode::DeadlineExceeded, detail);
             effects.refuse(request, refusal);
             self.counters.tier(record.request.rank).late += 1;
--- a/crates/savorywood-core/src/scheduler/fleet.rs
+++ b/crates/savorywood-core/src/scheduler/fleet.rs
@@ -1,4 +1,4 @@
-//! What this daemon knows of each upstream.
+//! State of each upstream as this daemon observes it.
 
 use super::{
     SlotGrant,
@@ -12,23 +12,23 @@
 };
 use std::{collections::BTreeMap, time::Duration};
 
-/// Load reports older than this say nothing.
+/// Load reports older than this are ignored.
 const MAX_LOAD_REPORT_AGE: Duration = Duration::from_secs(10);
-/// Time after which a load report counts for a third.
+/// Time constant of the weight of a load report: after this time it counts for about a third (1/e).
 const LOAD_REPORT_DECAY: Duration = Duration::from_secs(3);
-/// Gaps between tokens that are still no silence.
+/// Number of typical token gaps without data that are not a stall yet.
 const STALL_TOKEN_GAPS: f64 = 16.0;
 
-/// Short name of an upstream within one scheduler. Never used again for another.
+/// Number of an upstream within one scheduler. It is never reused for another upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct UpstreamId(pub u32);
 
-/// How much work an upstream may hold of this daemon's.
+/// Work that this daemon may have in progress on an upstream.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct WorkAllowance {
-    /// Requests at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Batch tokens at once.
+    /// Maximum number of concurrent batch tokens.
     pub tokens: u64,
 }
 
@@ -41,35 +41,36 @@
 /// State of one upstream.
 #[derive(Debug)]
 pub struct UpstreamState {
-    /// Its name.
+    /// Name in the configuration.
     pub name: UpstreamName,
     /// Service that it runs.
     pub service: ServiceName,
     /// Version that it runs.
     pub version: VersionName,
-    /// Whether it stands in this daemon's availability zone.
+    /// Whether it is in this daemon's availability zone.
     pub local: bool,
-    /// Whether it gets no new work: drained by an operator or no longer declared.
+    /// Whether it gets no new work because an operator drains it or it is no longer configured.
     pub closed: bool,
-    /// Whether the platform takes its host away.
+    /// Whether it gets no new work because the platform is removing its host.
     pub leaving: bool,
-    /// Limit of seats and tokens.
+    /// Adaptive limit of slots and batch tokens.
     pub limit: AdaptiveLimit,
-    /// Failures and silence.
+    /// Failures, ejection and stall detection.
     pub health: UpstreamHealth,
-    /// Learned speed.
+    /// Measured prefill and decode speed.
     pub speed: SpeedMeter,
-    /// Attempts of this daemon under way there.
+    /// Attempts of this daemon in progress on it.
     pub slots_used: u32,
     /// Batch tokens of those attempts.
     pub tokens_used: u64,
-    /// Prompt tokens dispatched of which no first token has come.
+    /// Prompt tokens that this daemon dispatched and whose first token has not arrived.
     pub pending_prefill: u64,
     load_report: Option<ReceivedLoadReport>,
 }
 
 impl UpstreamState {
-    /// State of an upstream that has just been declared.
+    /// Creates the state of an upstream that was added to the configuration. With `ramp_up` its
+    /// share of the limit grows over time.
     #[must_use]
     pub fn new(now: MonotonicTime, name: UpstreamName, spec: &UpstreamSpec, ramp_up: bool) -> Self {
         Self {
@@ -89,14 +90,15 @@
         }
     }
 
-    /// Takes over what operators may change while it runs.
+    /// Applies the settings that operators may change while the upstream runs.
     pub fn apply_spec(&mut self, spec: &UpstreamSpec, zone: &ZoneName) {
         self.version.clone_from(&spec.version);
         self.local = spec.zone == *zone;
         self.closed = spec.draining;
     }
 
-    /// What it may hold now.
+    /// Returns the work that it may have in progress now, bounded by its limit, its health and the
+    /// grant. Zero if it gets no new work.
     #[must_use]
     pub fn allowance(&self, now: MonotonicTime, grant: Option<&SlotGrant>) -> WorkAllowance {
         let limit = self.limit.slots();
@@ -110,14 +112,15 @@
         WorkAllowance { slots, tokens }
     }
 
-    /// Whether work of this size fits. Any size fits an empty upstream.
+    /// Whether a request with this many batch tokens fits. An upstream without work accepts any
+    /// size.
     #[must_use]
     pub fn has_room(&self, allowance: WorkAllowance, batch_tokens: u64) -> bool {
         let fits = self.tokens_used + batch_tokens <= allowance.tokens;
         self.slots_used < allowance.slots && (fits || self.slots_used == 0)
     }
 
-    /// Whether nothing has come from it for too long although it has work.
+    /// Whether it has work and has sent no data for longer than its speed explains.
     #[must_use]
     pub fn is_stalled(&self, now: MonotonicTime, speed: SpeedEstimate) -> bool {
         if self.slots_used == 0 {
@@ -128,14 +131,14 @@
         self.health.is_stalled(now, usual)
     }
 
-    /// Notes the use of the allowance for the limit.
+    /// Records the used part of the allowance, from which the limit decides whether to grow.
     pub fn record_use(&mut self, allowance: WorkAllowance) {
         let slots = f64::from(self.slots_used) / f64::from(allowance.slots.max(1));
         let tokens = self.tokens_used as f64 / allowance.tokens.max(1) as f64;
         self.limit.record_use(LimitUse { slots, tokens });
     }
 
-    /// Notes a load report.
+    /// Records a load report.
     pub fn record_load(&mut self, now: MonotonicTime, report: LoadReport) {
         self.load_report = Some(ReceivedLoadReport {
             report,
@@ -143,7 +146,8 @@
         });
     }
 
-    /// Requests that are said to wait inside the engine; old reports count for less.
+    /// Returns the number of requests that wait inside the engine by its latest load report,
+    /// weighted down by the report's age.
     #[must_use]
     pub fn reported_waiting(&self, now: MonotonicTime) -> f64 {
         let Some(load_report) = self.load_report else {
@@ -158,7 +162,7 @@
     }
 }
 
-/// All upstreams known.
+/// All upstreams of the scheduler, by name and by number.
 #[derive(Debug, Default)]
 pub struct UpstreamFleet {
     ids: BTreeMap<UpstreamName, UpstreamId>,
@@ -167,29 +171,29 @@
 }
 
 impl UpstreamFleet {
-    /// Short name of an upstream.
+    /// Returns the number of an upstream.
     #[must_use]
     pub fn id(&self, name: &UpstreamName) -> Option<UpstreamId> {
         self.ids.get(name).copied()
     }
 
-    /// State of an upstream.
+    /// Returns the state of an upstream.
     #[must_use]
     pub fn get(&self, id: UpstreamId) -> Option<&UpstreamState> {
         self.states.get(&id)
     }
 
-    /// State of an upstream, to change it.
+    /// Returns the state of an upstream for changes.
     pub fn get_mut(&mut self, id: UpstreamId) -> Option<&mut UpstreamState> {
         self.states.get_mut(&id)
     }
 
-    /// All states, to change them.
+    /// Iterates over all states for changes.
     pub fn states_mut(&mut self) -> impl Iterator<Item = &mut UpstreamState> {
         self.states.values_mut()
     }
 
-    /// Adds an upstream.
+    /// Adds an upstream and returns its number.
     pub fn insert(&mut self, state: UpstreamState) -> UpstreamId {
         let id = UpstreamId(self.next_id);
         self.next_id += 1;
@@ -198,8 +202,8 @@
         id
     }
 
-    /// Closes the upstreams that `keep` does not know any more, and forgets those of them that
-    /// have no work. Gives the forgotten ones.
+    /// Closes the upstreams for which `keep` is false and removes those of them that have no work.
+    /// Returns the removed ones.
     pub fn retire(&mut self, keep: impl Fn(&UpstreamState) -> bool) -> Vec<UpstreamId> {
         let mut removed = Vec::new();
         for (id, state) in &mut self.states {
@@ -221,7 +225,8 @@
         removed
     }
 
-    /// Lets another upstream of the same name be declared while the old one's work ends.
+    /// Frees a name, so that an upstream of the same name can be added while the old one's work
+    /// ends.
     pub fn release_name(&mut self, name: &UpstreamName) {
         self.ids.remove(name);
     }
--- a/crates/savorywood-core/src/scheduler/health.rs
+++ b/crates/savorywood-core/src/scheduler/health.rs
@@ -1,36 +1,36 @@
-//! Which upstreams get no work because they fail or fall silent, and how they come back.
+//! Outlier ejection and stall detection of upstreams, and how ejected upstreams get work again.
 
 use savorywood_protocol::MonotonicTime;
 use std::time::Duration;
 
-/// Failures in a row that take an upstream out.
+/// Consecutive failures after which an upstream is ejected.
 const MAX_CONSECUTIVE_FAILURES: u32 = 3;
-/// Time out after the first ejection; doubles with each one that follows.
+/// Duration of the first ejection; doubles with each further one.
 const INITIAL_EJECTION_PERIOD: Duration = Duration::from_secs(5);
-/// Longest time out.
+/// Maximum duration of an ejection, before jitter.
 const MAX_EJECTION_PERIOD: Duration = Duration::from_secs(60);
-/// Successes in a row that end a probation.
+/// Consecutive successes that end a probation.
 const PROBATION_SUCCESSES: u32 = 3;
-/// Time over which a cold or returning upstream is brought up to its limit.
+/// Time over which a cold or formerly ejected upstream is brought up to its limit.
 const RAMP_PERIOD: Duration = Duration::from_secs(8);
-/// Share of the limit that a ramp begins with.
+/// Fraction of the limit at which a ramp begins.
 const RAMP_START_FRACTION: f64 = 0.2;
-/// Silence is never shorter than this.
+/// Minimum time without data after which an upstream may count as stalled.
 const MIN_STALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum HealthState {
-    /// Takes work up to its limit.
+    /// Gets work up to its limit.
     Healthy,
-    /// Takes work up to a growing share of its limit.
+    /// Gets work up to a growing fraction of its limit.
     Ramping { since: MonotonicTime },
-    /// Takes none.
+    /// Gets no work.
     Ejected { until: MonotonicTime },
-    /// Takes one request at a time.
+    /// Gets one probe request at a time.
     Probation { successes: u32 },
 }
 
-/// Health of one upstream as this daemon sees it.
+/// Health of one upstream as observed by this daemon.
 #[derive(Debug, Clone, Copy)]
 pub struct UpstreamHealth {
     state: HealthState,
@@ -41,7 +41,8 @@
 }
 
 impl UpstreamHealth {
-    /// A new upstream; a cold one among warm ones is brought up slowly.
+    /// Creates the state of a new upstream. With `ramp_up`, which is set for upstreams that join a
+    /// running service, its allowance grows from [`RAMP_START_FRACTION`] to the limit.
     #[must_use]
     pub fn new(now: MonotonicTime, ramp_up: bool) -> Self {
         let state = if ramp_up {
@@ -58,7 +59,8 @@
         }
     }
 
-    /// Share of its limit that it may use now.
+    /// Returns the fraction of its limit that it may use now. On probation it is the smallest
+    /// positive number, which the caller rounds up to one slot.
     #[must_use]
     pub fn capacity_fraction(&self, now: MonotonicTime) -> f64 {
         match self.state {
@@ -72,13 +74,14 @@
         }
     }
 
-    /// Whether it is out now.
+    /// Whether it is ejected now.
     #[must_use]
     pub fn is_ejected(&self, now: MonotonicTime) -> bool {
         matches!(self.state, HealthState::Ejected { until } if now < until)
     }
 
-    /// An attempt begins. With none under way before, silence is counted from now.
+    /// Records the dispatch of an attempt. If the upstream had no work before, the time without
+    /// data starts now. The first dispatch after an ejection starts the probation.
     pub fn record_dispatch(&mut self, now: MonotonicTime, was_idle: bool) {
         if was_idle {
             self.last_data_at = now;
@@ -91,18 +94,18 @@
         }
     }
 
-    /// The upstream said something.
+    /// Records that data arrived from the upstream.
     pub fn record_data(&mut self, now: MonotonicTime) {
         self.last_data_at = now;
     }
 
-    /// Whether nothing has come from it for longer than `usual` times a margin, although work is
-    /// under way there. A stalled engine accepts connections and never answers: the first sign
-    /// is that all its streams stop at once, long before a timeout of any of them.
+    /// Whether the upstream has work but has sent no data for four times `expected`. A stalled
+    /// engine accepts connections and never responds: the first sign is that all its streams stop
+    /// at once, long before any of them times out.
     ///
-    /// A single slow call looks the same. So the upstream is tried again whenever it has not been
-    /// for half of its silence: one that is well answers the next call, one that stalls loses
-    /// ever fewer.
+    /// A single slow call looks the same, so the upstream gets another request whenever it has not
+    /// had one for half of the time without data. A healthy upstream responds to it; a stalled one
+    /// fails fewer and fewer requests.
     #[must_use]
     pub fn is_stalled(&self, now: MonotonicTime, expected: Duration) -> bool {
         let since_data = now.since(self.last_data_at);
@@ -110,7 +113,7 @@
         since_data > MIN_STALL_TIMEOUT.max(expected * 4) && since_dispatch < since_data / 2
     }
 
-    /// An attempt ended well.
+    /// Records an attempt that succeeded.
     pub fn record_success(&mut self, now: MonotonicTime) {
         self.failures = 0;
         self.state = match self.state {
@@ -130,14 +133,15 @@
         };
     }
 
-    /// An attempt failed. Says whether the upstream should be taken out.
+    /// Records an attempt that failed. Returns whether the upstream should be ejected.
     pub fn record_failure(&mut self) -> bool {
         self.failures += 1;
         let on_probation = matches!(self.state, HealthState::Probation { .. });
         on_probation || self.failures >= MAX_CONSECUTIVE_FAILURES
     }
 
-    /// Takes the upstream out. `jitter` between 0 and 1 spreads the returns of daemons.
+    /// Ejects the upstream. `jitter`, between 0 and 1, lengthens the ejection by up to a half, so
+    /// that daemons don't send their probe requests at the same time.
     pub fn eject(&mut self, now: MonotonicTime, jitter: f64) {
         let doubled = INITIAL_EJECTION_PERIOD * 2_u32.pow(self.ejections.min(4));
         let period = doubled.min(MAX_EJECTION_PERIOD).mul_f64(1.0 + jitter / 2.0);
--- a/crates/savorywood-core/src/scheduler/queue.rs
+++ b/crates/savorywood-core/src/scheduler/queue.rs
@@ -31,7 +31,7 @@
     /// Hash of the longest prefix that some upstream was known to hold when it arrived.
     pub cached_prefix: Option<u64>,
     /// Upstream that could not be reached by the last attempt.
-    pub excluded_upstream: Option<UpstreamId>,
+    pub excluded: Option<UpstreamId>,
 }
 
 impl WaitingRequest {
--- a/crates/savorywood-core/src/scheduler/routing.rs
+++ b/crates/savorywood-core/src/scheduler/routing.rs
@@ -272,7 +272,7 @@
         let grant = context.view.grants.get(&state.name);
         let allowance = state.allowance(context.now, grant);
         let room = state.has_room(allowance, waiting.estimate.batch_tokens());
-        if !room || waiting.excluded_upstream == Some(id) {
+        if !room || waiting.excluded == Some(id) {
             return Err(PickFailure::NoCapacity);
         }
         let speed = state.speed.estimate(context.typical_speed);
