--- a/crates/savorywood-core/src/scheduler/feedback.rs
+++ b/crates/savorywood-core/src/scheduler/feedback.rs
@@ -1,4 +1,5 @@
-//! What upstreams' answers teach: speed, limits, health, lengths and caches.
+//! Processes events from upstreams: updates latency models, limits, health, length predictions and
+//! the prefix index.
 
 use super::{
     RequestScheduler, SchedulerMechanism, SchedulerView,
@@ -15,10 +16,11 @@
 use savorywood_protocol::{AttemptNumber, MonotonicTime, RequestId};
 use std::time::Duration;
 
-/// Least status of an upstream's own failure.
+/// Lowest HTTP status that counts as a failure of the upstream.
 const MIN_SERVER_ERROR_STATUS: u16 = 500;
-/// Largest share of a service's upstreams that may be out at once, as a divisor. When more fail,
-/// the fault is likelier the load or this host, and the rest would be overrun.
+/// At most one in this many upstreams of a service may be ejected at once, but always one. If more
+/// fail, the cause is more likely the load or this host, and the remaining upstreams would be
+/// overloaded.
 const MAX_EJECTED_DIVISOR: usize = 3;
 
 impl RequestScheduler {
@@ -211,7 +213,8 @@
         }
     }
 
-    /// A byte may have left, so the request is never sent again; the shell answers its caller.
+    /// Ends an attempt that failed after a byte may have been sent. The request is never dispatched
+    /// again; the runtime sends the response to the caller.
     fn handle_broken(
         &mut self,
         now: MonotonicTime,
@@ -236,7 +239,7 @@
         self.fill_upstream(now, record.upstream, view, effects);
     }
 
-    /// Counts a failure; says whether it took the upstream out.
+    /// Records a failure of an upstream. Returns whether the upstream was ejected for it.
     pub(super) fn record_failure(&mut self, now: MonotonicTime, upstream: UpstreamId) -> bool {
         if !self.options.has(SchedulerMechanism::Ejection) {
             return false;
@@ -272,8 +275,8 @@
     AttemptKey { request, attempt }
 }
 
-/// Prompt tokens that were really prefilled. An upstream that reports nothing is taken at its
-/// prediction.
+/// Returns the prompt tokens that the upstream prefilled: by its report, or as predicted if it
+/// reports none.
 fn prefilled_tokens(record: &AttemptRecord, report: AnswerReport) -> u32 {
     if report.prompt_tokens == 0 {
         return record.uncached;
@@ -283,5 +286,6 @@
     (prompt * (1.0 - share.min(1.0))) as u32
 }
 
-/// Time between two looks at a queue that nothing else wakes: ejections end, ramps go on.
+/// Interval at which waiting requests are tried again without another event, since ejections end
+/// and ramps progress over time.
 pub(super) const TICK_INTERVAL: Duration = Duration::from_millis(100);
--- a/crates/savorywood-core/src/scheduler/limit.rs
+++ b/crates/savorywood-core/src/scheduler/limit.rs
@@ -1,44 +1,49 @@
-//! How much work an upstream gets at once: a limit that follows its latency.
+//! Adaptive concurrency limit of one upstream, controlled by its latency.
 //!
-//! Two signs are read. First tokens that take several times longer than the best this upstream
-//! has shown for as much prefill mean that requests wait inside the engine: more than its batch
-//! holds. Gaps between tokens over the objective mean that the batch itself is too large. Either
-//! cuts the limit; the limit grows only on evidence of prompt first tokens while in full use.
+//! Two signals are used. Times to first token that are several times longer than the best of this
+//! upstream for the same prefill show that requests wait inside the engine, because it got more
+//! than its batch holds. Token gaps above the objective show that the batch itself is too large.
+//! Either signal cuts the limit. The limit grows only if it was fully used and first tokens were
+//! fast.
 
 use savorywood_protocol::MonotonicTime;
 use std::time::Duration;
 
-/// Shortest time between two verdicts of a kind: a cut must show its effect before the next.
+/// Minimum time between two decisions from one signal, so that a cut takes effect before the next
+/// decision.
 const MIN_WINDOW: Duration = Duration::from_millis(1_000);
-/// First tokens that a verdict needs.
+/// Minimum number of first tokens per decision.
 const MIN_FIRST_TOKEN_SAMPLES: u32 = 4;
-/// Gaps that a verdict needs.
+/// Minimum number of token gaps per decision.
 const MIN_GAP_SAMPLES: u32 = 32;
-/// A first token this many times slower than the engine's best is a sign of a queue inside it.
+/// Slowdown of first tokens against the baseline from which requests count as queued inside the
+/// engine.
 const CONGESTED_SLOWDOWN: f64 = 3.0;
-/// Least share kept in one cut. One window may be unlucky.
+/// Smallest factor applied in one cut, since the samples of one window may be outliers.
 const MIN_CUT_FACTOR: f64 = 0.8;
-/// Congestion below which a limit that is in full use grows. Between this and one it stays,
-/// which is what keeps it from swinging.
+/// Congestion below which a fully used limit grows. Between this value and 1 the limit stays, which
+/// keeps it from oscillating.
 const MAX_GROWTH_CONGESTION: f64 = 0.7;
-/// Growth of a limit in full use, as a share.
+/// Growth of a fully used limit per decision, as a fraction of the limit.
 const GROWTH_FRACTION: f64 = 0.06;
-/// The same before the first cut, while the declared figure may be far too low.
+/// The same during slow start, before the first cut, when the configured limit may be far too low.
 const SLOW_START_GROWTH_FRACTION: f64 = 0.25;
-/// Use of the allowance from which the limit is taken to be what holds work back.
+/// Used fraction of the allowance from which the limit counts as fully used.
 const FULL_USE_FRACTION: f64 = 0.9;
-/// Share of the declared seats under which slow tokens alone don't cut the limit: an engine of
-/// an old generation may miss the objective with an empty batch too.
+/// Fraction of the configured slots below which token gaps alone don't cut the limit: an engine on
+/// old hardware may miss the objective with an empty batch too.
 const MIN_GAP_CUT_FRACTION: f64 = 0.5;
-/// A limit never grows beyond this many times the declared figure, nor falls below its inverse.
+/// The limit stays between the configured figure divided by this factor and multiplied by it.
 const MAX_GROWTH_FACTOR: f64 = 8.0;
-/// Time over which the best first-token time is forgotten: the best of a cool hour must not be
-/// the measure of a hot one, and a queue must not become the measure before it was cut away.
+/// Time constant with which the baseline follows slower first tokens. It must adapt when the
+/// upstream gets slower for a while, such as when it is throttled in the heat, but must not adapt
+/// to a queue before the limit has been cut.
 const BASELINE_DECAY: Duration = Duration::from_secs(60);
-/// Tokens that the fixed part of a first token is worth, to compare prompts of all lengths.
+/// Number of prompt tokens that take as long as the fixed part of a first token. Makes the times of
+/// short and long prompts comparable.
 const FIXED_OVERHEAD_TOKENS: f64 = 512.0;
 
-/// Latency targets of the service.
+/// Latency objectives of the service.
 #[derive(Debug, Clone, Copy)]
 pub struct LatencyTargets {
     /// Seconds to the first token.
@@ -47,16 +52,16 @@
     pub gap: f64,
 }
 
-/// What was in use while a window was measured.
+/// Peak use of the limit since the last decision.
 #[derive(Debug, Clone, Copy)]
 pub struct LimitUse {
-    /// Most seats in use, as a share of those allowed.
+    /// Maximum slots in use, as a fraction of the allowed ones.
     pub slots: f64,
-    /// Most batch tokens in use, as a share of those allowed.
+    /// Maximum batch tokens in use, as a fraction of the allowed ones.
     pub tokens: f64,
 }
 
-/// Samples since the last verdict of one kind.
+/// Samples of one signal since its last decision.
 #[derive(Debug, Clone, Copy, Default)]
 struct LatencyWindow {
     started_at: MonotonicTime,
@@ -83,7 +88,7 @@
     }
 }
 
-/// Shortest recent first-token time, relative to what was to be prefilled.
+/// Best recent time to first token per token of prefill.
 #[derive(Debug, Clone, Copy, Default)]
 struct LatencyBaseline {
     ratio: Option<f64>,
@@ -91,7 +96,7 @@
 }
 
 impl LatencyBaseline {
-    /// Says how many times longer than the best a sample took.
+    /// Records a sample and returns how many times longer than the baseline it took.
     fn slowdown(&mut self, now: MonotonicTime, sample: f64) -> f64 {
         let baseline = self.ratio.unwrap_or(sample);
         let age = now.since(self.updated_at).as_secs_f64();
@@ -107,7 +112,7 @@
     }
 }
 
-/// Limit of one upstream.
+/// Limit of slots and batch tokens of one upstream.
 #[derive(Debug, Clone)]
 pub struct AdaptiveLimit {
     declared_slots: f64,
@@ -122,7 +127,7 @@
 }
 
 impl AdaptiveLimit {
-    /// A limit that begins at the declared figures.
+    /// Creates a limit that starts at the configured figures.
     #[must_use]
     pub fn new(slots: u32, tokens: u32) -> Self {
         let declared_slots = f64::from(slots.max(1));
@@ -143,25 +148,25 @@
         }
     }
 
-    /// Seats at once.
+    /// Returns the maximum number of concurrent requests, at least 1.
     #[must_use]
     pub fn slots(&self) -> u32 {
         (self.slots as u32).max(1)
     }
 
-    /// Batch tokens at once.
+    /// Returns the maximum number of concurrent batch tokens.
     #[must_use]
     pub fn tokens(&self) -> u64 {
         self.tokens as u64
     }
 
-    /// Notes how much of the allowance was in use.
+    /// Records the used fraction of the allowance.
     pub fn record_use(&mut self, used: LimitUse) {
         self.peak.slots = self.peak.slots.max(used.slots);
         self.peak.tokens = self.peak.tokens.max(used.tokens);
     }
 
-    /// Notes a first token.
+    /// Records the time to first token of an attempt with `uncached` tokens to prefill.
     pub fn record_first_token(&mut self, now: MonotonicTime, took: Duration, uncached: u32) {
         let took = took.as_secs_f64();
         let ratio = took / (f64::from(uncached) + FIXED_OVERHEAD_TOKENS);
@@ -170,13 +175,13 @@
         self.first_tokens.slowdown += self.baseline.slowdown(now, ratio);
     }
 
-    /// Notes tokens after the first.
+    /// Records the time that `count` tokens after the first took.
     pub fn record_tokens(&mut self, took: Duration, count: u32) {
         self.gaps.count += count;
         self.gaps.seconds += took.as_secs_f64();
     }
 
-    /// Changes the limit if there is enough evidence.
+    /// Changes the limit if one of the signals has enough samples.
     pub fn adjust(&mut self, now: MonotonicTime, targets: LatencyTargets) {
         if self.gaps.is_complete(now, MIN_GAP_SAMPLES) {
             let gap = self.gaps.take(now).mean();
@@ -188,7 +193,8 @@
         if self.first_tokens.is_complete(now, MIN_FIRST_TOKEN_SAMPLES) {
             let window = self.first_tokens.take(now);
             let slowdown = window.slowdown / f64::from(window.count) / CONGESTED_SLOWDOWN;
-            // A first token far within the objective is no trouble, however good the best was.
+            // A first token far within the objective is no sign of congestion, however low the
+            // baseline is.
             let congestion = slowdown.min(2.0 * window.mean() / targets.first_token);
             if congestion > 1.0 {
                 self.cut(1.0 / congestion);
--- a/crates/savorywood-core/src/scheduler/limit/tests.rs
+++ b/crates/savorywood-core/src/scheduler/limit/tests.rs
@@ -1,4 +1,4 @@
-//! The limit against an engine that holds so many sequences and queues the rest.
+//! Tests of the adaptive limit against a simulated engine with a bounded batch and a queue.
 
 use super::{AdaptiveLimit, LatencyTargets, LimitUse};
 use savorywood_protocol::MonotonicTime;
@@ -9,7 +9,7 @@
     gap: 0.079,
 };
 
-/// An engine of which all is known.
+/// Engine whose latencies are computed from its batch size.
 #[derive(Debug, Clone, Copy)]
 struct SimulatedEngine {
     slots: f64,
@@ -23,15 +23,15 @@
         (self.step + self.per_sequence * batch.min(self.slots)) * self.slowdown
     }
 
-    /// Time to the first token when `work` sequences are inside: those beyond the batch wait for
-    /// others to end.
+    /// Returns the time to first token with `work` sequences in the engine: those beyond the batch
+    /// wait until others end.
     fn first_token(&self, work: f64) -> f64 {
         let queue = (work - self.slots).max(0.0);
         (0.3 + queue * 0.5) * self.slowdown
     }
 }
 
-/// Lets the limit be in full use for some seconds; gives its seats second by second.
+/// Keeps the limit fully used for `seconds`; returns the slots at the end of each second.
 fn run_at_full_use(
     limit: &mut AdaptiveLimit,
     engine: SimulatedEngine,
@@ -66,8 +66,8 @@
     slowdown: 1.0,
 };
 
-/// The declared seats are a fifth of what the engine holds. If the limit stayed there, four
-/// fifths of the accelerator would stand idle while callers are refused.
+/// Guards against a limit that stays at the configured slots when these are a fifth of the engine's
+/// batch: four fifths of the accelerator would be idle while callers are refused.
 #[test]
 fn limit_converges_to_the_batch_size_of_the_engine() {
     let mut limit = AdaptiveLimit::new(8, 65_536);
@@ -78,9 +78,9 @@
     assert!(min >= 30 && max <= 52, "between {min} and {max} slots");
 }
 
-/// On a hot afternoon the engine takes twice as long for everything. Tokens come too slowly with
-/// a full batch then; a limit that did not follow would make every answer late, one that swung
-/// would make some late and leave seats empty in turn.
+/// Guards against a limit that doesn't follow an engine which takes twice as long for everything,
+/// such as one throttled in the heat: all responses would be late. A limit that oscillates would
+/// make some late and leave slots empty in turn.
 #[test]
 fn limit_follows_a_slowdown_without_oscillating_and_recovers() {
     let mut limit = AdaptiveLimit::new(16, 65_536);
@@ -109,8 +109,8 @@
     );
 }
 
-/// An engine of the oldest generation misses the objective between tokens with any batch. Cutting
-/// further would not make its tokens faster and would waste it.
+/// Guards against cuts of the limit on an engine that misses the token-gap objective with any batch
+/// size: they would not make its tokens faster and would waste its capacity.
 #[test]
 fn slow_engine_keeps_half_of_its_declared_slots() {
     let mut limit = AdaptiveLimit::new(16, 65_536);
--- a/crates/savorywood-core/src/scheduler/options.rs
+++ b/crates/savorywood-core/src/scheduler/options.rs
@@ -1,9 +1,9 @@
-//! What an embedder may set about the scheduler.
+//! Options of the scheduler, set by the embedding program.
 
 use std::collections::BTreeSet;
 use strum::{Display, EnumIter, EnumString, IntoStaticStr};
 
-/// A part of the scheduler that an experiment may switch off to show what it is worth.
+/// Mechanism of the scheduler that a simulation can switch off to measure its effect.
 #[derive(
     Debug,
     Clone,
@@ -20,23 +20,23 @@
 )]
 #[strum(serialize_all = "kebab-case")]
 pub enum SchedulerMechanism {
-    /// Higher tiers go first and are shed last.
+    /// Higher tiers are dispatched first and shed last.
     Tiers,
-    /// Teams of a tier share by weight.
+    /// Teams of a tier share capacity in proportion to their weights.
     FairShare,
-    /// Requests go where their prompt's prefix is cached.
+    /// Requests go to upstreams that have their prompt's prefix cached.
     Affinity,
-    /// Seats and tokens of an upstream follow its latency.
+    /// The limits of slots and batch tokens of an upstream adapt to its latency.
     AdaptiveLimit,
-    /// Failing and silent upstreams get no work.
+    /// Failing upstreams are ejected, and stalled ones get no new requests.
     Ejection,
-    /// Work that can't meet its deadline is refused at once.
+    /// Requests that can't meet their deadline are refused at once.
     DeadlineAdmission,
-    /// Output lengths are learned by team as well as by route.
+    /// Output lengths are predicted by team as well as by route.
     TeamCosts,
 }
 
-/// Settings of the scheduler.
+/// Options of the scheduler.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SchedulerOptions {
     seed: u64,
@@ -44,7 +44,7 @@
 }
 
 impl SchedulerOptions {
-    /// All mechanisms on, with this seed of all random numbers.
+    /// Creates options with all mechanisms enabled and this seed for all random numbers.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self {
@@ -53,20 +53,20 @@
         }
     }
 
-    /// The same options with one mechanism off.
+    /// Returns the options with one mechanism disabled.
     #[must_use]
     pub fn without(mut self, mechanism: SchedulerMechanism) -> Self {
         self.disabled.insert(mechanism);
         self
     }
 
-    /// Seed of all random numbers.
+    /// Returns the seed of all random numbers.
     #[must_use]
     pub fn seed(&self) -> u64 {
         self.seed
     }
 
-    /// Whether a mechanism is on.
+    /// Whether a mechanism is enabled.
     #[must_use]
     pub fn has(&self, mechanism: SchedulerMechanism) -> bool {
         !self.disabled.contains(&mechanism)
--- a/crates/savorywood-core/src/scheduler/prefix.rs
+++ b/crates/savorywood-core/src/scheduler/prefix.rs
@@ -1,8 +1,10 @@
-//! Which upstream holds which prompt prefix, as far as late and gappy cache events tell.
+//! Index of the prompt prefixes that upstreams have cached, built from dispatches and from cache
+//! events, which may be late or lost.
 //!
-//! Of this daemon's own prompts a few positions are kept: a match a little too short costs
-//! little. Of what events tell, all blocks are kept while they fit, then ever fewer: those whose
-//! hash ends in a growing number of zero bits, so that all upstreams are thinned alike.
+//! Of a dispatched prompt a few positions are recorded: a match that is a little too short costs
+//! little. Of cache events all blocks are recorded while they fit. After that they are sampled by
+//! hash, with a growing number of trailing zero bits required, so that the same blocks are kept for
+//! all upstreams.
 
 use super::fleet::UpstreamId;
 use crate::event::{CacheEvent, CacheEventBatch};
@@ -12,20 +14,21 @@
     time::Duration,
 };
 
-/// Prefixes known at most.
+/// Maximum number of prefixes in the index.
 const MAX_PREFIXES: usize = 262_144;
-/// Of the blocks that events tell of, one in two to this power is kept at least.
+/// Maximum number of trailing zero bits required of a block's hash; at least one block in 2^4 is
+/// recorded.
 const MAX_SAMPLING_SHIFT: u32 = 4;
-/// Upstreams remembered for a prefix.
+/// Maximum number of upstreams recorded per prefix.
 const MAX_HOLDERS: usize = 16;
-/// Positions of a prompt looked at for each doubling of the length.
+/// Recorded positions of a prompt per doubling of its length.
 const POSITIONS_PER_OCTAVE: f64 = 4.0;
-/// Cache events may be this late. One that is older than a dispatch of ours by less says nothing
-/// of what the dispatch stored.
+/// Maximum delay of cache events. A removal that arrives less than this after a dispatch may be
+/// older than the dispatch, and does not remove the prefixes that the dispatch stored.
 const MAX_EVENT_LAG: Duration = Duration::from_secs(10);
-/// Weight of a match that a gap in the events has made unsure.
+/// Weight of a match recorded before a gap in the upstream's cache events.
 const UNCONFIRMED_WEIGHT: f64 = 0.7;
-/// Knowledge that nothing has confirmed for this long is dropped.
+/// Entries not confirmed for this long are ignored.
 const MAX_ENTRY_AGE: Duration = Duration::from_secs(600);
 
 #[derive(Debug, Clone, Copy)]
@@ -46,16 +49,17 @@
     epoch: u32,
 }
 
-/// An upstream that holds the first blocks of a prompt.
+/// Upstream that has the first blocks of a prompt cached.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PrefixMatch {
-    /// Who.
+    /// Number of the upstream.
     pub upstream: UpstreamId,
-    /// Blocks it is expected to hold, less when this is unsure.
+    /// Expected number of cached blocks, reduced by [`UNCONFIRMED_WEIGHT`] after a gap in the
+    /// events.
     pub blocks: f64,
 }
 
-/// Known holders of prefixes. Memory is bounded by [`MAX_PREFIXES`].
+/// Upstreams by cached prefix. Memory is bounded by [`MAX_PREFIXES`].
 #[derive(Debug, Default)]
 pub struct PrefixIndex {
     entries: BTreeMap<u64, PrefixEntry>,
@@ -65,7 +69,7 @@
 }
 
 impl PrefixIndex {
-    /// Notes that an upstream is given a prompt and so will hold its prefixes.
+    /// Records the dispatch of a prompt to an upstream, which will have its prefixes cached.
     pub fn record_dispatch(&mut self, now: MonotonicTime, upstream: UpstreamId, hashes: &[u64]) {
         let epoch = self.epoch(upstream);
         for index in sampled_positions(hashes.len()) {
@@ -99,7 +103,8 @@
         self.entries.entry(hash).or_default()
     }
 
-    /// Drops the oldest entries and takes in fewer new ones from now on.
+    /// Evicts the oldest quarter of the entries and doubles the sampling interval for new blocks,
+    /// up to its bound.
     fn evict_oldest(&mut self) {
         self.sampling_shift = (self.sampling_shift + 1).min(MAX_SAMPLING_SHIFT);
         for oldest in self.order.drain(..MAX_PREFIXES / 4) {
@@ -107,7 +112,7 @@
         }
     }
 
-    /// Upstreams that hold a prefix of the prompt, longest match first.
+    /// Returns the upstreams that have a prefix of the prompt cached, longest match first.
     pub fn find(&self, now: MonotonicTime, hashes: &[u64]) -> Vec<PrefixMatch> {
         let mut matches: Vec<PrefixMatch> = Vec::new();
         for index in sampled_positions(hashes.len()).rev() {
@@ -134,7 +139,7 @@
         matches
     }
 
-    /// Longest known prefix of the prompt that some upstream holds.
+    /// Returns the hash of the longest prefix of the prompt that some upstream has cached.
     pub fn longest_cached(&self, now: MonotonicTime, hashes: &[u64]) -> Option<u64> {
         let mut known = sampled_positions(hashes.len()).rev().filter_map(|index| {
             let hash = hashes.get(index)?;
@@ -146,13 +151,13 @@
         known.next()
     }
 
-    /// Upstreams that are known to hold a prefix.
+    /// Returns the upstreams that have a prefix cached, as far as the index shows.
     pub fn holders(&self, hash: u64) -> impl Iterator<Item = UpstreamId> + '_ {
         let entry = self.entries.get(&hash).into_iter();
         entry.flat_map(|entry| entry.holders.iter().map(|holder| holder.upstream))
     }
 
-    /// Whether an upstream is known to hold a prefix.
+    /// Whether an upstream has a prefix cached, as far as the index shows.
     pub fn is_cached_on(&self, upstream: UpstreamId, hash: u64) -> bool {
         let entry = self.entries.get(&hash);
         entry.is_some_and(|entry| {
@@ -161,9 +166,9 @@
         })
     }
 
-    /// Takes in events of an upstream's cache. A jump in their numbers makes all that is known of
-    /// that upstream unsure: a lost `Removed` would leave a prefix that is gone, a lost `Stored`
-    /// costs nothing but a chance.
+    /// Applies events of an upstream's cache. After a gap in the sequence numbers all entries of
+    /// that upstream count as unconfirmed: a lost `Removed` would leave an entry for a prefix that
+    /// is no longer cached, while a lost `Stored` only misses a match.
     pub fn apply_events(
         &mut self,
         now: MonotonicTime,
@@ -206,7 +211,7 @@
         }
     }
 
-    /// Forgets an upstream that is gone.
+    /// Removes all entries of an upstream that was removed.
     pub fn remove_upstream(&mut self, upstream: UpstreamId) {
         self.feeds.remove(&upstream);
         for entry in self.entries.values_mut() {
@@ -240,7 +245,8 @@
     }
 }
 
-/// Positions of a prompt at which its prefixes are known: all short ones, then ever fewer.
+/// Returns the indices of a prompt's blocks at which its prefixes are recorded: all short prefixes,
+/// then [`POSITIONS_PER_OCTAVE`] per doubling, and the longest one.
 fn sampled_positions(blocks: usize) -> impl DoubleEndedIterator<Item = usize> {
     let octaves = (blocks.max(1) as f64).log2() * POSITIONS_PER_OCTAVE;
     let steps = 0..=(octaves as usize);
--- a/crates/savorywood-core/src/scheduler/pressure.rs
+++ b/crates/savorywood-core/src/scheduler/pressure.rs
@@ -1,4 +1,5 @@
-//! What other duties read of the scheduler: demand, limits and pressure.
+//! Demand, limits and load shedding of the scheduler, as read by the arbitration of contended
+//! upstreams.
 
 use super::{RequestScheduler, fleet::UpstreamId, queue::ScanLimit, service::SlotDemand};
 use savorywood_protocol::{
@@ -6,25 +7,26 @@
 };
 use std::{collections::BTreeMap, time::Duration};
 
-/// What waits is counted again after this long.
+/// Minimum interval between two counts of the waiting requests.
 const DEMAND_COUNT_INTERVAL: Duration = Duration::from_millis(90);
-/// Waiting requests looked at in one count.
+/// Maximum number of waiting requests examined per count.
 const MAX_SAMPLED_REQUESTS: usize = 128;
-/// A tier counts as being shed for this long after a refusal for load.
+/// Time after a refusal for load during which a tier counts as being shed.
 const SHEDDING_WINDOW: Duration = Duration::from_secs(1);
 
-/// How pressed a service is at this daemon.
+/// Queued load of a service at this daemon.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ServicePressure {
-    /// Requests that wait, by tier, highest first.
+    /// Number of waiting requests by tier, highest tier first.
     pub waiting: Vec<TierDemand>,
-    /// Highest tier of which a request was refused for load within the last second.
+    /// Highest tier of which a request was refused for load within [`SHEDDING_WINDOW`].
     pub shedding: Option<TierRank>,
 }
 
 impl RequestScheduler {
-    /// Seats in use and wanted on an upstream, by tier, highest first. What waits is spread over
-    /// the upstreams of the service by their limits.
+    /// Returns the slots in use and demanded on an upstream by tier, highest tier first. Waiting
+    /// requests count on the upstreams that have their prefix cached; others are spread evenly over
+    /// the upstreams of the service.
     #[must_use]
     pub fn demand(&self, upstream: &UpstreamName) -> Vec<TierDemand> {
         let Some(id) = self.fleet.id(upstream) else {
@@ -54,7 +56,7 @@
             .collect()
     }
 
-    /// Seats in use on an upstream.
+    /// Returns the slots in use on an upstream.
     #[must_use]
     pub fn slots_in_use(&self, upstream: &UpstreamName) -> u32 {
         let id = self.fleet.id(upstream);
@@ -64,7 +66,8 @@
         slots.map(|(_, count)| count).sum()
     }
 
-    /// Counts what waits by where it would like to go. A part is looked at and taken for all.
+    /// Counts the slots that waiting requests demand, by the upstreams that have their prefix
+    /// cached. A bounded sample is examined and scaled to the whole queue.
     pub(super) fn refresh_slot_demand(&mut self, now: MonotonicTime, name: &ServiceName) {
         let Some(service) = self.services.get(name) else {
             return;
@@ -100,7 +103,8 @@
         }
     }
 
-    /// Seats that this daemon believes the upstream can carry; `None` for an unknown one.
+    /// Returns this daemon's adaptive limit of slots of the upstream; `None` for an unknown
+    /// upstream.
     #[must_use]
     pub fn slot_limit(&self, upstream: &UpstreamName) -> Option<u32> {
         let id = self.fleet.id(upstream)?;
@@ -108,7 +112,7 @@
         Some(state.limit.slots())
     }
 
-    /// How pressed a service is here.
+    /// Returns the queued load of a service; empty for an unknown service.
     #[must_use]
     pub fn service_pressure(&self, now: MonotonicTime, service: &ServiceName) -> ServicePressure {
         let Some(state) = self.services.get(service) else {
--- a/crates/savorywood-core/src/scheduler/queue.rs
+++ b/crates/savorywood-core/src/scheduler/queue.rs
@@ -1,4 +1,5 @@
-//! Requests of one service that wait: strict tiers, fair shares of teams within a tier.
+//! Queue of the waiting requests of one service: strict priority of tiers, fair queueing of teams
+//! within a tier.
 
 mod fair;
 
@@ -8,68 +9,69 @@
 use savorywood_protocol::{AttemptNumber, MonotonicTime, RequestId, TierRank};
 use std::{collections::BTreeMap, time::Duration};
 
-/// Times that a prefill which another upstream could spare is waited out, before it is done.
+/// A request waits up to this multiple of the prefill time that an upstream with its prefix cached
+/// would save.
 const MISS_WAIT_FACTOR: f64 = 4.0;
 
-/// A request that waits for an upstream.
+/// Request that waits for an upstream.
 #[derive(Debug, Clone)]
 pub struct WaitingRequest {
-    /// What waits.
+    /// The request itself.
     pub request: QueuedRequest,
-    /// Number that its next attempt gets.
+    /// Number of its next attempt.
     pub attempt: AttemptNumber,
-    /// Predicted size.
+    /// Predicted size in tokens.
     pub estimate: CostEstimate,
-    /// Predicted time on a seat, in microseconds.
+    /// Predicted time in a slot, in microseconds.
     pub slot_micros: u64,
-    /// Dispatched later than this it can't meet its deadline.
+    /// Time after which a dispatch would miss the deadline.
     pub latest_start: MonotonicTime,
-    /// Until then it may be kept for an upstream that holds its prefix.
+    /// Time until which it may be held back for an upstream that has its prefix cached.
     pub affinity_wait_until: MonotonicTime,
-    /// From then on it goes before others of its tier, whatever is cached where.
+    /// Time from which it goes first in its tier, wherever its prefix is cached.
     pub urgent_at: MonotonicTime,
-    /// Hash of the longest prefix that some upstream was known to hold when it arrived.
+    /// Hash of the longest prefix that some upstream had cached when the request arrived.
     pub cached_prefix: Option<u64>,
-    /// Upstream that could not be reached by the last attempt.
+    /// Upstream that the last attempt could not reach; it is not chosen again.
     pub excluded: Option<UpstreamId>,
 }
 
 impl WaitingRequest {
-    /// Whether it has waited long enough for an upstream that holds its prefix to take one that
-    /// needs `miss_time` to prefill it: the longer that takes, the longer it waits.
+    /// Whether it has waited long enough to accept an upstream that needs `miss_time` for the
+    /// prefill which another upstream has cached. The longer the prefill, the longer it waits.
     #[must_use]
     pub fn accepts_cache_miss(&self, now: MonotonicTime, miss_time: Duration) -> bool {
         now >= self.affinity_wait_until + miss_time.mul_f64(MISS_WAIT_FACTOR)
     }
 }
 
-/// Where a request waits.
+/// Queue position of a request.
 #[derive(Debug, Clone, Copy)]
 struct QueuePosition {
     rank: TierRank,
     sequence: u64,
 }
 
-/// How a queue orders its requests.
+/// Ordering rules of a queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueueOrder {
-    /// Higher tiers go first.
+    /// Whether higher tiers go first; otherwise all tiers are one.
     pub tiers: bool,
-    /// Teams share within a tier; otherwise first come, first served.
+    /// Whether teams share a tier by weight; otherwise requests go in order of arrival.
     pub fair: bool,
 }
 
-/// How many waiting requests are looked at.
+/// Bounds on the number of waiting requests that are examined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ScanLimit {
-    /// Of one team in one tier.
+    /// Maximum number per team and tier.
     pub per_team: usize,
-    /// Of one tier.
+    /// Maximum number per tier.
     pub per_tier: usize,
 }
 
 impl ScanLimit {
-    /// All of them.
+    /// Examines all requests.
     pub const UNLIMITED: Self = Self {
         per_team: usize::MAX,
         per_tier: usize::MAX,
@@ -86,7 +88,7 @@
 }
 
 impl RequestQueue {
-    /// An empty queue.
+    /// Creates an empty queue.
     #[must_use]
     pub fn new(order: QueueOrder) -> Self {
         Self {
@@ -97,13 +99,13 @@
         }
     }
 
-    /// Requests that wait.
+    /// Returns the number of waiting requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.positions.len()
     }
 
-    /// Whether none waits.
+    /// Whether no request waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.positions.is_empty()
@@ -121,7 +123,7 @@
         self.order.fair.then(|| waiting.request.team.clone())
     }
 
-    /// Adds a request behind those of its team.
+    /// Appends a request to those of its team.
     pub fn push(&mut self, waiting: WaitingRequest) {
         let rank = self.queue_rank(waiting.request.rank);
         let sequence = self.next_sequence;
@@ -133,24 +135,24 @@
         tier.push(lane, sequence, waiting);
     }
 
-    /// The first requests of the teams that are next, highest tier first.
+    /// Iterates over the first request of each team in dispatch order, highest tier first.
     pub fn heads(&self) -> impl Iterator<Item = &WaitingRequest> {
         self.tiers.values().flat_map(FairQueue::heads)
     }
 
-    /// The first few requests of each team that is next, highest tier first.
+    /// Iterates over the first few requests of each team in dispatch order, highest tier first.
     pub fn front(&self, span: ScanLimit) -> impl Iterator<Item = &WaitingRequest> {
         let tiers = self.tiers.values();
         tiers.flat_map(move |tier| tier.front(span.per_team).take(span.per_tier))
     }
 
-    /// Takes a request out to dispatch it: its team is charged.
+    /// Removes a request for dispatch and charges its team with the predicted size.
     pub fn take(&mut self, request: RequestId) -> Option<WaitingRequest> {
         let position = self.positions.remove(&request)?;
         self.tiers.get_mut(&position.rank)?.take(position.sequence)
     }
 
-    /// Takes a request out without a charge.
+    /// Removes a request without a charge.
     pub fn remove(&mut self, request: RequestId) -> Option<WaitingRequest> {
         let position = self.positions.remove(&request)?;
         self.tiers
@@ -158,7 +160,7 @@
             .remove(position.sequence)
     }
 
-    /// Corrects the charge of a team once the real size of a request is known.
+    /// Corrects the charge of a team when the actual size of a request is reported.
     pub fn correct_charge(&mut self, request: &QueuedRequest, charged: u64, actual: u64) {
         let rank = self.queue_rank(request.rank);
         let lane = self.order.fair.then(|| request.team.clone());
@@ -167,7 +169,7 @@
         }
     }
 
-    /// Lowest tier of which a request waits.
+    /// Returns the lowest tier that has waiting requests.
     #[must_use]
     pub fn lowest_rank(&self) -> Option<TierRank> {
         let mut tiers = self.tiers.iter().rev();
@@ -175,14 +177,14 @@
         lowest.map(|(rank, _)| *rank)
     }
 
-    /// Newest request of the lowest tier: the one to shed first.
+    /// Returns the newest request of the lowest tier, which is shed first.
     #[must_use]
     pub fn shed_candidate(&self) -> Option<RequestId> {
         let rank = self.lowest_rank()?;
         self.tiers.get(&rank)?.newest()
     }
 
-    /// Seat time of the requests that go before a new one of this team, in microseconds.
+    /// Returns the slot time, in microseconds, queued ahead of a new request of this team.
     #[must_use]
     pub fn work_ahead(&self, request: &QueuedRequest) -> u64 {
         let rank = self.queue_rank(request.rank);
@@ -193,7 +195,7 @@
         higher.sum::<u64>() + own
     }
 
-    /// Requests that wait, by tier.
+    /// Iterates over the tiers that have waiting requests, with their numbers.
     pub fn waiting_by_tier(&self) -> impl Iterator<Item = (TierRank, usize)> + '_ {
         let counts = self.tiers.iter().map(|(rank, tier)| (*rank, tier.len()));
         counts.filter(|(_, count)| *count > 0)
--- a/crates/savorywood-core/src/scheduler/queue/fair.rs
+++ b/crates/savorywood-core/src/scheduler/queue/fair.rs
@@ -1,18 +1,18 @@
-//! Start-time fair queueing of teams, by tokens.
+//! Start-time fair queueing of teams by tokens.
 //!
-//! Each team has a lane with a tag in virtual time; the lane with the smallest tag is next and
-//! moves on by the size of what it sent over its weight. Cost of an operation grows with the
-//! logarithm of the teams that have requests waiting; idle teams are forgotten as soon as their
-//! tag is in the past.
+//! Each team has a lane with a tag in virtual time. The lane with the smallest tag is next; a
+//! dispatch advances its tag by the size of the request divided by the team's weight. The cost of
+//! an operation grows with the logarithm of the number of teams with waiting requests. Idle lanes
+//! are discarded when their tag is no longer ahead of the virtual time.
 
 use super::WaitingRequest;
 use savorywood_protocol::{RequestId, TeamName};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Virtual time of one token of a team with weight one.
+/// Virtual time per token of a team with weight 1.
 const TAG_SCALE: u64 = 1_024;
 
-/// Team of a lane; `None` when all teams share one.
+/// Team of a lane; `None` if all teams share one lane.
 pub type LaneKey = Option<TeamName>;
 
 #[derive(Debug, Default)]
@@ -42,22 +42,22 @@
 }
 
 impl FairQueue {
-    /// Whether none waits.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.order.is_empty()
     }
 
-    /// Requests that wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.order.len()
     }
 
-    /// Seat time of all that wait, in microseconds.
+    /// Returns the slot time of all waiting requests, in microseconds.
     pub fn work(&self) -> u64 {
         self.work
     }
 
-    /// Adds a request to its team's lane.
+    /// Appends a request to its team's lane.
     pub fn push(&mut self, key: LaneKey, sequence: u64, waiting: WaitingRequest) {
         let lane = self.lanes.entry(key.clone()).or_default();
         if lane.waiting.is_empty() {
@@ -81,7 +81,7 @@
         self.order.insert(sequence, key);
     }
 
-    /// First request of each lane, next lane first.
+    /// Iterates over the first request of each lane, next lane first.
     pub fn heads(&self) -> impl Iterator<Item = &WaitingRequest> {
         self.active.iter().filter_map(|lane_tag| {
             let lane = self.lanes.get(&lane_tag.lane)?;
@@ -89,7 +89,7 @@
         })
     }
 
-    /// First few requests of each lane, next lane first.
+    /// Iterates over the first few requests of each lane, next lane first.
     pub fn front(&self, per_lane: usize) -> impl Iterator<Item = &WaitingRequest> {
         let lanes = self
             .active
@@ -98,14 +98,14 @@
         lanes.flat_map(move |lane| lane.waiting.values().take(per_lane))
     }
 
-    /// Newest request of the tier.
+    /// Returns the newest request of the tier.
     pub fn newest(&self) -> Option<RequestId> {
         let (sequence, key) = self.order.last_key_value()?;
         let waiting = self.lanes.get(key)?.waiting.get(sequence)?;
         Some(waiting.request.request)
     }
 
-    /// Takes a request out and charges its team.
+    /// Removes a request and charges its team. The virtual time advances to the lane's tag.
     pub fn take(&mut self, sequence: u64) -> Option<WaitingRequest> {
         let tag = self.current_tag(sequence)?;
         self.virtual_time = self.virtual_time.max(tag);
@@ -114,7 +114,7 @@
         taken
     }
 
-    /// Takes a request out without a charge.
+    /// Removes a request without a charge.
     pub fn remove(&mut self, sequence: u64) -> Option<WaitingRequest> {
         let removed = self.detach(sequence, false);
         self.discard_idle_lanes();
@@ -150,7 +150,7 @@
         Some(waiting)
     }
 
-    /// Corrects what a team was charged. A lane that is forgotten has nothing to correct.
+    /// Replaces a team's charge by the actual size. Nothing is corrected if the lane was discarded.
     pub fn correct_charge(&mut self, key: &LaneKey, weight: u32, charged: u64, actual: u64) {
         let Some(lane) = self.lanes.get_mut(key) else {
             return;
@@ -175,7 +175,7 @@
 
     fn discard_idle_lanes(&mut self) {
         if self.order.is_empty() {
-            // With nobody waiting there is no competition to remember shares of.
+            // Without waiting requests no team competes, so no tags need to be kept.
             self.idle.clear();
             self.lanes.clear();
             return;
@@ -189,8 +189,8 @@
         }
     }
 
-    /// Seat time that goes before a new request of a team. Its own lane's work is stretched by
-    /// what the other lanes take meanwhile.
+    /// Returns the slot time queued ahead of a new request of a team, in microseconds. The work in
+    /// its own lane counts in proportion to the weights of the lanes that are served meanwhile.
     pub fn work_ahead(&self, key: &LaneKey, weight: u32) -> u64 {
         let weight = u64::from(weight.max(1));
         let (own, others) = match self.lanes.get(key) {
--- a/crates/savorywood-core/src/scheduler/retry.rs
+++ b/crates/savorywood-core/src/scheduler/retry.rs
@@ -1,21 +1,21 @@
-//! Bounds on work that comes again: attempts after a failed connection, and callers told to
-//! return.
+//! Bounds on repeated work: a budget for retries after failed connections, and the retry-after
+//! delay of refused callers.
 
 use std::time::Duration;
 
-/// Retries earned by each new request, in thousandths.
+/// Budget added by each new request, in thousandths of a retry.
 const EARNED_PER_REQUEST: u32 = 100;
-/// Retries saved at most, in thousandths.
+/// Maximum budget, in thousandths of a retry.
 const MAX_BALANCE: u32 = 20_000;
-/// Cost of a retry, in thousandths.
+/// Budget used by one retry, in thousandths.
 const RETRY_COST: u32 = 1_000;
-/// Shortest time told to a caller.
+/// Minimum retry-after delay, before jitter.
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Longest time told to a caller, before jitter.
+/// Maximum retry-after delay, before jitter.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 
-/// Retries that may still be made. When most connections fail, retries would only add to what
-/// brought the upstreams down; this keeps them to a tenth of new requests.
+/// Retry budget of the daemon. When most connections fail, retries would add load to upstreams that
+/// are failing because of load; the budget limits them to a tenth of the new requests.
 #[derive(Debug)]
 pub struct RetryBudget {
     balance: u32,
@@ -30,12 +30,12 @@
 }
 
 impl RetryBudget {
-    /// Notes a new request.
+    /// Adds the budget of a new request.
     pub fn deposit(&mut self) {
         self.balance = (self.balance + EARNED_PER_REQUEST).min(MAX_BALANCE);
     }
 
-    /// Takes one retry; says whether there was one.
+    /// Takes the budget of one retry. Returns `false` if there is not enough.
     pub fn try_spend(&mut self) -> bool {
         let enough = self.balance >= RETRY_COST;
         if enough {
@@ -45,9 +45,9 @@
     }
 }
 
-/// Time to tell a refused caller whose turn can't come for `wait`. `jitter` is between 0 and 1 and
-/// spreads callers who are refused together over as long again: told the same time, they would
-/// come back together and be refused together again.
+/// Returns the retry-after delay for a caller that could be served after `wait`. `jitter`, between
+/// 0 and 1, spreads callers that are refused together over up to twice the delay: with the same
+/// delay they would retry at the same time and be refused again.
 #[must_use]
 pub fn retry_after_delay(wait: Duration, jitter: f64) -> Duration {
     wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
