--- a/crates/savorywood-core/src/scheduler/routing.rs
+++ b/crates/savorywood-core/src/scheduler/routing.rs
@@ -1,4 +1,5 @@
-//! Which upstream gets a request.
+//! Routing: chooses the upstream of a request by expected completion time, cached prefix and
+//! version.
 
 mod score;
 
@@ -12,47 +13,48 @@
 use score::{UpstreamLoad, cached_elsewhere, score, uncached_tokens};
 use std::time::Duration;
 
-/// Upstreams compared besides those that hold the prefix. Two would do against herding; a few
-/// more find the faster generations.
+/// Number of upstreams sampled at random, besides those that have the prefix cached. Two would be
+/// enough to avoid herding; a few more make it likely that one on faster hardware is among them.
 const SAMPLE_SIZE: usize = 6;
-/// Services with no more upstreams than this have all of them compared.
+/// Up to this number of upstreams of a service, all of them are compared.
 const MAX_FULL_COMPARISON: usize = 16;
 
-/// Why no upstream was found.
+/// Reason why no upstream was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PickFailure {
-    /// None has room.
+    /// No allowed upstream has a free slot and enough batch tokens.
     NoCapacity,
-    /// Only upstreams of the version whose turn it is not have room.
+    /// The upstreams with capacity run another version than the one that is next in the split.
     WrongVersion,
-    /// Only upstreams have room that do not hold its prefix, and it can wait for one that does.
+    /// The upstreams with capacity don't have its prefix cached, and it can wait for one that has.
     CachedElsewhere,
-    /// Only upstreams have room on which it would be late, and it can wait for a faster one.
+    /// It would miss its deadline on the upstreams with capacity, and can wait for a faster one.
     TooSlow,
 }
 
-/// An upstream chosen for a request.
+/// Upstream chosen for a request.
 #[derive(Debug, Clone, Copy)]
 pub struct PickedUpstream {
-    /// Who.
+    /// Number of the upstream.
     pub upstream: UpstreamId,
-    /// Prompt tokens that it is expected to have to prefill.
+    /// Prompt tokens that it is expected to prefill.
     pub uncached: u32,
-    /// Prompt tokens that the best other upstream is known to have cached.
+    /// Prompt tokens that the best other upstream has cached, as far as the index shows.
     pub cached_elsewhere: u32,
-    /// Version that it runs, while traffic moves.
+    /// Side of the split that its version is on; `None` if no traffic move is in progress.
     pub side: Option<SplitSide>,
-    /// Time that it takes to prefill what another upstream has cached.
+    /// Time that it takes to prefill the tokens that another upstream has cached.
     pub miss_time: Duration,
     score: f64,
 }
 
-/// Numbers for one choice, drawn from one number of the scheduler's generator.
+/// Generator of the random numbers of one choice, seeded by one number of the scheduler's
+/// generator.
 #[derive(Debug, Clone, Copy)]
 pub struct SampleRng(pub u64);
 
 impl SampleRng {
-    /// A number below `bound`; zero when that is zero.
+    /// Returns a number below `bound`; zero if `bound` is zero.
     fn below(&mut self, bound: usize) -> usize {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mixed = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -61,7 +63,7 @@
     }
 }
 
-/// What is the same for all upstreams compared for one request.
+/// Inputs that are the same for all upstreams compared for one request.
 struct PickContext<'a> {
     now: MonotonicTime,
     view: SchedulerView<'a>,
@@ -74,34 +76,35 @@
     version: VersionConstraint<'a>,
 }
 
-/// Share of all traffic, in thousandths.
+/// All traffic, in thousandths.
 const ALL_TRAFFIC: u16 = 1_000;
 
 /// Versions that may get a request.
 #[derive(Debug, Clone, Copy)]
 enum VersionConstraint<'a> {
-    /// Any.
+    /// Any version.
     Any,
-    /// One.
+    /// Only this version, as the service's configuration says.
     Only(&'a VersionName),
-    /// One while traffic moves.
+    /// The versions of a split, with the side whose turn it is.
     Side(&'a VersionSplit, SplitSide),
 }
 
 impl VersionConstraint<'_> {
-    /// Says under which side of a split a version may get the request, if it may.
+    /// Returns the side of the split under which a version may get the request, or why it may not.
     fn allows(self, version: &VersionName) -> Result<Option<SplitSide>, PickFailure> {
         match self {
             Self::Any => Ok(None),
             Self::Only(only) if only == version => Ok(None),
             Self::Side(split, SplitSide::New) if *version == split.new => Ok(Some(SplitSide::New)),
-            // A completed move leaves nothing to the old version. Without this rule a prompt whose
-            // prefix the old one still cached went there for as long as the move was declared.
+            // A completed move leaves no traffic to the old version. Without this rule requests
+            // whose prefix it still had cached went to it for as long as the move was configured.
             Self::Side(split, _) if *version == split.old && split.new_per_mille >= ALL_TRAFFIC => {
                 Err(PickFailure::WrongVersion)
             }
-            // The new version may be full while its turn is: the old one then helps out, and the
-            // share is made up for later. Never the other way round: the share is a bound.
+            // If the new version has no capacity on its turn, the old one takes the request and the
+            // new version's share is made up for later. The reverse is not allowed, since the share
+            // of the new version is an upper bound.
             Self::Side(split, _) if *version == split.old => Ok(Some(SplitSide::Old)),
             Self::Side(split, SplitSide::Old) if *version == split.new => {
                 Err(PickFailure::WrongVersion)
@@ -119,7 +122,8 @@
 }
 
 impl PickContext<'_> {
-    /// Keeps a request for a while for an upstream that holds its prefix, unless this one does.
+    /// Rejects an upstream that lacks a large part of the prefix that another one has cached, while
+    /// the request may still wait for that one.
     fn wait_for_cached_prefix(
         &self,
         picked: PickedUpstream,
@@ -136,7 +140,7 @@
 }
 
 impl RequestScheduler {
-    /// Chooses the upstream on which a request is expected to be whole first.
+    /// Chooses the upstream with the earliest expected completion of the request.
     pub(super) fn pick_upstream(
         &self,
         now: MonotonicTime,
@@ -156,7 +160,7 @@
         if compared.is_ok() || service.members.len() <= MAX_FULL_COMPARISON {
             return compared;
         }
-        // None of the sample has room: look at all, beginning anywhere.
+        // None of the sample has capacity: examine all, starting at a random one.
         let offset = sample_rng.below(service.members.len());
         let (front, back) = service.members.split_at(offset);
         let all = back.iter().chain(front).copied();
@@ -173,7 +177,7 @@
         found
     }
 
-    /// Checks whether one upstream that has just become free may have a request.
+    /// Checks whether a given upstream, which has got a free slot, may take a request.
     pub(super) fn check_upstream(
         &self,
         now: MonotonicTime,
@@ -205,7 +209,7 @@
         } else {
             Vec::new()
         };
-        // A prefix held by the other version is of no use: nobody waits for it.
+        // A prefix cached by the other version is ignored: no request waits for it.
         matches.retain(|found| {
             let state = self.fleet.get(found.upstream);
             let side = state.map(|state| version.allows(&state.version));
@@ -259,7 +263,7 @@
         best
     }
 
-    /// Says how long the request would take on one upstream, if it may go there.
+    /// Scores one upstream for the request, if it may take it.
     fn evaluate_upstream(
         &self,
         context: &PickContext<'_>,
@@ -301,7 +305,8 @@
     }
 }
 
-/// The better of two, the version whose turn it is before speed.
+/// Returns the better of two: first the one whose version is next in the split, then the lower
+/// score.
 fn better_of(
     context: &PickContext<'_>,
     old: PickedUpstream,
--- a/crates/savorywood-core/src/scheduler/routing/score.rs
+++ b/crates/savorywood-core/src/scheduler/routing/score.rs
@@ -1,4 +1,4 @@
-//! What it would cost to give a request to an upstream.
+//! Cost of giving a request to an upstream, in weighted seconds.
 
 use super::{
     super::{
@@ -9,40 +9,42 @@
 };
 use std::time::Duration;
 
-/// Growth of the time between tokens from an empty to a full batch, until it has been seen.
+/// Assumed growth of the token gap from an empty to a full batch.
 const FULL_BATCH_GAP_GROWTH: f64 = 0.5;
-/// Weight of a late first token against a second of the whole time.
+/// Weight of a second by which the first token misses its objective, against a second of expected
+/// time.
 const LATE_FIRST_WEIGHT: f64 = 4.0;
-/// Weight of a late end against a second of the whole time.
+/// Weight of a second by which the response misses its deadline.
 const LATE_END_WEIGHT: f64 = 8.0;
-/// Weight of the time to generate: as long as the deadline is met it matters little.
+/// Weight of the decode time, which matters little as long as the deadline is met.
 const DECODE_WEIGHT: f64 = 0.1;
-/// Seconds that the last seat of an upstream counts for against the first, to spread work.
+/// Seconds added for a fully occupied upstream, in proportion to its occupancy, to spread the load.
 const OCCUPANCY_WEIGHT: f64 = 0.5;
-/// Weight of the time of prefill that another upstream would not have to do: it is lost to all
-/// who wait, not only to this request.
+/// Weight of a second of prefill that another upstream has cached: it delays all waiting requests,
+/// not only this one.
 const CACHE_MISS_WEIGHT: f64 = 30.0;
-/// An upstream this much slower than the fastest is not given what would be late there.
+/// Ratio to the fastest upstream's token gap above which an upstream is not given requests that
+/// would be late on it.
 const MAX_GAP_RATIO: f64 = 1.25;
-/// What an upstream in another availability zone must be better by.
+/// Factor on the cost of an upstream in another availability zone.
 const REMOTE_ZONE_FACTOR: f64 = 1.05;
-/// A request that must begin within this is not kept for a faster upstream any longer.
+/// A request that must start within this time does not wait for a faster upstream.
 const MIN_WAITABLE_SLACK: Duration = Duration::from_millis(500);
 
-/// What one upstream is like now.
+/// Current load and speed of one upstream.
 #[derive(Debug, Clone, Copy)]
 pub struct UpstreamLoad<'a> {
-    /// Its state.
+    /// State of the upstream.
     pub state: &'a UpstreamState,
-    /// What it may hold.
+    /// Work that it may have in progress now.
     pub allowance: WorkAllowance,
-    /// Its speed.
+    /// Speed predicted for it.
     pub speed: SpeedEstimate,
 }
 
-/// Expected seconds to the whole answer, with penalties for lateness and for prefill that could
-/// be spared. Nothing in it is shared between daemons but what they measure themselves, so they
-/// don't all run to the same upstream on the same old report.
+/// Returns the expected seconds to the complete response, with penalties for lateness and for
+/// avoidable prefill. It uses only this daemon's own measurements besides the load reports, so that
+/// daemons don't all choose the same upstream from the same outdated report.
 pub fn score(
     context: &PickContext<'_>,
     load: UpstreamLoad<'_>,
@@ -83,7 +85,7 @@
     (f64::from(prompt.tokens) * (blocks / all).min(1.0)) as u32
 }
 
-/// Prompt tokens that an upstream is expected to have to prefill.
+/// Returns the prompt tokens that an upstream is expected to prefill.
 pub fn uncached_tokens(context: &PickContext<'_>, id: UpstreamId) -> u32 {
     let mut matches = context.matches.iter();
     let own = matches.find(|found| found.upstream == id);
@@ -91,7 +93,7 @@
     context.waiting.request.prompt.tokens.saturating_sub(cached)
 }
 
-/// Prompt tokens that the best other upstream is known to have cached.
+/// Returns the prompt tokens that the best other upstream has cached, as far as the index shows.
 pub fn cached_elsewhere(context: &PickContext<'_>, id: UpstreamId) -> u32 {
     let others = context.matches.iter().filter(|found| found.upstream != id);
     let best = others.map(|found| found.blocks).fold(0.0, f64::max);
--- a/crates/savorywood-core/src/scheduler/service.rs
+++ b/crates/savorywood-core/src/scheduler/service.rs
@@ -1,4 +1,4 @@
-//! What this daemon knows of each service.
+//! State of each service as this daemon observes it.
 
 use super::{
     fleet::UpstreamId,
@@ -9,13 +9,14 @@
 use savorywood_protocol::{MonotonicTime, TierRank, resource::ServiceObjectives};
 use std::collections::BTreeMap;
 
-/// Seconds over which arrivals of a tier are averaged.
+/// Time constant of the arrival rate of a tier, in seconds.
 const RATE_DECAY_SECONDS: f64 = 5.0;
-/// Tokens of the prompt for which the first-token objective is taken to be meant, until the
-/// service's speed is known.
+/// Prompt tokens to which the first-token objective is assumed to apply, until the speed of the
+/// service has been measured.
 const OBJECTIVE_PROMPT_TOKENS: f64 = 2_048.0;
 
-/// Seat time that arrives per second.
+/// Exponentially decaying rate of arriving slot time, in seconds per second, which is the number of
+/// slots it needs.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RateMeter {
     sum: f64,
@@ -23,7 +24,7 @@
 }
 
 impl RateMeter {
-    /// Adds an amount.
+    /// Adds an amount, in seconds of slot time.
     pub fn record(&mut self, now: MonotonicTime, amount: f64) {
         self.sum = self.decayed(now) + amount;
         self.updated_at = now;
@@ -34,64 +35,65 @@
         self.sum * (-age / RATE_DECAY_SECONDS).exp()
     }
 
-    /// Amount per second.
+    /// Returns the amount per second.
     #[must_use]
     pub fn rate(&self, now: MonotonicTime) -> f64 {
         self.decayed(now) / RATE_DECAY_SECONDS
     }
 }
 
-/// Seats that the service has for this daemon, counted now and then.
+/// Slots of a service that this daemon may use, counted at intervals.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct SlotCount {
-    /// Seats allowed on all its upstreams.
+    /// Sum over all upstreams of the service.
     pub slots: f64,
-    /// Shortest usual time between tokens of those upstreams, in seconds.
+    /// Shortest predicted token gap of the upstreams with slots, in seconds.
     pub fastest_gap: f64,
-    /// When they were counted; `None` if never.
+    /// Time of the count; `None` before the first one.
     pub counted_at: Option<MonotonicTime>,
 }
 
-/// Seats wanted by waiting requests, by upstream and tier.
+/// Slots demanded by waiting requests, by upstream and tier.
 #[derive(Debug, Default)]
 pub struct SlotDemand {
-    /// Seats wanted on upstreams that hold the prefix.
+    /// Demand for upstreams that have the prefix cached.
     pub on_holders: BTreeMap<UpstreamId, BTreeMap<TierRank, f64>>,
-    /// Seats wanted anywhere.
+    /// Demand that any upstream can serve.
     pub anywhere: BTreeMap<TierRank, f64>,
-    /// When they were counted; `None` if never.
+    /// Time of the count; `None` before the first one.
     pub counted_at: Option<MonotonicTime>,
 }
 
 /// State of one service.
 #[derive(Debug)]
 pub struct ServiceState {
-    /// Its upstreams, in name order.
+    /// Its upstreams, ordered by name.
     pub members: Vec<UpstreamId>,
-    /// Those in this daemon's availability zone.
+    /// Its upstreams in this daemon's availability zone.
     pub local_members: Vec<UpstreamId>,
-    /// Requests that wait.
+    /// Waiting requests.
     pub queue: RequestQueue,
-    /// No upstream has room, as far as is known.
+    /// Whether no upstream had capacity for the waiting requests at the last attempt to dispatch
+    /// them.
     pub saturated: bool,
-    /// Shares of versions.
+    /// Traffic shares of versions during a move.
     pub splits: SplitMeter,
-    /// Speed of all its upstreams taken together.
+    /// Speed averaged over all its upstreams.
     pub speed: SpeedMeter,
-    /// Share of prompt tokens that caches did not hold.
+    /// Mean fraction of prompt tokens that were not cached.
     pub miss_ratio: DecayedMean,
-    /// Seat time arriving, by tier.
+    /// Arriving slot time by tier.
     pub arrivals: BTreeMap<TierRank, RateMeter>,
-    /// Seats counted last.
+    /// Last count of its slots.
     pub slot_count: SlotCount,
-    /// Seats wanted by what waits, where its prefixes are held.
+    /// Last count of the slots that its waiting requests demand.
     pub demand: SlotDemand,
-    /// When a request of a tier was refused for load last.
+    /// Time of the last refusal for load, by tier.
     pub last_shed_at: BTreeMap<TierRank, MonotonicTime>,
 }
 
 impl ServiceState {
-    /// A service of which nothing is known.
+    /// Creates the state of a service without upstreams.
     #[must_use]
     pub fn new(order: QueueOrder) -> Self {
         Self {
@@ -109,7 +111,8 @@
         }
     }
 
-    /// Speed to expect of an upstream of which nothing is known.
+    /// Returns the speed to assume for an upstream without measurements: that of the service, or
+    /// figures derived from the objectives before any measurement.
     #[must_use]
     pub fn typical_speed(&self, objectives: &ServiceObjectives) -> SpeedEstimate {
         let first = f64::from(objectives.first_token_ms) / 1_000.0;
@@ -121,7 +124,7 @@
         self.speed.estimate(unknown)
     }
 
-    /// Seats that higher tiers are expected to take, by their arrivals.
+    /// Returns the slots that the arrivals of higher tiers need.
     #[must_use]
     pub fn higher_tier_load(&self, now: MonotonicTime, rank: TierRank) -> f64 {
         let higher = self.arrivals.range(..rank);
--- a/crates/savorywood-core/src/scheduler/shedding.rs
+++ b/crates/savorywood-core/src/scheduler/shedding.rs
@@ -1,4 +1,5 @@
-//! Who is turned away, in which order, and when to come back.
+//! Load shedding and refusals: which requests are refused, in which order, and with which
+//! retry-after delay.
 
 use super::{
     RequestScheduler, SchedulerView,
@@ -16,7 +17,7 @@
 use std::time::Duration;
 
 impl RequestScheduler {
-    /// Sheds what waits below the floor of a service, lowest tier first.
+    /// Sheds waiting requests below the service's admission floor, lowest tier first.
     pub(super) fn enforce_floor(
         &mut self,
         now: MonotonicTime,
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Refuses what can't meet its deadline any more, at once.
+    /// Refuses waiting requests that can no longer meet their deadline.
     pub(super) fn expire_waiting(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
         while let Some(request) = self.waits.next_expired(now) {
             self.refuse_waiting(now, request, RefusalCode::DeadlineExceeded, effects);
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Gives a request its final answer. Nothing of it has reached an upstream.
+    /// Refuses a request that is not in the queue. None of it was sent to an upstream.
     pub(super) fn refuse(
         &mut self,
         now: MonotonicTime,
@@ -89,11 +90,12 @@
         invariant::check(effects, InvariantName::ShedLowestFirst, in_order, || {
             let (request, rank) = (request.request, request.rank);
             let lowest = lowest.unwrap_or_default();
-            format!("request={request} rank={rank} shed while rank={lowest} waits")
+            format!("request={request} rank={rank} shed while a request of rank={lowest} waits")
         });
     }
 
-    /// When to tell a refused caller to come back: once the work ahead of its tier is done.
+    /// Estimates when a refused caller should retry: when the work queued ahead of its tier is
+    /// done.
     fn estimate_retry_after(&mut self, now: MonotonicTime, waiting: &WaitingRequest) -> Duration {
         let jitter: f64 = self.rng.random();
         let Some(service) = self.services.get(&waiting.request.service) else {
@@ -108,11 +110,13 @@
 
 fn refusal_detail(code: RefusalCode) -> &'static str {
     match code {
-        RefusalCode::TierShed => "this tier is not admitted now; come back after the given time",
+        RefusalCode::TierShed => {
+            "requests of this tier are not admitted now; retry after the given time"
+        }
         RefusalCode::DeadlineExceeded => {
             "the deadline can't be met any more; come back after the given time or allow more"
         }
-        RefusalCode::NoUpstream => "no upstream of the service can be reached",
-        _ => "the work that goes first would use up the deadline; come back after the given time",
+        RefusalCode::NoUpstream => "the service has no reachable upstream",
+        _ => "the work queued ahead would use up the deadline; retry after the given time",
     }
 }
--- a/crates/savorywood-core/src/scheduler/speed.rs
+++ b/crates/savorywood-core/src/scheduler/speed.rs
@@ -1,16 +1,18 @@
-//! How fast an upstream prefills and decodes, learned from its own answers.
+//! Latency model of an upstream: prefill and decode speed measured from its responses.
 
 use savorywood_protocol::MonotonicTime;
 use std::time::Duration;
 
-/// Time after which an old figure counts for a third against a new one.
+/// Time constant by which older samples lose weight: after this time the old mean counts for at
+/// most about a third (1/e) against a new sample.
 const SPEED_DECAY: Duration = Duration::from_secs(10);
-/// Prompts shorter than this tell of the fixed part of a first token, longer ones of the rest.
+/// Prompt tokens to prefill from which a sample updates the prefill speed; smaller ones update the
+/// fixed overhead.
 const MIN_PREFILL_SAMPLE_TOKENS: u32 = 512;
-/// Share of a sample in the usual case.
+/// Minimum weight of a new sample.
 const MIN_SAMPLE_WEIGHT: f64 = 0.2;
 
-/// A mean that forgets by time as well as by samples.
+/// Exponentially weighted mean that decays with time as well as with samples.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct DecayedMean {
     value: Option<f64>,
@@ -18,7 +20,7 @@
 }
 
 impl DecayedMean {
-    /// Adds a sample. The longer ago the last one, the more this one counts.
+    /// Adds a sample. Its weight grows with the time since the last one.
     pub fn record(&mut self, now: MonotonicTime, sample: f64) {
         let age = now.since(self.updated_at).as_secs_f64();
         let time_weight = 1.0 - (-age / SPEED_DECAY.as_secs_f64()).exp();
@@ -30,39 +32,39 @@
         self.updated_at = now;
     }
 
-    /// The mean, if there was a sample.
+    /// Returns the mean; `None` without samples.
     #[must_use]
     pub fn value(&self) -> Option<f64> {
         self.value
     }
 }
 
-/// Speed figures that predictions are made of.
+/// Speed figures used for predictions.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SpeedEstimate {
-    /// Fixed part of the time to the first token, in seconds.
+    /// Fixed part of the time to first token, in seconds.
     pub overhead: f64,
-    /// Seconds to prefill one token.
+    /// Seconds of prefill per token.
     pub prefill: f64,
-    /// Seconds between two tokens.
+    /// Seconds between two output tokens.
     pub gap: f64,
 }
 
 impl SpeedEstimate {
-    /// Seconds to the first token of a prompt of which `uncached` tokens must be prefilled.
+    /// Returns the seconds to the first token with `uncached` prompt tokens to prefill.
     #[must_use]
     pub fn first_token_seconds(&self, uncached: f64) -> f64 {
         self.overhead + self.prefill * uncached
     }
 
-    /// Seconds to the last of `output` tokens.
+    /// Returns the seconds to the last of `output` tokens.
     #[must_use]
     pub fn completion_seconds(&self, uncached: f64, output: f64) -> f64 {
         self.first_token_seconds(uncached) + self.gap * output
     }
 }
 
-/// Learned speed of one upstream, or of a service as a whole.
+/// Measured speed of one upstream or of a whole service.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct SpeedMeter {
     overhead: DecayedMean,
@@ -71,7 +73,7 @@
 }
 
 impl SpeedMeter {
-    /// Learns from a first token.
+    /// Records the time to first token of an attempt with `uncached` tokens to prefill.
     pub fn record_first_token(&mut self, now: MonotonicTime, took: Duration, uncached: u32) {
         let took = took.as_secs_f64();
         if uncached >= MIN_PREFILL_SAMPLE_TOKENS {
@@ -84,20 +86,20 @@
         }
     }
 
-    /// Learns from `count` tokens that took this long.
+    /// Records the time that `count` tokens after the first took.
     pub fn record_tokens(&mut self, now: MonotonicTime, took: Duration, count: u32) {
         if count > 0 {
             self.gap.record(now, took.as_secs_f64() / f64::from(count));
         }
     }
 
-    /// Whether the time between tokens was seen, without which no end can be predicted.
+    /// Whether a token gap has been measured; without it the end of a response can't be predicted.
     #[must_use]
     pub fn has_token_gap(&self) -> bool {
         self.gap.value().is_some()
     }
 
-    /// The figures, with those of `fallback` for what was not seen yet.
+    /// Returns the measured figures, and those of `fallback` where none were measured.
     #[must_use]
     pub fn estimate(&self, fallback: SpeedEstimate) -> SpeedEstimate {
         SpeedEstimate {
--- a/crates/savorywood-core/src/scheduler/split.rs
+++ b/crates/savorywood-core/src/scheduler/split.rs
@@ -1,28 +1,28 @@
-//! Exact shares of two versions, route by route.
+//! Deterministic traffic split between two versions, per route.
 
 use crate::view::VersionSplit;
 use std::collections::BTreeMap;
 
-/// Thousandths of one whole request.
+/// Deficit of one request, in thousandths.
 const ONE_REQUEST: i64 = 1_000;
-/// Requests that the new version may be behind its share before the rest is forgiven. Without
-/// this bound a version that was full for a while would then get everything at once.
+/// Maximum deficit of the new version. Without this bound a version that had no capacity for a
+/// while would then get all requests at once.
 const MAX_DEFICIT: i64 = 2 * ONE_REQUEST;
-/// Routes told apart; further ones share a meter.
+/// Maximum number of routes counted separately; further ones share a counter.
 const MAX_ROUTES: usize = 256;
 
-/// Which of two versions is meant.
+/// Side of a traffic split.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SplitSide {
-    /// The version that has the rest.
+    /// Old version, which gets the rest of the traffic.
     Old,
-    /// The version that has the share.
+    /// New version, which gets the configured share.
     New,
 }
 
-/// Counts, for each route, how far the new version is behind its share. The share is met to
-/// within one request on each route, at any time: no random number is drawn, so that a small
-/// share of few requests is not by chance none, or twice as much.
+/// Deficit counters that keep the new version's share exact to within one request per route at any
+/// time. No random numbers are used, because with few requests a small share would by chance be
+/// none or twice as much.
 #[derive(Debug, Default)]
 pub struct SplitMeter {
     move_name: String,
@@ -30,7 +30,7 @@
 }
 
 impl SplitMeter {
-    /// Version whose turn it is on a route.
+    /// Returns the side whose turn it is on a route.
     pub fn next_side(&self, split: &VersionSplit, route: &str, seed: u64) -> SplitSide {
         let deficit = self.deficit_of(split, route, seed);
         match split.new_per_mille {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Notes which version a request of a route went to.
+    /// Records the side that a request of a route was dispatched to.
     pub fn record(&mut self, split: &VersionSplit, route: &str, seed: u64, side: SplitSide) {
         let deficit = self.deficit_of(split, route, seed);
         let label = self.label(route).to_owned();
@@ -75,8 +75,9 @@
     }
 }
 
-/// Where a route begins: between nothing and one request, different in each daemon, so that many
-/// daemons with little traffic don't all give their first request to the same version.
+/// Returns the deficit at which a route starts: between zero and one request, different in each
+/// daemon, so that many daemons with little traffic don't all send their first request to the same
+/// version.
 fn initial_deficit(route: &str, seed: u64) -> i64 {
     let mut hash = seed ^ 0xcbf2_9ce4_8422_2325;
     for byte in route.bytes() {
--- a/crates/savorywood-core/src/scheduler/table.rs
+++ b/crates/savorywood-core/src/scheduler/table.rs
@@ -1,46 +1,46 @@
-//! Which requests are under way, and where.
+//! Attempts in progress, by request, deadline and upstream.
 
 use super::{cost::CostEstimate, fleet::UpstreamId};
 use crate::request::QueuedRequest;
 use savorywood_protocol::{AttemptNumber, MonotonicTime, RequestId, TierRank};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Names one attempt of one request.
+/// Identifies one attempt of one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptKey {
-    /// Which request.
+    /// Identity of the request.
     pub request: RequestId,
-    /// Which attempt of it.
+    /// Number of the attempt.
     pub attempt: AttemptNumber,
 }
 
-/// One attempt under way.
+/// One attempt in progress.
 #[derive(Debug)]
 pub struct AttemptRecord {
-    /// What was sent.
+    /// Request that was dispatched.
     pub request: QueuedRequest,
-    /// To whom.
+    /// Upstream that it was dispatched to.
     pub upstream: UpstreamId,
-    /// Which attempt.
+    /// Number of the attempt.
     pub attempt: AttemptNumber,
     /// Predicted size.
     pub estimate: CostEstimate,
-    /// Prompt tokens that are expected not to be cached there.
+    /// Prompt tokens that the upstream was expected to prefill.
     pub uncached: u32,
-    /// Prompt tokens that the best other upstream was known to have cached.
+    /// Prompt tokens that the best other upstream had cached, as far as the index showed.
     pub cached_elsewhere: u32,
-    /// When it was dispatched.
+    /// Time of the dispatch.
     pub dispatched_at: MonotonicTime,
-    /// When its first token came.
+    /// Time of the first token; `None` before it.
     pub first_token_at: Option<MonotonicTime>,
-    /// When its last token came.
+    /// Time of the last token; the time of the dispatch before the first one.
     pub last_token_at: MonotonicTime,
-    /// Tokens that came.
+    /// Number of tokens received.
     pub tokens: u32,
 }
 
 impl AttemptRecord {
-    /// Tokens that it is expected to hold in a batch.
+    /// Returns the tokens that it is expected to occupy in a batch.
     #[must_use]
     pub fn batch_tokens(&self) -> u64 {
         self.estimate.batch_tokens()
@@ -53,7 +53,7 @@
     request: RequestId,
 }
 
-/// Attempts under way, at most one a request.
+/// Attempts in progress, at most one per request.
 #[derive(Debug, Default)]
 pub struct AttemptTable {
     records: BTreeMap<RequestId, AttemptRecord>,
@@ -62,7 +62,8 @@
 }
 
 impl AttemptTable {
-    /// Adds a record. Says `false`, and keeps the old one, when the request is under way.
+    /// Adds a record. Returns `false` and keeps the existing record if the request already has an
+    /// attempt in progress.
     pub fn insert(&mut self, record: AttemptRecord) -> bool {
         let request = record.request.request;
         if self.records.contains_key(&request) {
@@ -75,7 +76,8 @@
         true
     }
 
-    /// Takes a record out. An older attempt's late event finds nothing.
+    /// Removes the record of an attempt. `None` if it has ended, as for a late event of an earlier
+    /// attempt.
     pub fn remove(&mut self, key: AttemptKey) -> Option<AttemptRecord> {
         if self.current(key.request) != Some(key.attempt) {
             return None;
@@ -91,18 +93,18 @@
         Some(record)
     }
 
-    /// Attempt of a request that is under way.
+    /// Returns the number of the request's attempt in progress.
     pub fn current(&self, request: RequestId) -> Option<AttemptNumber> {
         self.records.get(&request).map(|record| record.attempt)
     }
 
-    /// Record of an attempt, unless it is an older one.
+    /// Returns the record of an attempt; `None` if it has ended.
     pub fn get_mut(&mut self, key: AttemptKey) -> Option<&mut AttemptRecord> {
         let record = self.records.get_mut(&key.request)?;
         (record.attempt == key.attempt).then_some(record)
     }
 
-    /// Attempts under way on an upstream, by tier.
+    /// Returns the number of attempts in progress on an upstream, by tier.
     pub fn slots_by_tier(
         &self,
         upstream: UpstreamId,
@@ -111,23 +113,23 @@
         slots.map(|(rank, count)| (*rank, *count))
     }
 
-    /// Earliest deadline of an attempt under way.
+    /// Returns the earliest deadline of the attempts in progress.
     pub fn next_deadline(&self) -> Option<MonotonicTime> {
         self.deadlines.first().map(|deadline| deadline.at)
     }
 
-    /// Request whose deadline has passed.
+    /// Returns a request whose deadline has passed.
     pub fn next_expired(&self, now: MonotonicTime) -> Option<RequestId> {
         let first = self.deadlines.first()?;
         (first.at <= now).then_some(first.request)
     }
 
-    /// Forgets the seats of an upstream that is gone.
+    /// Discards the slot counts of an upstream that was removed.
     pub fn remove_upstream(&mut self, upstream: UpstreamId) {
         self.slots.remove(&upstream);
     }
 
-    /// Attempts under way.
+    /// Returns the number of attempts in progress.
     pub fn len(&self) -> usize {
         self.records.len()
     }
--- a/crates/savorywood-core/src/scheduler/timers.rs
+++ b/crates/savorywood-core/src/scheduler/timers.rs
@@ -1,4 +1,4 @@
-//! The scheduler's timers, set again only when their time changes.
+//! Timers of the scheduler. A timer is set again only if it must fire earlier.
 
 use super::{RequestScheduler, SchedulerView, feedback::TICK_INTERVAL};
 use crate::{
@@ -7,14 +7,14 @@
 };
 use savorywood_protocol::MonotonicTime;
 
-/// Fires when a waiting request becomes hopeless.
+/// Fires when a waiting request can no longer meet its deadline.
 const WAIT_TIMER: u64 = 0;
 /// Fires when the deadline of an attempt passes.
 const ATTEMPT_TIMER: u64 = 1;
-/// Fires now and then while requests wait.
+/// Fires at intervals while requests wait.
 const TICK_TIMER: u64 = 2;
 
-/// Times at which the timers are set to fire.
+/// Times at which the timers are set to fire; `None` if a timer is not set.
 #[derive(Debug, Default)]
 pub struct PlannedTimers {
     wait_at: Option<MonotonicTime>,
@@ -58,8 +58,8 @@
     }
 }
 
-/// Sets a timer unless it fires early enough already. One that fires too early is set again then:
-/// that is cheaper than moving it with every request that comes and goes.
+/// Sets a timer unless it fires early enough already. A timer that fires too early is then set
+/// again, which is cheaper than changing it with every request.
 fn set_if_earlier(
     planned: &mut Option<MonotonicTime>,
     target: Option<MonotonicTime>,
--- a/crates/savorywood-core/src/scheduler/topology.rs
+++ b/crates/savorywood-core/src/scheduler/topology.rs
@@ -1,4 +1,4 @@
-//! Services and upstreams as the configuration declares them.
+//! Updates services and upstreams from the configuration.
 
 use super::{
     RequestScheduler, SchedulerMechanism, SchedulerView,
@@ -14,7 +14,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 impl RequestScheduler {
-    /// Looks again at every service in which something waits.
+    /// Dispatches waiting requests of all services, and sheds those below the admission floors.
     pub(super) fn dispatch_all_waiting(
         &mut self,
         now: MonotonicTime,
@@ -42,8 +42,9 @@
         }
     }
 
-    /// Takes over a configuration of another revision. One without a revision, as embedders and
-    /// tests may install, is looked through at every change of the view.
+    /// Applies the configuration if its revision or its number of upstreams has changed. A
+    /// configuration without a revision, as embedders and tests may install, is applied at every
+    /// change of the view.
     pub(super) fn refresh_topology(
         &mut self,
         now: MonotonicTime,
@@ -69,7 +70,7 @@
         self.index_members(view);
     }
 
-    /// Tells which upstreams get no new work because the platform takes their hosts away.
+    /// Sets the upstreams that get no new work because the platform is removing their hosts.
     pub fn mark_leaving(&mut self, leaving: BTreeSet<UpstreamName>) {
         for state in self.fleet.states_mut() {
             state.leaving = leaving.contains(&state.name);
--- a/crates/savorywood-core/src/scheduler/waits.rs
+++ b/crates/savorywood-core/src/scheduler/waits.rs
@@ -1,4 +1,4 @@
-//! When waiting requests become hopeless, over all services.
+//! Index of waiting requests of all services by their latest start.
 
 use super::queue::WaitingRequest;
 use savorywood_protocol::{MonotonicTime, RequestId, ServiceName};
@@ -16,7 +16,7 @@
     latest_start: MonotonicTime,
 }
 
-/// Waiting requests by the time at which they become hopeless.
+/// Waiting requests by identity and by the time after which they can't meet their deadline.
 #[derive(Debug, Default)]
 pub struct WaitIndex {
     limits: BTreeSet<WaitLimit>,
@@ -40,7 +40,7 @@
         });
     }
 
-    /// Removes a request; gives the service that it waits for.
+    /// Removes a request and returns its service.
     pub fn remove(&mut self, request: RequestId) -> Option<ServiceName> {
         let entry = self.entries.remove(&request)?;
         self.limits.remove(&WaitLimit {
@@ -50,20 +50,20 @@
         Some(entry.service)
     }
 
-    /// A request that is hopeless at `now`.
+    /// Returns a request that can no longer meet its deadline at `now`.
     #[must_use]
     pub fn next_expired(&self, now: MonotonicTime) -> Option<RequestId> {
         let first = self.limits.first()?;
         (first.latest_start <= now).then_some(first.request)
     }
 
-    /// When the next request becomes hopeless.
+    /// Returns the earliest of the latest starts.
     #[must_use]
     pub fn next_expiry(&self) -> Option<MonotonicTime> {
         self.limits.first().map(|limit| limit.latest_start)
     }
 
-    /// Requests that wait.
+    /// Returns the number of waiting requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
