--- a/crates/savorywood-core/src/burn.rs
+++ b/crates/savorywood-core/src/burn.rs
@@ -98,9 +98,9 @@
     /// its rings for good and memory would creep up.
     fn series_mut(&mut self, now: MonotonicTime, key: SeriesKey) -> Option<&mut BurnSeries> {
         if !self.series.contains_key(&key) && self.series.len() >= MAX_SERIES {
-            let kept = BurnWindow::ThreeDays.duration();
+            let max_age = BurnWindow::ThreeDays.duration();
             self.series
-                .retain(|_, series| now.since(series.last_record) <= kept);
+                .retain(|_, series| now.since(series.last_record) <= max_age);
             if self.series.len() >= MAX_SERIES {
                 return None;
             }
--- a/crates/savorywood-core/src/burn/ring.rs
+++ b/crates/savorywood-core/src/burn/ring.rs
@@ -25,7 +25,7 @@
 /// Counts of one window.
 #[derive(Debug, Clone)]
 pub(super) struct BucketRing {
-    width_micros: u64,
+    bucket_micros: u64,
     /// Number of the newest bucket since the clock's zero.
     newest: u64,
     buckets: [BurnBucket; BUCKETS],
@@ -35,30 +35,30 @@
     pub(super) fn new(window: Duration) -> Self {
         let width = window / BUCKETS as u32;
         Self {
-            width_micros: u64::try_from(width.as_micros()).unwrap_or(u64::MAX).max(1),
+            bucket_micros: u64::try_from(width.as_micros()).unwrap_or(u64::MAX).max(1),
             newest: 0,
             buckets: [BurnBucket::default(); BUCKETS],
         }
     }
 
     pub(super) fn record(&mut self, now: MonotonicTime, met: bool) {
-        let number = now.0 / self.width_micros;
+        let number = now.0 / self.bucket_micros;
         self.advance(number);
         // A time older than the window has no bucket any more.
         if self.newest - number.min(self.newest) >= BUCKETS as u64 {
             return;
         }
-        let bucket = &mut self.buckets[slot(number)];
+        let bucket = &mut self.buckets[bucket_index(number)];
         bucket.total = bucket.total.saturating_add(1);
         bucket.good = bucket.good.saturating_add(u32::from(met));
     }
 
     pub(super) fn sum(&self, now: MonotonicTime) -> BurnCount {
-        let current = (now.0 / self.width_micros).max(self.newest);
+        let current = (now.0 / self.bucket_micros).max(self.newest);
         let oldest = current.saturating_sub(BUCKETS as u64 - 1);
         let mut count = BurnCount::default();
         for number in oldest..=self.newest {
-            let bucket = self.buckets[slot(number)];
+            let bucket = self.buckets[bucket_index(number)];
             count.good += u64::from(bucket.good);
             count.total += u64::from(bucket.total);
         }
@@ -67,15 +67,15 @@
 
     /// Empties the buckets that time has passed over.
     fn advance(&mut self, number: u64) {
-        let passed = number.saturating_sub(self.newest).min(BUCKETS as u64);
-        for step in 0..passed {
-            self.buckets[slot(number - step)] = BurnBucket::default();
+        let elapsed = number.saturating_sub(self.newest).min(BUCKETS as u64);
+        for step in 0..elapsed {
+            self.buckets[bucket_index(number - step)] = BurnBucket::default();
         }
         self.newest = self.newest.max(number);
     }
 }
 
 /// Place of a bucket in the ring.
-fn slot(number: u64) -> usize {
+fn bucket_index(number: u64) -> usize {
     (number % BUCKETS as u64) as usize
 }
--- a/crates/savorywood-core/src/intake.rs
+++ b/crates/savorywood-core/src/intake.rs
@@ -27,7 +27,7 @@
     let (service, service_spec) = find_service(arrival, config)?;
     let rank = find_rank(arrival, team_spec, config)?;
     let idempotent = service_spec.is_idempotent(&arrival.method, &arrival.path);
-    require_key(arrival, idempotent)?;
+    require_idempotency_key(arrival, idempotent)?;
     let default_deadline = Duration::from_millis(service_spec.objectives.deadline_ms.into());
     let deadline = arrival.deadline.unwrap_or(default_deadline);
     Ok(QueuedRequest {
@@ -92,7 +92,10 @@
 
 /// A call that may not be repeated needs a key: without one a retry of the caller can't be told
 /// from a second order, and a charge could be made twice.
-fn require_key(arrival: &RequestArrival, idempotent: bool) -> Result<(), RequestRefusal> {
+fn require_idempotency_key(
+    arrival: &RequestArrival,
+    idempotent: bool,
+) -> Result<(), RequestRefusal> {
     if idempotent || arrival.idempotency_key.is_some() {
         return Ok(());
     }
--- a/crates/savorywood-core/src/resume.rs
+++ b/crates/savorywood-core/src/resume.rs
@@ -57,9 +57,10 @@
 ) -> Result<&'a UpstreamSpec, RequestRefusal> {
     let spec = config.upstreams.get(&token.upstream);
     let spec = spec.filter(|spec| spec.service == token.service);
-    let resumes = |spec: &&UpstreamSpec| spec.extensions.contains(&UpstreamExtension::Resume);
+    let supports_resume =
+        |spec: &&UpstreamSpec| spec.extensions.contains(&UpstreamExtension::Resume);
     match spec {
-        Some(spec) if resumes(&spec) => Ok(spec),
+        Some(spec) if supports_resume(&spec) => Ok(spec),
         Some(_) => {
             let detail = format!("the upstream {} can't resume streams", token.upstream);
             Err(RequestRefusal::unknown(RefusalCode::NoUpstream, detail))
