--- a/crates/savorywood-core/src/burn.rs
+++ b/crates/savorywood-core/src/burn.rs
@@ -10,11 +10,11 @@
 use std::collections::BTreeMap;
 use strum::{EnumCount, IntoEnumIterator};
 
-/// Series that are counted at most: 40 services of 4 tiers and 3 objectives. One series takes
-/// about a kilobyte.
+/// Maximum number of series: 40 services with 4 tiers and 3 objectives. One series takes about a
+/// kilobyte.
 pub const MAX_SERIES: usize = 480;
 
-/// What is counted apart.
+/// Identifies one series.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct SeriesKey {
     service: ServiceName,
@@ -22,14 +22,14 @@
     objective: BurnObjective,
 }
 
-/// Counts of one series, a ring for each window.
+/// Counts of one series, with a ring of buckets per window.
 #[derive(Debug, Clone)]
 struct BurnSeries {
     rings: [BucketRing; BurnWindow::COUNT],
     last_record: MonotonicTime,
 }
 
-/// Counts of one daemon since it began.
+/// Counts of one daemon since its start.
 #[derive(Debug, Clone, Default)]
 pub struct BurnTracker {
     series: BTreeMap<SeriesKey, BurnSeries>,
@@ -37,7 +37,7 @@
 }
 
 impl BurnTracker {
-    /// Counts one request that ended.
+    /// Records whether a request that ended met an objective.
     pub fn record(
         &mut self,
         now: MonotonicTime,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Counts of all windows, without those that are zero.
+    /// Returns the counts of all series and windows, without those that are zero.
     #[must_use]
     pub fn windows(&self, now: MonotonicTime) -> Vec<BurnSample> {
         let series = self.series.iter();
@@ -82,20 +82,21 @@
         samples.filter(|sample| sample.total > 0).collect()
     }
 
-    /// Requests left out because [`MAX_SERIES`] were counted already.
+    /// Returns the number of records dropped because [`MAX_SERIES`] series were in use.
     #[must_use]
     pub fn untracked(&self) -> u64 {
         self.untracked
     }
 
-    /// Series that are counted.
+    /// Returns the number of series in use.
     #[must_use]
     pub fn series_count(&self) -> usize {
         self.series.len()
     }
 
-    /// Services come and go over a daemon's life. Without a bound, each name ever used would keep
-    /// its rings for good and memory would creep up.
+    /// Returns a series, created on first use. `None` if the limit is reached after unused series
+    /// have been evicted: services are created and removed while a daemon runs, and without the
+    /// limit every name ever used would keep its rings and memory would grow.
     fn series_mut(&mut self, now: MonotonicTime, key: SeriesKey) -> Option<&mut BurnSeries> {
         if !self.series.contains_key(&key) && self.series.len() >= MAX_SERIES {
             let max_age = BurnWindow::ThreeDays.duration();
--- a/crates/savorywood-core/src/burn/ring.rs
+++ b/crates/savorywood-core/src/burn/ring.rs
@@ -1,21 +1,21 @@
-//! A ring of buckets that covers one window.
+//! Ring of time buckets that covers one window.
 
 use savorywood_protocol::MonotonicTime;
 use std::time::Duration;
 
-/// Buckets of a window. The window reaches back between 29 and 30 thirtieths of its length,
-/// depending on how far the current bucket is filled.
+/// Number of buckets per window. A sum covers 29 to 30 thirtieths of the window, depending on how
+/// far the current bucket has progressed.
 const BUCKETS: usize = 30;
 
-/// Requests counted.
+/// Sum of the requests of a window.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) struct BurnCount {
     pub(super) good: u64,
     pub(super) total: u64,
 }
 
-/// One bucket. A bucket of the longest window takes 2.4 hours: 32 bits hold 490,000 requests a
-/// second for all of it.
+/// One bucket. In the longest window a bucket covers 2.4 hours, for which 32 bits hold 490,000
+/// requests per second.
 #[derive(Debug, Clone, Copy, Default)]
 struct BurnBucket {
     good: u32,
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone)]
 pub(super) struct BucketRing {
     bucket_micros: u64,
-    /// Number of the newest bucket since the clock's zero.
+    /// Number of the newest bucket, counted from the zero of the monotonic clock.
     newest: u64,
     buckets: [BurnBucket; BUCKETS],
 }
@@ -44,7 +44,7 @@
     pub(super) fn record(&mut self, now: MonotonicTime, met: bool) {
         let number = now.0 / self.bucket_micros;
         self.advance(number);
-        // A time older than the window has no bucket any more.
+        // A time before the window has no bucket.
         if self.newest - number.min(self.newest) >= BUCKETS as u64 {
             return;
         }
@@ -65,7 +65,7 @@
         count
     }
 
-    /// Empties the buckets that time has passed over.
+    /// Clears the buckets between the newest one and `number`.
     fn advance(&mut self, number: u64) {
         let elapsed = number.saturating_sub(self.newest).min(BUCKETS as u64);
         for step in 0..elapsed {
@@ -75,7 +75,7 @@
     }
 }
 
-/// Place of a bucket in the ring.
+/// Returns the index of a bucket in the ring.
 fn bucket_index(number: u64) -> usize {
     (number % BUCKETS as u64) as usize
 }
--- a/crates/savorywood-core/src/intake.rs
+++ b/crates/savorywood-core/src/intake.rs
@@ -1,4 +1,5 @@
-//! Who asks for what: checks an arrival against the configuration in force.
+//! Validates arriving requests against the configuration in force: team, service, tier and
+//! deadline.
 
 use crate::{
     request::{QueuedRequest, RequestArrival},
@@ -10,14 +11,14 @@
 };
 use std::time::Duration;
 
-/// Longest deadline that a caller may set.
+/// Maximum deadline; longer ones are reduced to it.
 pub const MAX_DEADLINE: Duration = Duration::from_secs(3_600);
 
-/// Resolves team, service and tier of an arrival.
+/// Resolves team, service and tier of a request.
 ///
 /// # Errors
 ///
-/// The refusal to give at once; nothing has run.
+/// The refusal for the caller. The request was not executed.
 pub fn resolve_request(
     now: MonotonicTime,
     arrival: &RequestArrival,
@@ -66,7 +67,7 @@
         .ok_or_else(|| {
             let known: Vec<_> = config.services.keys().map(ServiceName::as_str).collect();
             let detail = format!(
-                "there is no service {:?}; there are: {}",
+                "service {:?} is not configured; configured services: {}",
                 arrival.service,
                 known.join(", ")
             );
@@ -85,13 +86,16 @@
     };
     tier.and_then(|tier| config.rank_of(tier)).ok_or_else(|| {
         let allowed: Vec<_> = team.tiers.iter().map(TierName::as_str).collect();
-        let detail = format!("this team may use the tiers: {}", allowed.join(", "));
+        let detail = format!(
+            "tier not allowed for this team; allowed tiers: {}",
+            allowed.join(", ")
+        );
         RequestRefusal::not_run(RefusalCode::Forbidden, detail)
     })
 }
 
-/// A call that may not be repeated needs a key: without one a retry of the caller can't be told
-/// from a second order, and a charge could be made twice.
+/// Requires an idempotency key for a call that is not idempotent. Without one a caller's retry
+/// can't be distinguished from a second order, and a charge could be made twice.
 fn require_idempotency_key(
     arrival: &RequestArrival,
     idempotent: bool,
--- a/crates/savorywood-core/src/request.rs
+++ b/crates/savorywood-core/src/request.rs
@@ -1,93 +1,95 @@
-//! What the core knows of a request. Bodies stay in the shell.
+//! Request types of the core. Request and response bodies stay in the runtime.
 
 use savorywood_protocol::{MonotonicTime, RequestId, ServiceName, TeamName, TierRank};
 use std::time::Duration;
 
-/// SHA-256 of a bearer token.
+/// SHA-256 digest of a bearer token, by which teams are looked up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TokenDigest(pub [u8; 32]);
 
-/// Size of a prompt and the hashes by which engines name its prefixes.
+/// Size of a prompt and the hashes by which engines identify its cached prefixes.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PromptShape {
-    /// Estimated prompt tokens; for a plain call, its body's size in kilobytes plus one.
+    /// Estimated number of prompt tokens; for a plain call, the size of its body in kilobytes plus
+    /// one.
     pub tokens: u32,
-    /// Chained hash of each whole block of the prompt, longest prefix last.
+    /// Chained hash of each full block of the prompt, longest prefix last.
     pub prefix_hashes: Vec<u64>,
-    /// Output tokens at most, when the caller says so.
+    /// Maximum number of output tokens; `None` if the caller sets none.
     pub max_output_tokens: Option<u32>,
 }
 
-/// A request as the shell hands it in: nothing in it has been believed yet.
+/// Request as the runtime received it, before any check.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestArrival {
-    /// Identity, made by the shell.
+    /// Identity, assigned by the runtime.
     pub request: RequestId,
-    /// Digest of the bearer token, if there was one.
+    /// Digest of the bearer token; `None` without one.
     pub token: Option<TokenDigest>,
-    /// Service that the caller named.
+    /// Service named in the request.
     pub service: String,
     /// HTTP method.
     pub method: String,
     /// Path within the service, with a leading slash.
     pub path: String,
-    /// Tier that the caller asked for.
+    /// Tier that the caller asked for; `None` for the team's first one.
     pub tier: Option<String>,
-    /// Time that the caller gives for the whole answer.
+    /// Time that the caller allows for the complete response; `None` for the service's default.
     pub deadline: Option<Duration>,
     /// Value of `Idempotency-Key`.
     pub idempotency_key: Option<String>,
-    /// SHA-256 over method, path and body: tells a repeat from another call with the same key.
+    /// SHA-256 over method, path and body. Distinguishes a repeat from another request with the
+    /// same key.
     pub fingerprint: [u8; 32],
-    /// Size of the work.
+    /// Size of the prompt.
     pub prompt: PromptShape,
 }
 
-/// A request whose team, service and tier are known: what the scheduler works with.
+/// Request with its team, service and tier resolved, as the scheduler handles it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct QueuedRequest {
-    /// Identity.
+    /// Identity, assigned by the runtime.
     pub request: RequestId,
     /// Service that it is for.
     pub service: ServiceName,
     /// Route within the service: `METHOD /path` for plain calls, the path for model calls.
     pub route: String,
-    /// Who asks.
+    /// Team that owns the bearer token.
     pub team: TeamName,
-    /// Share of the team within its tier.
+    /// Weight of the team within its tier, at least 1.
     pub weight: u32,
-    /// Tier, bounded by what the team may use.
+    /// Tier; one of those that the team may use.
     pub rank: TierRank,
-    /// Whether it may run twice without harm.
+    /// Whether it may be executed more than once.
     pub idempotent: bool,
-    /// When it arrived.
+    /// Time of arrival.
     pub arrived_at: MonotonicTime,
-    /// When its whole answer must be there.
+    /// Time at which its complete response is due.
     pub deadline_at: MonotonicTime,
-    /// Size of the work.
+    /// Size of the prompt.
     pub prompt: PromptShape,
 }
 
-/// A caller's wish for the rest of a stream that another daemon began.
+/// Request for the rest of a stream that another daemon dispatched.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ResumeArrival {
-    /// Identity of this call, made by the shell.
+    /// Identity of this call, assigned by the runtime.
     pub request: RequestId,
-    /// Digest of the bearer token, if there was one.
+    /// Digest of the bearer token; `None` without one.
     pub token: Option<TokenDigest>,
-    /// Signed resume token that the first daemon gave.
+    /// Signed resume token that the first daemon issued.
     pub resume_token: String,
-    /// Bytes of the answer that the caller has.
+    /// Number of bytes of the response that the caller already has.
     pub offset: u64,
 }
 
-/// Answer of a call that may not be repeated, kept so that a repeat gets the same.
+/// Response of a non-idempotent call, stored so that a repeat of the call gets the same response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredResponse {
     /// HTTP status.
     pub status: u16,
-    /// Value of `Content-Type`; empty when there was none.
+    /// Value of `Content-Type`; empty if there was none.
     pub content_type: String,
-    /// Body; `None` when it was too large to keep.
+    /// Body; `None` if it was too large to be stored.
     pub body: Option<Vec<u8>>,
 }
--- a/crates/savorywood-core/src/resume.rs
+++ b/crates/savorywood-core/src/resume.rs
@@ -1,4 +1,4 @@
-//! Reads on a stream that another daemon dispatched, without a second dispatch.
+//! Resumes streams that another daemon dispatched, without a second dispatch.
 
 use crate::{effect::ResumeOrder, request::ResumeArrival, view::ConfigView};
 use savorywood_protocol::{
@@ -8,17 +8,17 @@
 };
 use std::time::Duration;
 
-/// Age up to which a resume token is taken. Upstreams keep streams for a bounded time.
+/// Maximum age of a resume token. Upstreams keep streams for a bounded time.
 pub const MAX_RESUME_TOKEN_AGE: Duration = Duration::from_secs(600);
 
-/// Decides what to do for a caller that wants the rest of a stream.
+/// Checks the resume token of a caller and returns the order to fetch the rest of the stream.
 ///
-/// The stream ran, or runs, on its upstream whatever is decided here, so no refusal says that
-/// nothing ran.
+/// The upstream has executed the request, or is executing it, whatever the result. So every refusal
+/// has an unknown outcome.
 ///
 /// # Errors
 ///
-/// The refusal to give at once.
+/// The refusal for the caller.
 pub fn resolve_resume(
     now: CoreTime,
     arrival: &ResumeArrival,
@@ -49,8 +49,9 @@
     })
 }
 
-/// The upstream that holds the stream. It may be draining: its streams finish. Another upstream
-/// of the same name and service is told apart by the stream's name, which it does not know.
+/// Returns the upstream that has the stream. It may be draining, since it finishes its streams. If
+/// it was replaced by another upstream of the same name and service, that one rejects the unknown
+/// stream.
 fn find_upstream<'a>(
     token: &ResumeToken,
     config: &'a ConfigView,
@@ -62,11 +63,17 @@
     match spec {
         Some(spec) if supports_resume(&spec) => Ok(spec),
         Some(_) => {
-            let detail = format!("the upstream {} can't resume streams", token.upstream);
+            let detail = format!(
+                "upstream {} does not support stream resumption",
+                token.upstream
+            );
             Err(RequestRefusal::unknown(RefusalCode::NoUpstream, detail))
         }
         None => {
-            let detail = format!("the upstream {} of the stream is gone", token.upstream);
+            let detail = format!(
+                "upstream {}, which has the stream, is no longer configured",
+                token.upstream
+            );
             Err(RequestRefusal::unknown(RefusalCode::NoUpstream, detail))
         }
     }
