--- a/crates/savorywood-core/src/scheduler.rs
+++ b/crates/savorywood-core/src/scheduler.rs
@@ -2,6 +2,7 @@
 //! shedding.
 
 mod admission;
+mod attempts;
 mod cost;
 mod counters;
 mod dispatch;
@@ -19,7 +20,6 @@
 mod shedding;
 mod speed;
 mod split;
-mod table;
 mod timers;
 mod topology;
 mod waits;
@@ -34,6 +34,7 @@
     request::QueuedRequest,
     view::{ConfigView, VersionSplit},
 };
+use attempts::AttemptTable;
 use cost::CostModel;
 use fleet::UpstreamFleet;
 use prefix::PrefixIndex;
@@ -46,7 +47,6 @@
 };
 use service::ServiceState;
 use std::collections::{BTreeMap, BTreeSet};
-use table::AttemptTable;
 use timers::PlannedTimers;
 use waits::WaitIndex;
 
@@ -175,9 +175,7 @@
             SchedulerEvent::CallerLeft { request } => {
                 self.handle_caller_left(now, request, view, effects);
             }
-            SchedulerEvent::Upstream(event) => {
-                self.handle_upstream_event(now, &event, view, effects)
-            }
+            SchedulerEvent::Upstream(event) => self.handle_upstream(now, &event, view, effects),
             SchedulerEvent::TimerFired { number } => self.handle_timer(now, number, view, effects),
             SchedulerEvent::ViewChanged => self.dispatch_all_waiting(now, view, effects),
         }
--- a/crates/savorywood-core/src/scheduler/admission.rs
+++ b/crates/savorywood-core/src/scheduler/admission.rs
@@ -94,18 +94,18 @@
         let estimate = self.costs.predict(&request, by_team);
         let service = self.services.get(&request.service);
         let objectives = service_objectives(&request.service, view);
-        let mean = completion_time(service, estimate, estimate.output_mean, &objectives);
-        let needed = completion_time(service, estimate, estimate.output_median, &objectives);
-        let known =
+        let mean_time = completion_time(service, estimate, estimate.output_mean, &objectives);
+        let median_time = completion_time(service, estimate, estimate.output_median, &objectives);
+        let measured =
             estimate.observed && service.is_some_and(|service| service.speed.has_token_gap());
-        let latest_start = if known && self.options.has(SchedulerMechanism::DeadlineAdmission) {
+        let latest_start = if measured && self.options.has(SchedulerMechanism::DeadlineAdmission) {
             let saturated = service.is_some_and(|service| service.saturated);
-            let share = if saturated {
+            let time_factor = if saturated {
                 SATURATED_TIME_FACTOR
             } else {
                 IDLE_TIME_FACTOR
             };
-            request.deadline_at - needed.mul_f64(share)
+            request.deadline_at - median_time.mul_f64(time_factor)
         } else {
             request.deadline_at
         };
@@ -116,19 +116,19 @@
             None
         };
         let first_token = Duration::from_millis(objectives.first_token_ms.into());
-        let patience = first_token.mul_f64(AFFINITY_WAIT_FRACTION);
+        let affinity_wait = first_token.mul_f64(AFFINITY_WAIT_FRACTION);
         // A long response must still meet the deadline after the wait for an upstream that has the
         // prefix cached.
-        let longest = completion_time(service, estimate, estimate.output_high, &objectives);
-        let slack = (request.deadline_at - longest).since(now);
+        let long_time = completion_time(service, estimate, estimate.output_high, &objectives);
+        let slack = (request.deadline_at - long_time).since(now);
         WaitingRequest {
-            affinity_wait_until: now + patience.min(slack.mul_f64(AFFINITY_SLACK_FRACTION)),
+            affinity_wait_until: now + affinity_wait.min(slack.mul_f64(AFFINITY_SLACK_FRACTION)),
             urgent_at: now + slack.mul_f64(URGENT_SLACK_FRACTION),
             cached_prefix,
             request,
             attempt,
             estimate,
-            slot_micros: u64::try_from(mean.as_micros()).unwrap_or(u64::MAX),
+            slot_micros: u64::try_from(mean_time.as_micros()).unwrap_or(u64::MAX),
             latest_start,
             excluded: None,
         }
@@ -235,10 +235,10 @@
         if counted.is_some_and(|at| now.since(at) < SLOT_COUNT_INTERVAL) {
             return;
         }
-        let usual = service.typical_speed(&service_objectives(name, view));
+        let typical = service.typical_speed(&service_objectives(name, view));
         let mut count = SlotCount {
             slots: 0.0,
-            fastest_gap: usual.gap,
+            fastest_gap: typical.gap,
             counted_at: Some(now),
         };
         for state in service.members.iter().filter_map(|id| self.fleet.get(*id)) {
@@ -246,7 +246,7 @@
             let slots = state.allowance(now, grant).slots;
             count.slots += f64::from(slots);
             if slots > 0 {
-                count.fastest_gap = count.fastest_gap.min(state.speed.estimate(usual).gap);
+                count.fastest_gap = count.fastest_gap.min(state.speed.estimate(typical).gap);
             }
         }
         service.slot_count = count;
--- a/crates/savorywood-core/src/scheduler/dispatch.rs
+++ b/crates/savorywood-core/src/scheduler/dispatch.rs
@@ -2,11 +2,11 @@
 
 use super::{
     RequestScheduler, SchedulerMechanism, SchedulerView,
+    attempts::{AttemptKey, AttemptRecord},
     fleet::UpstreamId,
     queue::{ScanLimit, WaitingRequest},
     routing::{PickFailure, PickedUpstream, SampleRng},
     service::SlotDemand,
-    table::{AttemptKey, AttemptRecord},
 };
 use crate::{
     effect::{DaemonEffect, DispatchOrder, EffectQueue},
--- a/crates/savorywood-core/src/scheduler/feedback.rs
+++ b/crates/savorywood-core/src/scheduler/feedback.rs
@@ -4,9 +4,9 @@
 use super::{
     RequestScheduler, SchedulerMechanism, SchedulerView,
     admission::service_objectives,
+    attempts::{AttemptKey, AttemptRecord},
     fleet::UpstreamId,
     limit::LatencyTargets,
-    table::{AttemptKey, AttemptRecord},
 };
 use crate::{
     effect::{EffectQueue, LogLevel, LogLine},
@@ -24,7 +24,7 @@
 const MAX_EJECTED_DIVISOR: usize = 3;
 
 impl RequestScheduler {
-    pub(super) fn handle_upstream_event(
+    pub(super) fn handle_upstream(
         &mut self,
         now: MonotonicTime,
         event: &UpstreamEvent,
--- a/crates/savorywood-core/src/scheduler/service.rs
+++ b/crates/savorywood-core/src/scheduler/service.rs
@@ -116,12 +116,12 @@
     #[must_use]
     pub fn typical_speed(&self, objectives: &ServiceObjectives) -> SpeedEstimate {
         let first = f64::from(objectives.first_token_ms) / 1_000.0;
-        let unknown = SpeedEstimate {
+        let default_speed = SpeedEstimate {
             overhead: first / 4.0,
             prefill: first / 4.0 / OBJECTIVE_PROMPT_TOKENS,
             gap: f64::from(objectives.token_gap_ms) / 2_000.0,
         };
-        self.speed.estimate(unknown)
+        self.speed.estimate(default_speed)
     }
 
     /// Returns the slots that the arrivals of higher tiers need.
