--- a/crates/savorywood-core/src/scheduler/routing/score.rs
+++ b/crates/savorywood-core/src/scheduler/routing/score.rs
@@ -43,8 +43,8 @@
 }
 
 /// Returns the expected seconds to the complete response, with penalties for lateness and for
-/// avoidable prefill. It uses only this daemon's own measurements besides the load reports, so that
-/// daemons don't all choose the same upstream from the same outdated report.
+/// avoidable prefill. It relies on this daemon's own measurements, and load reports lose weight with
+/// age, so that daemons don't all choose the same upstream from the same outdated report.
 pub fn score(
     context: &PickContext<'_>,
     load: UpstreamLoad<'_>,
