--- a/crates/savorywood-core/src/scheduler/routing.rs
+++ b/crates/savorywood-core/src/scheduler/routing.rs
@@ -84,7 +84,7 @@
 enum VersionConstraint<'a> {
     /// Any version.
     Any,
-    /// Only this version, as the service's configuration says.
+    /// Only the version that the service's configuration sets.
     Only(&'a VersionName),
     /// The versions of a split, with the side whose turn it is.
     Side(&'a VersionSplit, SplitSide),
