--- a/crates/savorywood-core/src/claims.rs
+++ b/crates/savorywood-core/src/claims.rs
@@ -23,7 +23,7 @@
     effect::EffectQueue,
     event::{DutyKind, TimerKey, UpstreamEvent},
     invariant::{self, InvariantName},
-    request::{KeptAnswer, QueuedRequest},
+    request::{QueuedRequest, StoredResponse},
     view::MemberView,
 };
 use batch::{BatchItem, CommitPacer, RowOperation};
@@ -99,7 +99,7 @@
         /// Call that the response belongs to.
         request: RequestId,
         /// The response.
-        answer: Box<KeptAnswer>,
+        answer: Box<StoredResponse>,
     },
     /// The scheduler dropped the call without a response: it was refused, or its caller
     /// disconnected.
--- a/crates/savorywood-core/src/claims/outcome.rs
+++ b/crates/savorywood-core/src/claims/outcome.rs
@@ -3,7 +3,7 @@
 use super::{
     ClaimOutcome, ClaimStage, ClaimState, ClaimView, RecordedResponse, batch::RowOperation,
 };
-use crate::{effect::EffectQueue, event::UpstreamEvent, request::KeptAnswer};
+use crate::{effect::EffectQueue, event::UpstreamEvent, request::StoredResponse};
 use savorywood_protocol::{CoreTime, RequestId};
 
 impl ClaimState {
@@ -40,7 +40,7 @@
         }
     }
 
-    pub(super) fn add_response(&mut self, request: RequestId, response: &KeptAnswer) {
+    pub(super) fn add_response(&mut self, request: RequestId, response: &StoredResponse) {
         let max_body = self.options.max_recorded_body_bytes;
         if let Some(claim) = self.open.get_mut(&request) {
             claim.response = Some(RecordedResponse::from_response(response, max_body));
--- a/crates/savorywood-core/src/claims/record.rs
+++ b/crates/savorywood-core/src/claims/record.rs
@@ -1,6 +1,6 @@
 //! Content of a claim's table row.
 
-use crate::request::KeptAnswer;
+use crate::request::StoredResponse;
 use base64::{Engine, engine::general_purpose::STANDARD};
 use savorywood_protocol::{HostIncarnation, HostName, ServiceName, WallTime};
 use serde::{Deserialize, Serialize};
@@ -117,7 +117,7 @@
 impl RecordedResponse {
     /// Records a response; omits a body larger than `max_body` bytes.
     #[must_use]
-    pub fn from_response(response: &KeptAnswer, max_body: usize) -> Self {
+    pub fn from_response(response: &StoredResponse, max_body: usize) -> Self {
         let body = response.body.as_ref().filter(|body| body.len() <= max_body);
         Self {
             status: response.status,
@@ -128,9 +128,9 @@
 
     /// Restores the response for replay.
     #[must_use]
-    pub fn to_response(&self) -> KeptAnswer {
+    pub fn to_response(&self) -> StoredResponse {
         let body = self.body.as_ref();
-        KeptAnswer {
+        StoredResponse {
             status: self.status,
             content_type: self.content_type.clone(),
             body: body.and_then(|body| STANDARD.decode(body).ok()),
--- a/crates/savorywood-core/src/credits.rs
+++ b/crates/savorywood-core/src/credits.rs
@@ -21,7 +21,7 @@
     effect::EffectQueue,
     event::{DutyKind, TimerKey},
     rendezvous,
-    scheduler::SeatGrant,
+    scheduler::SlotGrant,
     view::{ConfigView, MemberRecord, MemberView},
 };
 use arbiter::ArbiterRecord;
@@ -128,7 +128,7 @@
     wakeup_at: Option<MonotonicTime>,
     next_shed_request: MonotonicTime,
     floor_cache: FloorUpstreamCache,
-    grants: BTreeMap<UpstreamName, SeatGrant>,
+    grants: BTreeMap<UpstreamName, SlotGrant>,
     floors: BTreeMap<ServiceName, TierRank>,
     counters: CreditCounters,
     local_shed_logged_at: Option<MonotonicTime>,
@@ -183,7 +183,7 @@
 
     /// Slots granted on contended upstreams. An upstream without an entry is not contended.
     #[must_use]
-    pub fn grants(&self) -> &BTreeMap<UpstreamName, SeatGrant> {
+    pub fn grants(&self) -> &BTreeMap<UpstreamName, SlotGrant> {
         &self.grants
     }
 
@@ -263,7 +263,7 @@
         let mut grants = BTreeMap::new();
         for (upstream, held) in &self.holdings {
             if let Some(seats) = held.usable(now, || fallback_share(upstream, view)) {
-                grants.insert(upstream.clone(), SeatGrant { seats });
+                grants.insert(upstream.clone(), SlotGrant { slots: seats });
             }
         }
         let floors = self.service_floors(now, view);
--- a/crates/savorywood-core/src/daemon.rs
+++ b/crates/savorywood-core/src/daemon.rs
@@ -14,7 +14,7 @@
 pub use reads::DaemonUnready;
 
 use crate::{
-    burn::BurnLedger,
+    burn::BurnTracker,
     claims::{ClaimEvent, ClaimOptions, ClaimState},
     config::{ConfigEvent, ConfigOptions, ConfigState, ConfigStepOutcome},
     credits::{CreditEvent, CreditOptions, CreditState},
@@ -25,7 +25,7 @@
     membership::{MembershipEvent, MembershipOptions, MembershipState},
     moves::{MoveEvent, MoveOptions, MovesState},
     orders::{OrderEvent, OrderOptions, OrdersState},
-    scheduler::{RequestScheduler, SchedulerEvent, SchedulerOptions, SeatGrant},
+    scheduler::{RequestScheduler, SchedulerEvent, SchedulerOptions, SlotGrant},
     stop::{StopEvent, StopOptions, StopState},
     view::{ConfigView, MemberView, VersionSplit},
 };
@@ -85,7 +85,7 @@
 #[derive(Debug, Default)]
 struct SchedulerInputs {
     splits: BTreeMap<ServiceName, VersionSplit>,
-    grants: BTreeMap<UpstreamName, SeatGrant>,
+    grants: BTreeMap<UpstreamName, SlotGrant>,
     floors: BTreeMap<ServiceName, TierRank>,
 }
 
@@ -112,7 +112,7 @@
     leaving_upstreams: BTreeSet<UpstreamName>,
     scheduler: RequestScheduler,
     inputs: SchedulerInputs,
-    burn: BurnLedger,
+    burn: BurnTracker,
     objectives: ObjectiveTracker,
     started_at: MonotonicTime,
 }
@@ -162,7 +162,7 @@
             leaving_upstreams: BTreeSet::new(),
             scheduler: RequestScheduler::new(SchedulerOptions::new(seed)),
             inputs: SchedulerInputs::default(),
-            burn: BurnLedger::default(),
+            burn: BurnTracker::default(),
             objectives: ObjectiveTracker::default(),
             started_at: MonotonicTime::default(),
             options,
--- a/crates/savorywood-core/src/daemon/sharing.rs
+++ b/crates/savorywood-core/src/daemon/sharing.rs
@@ -155,8 +155,8 @@
         }
         let tiers = tiers.into_iter().filter(|(_, slots)| *slots > 0);
         LocalDemand {
-            limit: self.scheduler.limit(name).unwrap_or_default(),
-            in_use: self.scheduler.seats_in_use(name),
+            limit: self.scheduler.slot_limit(name).unwrap_or_default(),
+            in_use: self.scheduler.slots_in_use(name),
             tiers: tiers
                 .map(|(rank, slots)| TierDemand { rank, slots })
                 .collect(),
@@ -238,7 +238,7 @@
             if held.request.deadline_at <= now.monotonic {
                 self.give_refusal(now, request, held.expired(), effects);
             } else {
-                let event = SchedulerEvent::Returned {
+                let event = SchedulerEvent::Resubmitted {
                     attempt: self.gate.next_attempt(request),
                     request: Box::new(held.request),
                 };
--- a/crates/savorywood-core/src/scheduler/cost.rs
+++ b/crates/savorywood-core/src/scheduler/cost.rs
@@ -1,4 +1,4 @@
-//! Predicted size of a request: prompt and output tokens by service, route and team.
+//! Predicts prompt and output tokens of requests by service, route and team.
 
 mod quantile;
 
@@ -7,36 +7,36 @@
 use savorywood_protocol::{ServiceName, TeamName};
 use std::{collections::BTreeMap, ops::Bound};
 
-/// Routes told apart in a service. Callers choose paths, so their number must have a bound;
-/// further ones share one sketch.
+/// Maximum number of routes with a sketch of their own in a service. Callers choose the paths, so
+/// the number must be bounded; further routes share one sketch.
 const MAX_ROUTES: usize = 256;
-/// Teams with a sketch of their own, over all routes.
+/// Maximum number of teams with a sketch of their own, over all routes.
 const MAX_TEAM_SKETCHES: usize = 16_384;
-/// Samples before a team's own sketch is believed.
-const TEAM_MIN_WEIGHT: u32 = 8;
-/// Output tokens assumed before anything was seen.
+/// Minimum weight of a team's own sketch before it is used instead of the route's.
+const MIN_TEAM_SKETCH_WEIGHT: u32 = 8;
+/// Output tokens assumed before the first sample.
 const DEFAULT_OUTPUT_TOKENS: u32 = 256;
-/// Sketches looked at to find an idle one.
-const EVICTION_SCAN: usize = 32;
+/// Number of team sketches examined per eviction.
+const EVICTION_SCAN_LENGTH: usize = 32;
 
 /// Predicted size of one request, in tokens.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct CostEstimate {
-    /// Tokens of the prompt, cached or not.
+    /// Prompt tokens, cached or not.
     pub prompt: u32,
-    /// Output in the middle case.
+    /// Median of the output tokens.
     pub output_median: u32,
-    /// Output on average; larger than the median, since lengths are skewed.
+    /// Mean of the output tokens; larger than the median, since the distribution is skewed.
     pub output_mean: u32,
-    /// Output that nine in ten requests stay below.
+    /// 90th percentile of the output tokens.
     pub output_high: u32,
-    /// Whether the figures were learned; otherwise they are a guess on which no request may be
-    /// refused.
-    pub learned: bool,
+    /// Whether the output figures come from samples. Otherwise they are defaults, and no request
+    /// may be refused because of them.
+    pub observed: bool,
 }
 
 impl CostEstimate {
-    /// Tokens that the request is expected to hold in a batch.
+    /// Returns the tokens that the request is expected to occupy in a batch.
     #[must_use]
     pub fn batch_tokens(&self) -> u64 {
         u64::from(self.prompt) + u64::from(self.output_mean)
@@ -53,11 +53,11 @@
 struct RouteSketch {
     sketch: QuantileSketch,
     teams: BTreeMap<TeamName, TeamSketch>,
-    /// Team up to which idle ones were looked for last.
-    evicted_to: Option<TeamName>,
+    /// Last team examined by the previous eviction; `None` to begin with the first.
+    eviction_cursor: Option<TeamName>,
 }
 
-/// Learned output lengths. Memory is bounded by [`MAX_ROUTES`] and [`MAX_TEAM_SKETCHES`].
+/// Distributions of output lengths. Memory is bounded by [`MAX_ROUTES`] and [`MAX_TEAM_SKETCHES`].
 #[derive(Debug, Default)]
 pub struct CostModel {
     services: BTreeMap<ServiceName, BTreeMap<String, RouteSketch>>,
@@ -66,25 +66,27 @@
 }
 
 impl CostModel {
-    /// Predicts a request. A team that is rare on the route borrows the route's lengths.
+    /// Predicts the size of a request. A team with few samples on the route gets the route's
+    /// figures; `by_team` is false if sketches of teams are switched off.
     pub fn predict(&self, request: &QueuedRequest, by_team: bool) -> CostEstimate {
         let route = self.route(request);
         let team = route
             .and_then(|route| route.teams.get(&request.team))
-            .filter(|team| by_team && team.sketch.weight() >= TEAM_MIN_WEIGHT);
+            .filter(|team| by_team && team.sketch.weight() >= MIN_TEAM_SKETCH_WEIGHT);
         let sketch = match (team, route) {
             (Some(team), _) => Some(&team.sketch),
             (None, Some(route)) => Some(&route.sketch),
             (None, None) => None,
         };
-        let most = request.prompt.max_output_tokens.unwrap_or(u32::MAX).max(1);
-        let read = |value: Option<u32>| value.unwrap_or(DEFAULT_OUTPUT_TOKENS).clamp(1, most);
+        let max_tokens = request.prompt.max_output_tokens.unwrap_or(u32::MAX).max(1);
+        let bounded =
+            |value: Option<u32>| value.unwrap_or(DEFAULT_OUTPUT_TOKENS).clamp(1, max_tokens);
         CostEstimate {
-            learned: sketch.is_some(),
+            observed: sketch.is_some(),
             prompt: request.prompt.tokens,
-            output_median: read(sketch.and_then(|sketch| sketch.quantile(500))),
-            output_mean: read(sketch.and_then(QuantileSketch::mean)),
-            output_high: read(sketch.and_then(|sketch| sketch.quantile(900))),
+            output_median: bounded(sketch.and_then(|sketch| sketch.quantile(500))),
+            output_mean: bounded(sketch.and_then(QuantileSketch::mean)),
+            output_high: bounded(sketch.and_then(|sketch| sketch.quantile(900))),
         }
     }
 
@@ -93,7 +95,7 @@
         routes.get(&request.route).or_else(|| routes.get(""))
     }
 
-    /// Learns from a finished answer.
+    /// Records the output length of a finished response.
     pub fn record(&mut self, request: &QueuedRequest, output_tokens: u32) {
         self.clock += 1;
         let routes = self.services.entry(request.service.clone()).or_default();
@@ -115,7 +117,7 @@
             team.used_at = self.clock;
             return;
         }
-        if self.team_sketches >= MAX_TEAM_SKETCHES && !evict_idle(route) {
+        if self.team_sketches >= MAX_TEAM_SKETCHES && !evict_least_recent(route) {
             return;
         }
         if self.team_sketches < MAX_TEAM_SKETCHES {
@@ -129,21 +131,21 @@
     }
 }
 
-/// Drops the idlest of a few teams of a route; says whether there was one. The few are those that
-/// follow, by name, the ones looked at last time, so that every team is looked at in turn.
-fn evict_idle(route: &mut RouteSketch) -> bool {
-    let after = match route.evicted_to.take() {
+/// Evicts the least recently used of the next [`EVICTION_SCAN_LENGTH`] teams of a route, in name
+/// order after the teams examined last time. Returns `false` if the route has no team to evict.
+fn evict_least_recent(route: &mut RouteSketch) -> bool {
+    let after = match route.eviction_cursor.take() {
         Some(name) => Bound::Excluded(name),
         None => Bound::Unbounded,
     };
     let span = (after, Bound::Unbounded);
-    let sample: Vec<_> = route.teams.range(span).take(EVICTION_SCAN).collect();
-    // At the end of the names the next call begins with the first again.
-    if sample.len() == EVICTION_SCAN {
-        route.evicted_to = sample.last().map(|(name, _)| (*name).clone());
+    let sample: Vec<_> = route.teams.range(span).take(EVICTION_SCAN_LENGTH).collect();
+    // When the names are exhausted, the next call begins with the first one again.
+    if sample.len() == EVICTION_SCAN_LENGTH {
+        route.eviction_cursor = sample.last().map(|(name, _)| (*name).clone());
     }
-    let idlest = sample.iter().min_by_key(|(_, team)| team.used_at);
-    let Some(name) = idlest.map(|(name, _)| (*name).clone()) else {
+    let least_recent = sample.iter().min_by_key(|(_, team)| team.used_at);
+    let Some(name) = least_recent.map(|(name, _)| (*name).clone()) else {
         return false;
     };
     route.teams.remove(&name).is_some()
--- a/crates/savorywood-core/src/scheduler/progress.rs
+++ b/crates/savorywood-core/src/scheduler/feedback.rs
@@ -1,11 +1,12 @@
-//! What upstreams' answers teach: speed, limits, health, lengths and caches.
+//! Processes events from upstreams: updates latency models, limits, health, length predictions and
+//! the prefix index.
 
 use super::{
     RequestScheduler, SchedulerMechanism, SchedulerView,
-    admission::objectives_of,
+    admission::service_objectives,
+    attempts::{AttemptKey, AttemptRecord},
     fleet::UpstreamId,
     limit::LatencyTargets,
-    table::{AttemptKey, AttemptRecord},
 };
 use crate::{
     effect::{EffectQueue, LogLevel, LogLine},
@@ -15,14 +16,15 @@
 use savorywood_protocol::{AttemptNumber, MonotonicTime, RequestId};
 use std::time::Duration;
 
-/// Least status of an upstream's own failure.
-const SERVER_ERROR: u16 = 500;
-/// Largest share of a service's upstreams that may be out at once, as a divisor. When more fail,
-/// the fault is likelier the load or this host, and the rest would be overrun.
-const EJECTED_DIVISOR: usize = 3;
+/// Lowest HTTP status that counts as a failure of the upstream.
+const MIN_SERVER_ERROR_STATUS: u16 = 500;
+/// At most one in this many upstreams of a service may be ejected at once, but always one. If more
+/// fail, the cause is more likely the load or this host, and the remaining upstreams would be
+/// overloaded.
+const MAX_EJECTED_DIVISOR: usize = 3;
 
 impl RequestScheduler {
-    pub(super) fn upstream(
+    pub(super) fn handle_upstream(
         &mut self,
         now: MonotonicTime,
         event: &UpstreamEvent,
@@ -32,23 +34,23 @@
         match event {
             UpstreamEvent::NotSent { request, attempt } => {
                 let key = attempt_key(*request, *attempt);
-                self.not_sent(now, key, view, effects);
+                self.handle_not_sent(now, key, view, effects);
             }
             UpstreamEvent::FirstToken { request, attempt } => {
-                self.first_token(now, attempt_key(*request, *attempt));
+                self.handle_first_token(now, attempt_key(*request, *attempt));
             }
             UpstreamEvent::Tokens {
                 request,
                 attempt,
                 count,
-            } => self.tokens(now, attempt_key(*request, *attempt), *count, view),
+            } => self.handle_tokens(now, attempt_key(*request, *attempt), *count, view),
             UpstreamEvent::Finished {
                 request,
                 attempt,
                 report,
             } => {
                 let key = attempt_key(*request, *attempt);
-                self.finished(now, key, *report, view, effects);
+                self.handle_finished(now, key, *report, view, effects);
             }
             UpstreamEvent::Broken {
                 request,
@@ -56,70 +58,76 @@
                 cause,
             } => {
                 let key = attempt_key(*request, *attempt);
-                self.broken(now, key, *cause, view, effects);
+                self.handle_broken(now, key, *cause, view, effects);
             }
             UpstreamEvent::LoadReported { upstream, report } => {
                 let id = self.fleet.id(upstream);
                 if let Some(state) = id.and_then(|id| self.fleet.get_mut(id)) {
-                    state.note_load(now, *report);
+                    state.record_load(now, *report);
                 }
             }
             UpstreamEvent::CacheChanged { upstream, batch } => {
                 if let Some(id) = self.fleet.id(upstream)
                     && self.options.has(SchedulerMechanism::Affinity)
                 {
-                    self.prefixes.note_events(now, id, batch);
+                    self.prefixes.apply_events(now, id, batch);
                 }
             }
         }
     }
 
-    fn first_token(&mut self, now: MonotonicTime, key: AttemptKey) {
+    fn handle_first_token(&mut self, now: MonotonicTime, key: AttemptKey) {
         let Some(record) = self.attempts.get_mut(key) else {
             return;
         };
-        if record.first_at.is_some() {
+        if record.first_token_at.is_some() {
             return;
         }
-        record.first_at = Some(now);
-        record.heard_at = now;
+        record.first_token_at = Some(now);
+        record.last_token_at = now;
         record.tokens += 1;
-        let took = now.since(record.sent_at);
+        let took = now.since(record.dispatched_at);
         let uncached = record.uncached;
         if let Some(service) = self.services.get_mut(&record.request.service) {
-            service.speed.first_token(now, took, uncached);
+            service.speed.record_first_token(now, took, uncached);
         }
         if let Some(state) = self.fleet.get_mut(record.upstream) {
-            state.health.note_heard(now);
-            state.speed.first_token(now, took, uncached);
-            state.limit.note_first_token(now, took, uncached);
+            state.health.record_data(now);
+            state.speed.record_first_token(now, took, uncached);
+            state.limit.record_first_token(now, took, uncached);
             state.pending_prefill = state.pending_prefill.saturating_sub(uncached.into());
         }
     }
 
-    fn tokens(&mut self, now: MonotonicTime, key: AttemptKey, count: u32, view: SchedulerView<'_>) {
+    fn handle_tokens(
+        &mut self,
+        now: MonotonicTime,
+        key: AttemptKey,
+        count: u32,
+        view: SchedulerView<'_>,
+    ) {
         if self
             .attempts
             .get_mut(key)
-            .is_some_and(|record| record.first_at.is_none())
+            .is_some_and(|record| record.first_token_at.is_none())
         {
-            self.first_token(now, key);
+            self.handle_first_token(now, key);
             return;
         }
         let Some(record) = self.attempts.get_mut(key) else {
             return;
         };
-        let took = now.since(record.heard_at);
-        record.heard_at = now;
+        let took = now.since(record.last_token_at);
+        record.last_token_at = now;
         record.tokens = record.tokens.saturating_add(count);
         let upstream = record.upstream;
         if let Some(service) = self.services.get_mut(&record.request.service) {
-            service.speed.tokens(now, took, count);
+            service.speed.record_tokens(now, took, count);
         }
         if let Some(state) = self.fleet.get_mut(upstream) {
-            state.health.note_heard(now);
-            state.speed.tokens(now, took, count);
-            state.limit.note_tokens(took, count);
+            state.health.record_data(now);
+            state.speed.record_tokens(now, took, count);
+            state.limit.record_tokens(took, count);
         }
         self.adjust_limit(now, upstream, view);
     }
@@ -131,7 +139,7 @@
         let Some(state) = self.fleet.get_mut(upstream) else {
             return;
         };
-        let objectives = objectives_of(&state.service, view);
+        let objectives = service_objectives(&state.service, view);
         let targets = LatencyTargets {
             first_token: f64::from(objectives.first_token_ms.max(1)) / 1_000.0,
             gap: f64::from(objectives.token_gap_ms.max(1)) / 1_000.0,
@@ -139,7 +147,7 @@
         state.limit.adjust(now, targets);
     }
 
-    fn finished(
+    fn handle_finished(
         &mut self,
         now: MonotonicTime,
         key: AttemptKey,
@@ -147,24 +155,24 @@
         view: SchedulerView<'_>,
         effects: &mut EffectQueue,
     ) {
-        self.first_token(now, key);
-        let Some(record) = self.release(key) else {
+        self.handle_first_token(now, key);
+        let Some(record) = self.release_attempt(key) else {
             return;
         };
-        if report.status >= SERVER_ERROR {
-            self.note_failure(now, record.upstream);
+        if report.status >= MIN_SERVER_ERROR_STATUS {
+            self.record_failure(now, record.upstream);
         } else if let Some(state) = self.fleet.get_mut(record.upstream) {
-            state.health.note_heard(now);
-            state.health.note_success(now);
+            state.health.record_data(now);
+            state.health.record_success(now);
         }
-        self.learn_cost(now, &record, report);
+        self.record_cost(now, &record, report);
         self.count_finished(now, &record, report);
         self.adjust_limit(now, record.upstream, view);
-        self.fill(now, record.upstream, view, effects);
+        self.fill_upstream(now, record.upstream, view, effects);
     }
 
-    fn learn_cost(&mut self, now: MonotonicTime, record: &AttemptRecord, report: AnswerReport) {
-        if report.status >= SERVER_ERROR {
+    fn record_cost(&mut self, now: MonotonicTime, record: &AttemptRecord, report: AnswerReport) {
+        if report.status >= MIN_SERVER_ERROR_STATUS {
             return;
         }
         let output = report.output_tokens.max(record.tokens);
@@ -172,19 +180,21 @@
         let actual = u64::from(record.estimate.prompt) + u64::from(output);
         if let Some(service) = self.services.get_mut(&record.request.service) {
             let charged = record.batch_tokens();
-            service.queue.correct(&record.request, charged, actual);
+            service
+                .queue
+                .correct_charge(&record.request, charged, actual);
             let prompt = f64::from(record.request.prompt.tokens.max(1));
-            let uncached = prefilled(record, report);
-            service.miss_share.record(now, f64::from(uncached) / prompt);
+            let uncached = prefilled_tokens(record, report);
+            service.miss_ratio.record(now, f64::from(uncached) / prompt);
         }
         let estimates = &mut self.counters.estimates;
-        estimates.answers += 1;
+        estimates.responses += 1;
         estimates.actual_tokens += u64::from(output);
         estimates.error_tokens += u64::from(output.abs_diff(record.estimate.output_median));
     }
 
     fn count_finished(&mut self, now: MonotonicTime, record: &AttemptRecord, report: AnswerReport) {
-        let uncached = prefilled(record, report);
+        let uncached = prefilled_tokens(record, report);
         let prefill = &mut self.counters.prefill;
         prefill.total += u64::from(uncached);
         let late = now > record.request.deadline_at;
@@ -203,8 +213,9 @@
         }
     }
 
-    /// A byte may have left, so the request is never sent again; the shell answers its caller.
-    fn broken(
+    /// Ends an attempt that failed after a byte may have been sent. The request is never dispatched
+    /// again; the runtime sends the response to the caller.
+    fn handle_broken(
         &mut self,
         now: MonotonicTime,
         key: AttemptKey,
@@ -212,24 +223,24 @@
         view: SchedulerView<'_>,
         effects: &mut EffectQueue,
     ) {
-        let Some(record) = self.release(key) else {
+        let Some(record) = self.release_attempt(key) else {
             return;
         };
         self.counters.tier(record.request.rank).broken += 1;
         self.counters.prefill.total += u64::from(record.uncached);
         self.counters.prefill.broken += u64::from(record.uncached);
-        if self.note_failure(now, record.upstream)
+        if self.record_failure(now, record.upstream)
             && let Some(state) = self.fleet.get(record.upstream)
         {
             let line = LogLine::new(LogLevel::Warn, "upstream-ejected");
             let line = line.with("upstream", &state.name).with("cause", cause);
             effects.log(line);
         }
-        self.fill(now, record.upstream, view, effects);
+        self.fill_upstream(now, record.upstream, view, effects);
     }
 
-    /// Counts a failure; says whether it took the upstream out.
-    pub(super) fn note_failure(&mut self, now: MonotonicTime, upstream: UpstreamId) -> bool {
+    /// Records a failure of an upstream. Returns whether the upstream was ejected for it.
+    pub(super) fn record_failure(&mut self, now: MonotonicTime, upstream: UpstreamId) -> bool {
         if !self.options.has(SchedulerMechanism::Ejection) {
             return false;
         }
@@ -238,7 +249,7 @@
         let Some(state) = self.fleet.get_mut(upstream) else {
             return false;
         };
-        let eject = state.health.note_failure() && may_eject;
+        let eject = state.health.record_failure() && may_eject;
         if eject {
             state.health.eject(now, jitter);
             self.counters.ejections += 1;
@@ -254,9 +265,9 @@
         };
         let members = service.members.iter();
         let states = members.filter_map(|id| self.fleet.get(*id));
-        let out = states.filter(|state| state.health.is_ejected(now)).count();
-        let allowed = (service.members.len() / EJECTED_DIVISOR).max(1);
-        out < allowed && service.members.len() > 1
+        let ejected = states.filter(|state| state.health.is_ejected(now)).count();
+        let allowed = (service.members.len() / MAX_EJECTED_DIVISOR).max(1);
+        ejected < allowed && service.members.len() > 1
     }
 }
 
@@ -264,9 +275,9 @@
     AttemptKey { request, attempt }
 }
 
-/// Prompt tokens that were really prefilled. An upstream that reports nothing is taken at its
-/// prediction.
-fn prefilled(record: &AttemptRecord, report: AnswerReport) -> u32 {
+/// Returns the prompt tokens that the upstream prefilled: by its report, or as predicted if it
+/// reports none.
+fn prefilled_tokens(record: &AttemptRecord, report: AnswerReport) -> u32 {
     if report.prompt_tokens == 0 {
         return record.uncached;
     }
@@ -275,5 +286,6 @@
     (prompt * (1.0 - share.min(1.0))) as u32
 }
 
-/// Time between two looks at a queue that nothing else wakes: ejections end, ramps go on.
-pub(super) const TICK_TIME: Duration = Duration::from_millis(100);
+/// Interval at which waiting requests are tried again without another event, since ejections end
+/// and ramps progress over time.
+pub(super) const TICK_INTERVAL: Duration = Duration::from_millis(100);
--- a/crates/savorywood-core/src/scheduler/pressure.rs
+++ b/crates/savorywood-core/src/scheduler/pressure.rs
@@ -1,51 +1,53 @@
-//! What other duties read of the scheduler: demand, limits and pressure.
+//! Demand, limits and load shedding of the scheduler, as read by the arbitration of contended
+//! upstreams.
 
-use super::{RequestScheduler, fleet::UpstreamId, queue::FrontSpan, service::WantedSeats};
+use super::{RequestScheduler, fleet::UpstreamId, queue::ScanLimit, service::SlotDemand};
 use savorywood_protocol::{
     MonotonicTime, ServiceName, TierRank, UpstreamName, peer::credits::TierDemand,
 };
 use std::{collections::BTreeMap, time::Duration};
 
-/// What waits is counted again after this long.
-const COUNT_EVERY: Duration = Duration::from_millis(90);
-/// Waiting requests looked at in one count.
-const MAX_SAMPLE: usize = 128;
-/// A tier counts as being shed for this long after a refusal for load.
-const SHED_MEMORY: Duration = Duration::from_secs(1);
+/// Minimum interval between two counts of the waiting requests.
+const DEMAND_COUNT_INTERVAL: Duration = Duration::from_millis(90);
+/// Maximum number of waiting requests examined per count.
+const MAX_SAMPLED_REQUESTS: usize = 128;
+/// Time after a refusal for load during which a tier counts as being shed.
+const SHEDDING_WINDOW: Duration = Duration::from_secs(1);
 
-/// How pressed a service is at this daemon.
+/// Queued load of a service at this daemon.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ServicePressure {
-    /// Requests that wait, by tier, highest first.
+    /// Number of waiting requests by tier, highest tier first.
     pub waiting: Vec<TierDemand>,
-    /// Highest tier of which a request was refused for load within the last second.
+    /// Highest tier of which a request was refused for load within [`SHEDDING_WINDOW`].
     pub shedding: Option<TierRank>,
 }
 
 impl RequestScheduler {
-    /// Seats in use and wanted on an upstream, by tier, highest first. What waits is spread over
-    /// the upstreams of the service by their limits.
+    /// Returns the slots in use and demanded on an upstream by tier, highest tier first. Waiting
+    /// requests count on the upstreams that have their prefix cached; others are spread evenly over
+    /// the upstreams of the service.
     #[must_use]
     pub fn demand(&self, upstream: &UpstreamName) -> Vec<TierDemand> {
         let Some(id) = self.fleet.id(upstream) else {
             return Vec::new();
         };
-        let mut seats: BTreeMap<TierRank, f64> = BTreeMap::new();
+        let mut slots: BTreeMap<TierRank, f64> = BTreeMap::new();
         if let Some(state) = self.fleet.get(id)
             && let Some(service) = self.services.get(&state.service)
         {
             let members = service.members.len().max(1) as f64;
-            for (rank, wanted) in &service.wanted.anywhere {
-                *seats.entry(*rank).or_default() += wanted / members;
+            for (rank, demand) in &service.demand.anywhere {
+                *slots.entry(*rank).or_default() += demand / members;
             }
-            for (rank, wanted) in service.wanted.held.get(&id).into_iter().flatten() {
-                *seats.entry(*rank).or_default() += wanted;
+            for (rank, demand) in service.demand.on_holders.get(&id).into_iter().flatten() {
+                *slots.entry(*rank).or_default() += demand;
             }
         }
-        for (rank, used) in self.attempts.seats_by_tier(id) {
-            *seats.entry(rank).or_default() += f64::from(used);
+        for (rank, used) in self.attempts.slots_by_tier(id) {
+            *slots.entry(rank).or_default() += f64::from(used);
         }
-        let demands = seats.into_iter();
+        let demands = slots.into_iter();
         demands
             .map(|(rank, slots)| TierDemand {
                 rank,
@@ -54,61 +56,63 @@
             .collect()
     }
 
-    /// Seats in use on an upstream.
+    /// Returns the slots in use on an upstream.
     #[must_use]
-    pub fn seats_in_use(&self, upstream: &UpstreamName) -> u32 {
+    pub fn slots_in_use(&self, upstream: &UpstreamName) -> u32 {
         let id = self.fleet.id(upstream);
-        let seats = id
+        let slots = id
             .into_iter()
-            .flat_map(|id| self.attempts.seats_by_tier(id));
-        seats.map(|(_, count)| count).sum()
+            .flat_map(|id| self.attempts.slots_by_tier(id));
+        slots.map(|(_, count)| count).sum()
     }
 
-    /// Counts what waits by where it would like to go. A part is looked at and taken for all.
-    pub(super) fn count_wanted(&mut self, now: MonotonicTime, name: &ServiceName) {
+    /// Counts the slots that waiting requests demand, by the upstreams that have their prefix
+    /// cached. A bounded sample is examined and scaled to the whole queue.
+    pub(super) fn refresh_slot_demand(&mut self, now: MonotonicTime, name: &ServiceName) {
         let Some(service) = self.services.get(name) else {
             return;
         };
-        let counted = service.wanted.counted_at;
-        if counted.is_some_and(|at| now.since(at) < COUNT_EVERY) {
+        let counted = service.demand.counted_at;
+        if counted.is_some_and(|at| now.since(at) < DEMAND_COUNT_INTERVAL) {
             return;
         }
-        let mut wanted = WantedSeats {
+        let mut demand = SlotDemand {
             counted_at: Some(now),
-            ..WantedSeats::default()
+            ..SlotDemand::default()
         };
-        let sampled = service.queue.len().min(MAX_SAMPLE);
+        let sampled = service.queue.len().min(MAX_SAMPLED_REQUESTS);
         let weight = service.queue.len() as f64 / sampled.max(1) as f64;
-        for waiting in service.queue.front(FrontSpan::ALL).take(sampled) {
+        for waiting in service.queue.front(ScanLimit::UNLIMITED).take(sampled) {
             let rank = waiting.request.rank;
-            let hash = waiting.held_prefix;
+            let hash = waiting.cached_prefix;
             let holders: Vec<UpstreamId> = hash
                 .into_iter()
                 .flat_map(|hash| self.prefixes.holders(hash))
                 .collect();
             if holders.is_empty() {
-                *wanted.anywhere.entry(rank).or_default() += weight;
+                *demand.anywhere.entry(rank).or_default() += weight;
             }
-            let share = weight / holders.len().max(1) as f64;
+            let per_holder = weight / holders.len().max(1) as f64;
             for holder in holders {
-                let tiers = wanted.held.entry(holder).or_default();
-                *tiers.entry(rank).or_default() += share;
+                let tiers = demand.on_holders.entry(holder).or_default();
+                *tiers.entry(rank).or_default() += per_holder;
             }
         }
         if let Some(service) = self.services.get_mut(name) {
-            service.wanted = wanted;
+            service.demand = demand;
         }
     }
 
-    /// Seats that this daemon believes the upstream can carry; `None` for an unknown one.
+    /// Returns this daemon's adaptive limit of slots of the upstream; `None` for an unknown
+    /// upstream.
     #[must_use]
-    pub fn limit(&self, upstream: &UpstreamName) -> Option<u32> {
+    pub fn slot_limit(&self, upstream: &UpstreamName) -> Option<u32> {
         let id = self.fleet.id(upstream)?;
         let state = self.fleet.get(id)?;
-        Some(state.limit.seats())
+        Some(state.limit.slots())
     }
 
-    /// How pressed a service is here.
+    /// Returns the queued load of a service; empty for an unknown service.
     #[must_use]
     pub fn service_pressure(&self, now: MonotonicTime, service: &ServiceName) -> ServicePressure {
         let Some(state) = self.services.get(service) else {
@@ -121,8 +125,8 @@
                 rank,
                 slots: u32::try_from(count).unwrap_or(u32::MAX),
             });
-        let mut shed = state.shed_at.iter();
-        let shedding = shed.find(|(_, at)| now.since(**at) < SHED_MEMORY);
+        let mut shed = state.last_shed_at.iter();
+        let shedding = shed.find(|(_, at)| now.since(**at) < SHEDDING_WINDOW);
         ServicePressure {
             waiting: waiting.collect(),
             shedding: shedding.map(|(rank, _)| *rank),
--- a/crates/savorywood-core/src/scheduler/queue/fair.rs
+++ b/crates/savorywood-core/src/scheduler/queue/fair.rs
@@ -1,18 +1,18 @@
-//! Start-time fair queueing of teams, by tokens.
+//! Start-time fair queueing of teams by tokens.
 //!
-//! Each team has a lane with a tag in virtual time; the lane with the smallest tag is next and
-//! moves on by the size of what it sent over its weight. Cost of an operation grows with the
-//! logarithm of the teams that have requests waiting; idle teams are forgotten as soon as their
-//! tag is in the past.
+//! Each team has a lane with a tag in virtual time. The lane with the smallest tag is next; a
+//! dispatch advances its tag by the size of the request divided by the team's weight. The cost of
+//! an operation grows with the logarithm of the number of teams with waiting requests. Idle lanes
+//! are discarded when their tag is no longer ahead of the virtual time.
 
 use super::WaitingRequest;
 use savorywood_protocol::{RequestId, TeamName};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Virtual time of one token of a team with weight one.
+/// Virtual time per token of a team with weight 1.
 const TAG_SCALE: u64 = 1_024;
 
-/// Team of a lane; `None` when all teams share one.
+/// Team of a lane; `None` if all teams share one lane.
 pub type LaneKey = Option<TeamName>;
 
 #[derive(Debug, Default)]
@@ -24,7 +24,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-struct LaneTurn {
+struct LaneTag {
     tag: u64,
     lane: LaneKey,
 }
@@ -33,8 +33,8 @@
 #[derive(Debug, Default)]
 pub struct FairQueue {
     lanes: BTreeMap<LaneKey, TeamLane>,
-    turns: BTreeSet<LaneTurn>,
-    idle: BTreeSet<LaneTurn>,
+    active: BTreeSet<LaneTag>,
+    idle: BTreeSet<LaneTag>,
     order: BTreeMap<u64, LaneKey>,
     virtual_time: u64,
     active_weight: u64,
@@ -42,86 +42,86 @@
 }
 
 impl FairQueue {
-    /// Whether none waits.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.order.is_empty()
     }
 
-    /// Requests that wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.order.len()
     }
 
-    /// Seat time of all that wait, in microseconds.
+    /// Returns the slot time of all waiting requests, in microseconds.
     pub fn work(&self) -> u64 {
         self.work
     }
 
-    /// Adds a request to its team's lane.
+    /// Appends a request to its team's lane.
     pub fn push(&mut self, key: LaneKey, sequence: u64, waiting: WaitingRequest) {
         let lane = self.lanes.entry(key.clone()).or_default();
         if lane.waiting.is_empty() {
             let tag = lane.tag;
             let lane_key = key.clone();
-            self.idle.remove(&LaneTurn {
+            self.idle.remove(&LaneTag {
                 tag,
                 lane: lane_key,
             });
             lane.tag = tag.max(self.virtual_time);
             lane.weight = u64::from(waiting.request.weight.max(1));
             self.active_weight += lane.weight;
-            self.turns.insert(LaneTurn {
+            self.active.insert(LaneTag {
                 tag: lane.tag,
                 lane: key.clone(),
             });
         }
-        self.work += waiting.seat_micros;
-        lane.work += waiting.seat_micros;
+        self.work += waiting.slot_micros;
+        lane.work += waiting.slot_micros;
         lane.waiting.insert(sequence, waiting);
         self.order.insert(sequence, key);
     }
 
-    /// First request of each lane, next lane first.
+    /// Iterates over the first request of each lane, next lane first.
     pub fn heads(&self) -> impl Iterator<Item = &WaitingRequest> {
-        self.turns.iter().filter_map(|turn| {
-            let lane = self.lanes.get(&turn.lane)?;
+        self.active.iter().filter_map(|lane_tag| {
+            let lane = self.lanes.get(&lane_tag.lane)?;
             lane.waiting.values().next()
         })
     }
 
-    /// First few requests of each lane, next lane first.
-    pub fn front(&self, of_each: usize) -> impl Iterator<Item = &WaitingRequest> {
+    /// Iterates over the first few requests of each lane, next lane first.
+    pub fn front(&self, per_lane: usize) -> impl Iterator<Item = &WaitingRequest> {
         let lanes = self
-            .turns
+            .active
             .iter()
-            .filter_map(|turn| self.lanes.get(&turn.lane));
-        lanes.flat_map(move |lane| lane.waiting.values().take(of_each))
+            .filter_map(|lane_tag| self.lanes.get(&lane_tag.lane));
+        lanes.flat_map(move |lane| lane.waiting.values().take(per_lane))
     }
 
-    /// Newest request of the tier.
+    /// Returns the newest request of the tier.
     pub fn newest(&self) -> Option<RequestId> {
         let (sequence, key) = self.order.last_key_value()?;
         let waiting = self.lanes.get(key)?.waiting.get(sequence)?;
         Some(waiting.request.request)
     }
 
-    /// Takes a request out and charges its team.
+    /// Removes a request and charges its team. The virtual time advances to the lane's tag.
     pub fn take(&mut self, sequence: u64) -> Option<WaitingRequest> {
-        let tag = self.tag_of(sequence)?;
+        let tag = self.current_tag(sequence)?;
         self.virtual_time = self.virtual_time.max(tag);
         let taken = self.detach(sequence, true);
-        self.forget_idle();
+        self.discard_idle_lanes();
         taken
     }
 
-    /// Takes a request out without a charge.
+    /// Removes a request without a charge.
     pub fn remove(&mut self, sequence: u64) -> Option<WaitingRequest> {
         let removed = self.detach(sequence, false);
-        self.forget_idle();
+        self.discard_idle_lanes();
         removed
     }
 
-    fn tag_of(&self, sequence: u64) -> Option<u64> {
+    fn current_tag(&self, sequence: u64) -> Option<u64> {
         let key = self.order.get(&sequence)?;
         self.lanes.get(key).map(|lane| lane.tag)
     }
@@ -130,66 +130,67 @@
         let key = self.order.remove(&sequence)?;
         let lane = self.lanes.get_mut(&key)?;
         let waiting = lane.waiting.remove(&sequence)?;
-        self.work -= waiting.seat_micros;
-        lane.work -= waiting.seat_micros;
-        let mut turn = LaneTurn {
+        self.work -= waiting.slot_micros;
+        lane.work -= waiting.slot_micros;
+        let mut lane_tag = LaneTag {
             tag: lane.tag,
             lane: key,
         };
-        self.turns.remove(&turn);
+        self.active.remove(&lane_tag);
         if charge {
-            lane.tag += scaled(waiting.estimate.batch_tokens(), lane.weight);
+            lane.tag += virtual_cost(waiting.estimate.batch_tokens(), lane.weight);
         }
-        turn.tag = lane.tag;
+        lane_tag.tag = lane.tag;
         if lane.waiting.is_empty() {
             self.active_weight -= lane.weight;
-            self.idle.insert(turn);
+            self.idle.insert(lane_tag);
         } else {
-            self.turns.insert(turn);
+            self.active.insert(lane_tag);
         }
         Some(waiting)
     }
 
-    /// Corrects what a team was charged. A lane that is forgotten has nothing to correct.
-    pub fn correct(&mut self, key: &LaneKey, weight: u32, charged: u64, actual: u64) {
+    /// Replaces a team's charge by the actual size. Nothing is corrected if the lane was discarded.
+    pub fn correct_charge(&mut self, key: &LaneKey, weight: u32, charged: u64, actual: u64) {
         let Some(lane) = self.lanes.get_mut(key) else {
             return;
         };
         let weight = u64::from(weight.max(1));
-        let mut turn = LaneTurn {
+        let mut lane_tag = LaneTag {
             tag: lane.tag,
             lane: key.clone(),
         };
         let set = if lane.waiting.is_empty() {
             &mut self.idle
         } else {
-            &mut self.turns
+            &mut self.active
         };
-        set.remove(&turn);
-        let tag = (lane.tag + scaled(actual, weight)).saturating_sub(scaled(charged, weight));
+        set.remove(&lane_tag);
+        let tag =
+            (lane.tag + virtual_cost(actual, weight)).saturating_sub(virtual_cost(charged, weight));
         lane.tag = tag.max(self.virtual_time);
-        turn.tag = lane.tag;
-        set.insert(turn);
+        lane_tag.tag = lane.tag;
+        set.insert(lane_tag);
     }
 
-    fn forget_idle(&mut self) {
+    fn discard_idle_lanes(&mut self) {
         if self.order.is_empty() {
-            // With nobody waiting there is no competition to remember shares of.
+            // Without waiting requests no team competes, so no tags need to be kept.
             self.idle.clear();
             self.lanes.clear();
             return;
         }
-        while let Some(turn) = self.idle.first()
-            && turn.tag <= self.virtual_time
+        while let Some(lane_tag) = self.idle.first()
+            && lane_tag.tag <= self.virtual_time
         {
-            if let Some(turn) = self.idle.pop_first() {
-                self.lanes.remove(&turn.lane);
+            if let Some(lane_tag) = self.idle.pop_first() {
+                self.lanes.remove(&lane_tag.lane);
             }
         }
     }
 
-    /// Seat time that goes before a new request of a team. Its own lane's work is stretched by
-    /// what the other lanes take meanwhile.
+    /// Returns the slot time queued ahead of a new request of a team, in microseconds. The work in
+    /// its own lane counts in proportion to the weights of the lanes that are served meanwhile.
     pub fn work_ahead(&self, key: &LaneKey, weight: u32) -> u64 {
         let weight = u64::from(weight.max(1));
         let (own, others) = match self.lanes.get(key) {
@@ -201,6 +202,6 @@
     }
 }
 
-fn scaled(tokens: u64, weight: u64) -> u64 {
+fn virtual_cost(tokens: u64, weight: u64) -> u64 {
     (tokens * TAG_SCALE / weight).max(1)
 }
--- a/crates/savorywood-core/src/scheduler/routing.rs
+++ b/crates/savorywood-core/src/scheduler/routing.rs
@@ -1,9 +1,10 @@
-//! Which upstream gets a request.
+//! Routing: chooses the upstream of a request by expected completion time, cached prefix and
+//! version.
 
 mod score;
 
 use super::{
-    RequestScheduler, SchedulerMechanism, SchedulerView, admission::objectives_of,
+    RequestScheduler, SchedulerMechanism, SchedulerView, admission::service_objectives,
     fleet::UpstreamId, prefix::PrefixMatch, queue::WaitingRequest, service::ServiceState,
     speed::SpeedEstimate, split::SplitSide,
 };
@@ -12,47 +13,48 @@
 use score::{UpstreamLoad, cached_elsewhere, score, uncached_tokens};
 use std::time::Duration;
 
-/// Upstreams compared besides those that hold the prefix. Two would do against herding; a few
-/// more find the faster generations.
+/// Number of upstreams sampled at random, besides those that have the prefix cached. Two would be
+/// enough to avoid herding; a few more make it likely that one on faster hardware is among them.
 const SAMPLE_SIZE: usize = 6;
-/// Services with no more upstreams than this have all of them compared.
-const COMPARE_ALL: usize = 16;
+/// Up to this number of upstreams of a service, all of them are compared.
+const MAX_FULL_COMPARISON: usize = 16;
 
-/// Why no upstream was found.
+/// Reason why no upstream was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PickFailure {
-    /// None has room.
-    Full,
-    /// Only upstreams of the version whose turn it is not have room.
-    OtherVersion,
-    /// Only upstreams have room that do not hold its prefix, and it can wait for one that does.
-    HeldElsewhere,
-    /// Only upstreams have room on which it would be late, and it can wait for a faster one.
+    /// No allowed upstream has a free slot and enough batch tokens.
+    NoCapacity,
+    /// The upstreams with capacity run another version than the one that is next in the split.
+    WrongVersion,
+    /// The upstreams with capacity don't have its prefix cached, and it can wait for one that has.
+    CachedElsewhere,
+    /// It would miss its deadline on the upstreams with capacity, and can wait for a faster one.
     TooSlow,
 }
 
-/// An upstream chosen for a request.
+/// Upstream chosen for a request.
 #[derive(Debug, Clone, Copy)]
 pub struct PickedUpstream {
-    /// Who.
+    /// Number of the upstream.
     pub upstream: UpstreamId,
-    /// Prompt tokens that it is expected to have to prefill.
+    /// Prompt tokens that it is expected to prefill.
     pub uncached: u32,
-    /// Prompt tokens that the best other upstream is known to have cached.
+    /// Prompt tokens that the best other upstream has cached, as far as the index shows.
     pub cached_elsewhere: u32,
-    /// Version that it runs, while traffic moves.
+    /// Side of the split that its version is on; `None` if no traffic move is in progress.
     pub side: Option<SplitSide>,
-    /// Time that it takes to prefill what another upstream has cached.
+    /// Time that it takes to prefill the tokens that another upstream has cached.
     pub miss_time: Duration,
     score: f64,
 }
 
-/// Numbers for one choice, drawn from one number of the scheduler's generator.
+/// Generator of the random numbers of one choice, seeded by one number of the scheduler's
+/// generator.
 #[derive(Debug, Clone, Copy)]
-pub struct SampleDraw(pub u64);
+pub struct SampleRng(pub u64);
 
-impl SampleDraw {
-    /// A number below `bound`; zero when that is zero.
+impl SampleRng {
+    /// Returns a number below `bound`; zero if `bound` is zero.
     fn below(&mut self, bound: usize) -> usize {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mixed = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -61,108 +63,113 @@
     }
 }
 
-/// What is the same for all upstreams compared for one request.
+/// Inputs that are the same for all upstreams compared for one request.
 struct PickContext<'a> {
     now: MonotonicTime,
     view: SchedulerView<'a>,
     waiting: &'a WaitingRequest,
     objectives: ServiceObjectives,
-    usual: SpeedEstimate,
-    fast_gap: f64,
+    typical_speed: SpeedEstimate,
+    fastest_gap: f64,
     matches: Vec<PrefixMatch>,
-    check_silence: bool,
-    wanted: WantedVersion<'a>,
+    check_stalls: bool,
+    version: VersionConstraint<'a>,
 }
 
-/// Share of all traffic, in thousandths.
+/// All traffic, in thousandths.
 const ALL_TRAFFIC: u16 = 1_000;
 
 /// Versions that may get a request.
 #[derive(Debug, Clone, Copy)]
-enum WantedVersion<'a> {
-    /// Any.
+enum VersionConstraint<'a> {
+    /// Any version.
     Any,
-    /// One.
+    /// Only the version that the service's configuration sets.
     Only(&'a VersionName),
-    /// One while traffic moves.
+    /// The versions of a split, with the side whose turn it is.
     Side(&'a VersionSplit, SplitSide),
 }
 
-impl WantedVersion<'_> {
-    /// Says under which side of a split a version may get the request, if it may.
+impl VersionConstraint<'_> {
+    /// Returns the side of the split under which a version may get the request, or why it may not.
     fn allows(self, version: &VersionName) -> Result<Option<SplitSide>, PickFailure> {
         match self {
             Self::Any => Ok(None),
             Self::Only(only) if only == version => Ok(None),
             Self::Side(split, SplitSide::New) if *version == split.new => Ok(Some(SplitSide::New)),
-            // A completed move leaves nothing to the old version. Without this rule a prompt whose
-            // prefix the old one still cached went there for as long as the move was declared.
+            // A completed move leaves no traffic to the old version. Without this rule requests
+            // whose prefix it still had cached went to it for as long as the move was configured.
             Self::Side(split, _) if *version == split.old && split.new_per_mille >= ALL_TRAFFIC => {
-                Err(PickFailure::OtherVersion)
+                Err(PickFailure::WrongVersion)
             }
-            // The new version may be full while its turn is: the old one then helps out, and the
-            // share is made up for later. Never the other way round: the share is a bound.
+            // If the new version has no capacity on its turn, the old one takes the request and the
+            // new version's share is made up for later. The reverse is not allowed, since the share
+            // of the new version is an upper bound.
             Self::Side(split, _) if *version == split.old => Ok(Some(SplitSide::Old)),
             Self::Side(split, SplitSide::Old) if *version == split.new => {
-                Err(PickFailure::OtherVersion)
+                Err(PickFailure::WrongVersion)
             }
-            Self::Only(_) | Self::Side(..) => Err(PickFailure::Full),
+            Self::Only(_) | Self::Side(..) => Err(PickFailure::NoCapacity),
         }
     }
 
     fn prefers(self, side: Option<SplitSide>) -> bool {
         match self {
             Self::Any | Self::Only(_) => true,
-            Self::Side(_, wanted) => side == Some(wanted),
+            Self::Side(_, preferred) => side == Some(preferred),
         }
     }
 }
 
 impl PickContext<'_> {
-    /// Keeps a request for a while for an upstream that holds its prefix, unless this one does.
-    fn keep_for_holder(&self, picked: PickedUpstream) -> Result<PickedUpstream, PickFailure> {
+    /// Rejects an upstream that lacks a large part of the prefix that another one has cached, while
+    /// the request may still wait for that one.
+    fn wait_for_cached_prefix(
+        &self,
+        picked: PickedUpstream,
+    ) -> Result<PickedUpstream, PickFailure> {
         let prompt = self.waiting.request.prompt.tokens;
         let cached = prompt - picked.uncached;
         let missed = picked.cached_elsewhere.saturating_sub(cached);
         let large = missed > 0 && missed >= prompt / 4;
-        if large && self.now < self.waiting.patient_until {
-            return Err(PickFailure::HeldElsewhere);
+        if large && self.now < self.waiting.affinity_wait_until {
+            return Err(PickFailure::CachedElsewhere);
         }
         Ok(picked)
     }
 }
 
 impl RequestScheduler {
-    /// Chooses the upstream on which a request is expected to be whole first.
-    pub(super) fn pick(
+    /// Chooses the upstream with the earliest expected completion of the request.
+    pub(super) fn pick_upstream(
         &self,
         now: MonotonicTime,
         waiting: &WaitingRequest,
         view: SchedulerView<'_>,
-        mut draw: SampleDraw,
+        mut sample_rng: SampleRng,
     ) -> Result<PickedUpstream, PickFailure> {
         let name = &waiting.request.service;
         let Some(service) = self.services.get(name) else {
-            return Err(PickFailure::Full);
+            return Err(PickFailure::NoCapacity);
         };
-        let sample = sample_members(service, &mut draw);
+        let sample = sample_members(service, &mut sample_rng);
         let context = self.context(now, name, service, waiting, view);
         let holders = context.matches.iter().map(|found| found.upstream);
         let compared = self.best_of(&context, sample.into_iter().chain(holders));
-        let compared = compared.and_then(|picked| context.keep_for_holder(picked));
-        if compared.is_ok() || service.members.len() <= COMPARE_ALL {
+        let compared = compared.and_then(|picked| context.wait_for_cached_prefix(picked));
+        if compared.is_ok() || service.members.len() <= MAX_FULL_COMPARISON {
             return compared;
         }
-        // None of the sample has room: look at all, beginning anywhere.
-        let offset = draw.below(service.members.len());
+        // None of the sample has capacity: examine all, starting at a random one.
+        let offset = sample_rng.below(service.members.len());
         let (front, back) = service.members.split_at(offset);
         let all = back.iter().chain(front).copied();
-        let mut found = Err(compared.err().unwrap_or(PickFailure::Full));
+        let mut found = Err(compared.err().unwrap_or(PickFailure::NoCapacity));
         for id in all {
-            match self.appraise_upstream(&context, id) {
-                Ok(picked) if context.wanted.prefers(picked.side) => return Ok(picked),
+            match self.evaluate_upstream(&context, id) {
+                Ok(picked) if context.version.prefers(picked.side) => return Ok(picked),
                 Ok(picked) => found = Ok(picked),
-                Err(PickFailure::Full) => {}
+                Err(PickFailure::NoCapacity) => {}
                 Err(failure) if found.is_err() => found = Err(failure),
                 Err(_) => {}
             }
@@ -170,8 +177,8 @@
         found
     }
 
-    /// Checks whether one upstream that has just become free may have a request.
-    pub(super) fn pick_this(
+    /// Checks whether a given upstream, which has got a free slot, may take a request.
+    pub(super) fn check_upstream(
         &self,
         now: MonotonicTime,
         waiting: &WaitingRequest,
@@ -180,10 +187,10 @@
     ) -> Result<PickedUpstream, PickFailure> {
         let name = &waiting.request.service;
         let Some(service) = self.services.get(name) else {
-            return Err(PickFailure::Full);
+            return Err(PickFailure::NoCapacity);
         };
         let context = self.context(now, name, service, waiting, view);
-        self.appraise_upstream(&context, upstream)
+        self.evaluate_upstream(&context, upstream)
     }
 
     fn context<'a>(
@@ -194,49 +201,49 @@
         waiting: &'a WaitingRequest,
         view: SchedulerView<'a>,
     ) -> PickContext<'a> {
-        let objectives = objectives_of(name, view);
+        let objectives = service_objectives(name, view);
         let hashes = &waiting.request.prompt.prefix_hashes;
-        let wanted = self.wanted_version(name, service, waiting, view);
+        let version = self.version_constraint(name, service, waiting, view);
         let mut matches = if self.options.has(SchedulerMechanism::Affinity) {
             self.prefixes.find(now, hashes)
         } else {
             Vec::new()
         };
-        // A prefix held by the other version is of no use: nobody waits for it.
+        // A prefix cached by the other version is ignored: no request waits for it.
         matches.retain(|found| {
             let state = self.fleet.get(found.upstream);
-            let side = state.map(|state| wanted.allows(&state.version));
-            matches!(side, Some(Ok(side)) if wanted.prefers(side))
+            let side = state.map(|state| version.allows(&state.version));
+            matches!(side, Some(Ok(side)) if version.prefers(side))
         });
         PickContext {
             now,
             view,
             waiting,
             objectives,
-            usual: service.usual_speed(&objectives),
-            fast_gap: service.seat_count.fast_gap,
+            typical_speed: service.typical_speed(&objectives),
+            fastest_gap: service.slot_count.fastest_gap,
             matches,
-            check_silence: self.options.has(SchedulerMechanism::Ejection)
+            check_stalls: self.options.has(SchedulerMechanism::Ejection)
                 && service.members.len() > 1,
-            wanted,
+            version,
         }
     }
 
-    fn wanted_version<'a>(
+    fn version_constraint<'a>(
         &self,
         name: &ServiceName,
         service: &ServiceState,
         waiting: &WaitingRequest,
         view: SchedulerView<'a>,
-    ) -> WantedVersion<'a> {
+    ) -> VersionConstraint<'a> {
         if let Some(split) = view.splits.get(name) {
             let route = waiting.request.route.as_str();
-            let side = service.splits.wanted(split, route, self.options.seed());
-            return WantedVersion::Side(split, side);
+            let side = service.splits.next_side(split, route, self.options.seed());
+            return VersionConstraint::Side(split, side);
         }
         let spec = view.config.services.get(name);
         let version = spec.and_then(|spec| spec.version.as_ref());
-        version.map_or(WantedVersion::Any, WantedVersion::Only)
+        version.map_or(VersionConstraint::Any, VersionConstraint::Only)
     }
 
     fn best_of(
@@ -244,39 +251,39 @@
         context: &PickContext<'_>,
         candidates: impl Iterator<Item = UpstreamId>,
     ) -> Result<PickedUpstream, PickFailure> {
-        let mut best = Err(PickFailure::Full);
+        let mut best = Err(PickFailure::NoCapacity);
         for id in candidates {
-            best = match (best, self.appraise_upstream(context, id)) {
-                (Ok(old), Ok(new)) => Ok(better(context, old, new)),
+            best = match (best, self.evaluate_upstream(context, id)) {
+                (Ok(old), Ok(new)) => Ok(better_of(context, old, new)),
                 (Err(_), Ok(new)) => Ok(new),
-                (Err(PickFailure::Full), Err(failure)) => Err(failure),
+                (Err(PickFailure::NoCapacity), Err(failure)) => Err(failure),
                 (kept, Err(_)) => kept,
             };
         }
         best
     }
 
-    /// Says how long the request would take on one upstream, if it may go there.
-    fn appraise_upstream(
+    /// Scores one upstream for the request, if it may take it.
+    fn evaluate_upstream(
         &self,
         context: &PickContext<'_>,
         id: UpstreamId,
     ) -> Result<PickedUpstream, PickFailure> {
         let Some(state) = self.fleet.get(id) else {
-            return Err(PickFailure::Full);
+            return Err(PickFailure::NoCapacity);
         };
         let waiting = context.waiting;
         let grant = context.view.grants.get(&state.name);
         let allowance = state.allowance(context.now, grant);
         let room = state.has_room(allowance, waiting.estimate.batch_tokens());
-        if !room || waiting.avoid == Some(id) {
-            return Err(PickFailure::Full);
+        if !room || waiting.excluded == Some(id) {
+            return Err(PickFailure::NoCapacity);
         }
-        let speed = state.speed.estimate(context.usual);
-        if context.check_silence && state.is_silent(context.now, speed) {
-            return Err(PickFailure::Full);
+        let speed = state.speed.estimate(context.typical_speed);
+        if context.check_stalls && state.is_stalled(context.now, speed) {
+            return Err(PickFailure::NoCapacity);
         }
-        let side = context.wanted.allows(&state.version)?;
+        let side = context.version.allows(&state.version)?;
         let uncached = uncached_tokens(context, id);
         let cached_elsewhere = cached_elsewhere(context, id);
         let cached = waiting.request.prompt.tokens - uncached;
@@ -298,10 +305,15 @@
     }
 }
 
-/// The better of two, the version whose turn it is before speed.
-fn better(context: &PickContext<'_>, old: PickedUpstream, new: PickedUpstream) -> PickedUpstream {
-    let old_first = context.wanted.prefers(old.side);
-    let new_first = context.wanted.prefers(new.side);
+/// Returns the better of two: first the one whose version is next in the split, then the lower
+/// score.
+fn better_of(
+    context: &PickContext<'_>,
+    old: PickedUpstream,
+    new: PickedUpstream,
+) -> PickedUpstream {
+    let old_first = context.version.prefers(old.side);
+    let new_first = context.version.prefers(new.side);
     match (old_first, new_first) {
         (true, false) => old,
         (false, true) => new,
@@ -310,9 +322,9 @@
     }
 }
 
-fn sample_members(service: &ServiceState, draw: &mut SampleDraw) -> Vec<UpstreamId> {
+fn sample_members(service: &ServiceState, sample_rng: &mut SampleRng) -> Vec<UpstreamId> {
     let members = &service.members;
-    if members.len() <= COMPARE_ALL {
+    if members.len() <= MAX_FULL_COMPARISON {
         return members.clone();
     }
     let local = SAMPLE_SIZE * 2 / 3;
@@ -323,7 +335,7 @@
         } else {
             members
         };
-        sample.extend(pool.get(draw.below(pool.len())));
+        sample.extend(pool.get(sample_rng.below(pool.len())));
     }
     sample
 }
--- a/crates/savorywood-core/src/scheduler/routing/score.rs
+++ b/crates/savorywood-core/src/scheduler/routing/score.rs
@@ -1,4 +1,4 @@
-//! What it would cost to give a request to an upstream.
+//! Cost of giving a request to an upstream, in weighted seconds.
 
 use super::{
     super::{
@@ -9,40 +9,42 @@
 };
 use std::time::Duration;
 
-/// Growth of the time between tokens from an empty to a full batch, until it has been seen.
-const BATCH_FACTOR: f64 = 0.5;
-/// Weight of a late first token against a second of the whole time.
+/// Assumed growth of the token gap from an empty to a full batch.
+const FULL_BATCH_GAP_GROWTH: f64 = 0.5;
+/// Weight of a second by which the first token misses its objective, against a second of expected
+/// time.
 const LATE_FIRST_WEIGHT: f64 = 4.0;
-/// Weight of a late end against a second of the whole time.
+/// Weight of a second by which the response misses its deadline.
 const LATE_END_WEIGHT: f64 = 8.0;
-/// Weight of the time to generate: as long as the deadline is met it matters little.
+/// Weight of the decode time, which matters little as long as the deadline is met.
 const DECODE_WEIGHT: f64 = 0.1;
-/// Seconds that the last seat of an upstream counts for against the first, to spread work.
-const FULL_WEIGHT: f64 = 0.5;
-/// Weight of the time of prefill that another upstream would not have to do: it is lost to all
-/// who wait, not only to this request.
-const MISS_WEIGHT: f64 = 30.0;
-/// An upstream this much slower than the fastest is not given what would be late there.
-const SLOW_FACTOR: f64 = 1.25;
-/// What an upstream in another availability zone must be better by.
-const REMOTE_FACTOR: f64 = 1.05;
-/// A request that must begin within this is not kept for a faster upstream any longer.
-const LAST_CALL: Duration = Duration::from_millis(500);
+/// Seconds added for a fully occupied upstream, in proportion to its occupancy, to spread the load.
+const OCCUPANCY_WEIGHT: f64 = 0.5;
+/// Weight of a second of prefill that another upstream has cached: it delays all waiting requests,
+/// not only this one.
+const CACHE_MISS_WEIGHT: f64 = 30.0;
+/// Ratio to the fastest upstream's token gap above which an upstream is not given requests that
+/// would be late on it.
+const MAX_GAP_RATIO: f64 = 1.25;
+/// Factor on the cost of an upstream in another availability zone.
+const REMOTE_ZONE_FACTOR: f64 = 1.05;
+/// A request that must start within this time does not wait for a faster upstream.
+const MIN_WAITABLE_SLACK: Duration = Duration::from_millis(500);
 
-/// What one upstream is like now.
+/// Current load and speed of one upstream.
 #[derive(Debug, Clone, Copy)]
 pub struct UpstreamLoad<'a> {
-    /// Its state.
+    /// State of the upstream.
     pub state: &'a UpstreamState,
-    /// What it may hold.
+    /// Work that it may have in progress now.
     pub allowance: WorkAllowance,
-    /// Its speed.
+    /// Speed predicted for it.
     pub speed: SpeedEstimate,
 }
 
-/// Expected seconds to the whole answer, with penalties for lateness and for prefill that could
-/// be spared. Nothing in it is shared between daemons but what they measure themselves, so they
-/// don't all run to the same upstream on the same old report.
+/// Returns the expected seconds to the complete response, with penalties for lateness and for
+/// avoidable prefill. It relies on this daemon's own measurements, and load reports lose weight with
+/// age, so that daemons don't all choose the same upstream from the same outdated report.
 pub fn score(
     context: &PickContext<'_>,
     load: UpstreamLoad<'_>,
@@ -56,24 +58,25 @@
     } = load;
     let waiting = context.waiting;
     let pending = state.pending_prefill as f64;
-    let hint = state.waiting_hint(context.now) * speed.first_token(f64::from(uncached));
-    let first = speed.first_token(pending + f64::from(uncached)) + hint;
-    let full = f64::from(state.seats_used + 1) / f64::from(allowance.seats.max(1));
-    let gap = speed.gap * (1.0 + BATCH_FACTOR * full);
-    let left = waiting.request.deadline_at.since(context.now).as_secs_f64();
-    let long = first + speed.gap * f64::from(waiting.estimate.output_high);
-    let late_end = (long - left).max(0.0);
-    let can_wait = waiting.latest_start > context.now + LAST_CALL;
-    if late_end > 0.0 && can_wait && speed.gap > context.fast_gap * SLOW_FACTOR {
+    let engine_queue =
+        state.reported_waiting(context.now) * speed.first_token_seconds(f64::from(uncached));
+    let first = speed.first_token_seconds(pending + f64::from(uncached)) + engine_queue;
+    let occupancy = f64::from(state.slots_used + 1) / f64::from(allowance.slots.max(1));
+    let gap = speed.gap * (1.0 + FULL_BATCH_GAP_GROWTH * occupancy);
+    let time_left = waiting.request.deadline_at.since(context.now).as_secs_f64();
+    let long_completion = first + speed.gap * f64::from(waiting.estimate.output_high);
+    let late_end = (long_completion - time_left).max(0.0);
+    let can_wait = waiting.latest_start > context.now + MIN_WAITABLE_SLACK;
+    if late_end > 0.0 && can_wait && speed.gap > context.fastest_gap * MAX_GAP_RATIO {
         return Err(PickFailure::TooSlow);
     }
     let decode = gap * f64::from(waiting.estimate.output_mean) * DECODE_WEIGHT;
-    let whole = first + decode + full * FULL_WEIGHT;
+    let completion = first + decode + occupancy * OCCUPANCY_WEIGHT;
     let target = f64::from(context.objectives.first_token_ms) / 1_000.0;
     let late_first = (first - target).max(0.0) * LATE_FIRST_WEIGHT;
-    let miss = f64::from(missed) * speed.prefill * MISS_WEIGHT;
-    let factor = if state.local { 1.0 } else { REMOTE_FACTOR };
-    Ok((whole + late_first + late_end * LATE_END_WEIGHT + miss) * factor)
+    let miss = f64::from(missed) * speed.prefill * CACHE_MISS_WEIGHT;
+    let factor = if state.local { 1.0 } else { REMOTE_ZONE_FACTOR };
+    Ok((completion + late_first + late_end * LATE_END_WEIGHT + miss) * factor)
 }
 
 fn cached_tokens(context: &PickContext<'_>, blocks: f64) -> u32 {
@@ -82,7 +85,7 @@
     (f64::from(prompt.tokens) * (blocks / all).min(1.0)) as u32
 }
 
-/// Prompt tokens that an upstream is expected to have to prefill.
+/// Returns the prompt tokens that an upstream is expected to prefill.
 pub fn uncached_tokens(context: &PickContext<'_>, id: UpstreamId) -> u32 {
     let mut matches = context.matches.iter();
     let own = matches.find(|found| found.upstream == id);
@@ -90,7 +93,7 @@
     context.waiting.request.prompt.tokens.saturating_sub(cached)
 }
 
-/// Prompt tokens that the best other upstream is known to have cached.
+/// Returns the prompt tokens that the best other upstream has cached, as far as the index shows.
 pub fn cached_elsewhere(context: &PickContext<'_>, id: UpstreamId) -> u32 {
     let others = context.matches.iter().filter(|found| found.upstream != id);
     let best = others.map(|found| found.blocks).fold(0.0, f64::max);
--- a/crates/savorywood-core/src/scheduler/service.rs
+++ b/crates/savorywood-core/src/scheduler/service.rs
@@ -1,4 +1,4 @@
-//! What this daemon knows of each service.
+//! State of each service as this daemon observes it.
 
 use super::{
     fleet::UpstreamId,
@@ -9,13 +9,14 @@
 use savorywood_protocol::{MonotonicTime, TierRank, resource::ServiceObjectives};
 use std::collections::BTreeMap;
 
-/// Seconds over which arrivals of a tier are averaged.
-const RATE_SECONDS: f64 = 5.0;
-/// Tokens of the prompt for which the first-token objective is taken to be meant, until the
-/// service's speed is known.
+/// Time constant of the arrival rate of a tier, in seconds.
+const RATE_DECAY_SECONDS: f64 = 5.0;
+/// Prompt tokens to which the first-token objective is assumed to apply, until the speed of the
+/// service has been measured.
 const OBJECTIVE_PROMPT_TOKENS: f64 = 2_048.0;
 
-/// Seat time that arrives per second.
+/// Exponentially decaying rate of arriving slot time, in seconds per second, which is the number of
+/// slots it needs.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RateMeter {
     sum: f64,
@@ -23,75 +24,76 @@
 }
 
 impl RateMeter {
-    /// Adds an amount.
+    /// Adds an amount, in seconds of slot time.
     pub fn record(&mut self, now: MonotonicTime, amount: f64) {
-        self.sum = self.faded(now) + amount;
+        self.sum = self.decayed(now) + amount;
         self.updated_at = now;
     }
 
-    fn faded(&self, now: MonotonicTime) -> f64 {
+    fn decayed(&self, now: MonotonicTime) -> f64 {
         let age = now.since(self.updated_at).as_secs_f64();
-        self.sum * (-age / RATE_SECONDS).exp()
+        self.sum * (-age / RATE_DECAY_SECONDS).exp()
     }
 
-    /// Amount per second.
+    /// Returns the amount per second.
     #[must_use]
     pub fn rate(&self, now: MonotonicTime) -> f64 {
-        self.faded(now) / RATE_SECONDS
+        self.decayed(now) / RATE_DECAY_SECONDS
     }
 }
 
-/// Seats that the service has for this daemon, counted now and then.
+/// Slots of a service that this daemon may use, counted at intervals.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct SeatCount {
-    /// Seats allowed on all its upstreams.
-    pub seats: f64,
-    /// Shortest usual time between tokens of those upstreams, in seconds.
-    pub fast_gap: f64,
-    /// When they were counted; `None` if never.
+pub struct SlotCount {
+    /// Sum over all upstreams of the service.
+    pub slots: f64,
+    /// Shortest predicted token gap of the upstreams with slots, in seconds.
+    pub fastest_gap: f64,
+    /// Time of the count; `None` before the first one.
     pub counted_at: Option<MonotonicTime>,
 }
 
-/// Seats wanted by waiting requests, by upstream and tier.
+/// Slots demanded by waiting requests, by upstream and tier.
 #[derive(Debug, Default)]
-pub struct WantedSeats {
-    /// Seats wanted on upstreams that hold the prefix.
-    pub held: BTreeMap<UpstreamId, BTreeMap<TierRank, f64>>,
-    /// Seats wanted anywhere.
+pub struct SlotDemand {
+    /// Demand for upstreams that have the prefix cached.
+    pub on_holders: BTreeMap<UpstreamId, BTreeMap<TierRank, f64>>,
+    /// Demand that any upstream can serve.
     pub anywhere: BTreeMap<TierRank, f64>,
-    /// When they were counted; `None` if never.
+    /// Time of the count; `None` before the first one.
     pub counted_at: Option<MonotonicTime>,
 }
 
 /// State of one service.
 #[derive(Debug)]
 pub struct ServiceState {
-    /// Its upstreams, in name order.
+    /// Its upstreams, ordered by name.
     pub members: Vec<UpstreamId>,
-    /// Those in this daemon's availability zone.
+    /// Its upstreams in this daemon's availability zone.
     pub local_members: Vec<UpstreamId>,
-    /// Requests that wait.
+    /// Waiting requests.
     pub queue: RequestQueue,
-    /// No upstream has room, as far as is known.
+    /// Whether no upstream had capacity for the waiting requests at the last attempt to dispatch
+    /// them.
     pub saturated: bool,
-    /// Shares of versions.
+    /// Traffic shares of versions during a move.
     pub splits: SplitMeter,
-    /// Speed of all its upstreams taken together.
+    /// Speed averaged over all its upstreams.
     pub speed: SpeedMeter,
-    /// Share of prompt tokens that caches did not hold.
-    pub miss_share: DecayedMean,
-    /// Seat time arriving, by tier.
+    /// Mean fraction of prompt tokens that were not cached.
+    pub miss_ratio: DecayedMean,
+    /// Arriving slot time by tier.
     pub arrivals: BTreeMap<TierRank, RateMeter>,
-    /// Seats counted last.
-    pub seat_count: SeatCount,
-    /// Seats wanted by what waits, where its prefixes are held.
-    pub wanted: WantedSeats,
-    /// When a request of a tier was refused for load last.
-    pub shed_at: BTreeMap<TierRank, MonotonicTime>,
+    /// Last count of its slots.
+    pub slot_count: SlotCount,
+    /// Last count of the slots that its waiting requests demand.
+    pub demand: SlotDemand,
+    /// Time of the last refusal for load, by tier.
+    pub last_shed_at: BTreeMap<TierRank, MonotonicTime>,
 }
 
 impl ServiceState {
-    /// A service of which nothing is known.
+    /// Creates the state of a service without upstreams.
     #[must_use]
     pub fn new(order: QueueOrder) -> Self {
         Self {
@@ -101,29 +103,30 @@
             saturated: false,
             splits: SplitMeter::default(),
             speed: SpeedMeter::default(),
-            miss_share: DecayedMean::default(),
+            miss_ratio: DecayedMean::default(),
             arrivals: BTreeMap::new(),
-            seat_count: SeatCount::default(),
-            wanted: WantedSeats::default(),
-            shed_at: BTreeMap::new(),
+            slot_count: SlotCount::default(),
+            demand: SlotDemand::default(),
+            last_shed_at: BTreeMap::new(),
         }
     }
 
-    /// Speed to expect of an upstream of which nothing is known.
+    /// Returns the speed to assume for an upstream without measurements: that of the service, or
+    /// figures derived from the objectives before any measurement.
     #[must_use]
-    pub fn usual_speed(&self, objectives: &ServiceObjectives) -> SpeedEstimate {
+    pub fn typical_speed(&self, objectives: &ServiceObjectives) -> SpeedEstimate {
         let first = f64::from(objectives.first_token_ms) / 1_000.0;
-        let unknown = SpeedEstimate {
+        let default_speed = SpeedEstimate {
             overhead: first / 4.0,
             prefill: first / 4.0 / OBJECTIVE_PROMPT_TOKENS,
             gap: f64::from(objectives.token_gap_ms) / 2_000.0,
         };
-        self.speed.estimate(unknown)
+        self.speed.estimate(default_speed)
     }
 
-    /// Seats that higher tiers are expected to take, by their arrivals.
+    /// Returns the slots that the arrivals of higher tiers need.
     #[must_use]
-    pub fn higher_load(&self, now: MonotonicTime, rank: TierRank) -> f64 {
+    pub fn higher_tier_load(&self, now: MonotonicTime, rank: TierRank) -> f64 {
         let higher = self.arrivals.range(..rank);
         higher.map(|(_, meter)| meter.rate(now)).sum()
     }
--- a/crates/savorywood-core/src/scheduler/shedding.rs
+++ b/crates/savorywood-core/src/scheduler/shedding.rs
@@ -1,10 +1,11 @@
-//! Who is turned away, in which order, and when to come back.
+//! Load shedding and refusals: which requests are refused, in which order, and with which
+//! retry-after delay.
 
 use super::{
     RequestScheduler, SchedulerView,
-    admission::{MICROS, seats_left},
+    admission::{MICROS_PER_SECOND, slots_left},
     queue::WaitingRequest,
-    retry::return_after,
+    retry::retry_after_delay,
 };
 use crate::{
     effect::EffectQueue,
@@ -16,7 +17,7 @@
 use std::time::Duration;
 
 impl RequestScheduler {
-    /// Sheds what waits below the floor of a service, lowest tier first.
+    /// Sheds waiting requests below the service's admission floor, lowest tier first.
     pub(super) fn enforce_floor(
         &mut self,
         now: MonotonicTime,
@@ -34,31 +35,31 @@
                 .is_some_and(|rank| rank > *floor)
             && let Some(victim) = service.queue.shed_candidate()
         {
-            self.shed_waiting(now, victim, RefusalCode::TierShed, effects);
+            self.refuse_waiting(now, victim, RefusalCode::TierShed, effects);
         }
     }
 
-    /// Refuses what can't meet its deadline any more, at once.
+    /// Refuses waiting requests that can no longer meet their deadline.
     pub(super) fn expire_waiting(&mut self, now: MonotonicTime, effects: &mut EffectQueue) {
-        while let Some(request) = self.waits.overdue(now) {
-            self.shed_waiting(now, request, RefusalCode::DeadlineExceeded, effects);
+        while let Some(request) = self.waits.next_expired(now) {
+            self.refuse_waiting(now, request, RefusalCode::DeadlineExceeded, effects);
         }
     }
 
-    pub(super) fn shed_waiting(
+    pub(super) fn refuse_waiting(
         &mut self,
         now: MonotonicTime,
         request: RequestId,
         code: RefusalCode,
         effects: &mut EffectQueue,
     ) {
-        if let Some(waiting) = self.unqueue(request) {
-            self.shed(now, &waiting, code, effects);
+        if let Some(waiting) = self.remove_waiting(request) {
+            self.refuse(now, &waiting, code, effects);
         }
     }
 
-    /// Gives a request its final answer. Nothing of it has reached an upstream.
-    pub(super) fn shed(
+    /// Refuses a request that is not in the queue. None of it was sent to an upstream.
+    pub(super) fn refuse(
         &mut self,
         now: MonotonicTime,
         waiting: &WaitingRequest,
@@ -70,14 +71,15 @@
         if for_load {
             self.check_shed_order(&waiting.request, effects);
         }
-        let retry_after = self.return_time(now, waiting);
+        let retry_after = self.estimate_retry_after(now, waiting);
         if let Some(service) = self.services.get_mut(&waiting.request.service)
             && for_load
         {
-            service.shed_at.insert(rank, now);
+            service.last_shed_at.insert(rank, now);
         }
         *self.counters.tier(rank).refused.entry(code).or_default() += 1;
-        let refusal = RequestRefusal::not_run(code, detail_of(code)).with_retry_after(retry_after);
+        let refusal =
+            RequestRefusal::not_run(code, refusal_detail(code)).with_retry_after(retry_after);
         effects.refuse(waiting.request.request, refusal);
     }
 
@@ -88,30 +90,33 @@
         invariant::check(effects, InvariantName::ShedLowestFirst, in_order, || {
             let (request, rank) = (request.request, request.rank);
             let lowest = lowest.unwrap_or_default();
-            format!("request={request} rank={rank} shed while rank={lowest} waits")
+            format!("request={request} rank={rank} shed while a request of rank={lowest} waits")
         });
     }
 
-    /// When to tell a refused caller to come back: once the work ahead of its tier is done.
-    fn return_time(&mut self, now: MonotonicTime, waiting: &WaitingRequest) -> Duration {
+    /// Estimates when a refused caller should retry: when the work queued ahead of its tier is
+    /// done.
+    fn estimate_retry_after(&mut self, now: MonotonicTime, waiting: &WaitingRequest) -> Duration {
         let jitter: f64 = self.rng.random();
         let Some(service) = self.services.get(&waiting.request.service) else {
-            return return_after(Duration::ZERO, jitter);
+            return retry_after_delay(Duration::ZERO, jitter);
         };
-        let seats = seats_left(now, service, waiting.request.rank);
-        let ahead = service.queue.work_ahead(&waiting.request) as f64 / MICROS;
-        let wait = Duration::from_secs_f64((ahead / seats).min(3_600.0));
-        return_after(wait, jitter)
+        let slots = slots_left(now, service, waiting.request.rank);
+        let ahead = service.queue.work_ahead(&waiting.request) as f64 / MICROS_PER_SECOND;
+        let wait = Duration::from_secs_f64((ahead / slots).min(3_600.0));
+        retry_after_delay(wait, jitter)
     }
 }
 
-fn detail_of(code: RefusalCode) -> &'static str {
+fn refusal_detail(code: RefusalCode) -> &'static str {
     match code {
-        RefusalCode::TierShed => "this tier is not admitted now; come back after the given time",
+        RefusalCode::TierShed => {
+            "requests of this tier are not admitted now; retry after the given time"
+        }
         RefusalCode::DeadlineExceeded => {
             "the deadline can't be met any more; come back after the given time or allow more"
         }
-        RefusalCode::NoUpstream => "no upstream of the service can be reached",
-        _ => "the work that goes first would use up the deadline; come back after the given time",
+        RefusalCode::NoUpstream => "the service has no reachable upstream",
+        _ => "the work queued ahead would use up the deadline; retry after the given time",
     }
 }
--- a/crates/savorywood-core/src/scheduler/topology.rs
+++ b/crates/savorywood-core/src/scheduler/topology.rs
@@ -1,4 +1,4 @@
-//! Services and upstreams as the configuration declares them.
+//! Updates services and upstreams from the configuration.
 
 use super::{
     RequestScheduler, SchedulerMechanism, SchedulerView,
@@ -14,8 +14,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 impl RequestScheduler {
-    /// Looks again at every service in which something waits.
-    pub(super) fn look_again(
+    /// Dispatches waiting requests of all services, and sheds those below the admission floors.
+    pub(super) fn dispatch_all_waiting(
         &mut self,
         now: MonotonicTime,
         view: SchedulerView<'_>,
@@ -25,7 +25,7 @@
         let waiting = waiting.filter(|(_, service)| !service.queue.is_empty());
         let names: Vec<ServiceName> = waiting.map(|(name, _)| name.clone()).collect();
         for name in &names {
-            self.count_wanted(now, name);
+            self.refresh_slot_demand(now, name);
             self.enforce_floor(now, name, view, effects);
             let Some(service) = self.services.get(name) else {
                 continue;
@@ -37,13 +37,14 @@
             let offset = self.rng.random_range(0..members.len());
             members.rotate_left(offset);
             for upstream in members {
-                self.fill(now, upstream, view, effects);
+                self.fill_upstream(now, upstream, view, effects);
             }
         }
     }
 
-    /// Takes over a configuration of another revision. One without a revision, as embedders and
-    /// tests may install, is looked through at every change of the view.
+    /// Applies the configuration if its revision or its number of upstreams has changed. A
+    /// configuration without a revision, as embedders and tests may install, is applied at every
+    /// change of the view.
     pub(super) fn refresh_topology(
         &mut self,
         now: MonotonicTime,
@@ -52,24 +53,24 @@
     ) {
         let revision = view.config.revision;
         let numbered = revision != ConfigRevision::default();
-        let same_size = self.declared == view.config.upstreams.len();
+        let same_size = self.declared_upstreams == view.config.upstreams.len();
         if self.revision == Some(revision) && same_size && (numbered || !changed) {
             return;
         }
-        self.declared = view.config.upstreams.len();
-        let warm = self.revision.is_some();
+        self.declared_upstreams = view.config.upstreams.len();
+        let ramp_up = self.revision.is_some();
         self.revision = Some(revision);
         for name in view.config.services.keys() {
             self.ensure_service(name);
         }
         for (name, spec) in &view.config.upstreams {
-            self.ensure_upstream(now, name, spec, warm, view);
+            self.ensure_upstream(now, name, spec, ramp_up, view);
         }
         self.retire_upstreams(view);
         self.index_members(view);
     }
 
-    /// Tells which upstreams get no new work because the platform takes their hosts away.
+    /// Sets the upstreams that get no new work because the platform is removing their hosts.
     pub fn mark_leaving(&mut self, leaving: BTreeSet<UpstreamName>) {
         for state in self.fleet.states_mut() {
             state.leaving = leaving.contains(&state.name);
@@ -93,20 +94,20 @@
         now: MonotonicTime,
         name: &UpstreamName,
         spec: &UpstreamSpec,
-        warm: bool,
+        ramp_up: bool,
         view: SchedulerView<'_>,
     ) {
         self.ensure_service(&spec.service);
         let known = self.fleet.id(name);
         let state = known.and_then(|id| self.fleet.get_mut(id));
         match state {
-            Some(state) if state.service == spec.service => state.refresh(spec, view.zone),
+            Some(state) if state.service == spec.service => state.apply_spec(spec, view.zone),
             other => {
                 if other.is_some() {
                     self.fleet.release_name(name);
                 }
-                let mut state = UpstreamState::new(now, name.clone(), spec, warm);
-                state.refresh(spec, view.zone);
+                let mut state = UpstreamState::new(now, name.clone(), spec, ramp_up);
+                state.apply_spec(spec, view.zone);
                 state.leaving = self.leaving.contains(name);
                 self.fleet.insert(state);
             }
@@ -115,13 +116,13 @@
 
     fn retire_upstreams(&mut self, view: SchedulerView<'_>) {
         let declared = &view.config.upstreams;
-        let gone = self.fleet.retire(|state| {
+        let removed = self.fleet.retire(|state| {
             let spec = declared.get(&state.name);
             spec.is_some_and(|spec| spec.service == state.service)
         });
-        for id in gone {
-            self.prefixes.forget(id);
-            self.attempts.forget(id);
+        for id in removed {
+            self.prefixes.remove_upstream(id);
+            self.attempts.remove_upstream(id);
         }
     }
 
--- a/crates/savorywood-core/tests/claim/cluster.rs
+++ b/crates/savorywood-core/tests/claim/cluster.rs
@@ -3,8 +3,9 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use savorywood_core::{
-    AnswerReport, BreakCause, DaemonEffect, EffectQueue, KeptAnswer, MemberView, PromptShape,
-    QueuedRequest, TimerKey, UpstreamEvent,
+    AnswerReport, BreakCause, DaemonEffect, EffectQueue, MemberView, PromptShape,
+    QueuedRequest,
+    StoredResponse, TimerKey, UpstreamEvent,
     claims::{ClaimDecision, ClaimEvent, ClaimOptions, ClaimRequest, ClaimState, ClaimView},
 };
 use savorywood_protocol::{
@@ -311,7 +312,7 @@
             }
             return;
         }
-        let answer = Box::new(KeptAnswer {
+        let answer = Box::new(StoredResponse {
             status: 201,
             content_type: "text/plain".to_owned(),
             body: Some(b"charged".to_vec()),
--- a/crates/savorywood-core/tests/claim_keys.rs
+++ b/crates/savorywood-core/tests/claim_keys.rs
@@ -7,7 +7,7 @@
 
 use cluster::{FakeTable, queued_request};
 use savorywood_core::{
-    AnswerReport, DaemonEffect, EffectQueue, KeptAnswer, MemberRecord, MemberView, UpstreamEvent,
+    AnswerReport, DaemonEffect, EffectQueue, MemberRecord, MemberView, StoredResponse, UpstreamEvent,
     claims::{ClaimEvent, ClaimKey, ClaimOptions, ClaimRequest, ClaimState, ClaimView},
 };
 use savorywood_protocol::{
@@ -30,7 +30,7 @@
     members: MemberView,
     granted: Vec<RequestId>,
     refusals: Vec<RequestRefusal>,
-    replays: Vec<KeptAnswer>,
+    replays: Vec<StoredResponse>,
     commits: usize,
 }
 
@@ -105,7 +105,7 @@
 
     fn finish(&mut self, request: u128, body: Vec<u8>) {
         let request = RequestId(request);
-        let answer = Box::new(KeptAnswer {
+        let answer = Box::new(StoredResponse {
             status: 200,
             content_type: String::new(),
             body: Some(body),
--- a/crates/savorywood-core/tests/claim_resume.rs
+++ b/crates/savorywood-core/tests/claim_resume.rs
@@ -2,7 +2,7 @@
 
 use savorywood_core::{
     ConfigView, ResumeArrival, TokenDigest,
-    resume::{MAX_TOKEN_AGE, resolve_resume},
+    resume::{MAX_RESUME_TOKEN_AGE, resolve_resume},
 };
 use savorywood_protocol::{
     AttemptNumber, CoreTime, MonotonicTime, OutcomeKind, RefusalCode, RequestId, WallTime,
@@ -75,7 +75,7 @@
     let key = ResumeKey::derive(b"secret");
     let other_key = ResumeKey::derive(b"other");
     let resumable = config(r#""resume""#, false);
-    let after_expiry = now().after(MAX_TOKEN_AGE + Duration::from_secs(1));
+    let after_expiry = now().after(MAX_RESUME_TOKEN_AGE + Duration::from_secs(1));
     let without_token = ResumeArrival {
         token: None,
         ..arrival(&key)
--- a/crates/savorywood-core/tests/credit_messages.rs
+++ b/crates/savorywood-core/tests/credit_messages.rs
@@ -220,9 +220,9 @@
     daemon.grant(10, 2);
     daemon.grant(9, 8);
     daemon.grant(10, 8);
-    assert_eq!(daemon.credits.grants()[&upstream()].seats, 2);
+    assert_eq!(daemon.credits.grants()[&upstream()].slots, 2);
     daemon.grant(11, 3);
-    assert_eq!(daemon.credits.grants()[&upstream()].seats, 3);
+    assert_eq!(daemon.credits.grants()[&upstream()].slots, 3);
     assert_eq!(daemon.credits.counters().stale_messages, 2);
 }
 
@@ -233,7 +233,7 @@
     let mut daemon = TestDaemon::new();
     daemon.grant(1, 8);
     daemon.advance(Duration::from_millis(2_900));
-    assert_eq!(daemon.credits.grants()[&upstream()].seats, 8);
+    assert_eq!(daemon.credits.grants()[&upstream()].slots, 8);
     let mut surveyed = TestDaemon::new();
     surveyed.step(CreditEvent::Peer {
         from: host(1),
@@ -243,7 +243,7 @@
     });
     surveyed.grant(1, 8);
     surveyed.advance(Duration::from_millis(3_100));
-    assert_eq!(surveyed.credits.grants()[&upstream()].seats, 1);
+    assert_eq!(surveyed.credits.grants()[&upstream()].slots, 1);
 }
 
 /// A new arbiter receives the demand of one daemon before that of the others. Granting at once
