--- a/crates/savorywood-core/src/moves.rs
+++ b/crates/savorywood-core/src/moves.rs
@@ -2,8 +2,8 @@
 //!
 //! See `docs/design/moves.md`.
 
+pub mod evaluator;
 pub mod evidence;
-pub mod judge;
 pub mod options;
 pub mod plan;
 pub mod row;
--- a/crates/savorywood-core/src/moves/driving.rs
+++ b/crates/savorywood-core/src/moves/driving.rs
@@ -2,7 +2,7 @@
 
 use super::{
     MoveView, MovesState, PlannedMove, RowWriting,
-    judge::{JudgeVerdict, VersionJudge},
+    evaluator::{EvaluationResult, VersionEvaluator},
     plan::{MEASURED_FOR, MOST_UNPROVEN, MovePlan},
     planned_moves,
     row::{MoveRow, row_key},
@@ -29,7 +29,7 @@
 pub(super) struct DrivenMove {
     revision: ConfigRevision,
     rate: RateMeasure,
-    judge: VersionJudge,
+    judge: VersionEvaluator,
     /// Stage that the proof in the judge is for.
     stage: u32,
     heard: BTreeMap<HostName, u64>,
@@ -120,7 +120,7 @@
         if driven.revision != planned.revision {
             *driven = new_driven(now, planned.revision, stage);
         }
-        driven.judge.close_slot(now.monotonic);
+        driven.judge.close_window(now.monotonic);
         let requests = driven.judge.old_requests();
         driven.rate.update(now.monotonic, requests);
         if driven.stage != stage {
@@ -136,15 +136,17 @@
         view: MoveView<'_>,
         effects: &mut EffectQueue,
     ) {
-        if let JudgeVerdict::Bad { reason } = self.verdict(planned.name) {
+        if let EvaluationResult::Worse { reason } = self.verdict(planned.name) {
             let stop = Self::new_stop(now, planned.revision, reason);
             self.stop(planned.name, stop, view.members, effects);
         }
     }
 
-    fn verdict(&self, name: &MoveName) -> JudgeVerdict {
+    fn verdict(&self, name: &MoveName) -> EvaluationResult {
         let driven = self.driven.get(name);
-        driven.map_or(JudgeVerdict::Unproven, |driven| driven.judge.verdict())
+        driven.map_or(EvaluationResult::Inconclusive, |driven| {
+            driven.judge.result()
+        })
     }
 
     /// The row that must follow, if another one must.
@@ -278,9 +280,9 @@
             return StageVerdict::Next;
         };
         let proved = match self.verdict(planned.name) {
-            JudgeVerdict::Good => true,
-            JudgeVerdict::Plausible => !stage.strict,
-            JudgeVerdict::Unproven | JudgeVerdict::Bad { .. } => false,
+            EvaluationResult::NoRegression => true,
+            EvaluationResult::NoLargeRegression => !stage.strict,
+            EvaluationResult::Inconclusive | EvaluationResult::Worse { .. } => false,
         };
         let late = now.wall >= stage.latest_end;
         // The dwell is counted from when the stage began, which is later than planned when the
@@ -350,7 +352,7 @@
     DrivenMove {
         revision,
         rate: RateMeasure::begin(now.monotonic),
-        judge: VersionJudge::new(HOLDER_SLOT),
+        judge: VersionEvaluator::new(HOLDER_SLOT),
         stage,
         heard: BTreeMap::new(),
     }
--- a/crates/savorywood-core/src/moves/judge.rs
+++ b/crates/savorywood-core/src/moves/evaluator.rs
@@ -51,18 +51,18 @@
 
 /// What the evidence says.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum JudgeVerdict {
+pub enum EvaluationResult {
     /// The new version is worse than the old one.
-    Bad {
+    Worse {
         /// What was seen, for a person.
         reason: String,
     },
     /// Not enough is known.
-    Unproven,
+    Inconclusive,
     /// No gross fault: enough for the next share, not for a large one.
-    Plausible,
+    NoLargeRegression,
     /// As good as the old one.
-    Good,
+    NoRegression,
 }
 
 /// Statistics of one route, or of all.
@@ -110,7 +110,7 @@
 
 /// Compares a new version with an old one.
 #[derive(Debug, Clone)]
-pub struct VersionJudge {
+pub struct VersionEvaluator {
     slot: Duration,
     slot_at: Option<MonotonicTime>,
     routes: BTreeMap<String, RouteRecord>,
@@ -119,7 +119,7 @@
     old_requests: u64,
 }
 
-impl VersionJudge {
+impl VersionEvaluator {
     /// A judge that compares within slots of that length.
     #[must_use]
     pub fn new(slot: Duration) -> Self {
@@ -149,7 +149,7 @@
     }
 
     /// Judges the slot, if its time is over.
-    pub fn close_slot(&mut self, now: MonotonicTime) {
+    pub fn close_window(&mut self, now: MonotonicTime) {
         let due = self.slot_at.is_some_and(|at| now.since(at) >= self.slot);
         if !due {
             return;
@@ -193,20 +193,20 @@
 
     /// What the evidence says so far.
     #[must_use]
-    pub fn verdict(&self) -> JudgeVerdict {
+    pub fn result(&self) -> EvaluationResult {
         if let Some(reason) = &self.bad {
             let reason = reason.clone();
-            return JudgeVerdict::Bad { reason };
+            return EvaluationResult::Worse { reason };
         }
         let speed_proved = self.all.timed == 0 || self.all.good_speed < GOOD_BELOW;
         if !speed_proved || !self.routes_seen() {
-            return JudgeVerdict::Unproven;
+            return EvaluationResult::Inconclusive;
         }
         let [small, medium, _] = self.all.good_errors;
         match (small < SUBTLE_BELOW, medium < GOOD_BELOW) {
-            (true, _) => JudgeVerdict::Good,
-            (false, true) => JudgeVerdict::Plausible,
-            (false, false) => JudgeVerdict::Unproven,
+            (true, _) => EvaluationResult::NoRegression,
+            (false, true) => EvaluationResult::NoLargeRegression,
+            (false, false) => EvaluationResult::Inconclusive,
         }
     }
 
--- a/crates/savorywood-core/src/moves/watching.rs
+++ b/crates/savorywood-core/src/moves/watching.rs
@@ -2,8 +2,8 @@
 
 use super::{
     MoveSample, MoveView, MovesState, VersionArm,
+    evaluator::{EvaluationResult, VersionEvaluator},
     evidence::EvidenceBuffer,
-    judge::{JudgeVerdict, VersionJudge},
     planned_moves,
 };
 use crate::{
@@ -31,7 +31,7 @@
 pub(super) struct LocalWatch {
     revision: ConfigRevision,
     buffer: EvidenceBuffer,
-    judge: VersionJudge,
+    judge: VersionEvaluator,
     sequence: u64,
     sent_at: MonotonicTime,
 }
@@ -41,7 +41,7 @@
         Self {
             revision,
             buffer: EvidenceBuffer::default(),
-            judge: VersionJudge::new(LOCAL_SLOT),
+            judge: VersionEvaluator::new(LOCAL_SLOT),
             sequence: 0,
             sent_at: MonotonicTime::default(),
         }
@@ -132,10 +132,12 @@
         for evidence in &parcel.routes {
             watch.judge.add(now.monotonic, evidence);
         }
-        watch.judge.close_slot(now.monotonic);
-        match watch.judge.verdict() {
-            JudgeVerdict::Bad { reason } => Some(reason),
-            JudgeVerdict::Unproven | JudgeVerdict::Plausible | JudgeVerdict::Good => None,
+        watch.judge.close_window(now.monotonic);
+        match watch.judge.result() {
+            EvaluationResult::Worse { reason } => Some(reason),
+            EvaluationResult::Inconclusive
+            | EvaluationResult::NoLargeRegression
+            | EvaluationResult::NoRegression => None,
         }
     }
 
--- a/crates/savorywood-core/tests/move_faults.rs
+++ b/crates/savorywood-core/tests/move_faults.rs
@@ -7,7 +7,7 @@
 
 use move_lab::{FaultOnset, LabPlan, MoveLab};
 use quickcheck::{QuickCheck, quickcheck};
-use savorywood_core::moves::judge::{JudgeVerdict, VersionJudge};
+use savorywood_core::moves::evaluator::{EvaluationResult, VersionEvaluator};
 use savorywood_protocol::{
     MonotonicTime,
     peer::moves::{RouteStatistics, VersionStatistics},
@@ -231,13 +231,13 @@
     /// Something that both versions need is down for minutes, and both fail at whatever rate. The
     /// new one is not to blame and must not be taken back.
     fn shared_trouble_is_no_fault_of_the_new_version(rates: Vec<u8>) -> bool {
-        let mut judge = VersionJudge::new(Duration::from_secs(1));
+        let mut judge = VersionEvaluator::new(Duration::from_secs(1));
         for (second, rate) in rates.iter().enumerate() {
             let now = MonotonicTime(1_000_000 * (second as u64 + 1));
             let failed = 40 * u32::from(rate % 100) / 100;
-            judge.close_slot(now);
+            judge.close_window(now);
             judge.add(now, &evidence([40, failed], [20, failed / 2]));
         }
-        !matches!(judge.verdict(), JudgeVerdict::Bad { .. })
+        !matches!(judge.result(), EvaluationResult::Worse { .. })
     }
 }
