--- a/crates/savorywood-core/src/moves.rs
+++ b/crates/savorywood-core/src/moves.rs
@@ -3,10 +3,10 @@
 //! See `docs/design/moves.md`.
 
 pub mod evaluator;
-pub mod evidence;
 pub mod options;
 pub mod plan;
 pub mod row;
+pub mod samples;
 
 mod driving;
 mod reading;
@@ -15,8 +15,8 @@
 mod stopping;
 mod watching;
 
-pub use evidence::{MoveSample, VersionArm};
 pub use options::MoveOptions;
+pub use samples::{ComparedVersion, MoveSample};
 pub use stopping::StopRecord;
 
 use crate::{
--- a/crates/savorywood-core/src/moves/evidence.rs
+++ b/crates/savorywood-core/src/moves/samples.rs
@@ -29,7 +29,7 @@
 
 /// Which of the two versions a request met.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum VersionArm {
+pub enum ComparedVersion {
     /// The one that had the traffic.
     Old,
     /// The one that gets it.
@@ -38,13 +38,13 @@
 
 /// Evidence of one move since it was sent last.
 #[derive(Debug, Clone, Default)]
-pub struct EvidenceBuffer {
+pub struct SampleBuffer {
     routes: BTreeMap<String, RouteStatistics>,
 }
 
-impl EvidenceBuffer {
+impl SampleBuffer {
     /// Adds one request.
-    pub fn add(&mut self, arm: VersionArm, sample: &MoveSample) {
+    pub fn add(&mut self, arm: ComparedVersion, sample: &MoveSample) {
         let known = self.routes.contains_key(&sample.route);
         let room = known || self.routes.len() < MAX_ROUTES;
         let route = if room { &sample.route } else { OTHER_ROUTES };
@@ -57,8 +57,8 @@
                 new: VersionStatistics::default(),
             });
         let side = match arm {
-            VersionArm::Old => &mut evidence.old,
-            VersionArm::New => &mut evidence.new,
+            ComparedVersion::Old => &mut evidence.old,
+            ComparedVersion::New => &mut evidence.new,
         };
         side.finished += 1;
         side.failed += u32::from(sample.failed);
--- a/crates/savorywood-core/src/moves/watching.rs
+++ b/crates/savorywood-core/src/moves/watching.rs
@@ -1,10 +1,10 @@
 //! Gathering what this daemon sees, judging it here, and sending it to the holder.
 
 use super::{
-    MoveSample, MoveView, MovesState, VersionArm,
+    ComparedVersion, MoveSample, MoveView, MovesState,
     evaluator::{EvaluationResult, VersionEvaluator},
-    evidence::EvidenceBuffer,
     planned_moves,
+    samples::SampleBuffer,
 };
 use crate::{
     effect::{DaemonEffect, EffectQueue},
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 pub(super) struct LocalWatch {
     revision: ConfigRevision,
-    buffer: EvidenceBuffer,
+    buffer: SampleBuffer,
     judge: VersionEvaluator,
     sequence: u64,
     sent_at: MonotonicTime,
@@ -40,7 +40,7 @@
     fn new(revision: ConfigRevision) -> Self {
         Self {
             revision,
-            buffer: EvidenceBuffer::default(),
+            buffer: SampleBuffer::default(),
             judge: VersionEvaluator::new(LOCAL_SLOT),
             sequence: 0,
             sent_at: MonotonicTime::default(),
@@ -63,9 +63,9 @@
             return;
         };
         let arm = if sample.version == split.new {
-            VersionArm::New
+            ComparedVersion::New
         } else if sample.version == split.old {
-            VersionArm::Old
+            ComparedVersion::Old
         } else {
             return;
         };
