--- a/crates/savorywood-core/src/daemon/holding.rs
+++ b/crates/savorywood-core/src/daemon/holding.rs
@@ -38,7 +38,7 @@
     /// Asks for the leases under which there is work, and gives up the others.
     pub(super) fn want_leases(&mut self, now: CoreTime, effects: &mut EffectQueue) {
         let config = self.config.view();
-        let moves = self.moves.wants_lease(config);
+        let moves = self.moves.needs_lease(config);
         let orders = OrdersState::wants_lease(config);
         if moves != self.wanted.moves {
             self.wanted.moves = moves;
--- a/crates/savorywood-core/src/daemon/moving.rs
+++ b/crates/savorywood-core/src/daemon/moving.rs
@@ -5,7 +5,7 @@
     effect::EffectQueue,
     event::{BreakCause, UpstreamEvent},
     leases::LeaseName,
-    moves::{MoveEvent, MoveSample, MoveVerdict, MoveView},
+    moves::{MoveEvent, MoveSample, MoveStepResult, MoveView},
     scheduler::SchedulerEvent,
 };
 use savorywood_protocol::{
@@ -24,7 +24,7 @@
         let verdict = self.moves.step(now, event, view, effects);
         self.want_leases(now, effects);
         self.note_move_states();
-        if verdict == MoveVerdict::SplitsChanged {
+        if verdict == MoveStepResult::SplitsChanged {
             self.inputs.splits.clone_from(self.moves.splits());
             self.schedule(now, SchedulerEvent::ViewChanged, effects);
         }
--- a/crates/savorywood-core/src/moves.rs
+++ b/crates/savorywood-core/src/moves.rs
@@ -84,7 +84,7 @@
 
 /// What a step did to the splits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum MoveVerdict {
+pub enum MoveStepResult {
     /// Traffic is split as before.
     Unchanged,
     /// Traffic is split otherwise: the scheduler must look.
@@ -154,7 +154,7 @@
 
     /// Whether a move is under way, so that some daemon must hold the lease.
     #[must_use]
-    pub fn wants_lease(&self, config: &ConfigView) -> bool {
+    pub fn needs_lease(&self, config: &ConfigView) -> bool {
         config.moves.keys().any(|name| !self.is_over(name, config))
     }
 
@@ -165,7 +165,7 @@
         event: MoveEvent,
         view: MoveView<'_>,
         effects: &mut EffectQueue,
-    ) -> MoveVerdict {
+    ) -> MoveStepResult {
         match event {
             MoveEvent::Started => self.read_rows(now, effects),
             MoveEvent::ConfigChanged => self.forget_old(view.config),
@@ -177,10 +177,10 @@
         self.keep_ticking(now, view, effects);
         let splits = self.build_splits(now, view.config);
         if splits == self.splits {
-            return MoveVerdict::Unchanged;
+            return MoveStepResult::Unchanged;
         }
         self.splits = splits;
-        MoveVerdict::SplitsChanged
+        MoveStepResult::SplitsChanged
     }
 
     fn timer(&mut self, now: CoreTime, number: u64, view: MoveView<'_>, effects: &mut EffectQueue) {
@@ -200,7 +200,7 @@
     }
 
     fn keep_ticking(&mut self, now: CoreTime, view: MoveView<'_>, effects: &mut EffectQueue) {
-        if self.ticking || !(self.wants_lease(view.config) || self.stops_to_repeat()) {
+        if self.ticking || !(self.needs_lease(view.config) || self.stops_to_repeat()) {
             return;
         }
         self.ticking = true;
--- a/crates/savorywood-core/src/moves/driving.rs
+++ b/crates/savorywood-core/src/moves/driving.rs
@@ -3,7 +3,7 @@
 use super::{
     MoveView, MovesState, PlannedMove, RowWriting,
     evaluator::{EvaluationResult, VersionEvaluator},
-    plan::{MEASURED_FOR, MOST_UNPROVEN, MovePlan},
+    plan::{MAX_FIRST_SHARE_PER_MILLE, MEASURED_FOR, MovePlan},
     planned_moves,
     row::{MoveRow, row_key},
     watching::EvidenceParcel,
@@ -316,7 +316,7 @@
             format!("move={} fencing={}", planned.name, lease.fencing)
         });
         let unproven = row.state == MoveState::Moving && row.stage == 0;
-        let bounded = !unproven || row.share_per_mille <= MOST_UNPROVEN;
+        let bounded = !unproven || row.share_per_mille <= MAX_FIRST_SHARE_PER_MILLE;
         invariant::check(effects, InvariantName::BadVersionBounded, bounded, || {
             format!("move={} share={}", planned.name, row.share_per_mille)
         });
--- a/crates/savorywood-core/src/moves/plan.rs
+++ b/crates/savorywood-core/src/moves/plan.rs
@@ -9,12 +9,12 @@
 use std::time::Duration;
 
 /// Share of a version of which nothing is proved, in thousandths, where there are many requests.
-pub const LEAST_UNPROVEN: u16 = 10;
+pub const MIN_FIRST_SHARE_PER_MILLE: u16 = 10;
 
 /// Largest share of a version of which nothing is proved, in thousandths. A bad version is found
 /// after some number of requests, whatever its share, so a service with few requests may give it
 /// a larger share without more of them meeting it.
-pub const MOST_UNPROVEN: u16 = 50;
+pub const MAX_FIRST_SHARE_PER_MILLE: u16 = 50;
 
 /// Requests that the first stage shall bring.
 const FIRST_REQUESTS: f64 = 150.0;
@@ -129,7 +129,7 @@
 fn first_share(rate: f64, dwell: Duration) -> u16 {
     let requests = (rate * dwell.as_secs_f64()).max(1.0);
     let share = (1_000.0 * FIRST_REQUESTS / requests).ceil();
-    (share as u16).clamp(LEAST_UNPROVEN, MOST_UNPROVEN)
+    (share as u16).clamp(MIN_FIRST_SHARE_PER_MILLE, MAX_FIRST_SHARE_PER_MILLE)
 }
 
 /// The first share is never above the cap, whatever the operator asks for.
