--- a/crates/savorywood-core/src/moves/watching.rs
+++ b/crates/savorywood-core/src/moves/watching.rs
@@ -1,10 +1,10 @@
 //! Gathering what this daemon sees, judging it here, and sending it to the holder.
 
 use super::{
-    MoveSample, MoveView, MovesState, VersionArm,
-    evidence::EvidenceBuffer,
-    judge::{JudgeVerdict, VersionJudge},
+    ComparedVersion, MoveSample, MoveView, MovesState,
+    evaluator::{EvaluationResult, VersionEvaluator},
     planned_moves,
+    samples::SampleBuffer,
 };
 use crate::{
     effect::{DaemonEffect, EffectQueue},
@@ -30,8 +30,8 @@
 #[derive(Debug)]
 pub(super) struct LocalWatch {
     revision: ConfigRevision,
-    buffer: EvidenceBuffer,
-    judge: VersionJudge,
+    buffer: SampleBuffer,
+    judge: VersionEvaluator,
     sequence: u64,
     sent_at: MonotonicTime,
 }
@@ -40,8 +40,8 @@
     fn new(revision: ConfigRevision) -> Self {
         Self {
             revision,
-            buffer: EvidenceBuffer::default(),
-            judge: VersionJudge::new(LOCAL_SLOT),
+            buffer: SampleBuffer::default(),
+            judge: VersionEvaluator::new(LOCAL_SLOT),
             sequence: 0,
             sent_at: MonotonicTime::default(),
         }
@@ -63,9 +63,9 @@
             return;
         };
         let arm = if sample.version == split.new {
-            VersionArm::New
+            ComparedVersion::New
         } else if sample.version == split.old {
-            VersionArm::Old
+            ComparedVersion::Old
         } else {
             return;
         };
@@ -132,10 +132,12 @@
         for evidence in &parcel.routes {
             watch.judge.add(now.monotonic, evidence);
         }
-        watch.judge.close_slot(now.monotonic);
-        match watch.judge.verdict() {
-            JudgeVerdict::Bad { reason } => Some(reason),
-            JudgeVerdict::Unproven | JudgeVerdict::Plausible | JudgeVerdict::Good => None,
+        watch.judge.close_window(now.monotonic);
+        match watch.judge.result() {
+            EvaluationResult::Worse { reason } => Some(reason),
+            EvaluationResult::Inconclusive
+            | EvaluationResult::NoLargeRegression
+            | EvaluationResult::NoRegression => None,
         }
     }
 
--- a/crates/savorywood-core/tests/move_faults.rs
+++ b/crates/savorywood-core/tests/move_faults.rs
@@ -8,7 +8,7 @@
 
 use move_simulation::{FaultOnset, MoveScenario, MoveSimulation};
 use quickcheck::{QuickCheck, quickcheck};
-use savorywood_core::moves::judge::{JudgeVerdict, VersionJudge};
+use savorywood_core::moves::evaluator::{EvaluationResult, VersionEvaluator};
 use savorywood_protocol::{
     MonotonicTime,
     peer::moves::{RouteStatistics, VersionStatistics},
@@ -245,13 +245,13 @@
     /// A dependency of both versions is down for minutes, and both fail at the same rate, whatever
     /// it is. The new version must not be rolled back for it.
     fn shared_failures_do_not_reject_the_new_version(rates: Vec<u8>) -> bool {
-        let mut evaluator = VersionJudge::new(Duration::from_secs(1));
+        let mut evaluator = VersionEvaluator::new(Duration::from_secs(1));
         for (second, rate) in rates.iter().enumerate() {
             let now = MonotonicTime(1_000_000 * (second as u64 + 1));
             let failed = 40 * u32::from(rate % 100) / 100;
-            evaluator.close_slot(now);
+            evaluator.close_window(now);
             evaluator.add(now, &route_statistics([40, failed], [20, failed / 2]));
         }
-        !matches!(evaluator.verdict(), JudgeVerdict::Bad { .. })
+        !matches!(evaluator.result(), EvaluationResult::Worse { .. })
     }
 }
