--- a/crates/savorywood-core/src/moves.rs
+++ b/crates/savorywood-core/src/moves.rs
@@ -8,16 +8,16 @@
 pub mod row;
 pub mod samples;
 
-mod driving;
-mod reading;
-mod splitting;
+mod driver;
+mod local_statistics;
+mod row_updates;
+mod splits;
 mod status;
-mod stopping;
-mod watching;
+mod stops;
 
 pub use options::MoveOptions;
 pub use samples::{ComparedVersion, MoveSample};
-pub use stopping::StopRecord;
+pub use stops::StopRecord;
 
 use crate::{
     effect::{DaemonEffect, EffectQueue},
@@ -25,7 +25,8 @@
     leases::LeaseGrant,
     view::{ConfigView, MemberView, VersionSplit},
 };
-use driving::DrivenMove;
+use driver::DrivenMove;
+use local_statistics::LocalWatch;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use row::{MoveRecord, MoveRow};
@@ -36,7 +37,6 @@
     table::{CommitRevision, TableRequest, TableResponse},
 };
 use std::{collections::BTreeMap, time::Duration};
-use watching::LocalWatch;
 
 /// Between two looks at what was gathered and at the clock.
 const TICK: Duration = Duration::from_millis(250);
--- a/crates/savorywood-core/src/moves/driving.rs
+++ b/crates/savorywood-core/src/moves/driver.rs
@@ -3,10 +3,10 @@
 use super::{
     MoveView, MovesState, PlannedMove, RowWriting,
     evaluator::{EvaluationResult, VersionEvaluator},
+    local_statistics::EvidenceParcel,
     plan::{MAX_FIRST_SHARE_PER_MILLE, MEASURED_FOR, MovePlan},
     planned_moves,
     row::{MoveRow, row_key},
-    watching::EvidenceParcel,
 };
 use crate::{
     effect::EffectQueue,
--- a/crates/savorywood-core/src/moves/stopping.rs
+++ b/crates/savorywood-core/src/moves/stops.rs
@@ -1,6 +1,6 @@
 //! Stopping a move here and everywhere, without the table.
 
-use super::{MoveView, MovesState, watching::EvidenceParcel};
+use super::{MoveView, MovesState, local_statistics::EvidenceParcel};
 use crate::{
     effect::{DaemonEffect, EffectQueue, LogLevel, LogLine},
     view::MemberView,
