--- a/crates/savorywood-core/src/moves.rs
+++ b/crates/savorywood-core/src/moves.rs
@@ -26,7 +26,7 @@
     view::{ConfigView, MemberView, VersionSplit},
 };
 use driver::DrivenMove;
-use local_statistics::LocalWatch;
+use local_statistics::LocalStatistics;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use row::{MoveRecord, MoveRow};
@@ -39,7 +39,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 /// Between two looks at what was gathered and at the clock.
-const TICK: Duration = Duration::from_millis(250);
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// What happens to moves.
 #[derive(Debug, Clone, PartialEq)]
@@ -93,16 +93,16 @@
 
 /// A write of a row under way.
 #[derive(Debug)]
-struct RowWriting {
+struct PendingWrite {
     number: u64,
     row: MoveRow,
 }
 
 /// A read of the rows under way.
 #[derive(Debug)]
-struct RowReading {
+struct PendingRead {
     number: u64,
-    asked_at: MonotonicTime,
+    sent_at: MonotonicTime,
 }
 
 /// State of the move duty.
@@ -111,17 +111,17 @@
     options: MoveOptions,
     rng: ChaCha8Rng,
     rows: BTreeMap<MoveName, MoveRecord>,
-    read_to: CommitRevision,
-    reading: Option<RowReading>,
-    writing: BTreeMap<MoveName, RowWriting>,
+    scanned_to: CommitRevision,
+    pending_read: Option<PendingRead>,
+    pending_writes: BTreeMap<MoveName, PendingWrite>,
     stops: BTreeMap<MoveName, StopRecord>,
-    watches: BTreeMap<MoveName, LocalWatch>,
+    local: BTreeMap<MoveName, LocalStatistics>,
     driven: BTreeMap<MoveName, DrivenMove>,
     splits: BTreeMap<ServiceName, VersionSplit>,
-    ticking: bool,
+    tick_scheduled: bool,
     /// Until when the timer for reading is known to be set.
-    polled_until: Option<MonotonicTime>,
-    calls: u64,
+    poll_scheduled_until: Option<MonotonicTime>,
+    last_call: u64,
 }
 
 impl MovesState {
@@ -132,16 +132,16 @@
             rng: ChaCha8Rng::seed_from_u64(options.seed),
             options,
             rows: BTreeMap::new(),
-            read_to: 0,
-            reading: None,
-            writing: BTreeMap::new(),
+            scanned_to: 0,
+            pending_read: None,
+            pending_writes: BTreeMap::new(),
             stops: BTreeMap::new(),
-            watches: BTreeMap::new(),
+            local: BTreeMap::new(),
             driven: BTreeMap::new(),
             splits: BTreeMap::new(),
-            ticking: false,
-            polled_until: None,
-            calls: 0,
+            tick_scheduled: false,
+            poll_scheduled_until: None,
+            last_call: 0,
         }
     }
 
@@ -168,13 +168,15 @@
     ) -> MoveStepResult {
         match event {
             MoveEvent::Started => self.read_rows(now, effects),
-            MoveEvent::ConfigChanged => self.forget_old(view.config),
-            MoveEvent::TimerFired { number } => self.timer(now, number, view, effects),
-            MoveEvent::Table { number, answer } => self.answered(number, answer, effects),
-            MoveEvent::Peer { from, message } => self.hear(now, &from, message, view, effects),
-            MoveEvent::Sampled(sample) => self.sample(&sample, view.config),
+            MoveEvent::ConfigChanged => self.remove_deleted(view.config),
+            MoveEvent::TimerFired { number } => self.handle_timer(now, number, view, effects),
+            MoveEvent::Table { number, answer } => self.handle_response(number, answer, effects),
+            MoveEvent::Peer { from, message } => {
+                self.handle_peer_message(now, &from, message, view, effects)
+            }
+            MoveEvent::Sampled(record_sample) => self.record_sample(&record_sample, view.config),
         }
-        self.keep_ticking(now, view, effects);
+        self.ensure_tick(now, view, effects);
         let splits = self.build_splits(now, view.config);
         if splits == self.splits {
             return MoveStepResult::Unchanged;
@@ -183,31 +185,37 @@
         MoveStepResult::SplitsChanged
     }
 
-    fn timer(&mut self, now: CoreTime, number: u64, view: MoveView<'_>, effects: &mut EffectQueue) {
+    fn handle_timer(
+        &mut self,
+        now: CoreTime,
+        number: u64,
+        view: MoveView<'_>,
+        effects: &mut EffectQueue,
+    ) {
         match MoveTimer::from_number(number) {
             Some(MoveTimer::Tick) => {
-                self.ticking = false;
-                self.flush(now, view, effects);
+                self.tick_scheduled = false;
+                self.process_samples(now, view, effects);
                 self.drive(now, view, effects);
-                self.repeat_stops(view.members, effects);
+                self.resend_stops(view.members, effects);
             }
-            Some(MoveTimer::Read) => {
+            Some(MoveTimer::Poll) => {
                 self.read_rows(now, effects);
-                self.set_read(now, view.members, effects);
+                self.schedule_poll(now, view.members, effects);
             }
             None => {}
         }
     }
 
-    fn keep_ticking(&mut self, now: CoreTime, view: MoveView<'_>, effects: &mut EffectQueue) {
-        if self.ticking || !(self.needs_lease(view.config) || self.stops_to_repeat()) {
+    fn ensure_tick(&mut self, now: CoreTime, view: MoveView<'_>, effects: &mut EffectQueue) {
+        if self.tick_scheduled || !(self.needs_lease(view.config) || self.has_stops_to_resend()) {
             return;
         }
-        self.ticking = true;
-        effects.set_timer(MoveTimer::Tick.key(), now.monotonic + TICK);
-        if self.reading.is_none() && !self.is_polling(now) {
+        self.tick_scheduled = true;
+        effects.set_timer(MoveTimer::Tick.key(), now.monotonic + TICK_INTERVAL);
+        if self.pending_read.is_none() && !self.is_poll_scheduled(now) {
             self.read_rows(now, effects);
-            self.set_read(now, view.members, effects);
+            self.schedule_poll(now, view.members, effects);
         }
     }
 
@@ -223,16 +231,15 @@
     }
 
     /// Forgets what belongs to moves that were deleted.
-    fn forget_old(&mut self, config: &ConfigView) {
-        self.watches
-            .retain(|name, _| config.moves.contains_key(name));
+    fn remove_deleted(&mut self, config: &ConfigView) {
+        self.local.retain(|name, _| config.moves.contains_key(name));
         self.driven
             .retain(|name, _| config.moves.contains_key(name));
     }
 
     fn call_table(&mut self, request: TableRequest, effects: &mut EffectQueue) -> u64 {
-        self.calls += 1;
-        let number = self.calls;
+        self.last_call += 1;
+        let number = self.last_call;
         let duty = DutyKind::Moves;
         let call = TableCall { duty, number };
         effects.push(DaemonEffect::CallTable { call, request });
@@ -242,14 +249,14 @@
 
 /// One move as the configuration has it.
 #[derive(Debug, Clone, Copy)]
-struct PlannedMove<'a> {
+struct ConfiguredMove<'a> {
     name: &'a MoveName,
     revision: ConfigRevision,
     spec: &'a TrafficMoveSpec,
 }
 
-fn planned_moves(config: &ConfigView) -> impl Iterator<Item = PlannedMove<'_>> {
-    config.moves.iter().map(|(name, spec)| PlannedMove {
+fn configured_moves(config: &ConfigView) -> impl Iterator<Item = ConfiguredMove<'_>> {
+    config.moves.iter().map(|(name, spec)| ConfiguredMove {
         name,
         revision: spec_revision(name, config),
         spec,
@@ -270,7 +277,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum MoveTimer {
     Tick,
-    Read,
+    Poll,
 }
 
 impl MoveTimer {
@@ -281,7 +288,7 @@
     }
 
     fn from_number(number: u64) -> Option<Self> {
-        [Self::Tick, Self::Read]
+        [Self::Tick, Self::Poll]
             .into_iter()
             .find(|timer| *timer as u64 == number)
     }
--- a/crates/savorywood-core/src/moves/driver.rs
+++ b/crates/savorywood-core/src/moves/driver.rs
@@ -1,11 +1,10 @@
 //! What the holder of the lease decides. Each decision is a row in the table first.
 
 use super::{
-    MoveView, MovesState, PlannedMove, RowWriting,
+    ConfiguredMove, MoveView, MovesState, PendingWrite, configured_moves,
     evaluator::{EvaluationResult, VersionEvaluator},
-    local_statistics::EvidenceParcel,
+    local_statistics::StatisticsBatch,
     plan::{MAX_FIRST_SHARE_PER_MILLE, MEASURED_FOR, MovePlan},
-    planned_moves,
     row::{MoveRow, row_key},
 };
 use crate::{
@@ -22,7 +21,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 /// Slot of the holder's judgement, which sees the requests of all daemons.
-const HOLDER_SLOT: Duration = Duration::from_secs(1);
+const HOLDER_WINDOW: Duration = Duration::from_secs(1);
 
 /// A move as its driver knows it.
 #[derive(Debug)]
@@ -71,22 +70,22 @@
 
 impl MovesState {
     /// Takes evidence of a daemon, unless it came before.
-    pub(super) fn hear_evidence(
+    pub(super) fn record_statistics(
         &mut self,
         now: CoreTime,
         from: &HostName,
-        parcel: &EvidenceParcel,
+        batch: &StatisticsBatch,
     ) {
-        let Some(driven) = self.driven.get_mut(&parcel.name) else {
+        let Some(driven) = self.driven.get_mut(&batch.name) else {
             return;
         };
         let heard = driven.heard.entry(from.clone()).or_default();
-        if driven.revision != parcel.revision || parcel.sequence <= *heard {
+        if driven.revision != batch.revision || batch.sequence <= *heard {
             return;
         }
-        *heard = parcel.sequence;
-        for evidence in &parcel.routes {
-            driven.judge.add(now.monotonic, evidence);
+        *heard = batch.sequence;
+        for statistics in &batch.routes {
+            driven.judge.add(now.monotonic, statistics);
         }
     }
 
@@ -96,29 +95,31 @@
             self.driven.clear();
             return;
         };
-        for planned in planned_moves(view.config) {
-            if self.is_over(planned.name, view.config) || self.writing.contains_key(planned.name) {
+        for configured in configured_moves(view.config) {
+            if self.is_over(configured.name, view.config)
+                || self.pending_writes.contains_key(configured.name)
+            {
                 continue;
             }
-            self.watch_proof(now, planned);
-            self.stop_if_bad(now, planned, view, effects);
-            if let Some(row) = self.next_row(now, planned, lease, view.config) {
-                self.write_row(now, planned, lease, row, effects);
+            self.watch_proof(now, configured);
+            self.stop_if_bad(now, configured, view, effects);
+            if let Some(row) = self.next_row(now, configured, lease, view.config) {
+                self.write_row(now, configured, lease, row, effects);
             }
         }
     }
 
     /// Begins a new proof when the stage or the spec is another one.
-    fn watch_proof(&mut self, now: CoreTime, planned: PlannedMove<'_>) {
+    fn watch_proof(&mut self, now: CoreTime, configured: ConfiguredMove<'_>) {
         let stage = self
-            .row_of(planned.name, planned.revision)
+            .row_of(configured.name, configured.revision)
             .map_or(0, |row| row.stage);
         let driven = self
             .driven
-            .entry(planned.name.clone())
-            .or_insert_with(|| new_driven(now, planned.revision, stage));
-        if driven.revision != planned.revision {
-            *driven = new_driven(now, planned.revision, stage);
+            .entry(configured.name.clone())
+            .or_insert_with(|| new_driven(now, configured.revision, stage));
+        if driven.revision != configured.revision {
+            *driven = new_driven(now, configured.revision, stage);
         }
         driven.judge.close_window(now.monotonic);
         let requests = driven.judge.old_requests();
@@ -132,13 +133,13 @@
     fn stop_if_bad(
         &mut self,
         now: CoreTime,
-        planned: PlannedMove<'_>,
+        configured: ConfiguredMove<'_>,
         view: MoveView<'_>,
         effects: &mut EffectQueue,
     ) {
-        if let EvaluationResult::Worse { reason } = self.verdict(planned.name) {
-            let stop = Self::new_stop(now, planned.revision, reason);
-            self.stop(planned.name, stop, view.members, effects);
+        if let EvaluationResult::Worse { reason } = self.verdict(configured.name) {
+            let stop = Self::new_stop(now, configured.revision, reason);
+            self.stop(configured.name, stop, view.members, effects);
         }
     }
 
@@ -153,12 +154,12 @@
     fn next_row(
         &self,
         now: CoreTime,
-        planned: PlannedMove<'_>,
+        configured: ConfiguredMove<'_>,
         lease: LeaseGrant,
         config: &ConfigView,
     ) -> Option<MoveRow> {
-        let Some(row) = self.row_of(planned.name, planned.revision) else {
-            return Some(self.first_row(now, planned, lease));
+        let Some(row) = self.row_of(configured.name, configured.revision) else {
+            return Some(self.first_row(now, configured, lease));
         };
         let change = |state, stage, share_per_mille, reason: String| MoveRow {
             state,
@@ -171,27 +172,29 @@
             ..row.clone()
         };
         let back = |reason| Some(change(MoveState::TakenBack, row.stage, 0, reason));
-        if let Some(stop) = self.stop_of(planned.name, planned.revision) {
+        if let Some(stop) = self.stop_of(configured.name, configured.revision) {
             return back(stop.reason.clone());
         }
-        let plan = MovePlan::new(planned.spec, row.started_at, row.rate());
+        let plan = MovePlan::new(configured.spec, row.started_at, row.rate());
         if now.wall >= plan.decide_by {
             return back("it could not be proved and soaked by its deadline".into());
         }
         match row.state {
-            MoveState::Planned if runs(planned, config) => match self.requests_a_second(planned) {
-                Some(rate) => {
-                    let plan = MovePlan::new(planned.spec, row.started_at, rate);
-                    let first = plan.stages.first().map(|stage| stage.share_per_mille);
-                    let share = first.unwrap_or_default();
-                    Some(MoveRow {
-                        requests_per_1000s: (rate * 1_000.0) as u32,
-                        ..change(MoveState::Moving, 0, share, "the first small share".into())
-                    })
+            MoveState::Planned if runs(configured, config) => {
+                match self.requests_a_second(configured) {
+                    Some(rate) => {
+                        let plan = MovePlan::new(configured.spec, row.started_at, rate);
+                        let first = plan.stages.first().map(|stage| stage.share_per_mille);
+                        let share = first.unwrap_or_default();
+                        Some(MoveRow {
+                            requests_per_1000s: (rate * 1_000.0) as u32,
+                            ..change(MoveState::Moving, 0, share, "the first small share".into())
+                        })
+                    }
+                    None => self.taken_over(row, lease),
                 }
-                None => self.taken_over(row, lease),
-            },
-            MoveState::Moving => match self.after_stage(now, planned, row, &plan) {
+            }
+            MoveState::Moving => match self.after_stage(now, configured, row, &plan) {
                 StageVerdict::Next => {
                     let stage = row.stage + 1;
                     let next = plan.stages.get(stage as usize);
@@ -205,7 +208,7 @@
                     back("too few requests proved it in time for the larger shares".into())
                 }
                 StageVerdict::Stay => self
-                    .with_larger_share(planned, row, lease)
+                    .with_larger_share(configured, row, lease)
                     .or_else(|| self.taken_over(row, lease)),
             },
             MoveState::Soaking if now.wall.since(row.stage_at) >= plan.soak => {
@@ -222,12 +225,12 @@
     /// in time. As many requests meet the version as were planned.
     fn with_larger_share(
         &self,
-        planned: PlannedMove<'_>,
+        configured: ConfiguredMove<'_>,
         row: &MoveRow,
         lease: LeaseGrant,
     ) -> Option<MoveRow> {
-        let rate = self.requests_a_second(planned)?;
-        let plan = MovePlan::new(planned.spec, row.started_at, rate);
+        let rate = self.requests_a_second(configured)?;
+        let plan = MovePlan::new(configured.spec, row.started_at, rate);
         let share = plan.stages.first()?.share_per_mille;
         (row.stage == 0 && share > row.share_per_mille).then(|| MoveRow {
             share_per_mille: share,
@@ -249,9 +252,14 @@
         })
     }
 
-    fn first_row(&self, now: CoreTime, planned: PlannedMove<'_>, lease: LeaseGrant) -> MoveRow {
+    fn first_row(
+        &self,
+        now: CoreTime,
+        configured: ConfiguredMove<'_>,
+        lease: LeaseGrant,
+    ) -> MoveRow {
         MoveRow {
-            spec_revision: planned.revision,
+            spec_revision: configured.revision,
             state: MoveState::Planned,
             stage: 0,
             share_per_mille: 0,
@@ -265,21 +273,21 @@
     }
 
     /// Requests of the old version, once they were watched long enough.
-    fn requests_a_second(&self, planned: PlannedMove<'_>) -> Option<f64> {
-        self.driven.get(planned.name)?.rate.per_second
+    fn requests_a_second(&self, configured: ConfiguredMove<'_>) -> Option<f64> {
+        self.driven.get(configured.name)?.rate.per_second
     }
 
     fn after_stage(
         &self,
         now: CoreTime,
-        planned: PlannedMove<'_>,
+        configured: ConfiguredMove<'_>,
         row: &MoveRow,
         plan: &MovePlan,
     ) -> StageVerdict {
         let Some(stage) = plan.stages.get(row.stage as usize) else {
             return StageVerdict::Next;
         };
-        let proved = match self.verdict(planned.name) {
+        let proved = match self.verdict(configured.name) {
             EvaluationResult::NoRegression => true,
             EvaluationResult::NoLargeRegression => !stage.strict,
             EvaluationResult::Inconclusive | EvaluationResult::Worse { .. } => false,
@@ -301,33 +309,33 @@
     fn write_row(
         &mut self,
         now: CoreTime,
-        planned: PlannedMove<'_>,
+        configured: ConfiguredMove<'_>,
         lease: LeaseGrant,
         row: MoveRow,
         effects: &mut EffectQueue,
     ) {
-        let known = self.rows.get(planned.name);
+        let recorded = self.rows.get(configured.name);
         // Another holder with a larger number has written since: this one was paused.
-        if known.is_some_and(|known| known.row.fencing > lease.fencing) {
+        if recorded.is_some_and(|recorded| recorded.row.fencing > lease.fencing) {
             return;
         }
         let alone = now.monotonic < lease.acts_until;
         invariant::check(effects, InvariantName::HolderActsAlone, alone, || {
-            format!("move={} fencing={}", planned.name, lease.fencing)
+            format!("move={} fencing={}", configured.name, lease.fencing)
         });
         let unproven = row.state == MoveState::Moving && row.stage == 0;
         let bounded = !unproven || row.share_per_mille <= MAX_FIRST_SHARE_PER_MILLE;
         invariant::check(effects, InvariantName::BadVersionBounded, bounded, || {
-            format!("move={} share={}", planned.name, row.share_per_mille)
+            format!("move={} share={}", configured.name, row.share_per_mille)
         });
         if !alone || !bounded {
             return;
         }
-        let key = row_key(planned.name);
+        let key = row_key(configured.name);
         let commit = TableCommit {
             conditions: vec![RowCondition {
                 key: key.clone(),
-                revision: known.map(|known| known.revision),
+                revision: recorded.map(|recorded| recorded.revision),
             }],
             writes: vec![RowWrite {
                 key,
@@ -335,8 +343,8 @@
             }],
         };
         let number = self.call_table(TableRequest::Commit(commit), effects);
-        self.writing
-            .insert(planned.name.clone(), RowWriting { number, row });
+        self.pending_writes
+            .insert(configured.name.clone(), PendingWrite { number, row });
     }
 }
 
@@ -352,17 +360,17 @@
     DrivenMove {
         revision,
         rate: RateMeasure::begin(now.monotonic),
-        judge: VersionEvaluator::new(HOLDER_SLOT),
+        judge: VersionEvaluator::new(HOLDER_WINDOW),
         stage,
         heard: BTreeMap::new(),
     }
 }
 
 /// Whether an upstream of the service runs the new version and takes work.
-fn runs(planned: PlannedMove<'_>, config: &ConfigView) -> bool {
-    let mut names = config.upstreams_of(&planned.spec.service);
+fn runs(configured: ConfiguredMove<'_>, config: &ConfigView) -> bool {
+    let mut names = config.upstreams_of(&configured.spec.service);
     names.any(|name| {
         let spec = config.upstreams.get(name);
-        spec.is_some_and(|spec| spec.version == planned.spec.to && !spec.draining)
+        spec.is_some_and(|spec| spec.version == configured.spec.to && !spec.draining)
     })
 }
--- a/crates/savorywood-core/src/moves/evaluator.rs
+++ b/crates/savorywood-core/src/moves/evaluator.rs
@@ -140,12 +140,12 @@
     }
 
     /// Adds what one daemon saw in one period to the slot.
-    pub fn add(&mut self, now: MonotonicTime, evidence: &RouteStatistics) {
+    pub fn add(&mut self, now: MonotonicTime, statistics: &RouteStatistics) {
         self.slot_at.get_or_insert(now);
-        self.old_requests += u64::from(evidence.old.finished);
-        let record = self.routes.entry(evidence.route.clone()).or_default();
-        merge(&mut record.old, &evidence.old);
-        merge(&mut record.new, &evidence.new);
+        self.old_requests += u64::from(statistics.old.finished);
+        let record = self.routes.entry(statistics.route.clone()).or_default();
+        merge(&mut record.old, &statistics.old);
+        merge(&mut record.new, &statistics.new);
     }
 
     /// Judges the slot, if its time is over.
--- a/crates/savorywood-core/src/moves/evaluator/likelihood.rs
+++ b/crates/savorywood-core/src/moves/evaluator/likelihood.rs
@@ -65,8 +65,8 @@
 
     /// Variance of the logarithm of the speed between requests of one period.
     fn variance(&self) -> f64 {
-        let known = self.spread_sum + 4.0 * 0.3 * 0.3;
-        (known / (self.spread_count + 4.0)).max(LEAST_SPREAD * LEAST_SPREAD)
+        let recorded = self.spread_sum + 4.0 * 0.3 * 0.3;
+        (recorded / (self.spread_count + 4.0)).max(LEAST_SPREAD * LEAST_SPREAD)
     }
 }
 
--- a/crates/savorywood-core/src/moves/local_statistics.rs
+++ b/crates/savorywood-core/src/moves/local_statistics.rs
@@ -1,9 +1,8 @@
 //! Gathering what this daemon sees, judging it here, and sending it to the holder.
 
 use super::{
-    ComparedVersion, MoveSample, MoveView, MovesState,
+    ComparedVersion, MoveSample, MoveView, MovesState, configured_moves,
     evaluator::{EvaluationResult, VersionEvaluator},
-    planned_moves,
     samples::SampleBuffer,
 };
 use crate::{
@@ -18,17 +17,17 @@
 
 /// Evidence messages a second that the holder gets from all daemons. At some 100 bytes each they
 /// use half of the 9 KB/s that a daemon may spend.
-const MESSAGES_PER_SECOND: usize = 40;
+const MAX_MESSAGES_PER_SECOND: usize = 40;
 
 /// Between two messages of a daemon that saw nothing fail.
-const MIN_PERIOD: Duration = Duration::from_millis(500);
+const MIN_SEND_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Slot of a daemon's own judgement: long enough for the old version to be a control.
-const LOCAL_SLOT: Duration = Duration::from_secs(3);
+const LOCAL_WINDOW: Duration = Duration::from_secs(3);
 
 /// What this daemon sees of one move.
 #[derive(Debug)]
-pub(super) struct LocalWatch {
+pub(super) struct LocalStatistics {
     revision: ConfigRevision,
     buffer: SampleBuffer,
     judge: VersionEvaluator,
@@ -36,12 +35,12 @@
     sent_at: MonotonicTime,
 }
 
-impl LocalWatch {
+impl LocalStatistics {
     fn new(revision: ConfigRevision) -> Self {
         Self {
             revision,
             buffer: SampleBuffer::default(),
-            judge: VersionEvaluator::new(LOCAL_SLOT),
+            judge: VersionEvaluator::new(LOCAL_WINDOW),
             sequence: 0,
             sent_at: MonotonicTime::default(),
         }
@@ -50,7 +49,7 @@
 
 /// Evidence on its way to the holder.
 #[derive(Debug)]
-pub(super) struct EvidenceParcel {
+pub(super) struct StatisticsBatch {
     pub(super) name: MoveName,
     pub(super) revision: ConfigRevision,
     pub(super) sequence: u64,
@@ -58,13 +57,13 @@
 }
 
 impl MovesState {
-    pub(super) fn sample(&mut self, sample: &MoveSample, config: &ConfigView) {
-        let Some(split) = self.splits.get(&sample.service) else {
+    pub(super) fn record_sample(&mut self, record_sample: &MoveSample, config: &ConfigView) {
+        let Some(split) = self.splits.get(&record_sample.service) else {
             return;
         };
-        let arm = if sample.version == split.new {
+        let arm = if record_sample.version == split.new {
             ComparedVersion::New
-        } else if sample.version == split.old {
+        } else if record_sample.version == split.old {
             ComparedVersion::Old
         } else {
             return;
@@ -76,41 +75,46 @@
             return;
         }
         let watch = self
-            .watches
+            .local
             .entry(name)
-            .or_insert_with(|| LocalWatch::new(revision));
+            .or_insert_with(|| LocalStatistics::new(revision));
         if watch.revision != revision {
-            *watch = LocalWatch::new(revision);
+            *watch = LocalStatistics::new(revision);
         }
-        watch.buffer.add(arm, sample);
+        watch.buffer.add(arm, record_sample);
     }
 
     /// Judges what was gathered and sends it on.
-    pub(super) fn flush(&mut self, now: CoreTime, view: MoveView<'_>, effects: &mut EffectQueue) {
-        let period = evidence_period(view.members);
-        for planned in planned_moves(view.config) {
-            let Some(parcel) = self.take_parcel(now, planned.name, period) else {
+    pub(super) fn process_samples(
+        &mut self,
+        now: CoreTime,
+        view: MoveView<'_>,
+        effects: &mut EffectQueue,
+    ) {
+        let period = send_interval(view.members);
+        for configured in configured_moves(view.config) {
+            let Some(batch) = self.take_batch(now, configured.name, period) else {
                 continue;
             };
             // What this daemon sees by itself may be enough: it need not wait for the holder,
             // which may be cut off or gone.
-            if let Some(reason) = self.judge_locally(now, &parcel) {
-                let stop = Self::new_stop(now, parcel.revision, reason);
-                self.stop(&parcel.name, stop, view.members, effects);
+            if let Some(reason) = self.evaluate_locally(now, &batch) {
+                let stop = Self::new_stop(now, batch.revision, reason);
+                self.stop(&batch.name, stop, view.members, effects);
             }
-            self.send_parcel(now, parcel, view.members, effects);
+            self.send_batch(now, batch, view.members, effects);
         }
     }
 
-    fn take_parcel(
+    fn take_batch(
         &mut self,
         now: CoreTime,
         name: &MoveName,
         period: Duration,
-    ) -> Option<EvidenceParcel> {
-        let watch = self.watches.get_mut(name)?;
+    ) -> Option<StatisticsBatch> {
+        let watch = self.local.get_mut(name)?;
         let due = now.monotonic.since(watch.sent_at) >= period;
-        if !due && !watch.buffer.is_urgent() {
+        if !due && !watch.buffer.has_new_failures() {
             return None;
         }
         let routes = watch.buffer.take();
@@ -119,7 +123,7 @@
         }
         watch.sent_at = now.monotonic;
         watch.sequence += 1;
-        Some(EvidenceParcel {
+        Some(StatisticsBatch {
             name: name.clone(),
             revision: watch.revision,
             sequence: watch.sequence,
@@ -127,10 +131,10 @@
         })
     }
 
-    fn judge_locally(&mut self, now: CoreTime, parcel: &EvidenceParcel) -> Option<String> {
-        let watch = self.watches.get_mut(&parcel.name)?;
-        for evidence in &parcel.routes {
-            watch.judge.add(now.monotonic, evidence);
+    fn evaluate_locally(&mut self, now: CoreTime, batch: &StatisticsBatch) -> Option<String> {
+        let watch = self.local.get_mut(&batch.name)?;
+        for statistics in &batch.routes {
+            watch.judge.add(now.monotonic, statistics);
         }
         watch.judge.close_window(now.monotonic);
         match watch.judge.result() {
@@ -141,29 +145,29 @@
         }
     }
 
-    fn send_parcel(
+    fn send_batch(
         &mut self,
         now: CoreTime,
-        parcel: EvidenceParcel,
+        batch: StatisticsBatch,
         members: &MemberView,
         effects: &mut EffectQueue,
     ) {
         let own = self.options.host.clone();
-        let Some(holder) = self.holder_of(&parcel.name) else {
+        let Some(holder) = self.holder_of(&batch.name) else {
             return;
         };
         if holder == own {
-            self.hear_evidence(now, &own, &parcel);
+            self.record_statistics(now, &own, &batch);
             return;
         }
         let Some(member) = members.members.get(&holder) else {
             return;
         };
         let message = MoveMessage::Statistics {
-            name: parcel.name,
-            revision: parcel.revision,
-            sequence: parcel.sequence,
-            routes: parcel.routes,
+            name: batch.name,
+            revision: batch.revision,
+            sequence: batch.sequence,
+            routes: batch.routes,
         };
         effects.push(DaemonEffect::SendPeer {
             to: holder,
@@ -177,8 +181,8 @@
     }
 }
 
-fn evidence_period(members: &MemberView) -> Duration {
+fn send_interval(members: &MemberView) -> Duration {
     let members = members.serving().count();
-    let millis = members * 1_000 / MESSAGES_PER_SECOND;
-    Duration::from_millis(millis as u64).max(MIN_PERIOD)
+    let millis = members * 1_000 / MAX_MESSAGES_PER_SECOND;
+    Duration::from_millis(millis as u64).max(MIN_SEND_INTERVAL)
 }
--- a/crates/savorywood-core/src/moves/row_updates.rs
+++ b/crates/savorywood-core/src/moves/row_updates.rs
@@ -1,7 +1,7 @@
 //! Reading the rows of moves. Nobody calls a move done or taken back before its row says so.
 
 use super::{
-    MoveTimer, MovesState, RowReading,
+    MoveTimer, MovesState, PendingRead,
     row::{MOVE_PREFIX, MoveRecord, MoveRow},
 };
 use crate::{
@@ -17,17 +17,18 @@
 use std::time::Duration;
 
 /// Rows asked for in one read. The next poll goes on after the last one.
-const PAGE_ROWS: u32 = 500;
+const SCAN_LIMIT: u32 = 500;
 
 /// A read whose answer has not come for so long is made anew.
-const READ_LIMIT: Duration = Duration::from_secs(10);
+const READ_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl MovesState {
-    pub(super) fn is_polling(&self, now: CoreTime) -> bool {
-        self.polled_until.is_some_and(|until| now.monotonic < until)
+    pub(super) fn is_poll_scheduled(&self, now: CoreTime) -> bool {
+        self.poll_scheduled_until
+            .is_some_and(|until| now.monotonic < until)
     }
 
-    pub(super) fn set_read(
+    pub(super) fn schedule_poll(
         &mut self,
         now: CoreTime,
         members: &MemberView,
@@ -35,75 +36,75 @@
     ) {
         let period = poll_period(members.serving().count());
         let period = period.mul_f64(self.rng.random_range(0.8..1.0));
-        self.polled_until = Some(now.monotonic + period + period);
-        effects.set_timer(MoveTimer::Read.key(), now.monotonic + period);
+        self.poll_scheduled_until = Some(now.monotonic + period + period);
+        effects.set_timer(MoveTimer::Poll.key(), now.monotonic + period);
     }
 
     pub(super) fn read_rows(&mut self, now: CoreTime, effects: &mut EffectQueue) {
-        let waiting = self.reading.as_ref();
-        if waiting.is_some_and(|reading| now.monotonic.since(reading.asked_at) < READ_LIMIT) {
+        let waiting = self.pending_read.as_ref();
+        if waiting.is_some_and(|reading| now.monotonic.since(reading.sent_at) < READ_TIMEOUT) {
             return;
         }
         let request = TableRequest::Scan {
             prefix: MOVE_PREFIX.into(),
-            after: self.read_to,
-            limit: PAGE_ROWS,
+            after: self.scanned_to,
+            limit: SCAN_LIMIT,
         };
         let number = self.call_table(request, effects);
-        let asked_at = now.monotonic;
-        self.reading = Some(RowReading { number, asked_at });
+        let sent_at = now.monotonic;
+        self.pending_read = Some(PendingRead { number, sent_at });
     }
 
-    pub(super) fn answered(
+    pub(super) fn handle_response(
         &mut self,
         number: u64,
         answer: TableResponse,
         effects: &mut EffectQueue,
     ) {
         if self
-            .reading
+            .pending_read
             .as_ref()
             .is_some_and(|reading| reading.number == number)
         {
-            self.reading = None;
+            self.pending_read = None;
             if let TableResponse::Rows { rows, .. } = answer {
                 for row in &rows {
                     // Only a scan moves this on: a row that came with a conflict may be newer than
                     // rows of other moves that were not read yet.
-                    self.read_to = self.read_to.max(row.revision);
-                    self.take_row(row, effects);
+                    self.scanned_to = self.scanned_to.max(row.revision);
+                    self.apply_row(row, effects);
                 }
             }
             return;
         }
-        let mut writing = self.writing.iter();
+        let mut writing = self.pending_writes.iter();
         let Some(name) = writing.find(|(_, writing)| writing.number == number) else {
             return;
         };
         let name = name.0.clone();
-        self.written(&name, answer, effects);
+        self.finish_write(&name, answer, effects);
     }
 
     /// A commit took effect, or did not, or nobody knows: then the next read tells.
-    fn written(&mut self, name: &MoveName, answer: TableResponse, effects: &mut EffectQueue) {
-        let Some(writing) = self.writing.remove(name) else {
+    fn finish_write(&mut self, name: &MoveName, answer: TableResponse, effects: &mut EffectQueue) {
+        let Some(writing) = self.pending_writes.remove(name) else {
             return;
         };
         match answer {
             TableResponse::Committed { revision } => {
                 let row = writing.row;
-                self.note_row(name.clone(), MoveRecord { row, revision }, effects);
+                self.record_row(name.clone(), MoveRecord { row, revision }, effects);
             }
             TableResponse::Conflict { rows } => {
                 for row in &rows {
-                    self.take_row(row, effects);
+                    self.apply_row(row, effects);
                 }
             }
             TableResponse::Rows { .. } | TableResponse::Unavailable | TableResponse::Lost => {}
         }
     }
 
-    fn take_row(&mut self, row: &TableRow, effects: &mut EffectQueue) {
+    fn apply_row(&mut self, row: &TableRow, effects: &mut EffectQueue) {
         let name = row.key.strip_prefix(MOVE_PREFIX);
         let name = name.and_then(|name| name.parse::<MoveName>().ok());
         let text = row.value.as_deref().unwrap_or_default();
@@ -115,16 +116,16 @@
         };
         let revision = row.revision;
         let row = content;
-        self.note_row(name, MoveRecord { row, revision }, effects);
+        self.record_row(name, MoveRecord { row, revision }, effects);
     }
 
     /// Keeps the newer of two rows: a slow read may bring one that was overwritten meanwhile.
-    fn note_row(&mut self, name: MoveName, record: MoveRecord, effects: &mut EffectQueue) {
-        let known = self.rows.get(&name);
-        if known.is_some_and(|known| known.revision >= record.revision) {
+    fn record_row(&mut self, name: MoveName, record: MoveRecord, effects: &mut EffectQueue) {
+        let recorded = self.rows.get(&name);
+        if recorded.is_some_and(|recorded| recorded.revision >= record.revision) {
             return;
         }
-        let changed = known.map(|known| known.row.state) != Some(record.row.state);
+        let changed = recorded.map(|recorded| recorded.row.state) != Some(record.row.state);
         if changed {
             let line = LogLine::new(LogLevel::Info, "move-state")
                 .with("move", &name)
--- a/crates/savorywood-core/src/moves/samples.rs
+++ b/crates/savorywood-core/src/moves/samples.rs
@@ -44,11 +44,15 @@
 
 impl SampleBuffer {
     /// Adds one request.
-    pub fn add(&mut self, arm: ComparedVersion, sample: &MoveSample) {
-        let known = self.routes.contains_key(&sample.route);
-        let room = known || self.routes.len() < MAX_ROUTES;
-        let route = if room { &sample.route } else { OTHER_ROUTES };
-        let evidence = self
+    pub fn add(&mut self, arm: ComparedVersion, record_sample: &MoveSample) {
+        let recorded = self.routes.contains_key(&record_sample.route);
+        let room = recorded || self.routes.len() < MAX_ROUTES;
+        let route = if room {
+            &record_sample.route
+        } else {
+            OTHER_ROUTES
+        };
+        let statistics = self
             .routes
             .entry(route.to_owned())
             .or_insert_with(|| RouteStatistics {
@@ -57,12 +61,12 @@
                 new: VersionStatistics::default(),
             });
         let side = match arm {
-            ComparedVersion::Old => &mut evidence.old,
-            ComparedVersion::New => &mut evidence.new,
+            ComparedVersion::Old => &mut statistics.old,
+            ComparedVersion::New => &mut statistics.new,
         };
         side.finished += 1;
-        side.failed += u32::from(sample.failed);
-        if let Some(micros) = sample.micros.filter(|_| !sample.failed) {
+        side.failed += u32::from(record_sample.failed);
+        if let Some(micros) = record_sample.micros.filter(|_| !record_sample.failed) {
             let log = (micros.max(1) as f32).ln();
             side.timed += 1;
             side.log_sum += log;
@@ -77,7 +81,9 @@
 
     /// Whether the new version failed since the last message: told sooner than the rest.
     #[must_use]
-    pub fn is_urgent(&self) -> bool {
-        self.routes.values().any(|evidence| evidence.new.failed > 0)
+    pub fn has_new_failures(&self) -> bool {
+        self.routes
+            .values()
+            .any(|statistics| statistics.new.failed > 0)
     }
 }
--- a/crates/savorywood-core/src/moves/splits.rs
+++ b/crates/savorywood-core/src/moves/splits.rs
@@ -1,6 +1,6 @@
 //! How traffic is split, from the rows, the stops and the clock.
 
-use super::{MovesState, PlannedMove, planned_moves};
+use super::{ConfiguredMove, MovesState, configured_moves};
 use crate::view::{ConfigView, VersionSplit};
 use savorywood_protocol::{CoreTime, ServiceName, resource::MoveState};
 use std::collections::BTreeMap;
@@ -11,27 +11,27 @@
         now: CoreTime,
         config: &ConfigView,
     ) -> BTreeMap<ServiceName, VersionSplit> {
-        let mut newest: BTreeMap<&ServiceName, PlannedMove<'_>> = BTreeMap::new();
-        for planned in planned_moves(config) {
-            let place = newest.entry(&planned.spec.service).or_insert(planned);
-            if planned.revision > place.revision {
-                *place = planned;
+        let mut newest: BTreeMap<&ServiceName, ConfiguredMove<'_>> = BTreeMap::new();
+        for configured in configured_moves(config) {
+            let place = newest.entry(&configured.spec.service).or_insert(configured);
+            if configured.revision > place.revision {
+                *place = configured;
             }
         }
-        let splits = newest.into_values().map(|planned| {
+        let splits = newest.into_values().map(|configured| {
             let split = VersionSplit {
-                move_name: planned.name.clone(),
-                old: planned.spec.from.clone(),
-                new: planned.spec.to.clone(),
-                new_per_mille: self.share(now, planned),
+                move_name: configured.name.clone(),
+                old: configured.spec.from.clone(),
+                new: configured.spec.to.clone(),
+                new_per_mille: self.share(now, configured),
             };
-            (planned.spec.service.clone(), split)
+            (configured.spec.service.clone(), split)
         });
         splits.collect()
     }
 
-    fn share(&self, now: CoreTime, planned: PlannedMove<'_>) -> u16 {
-        let Some(row) = self.row_of(planned.name, planned.revision) else {
+    fn share(&self, now: CoreTime, configured: ConfiguredMove<'_>) -> u16 {
+        let Some(row) = self.row_of(configured.name, configured.revision) else {
             return 0;
         };
         match row.state {
@@ -40,8 +40,8 @@
             MoveState::Moving | MoveState::Soaking => {
                 // The table may be down and the holder gone: then nobody writes that the move was
                 // taken back, and an unproven version would keep its share past the deadline.
-                let late = now.wall >= planned.spec.finish_by;
-                let stopped = self.is_stopped(planned.name, planned.revision);
+                let late = now.wall >= configured.spec.finish_by;
+                let stopped = self.is_stopped(configured.name, configured.revision);
                 if late || stopped {
                     0
                 } else {
--- a/crates/savorywood-core/src/moves/stops.rs
+++ b/crates/savorywood-core/src/moves/stops.rs
@@ -1,6 +1,6 @@
 //! Stopping a move here and everywhere, without the table.
 
-use super::{MoveView, MovesState, local_statistics::EvidenceParcel};
+use super::{MoveView, MovesState, local_statistics::StatisticsBatch};
 use crate::{
     effect::{DaemonEffect, EffectQueue, LogLevel, LogLine},
     view::MemberView,
@@ -12,11 +12,11 @@
 };
 
 /// Peers told in each round.
-const GOSSIP_PEERS: usize = 6;
+const GOSSIP_FANOUT: usize = 6;
 
 /// Rounds after the first. Each daemon that hears of a stop tells it as well, so with half of the
 /// datagrams lost all of 350 still have it after a few.
-const GOSSIP_ROUNDS: u32 = 3;
+const GOSSIP_REPEATS: u32 = 3;
 
 /// Why and when a move was stopped.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -52,15 +52,15 @@
         members: &MemberView,
         effects: &mut EffectQueue,
     ) {
-        let known = self.stops.get(name);
-        if known.is_some_and(|known| known.revision >= stop.revision) {
+        let recorded = self.stops.get(name);
+        if recorded.is_some_and(|recorded| recorded.revision >= stop.revision) {
             return;
         }
         let line = LogLine::new(LogLevel::Warn, "move-stopped")
             .with("move", name)
             .with("reason", &stop.reason);
         effects.log(line);
-        self.tell_stop(name, &stop, members, effects);
+        self.gossip_stop(name, &stop, members, effects);
         self.stops.insert(name.clone(), stop);
     }
 
@@ -69,11 +69,11 @@
             revision,
             reason,
             at: now.wall,
-            rounds_left: GOSSIP_ROUNDS,
+            rounds_left: GOSSIP_REPEATS,
         }
     }
 
-    fn tell_stop(
+    fn gossip_stop(
         &mut self,
         name: &MoveName,
         stop: &StopRecord,
@@ -82,7 +82,7 @@
     ) {
         let own = &self.options.host;
         let others = members.serving().filter(|(host, _)| *host != own);
-        for (host, member) in others.choose_multiple(&mut self.rng, GOSSIP_PEERS) {
+        for (host, member) in others.choose_multiple(&mut self.rng, GOSSIP_FANOUT) {
             let message = MoveMessage::Stop {
                 name: name.clone(),
                 revision: stop.revision,
@@ -97,22 +97,22 @@
         }
     }
 
-    pub(super) fn stops_to_repeat(&self) -> bool {
+    pub(super) fn has_stops_to_resend(&self) -> bool {
         self.stops.values().any(|stop| stop.rounds_left > 0)
     }
 
-    pub(super) fn repeat_stops(&mut self, members: &MemberView, effects: &mut EffectQueue) {
+    pub(super) fn resend_stops(&mut self, members: &MemberView, effects: &mut EffectQueue) {
         let mut stops = std::mem::take(&mut self.stops);
         for (name, stop) in &mut stops {
             if stop.rounds_left > 0 {
                 stop.rounds_left -= 1;
-                self.tell_stop(name, stop, members, effects);
+                self.gossip_stop(name, stop, members, effects);
             }
         }
         self.stops = stops;
     }
 
-    pub(super) fn hear(
+    pub(super) fn handle_peer_message(
         &mut self,
         now: CoreTime,
         from: &HostName,
@@ -140,13 +140,13 @@
                 sequence,
                 routes,
             } => {
-                let parcel = EvidenceParcel {
+                let batch = StatisticsBatch {
                     name,
                     revision,
                     sequence,
                     routes,
                 };
-                self.hear_evidence(now, from, &parcel);
+                self.record_statistics(now, from, &batch);
             }
         }
     }
