--- a/crates/savorywood-core/src/moves/driver.rs
+++ b/crates/savorywood-core/src/moves/driver.rs
@@ -4,7 +4,7 @@
     ConfiguredMove, MoveView, MovesState, PendingWrite, configured_moves,
     evaluator::{EvaluationResult, VersionEvaluator},
     local_statistics::StatisticsBatch,
-    plan::{MAX_FIRST_SHARE_PER_MILLE, MEASURED_FOR, MovePlan},
+    plan::{MAX_FIRST_SHARE_PER_MILLE, MovePlan, RATE_MEASUREMENT_PERIOD},
     row::{MoveRow, row_key},
 };
 use crate::{
@@ -27,16 +27,16 @@
 #[derive(Debug)]
 pub(super) struct DrivenMove {
     revision: ConfigRevision,
-    rate: RateMeasure,
-    judge: VersionEvaluator,
+    rate: RateMeasurement,
+    evaluator: VersionEvaluator,
     /// Stage that the proof in the judge is for.
     stage: u32,
-    heard: BTreeMap<HostName, u64>,
+    last_sequences: BTreeMap<HostName, u64>,
 }
 
 /// Requests of the old version, measured again and again.
 #[derive(Debug, Clone, Copy)]
-struct RateMeasure {
+struct RateMeasurement {
     began_at: MonotonicTime,
     /// Requests before that.
     requests: u64,
@@ -44,7 +44,7 @@
     per_second: Option<f64>,
 }
 
-impl RateMeasure {
+impl RateMeasurement {
     fn begin(now: MonotonicTime) -> Self {
         Self {
             began_at: now,
@@ -56,7 +56,7 @@
     /// Takes the requests so far; ends the measurement when it has lasted long enough.
     fn update(&mut self, now: MonotonicTime, requests: u64) {
         let elapsed = now.since(self.began_at);
-        if elapsed < MEASURED_FOR {
+        if elapsed < RATE_MEASUREMENT_PERIOD {
             return;
         }
         let measured = requests.saturating_sub(self.requests) as f64;
@@ -79,13 +79,13 @@
         let Some(driven) = self.driven.get_mut(&batch.name) else {
             return;
         };
-        let heard = driven.heard.entry(from.clone()).or_default();
-        if driven.revision != batch.revision || batch.sequence <= *heard {
+        let last_sequences = driven.last_sequences.entry(from.clone()).or_default();
+        if driven.revision != batch.revision || batch.sequence <= *last_sequences {
             return;
         }
-        *heard = batch.sequence;
+        *last_sequences = batch.sequence;
         for statistics in &batch.routes {
-            driven.judge.add(now.monotonic, statistics);
+            driven.evaluator.add(now.monotonic, statistics);
         }
     }
 
@@ -101,8 +101,8 @@
             {
                 continue;
             }
-            self.watch_proof(now, configured);
-            self.stop_if_bad(now, configured, view, effects);
+            self.update_evaluation(now, configured);
+            self.stop_if_worse(now, configured, view, effects);
             if let Some(row) = self.next_row(now, configured, lease, view.config) {
                 self.write_row(now, configured, lease, row, effects);
             }
@@ -110,7 +110,7 @@
     }
 
     /// Begins a new proof when the stage or the spec is another one.
-    fn watch_proof(&mut self, now: CoreTime, configured: ConfiguredMove<'_>) {
+    fn update_evaluation(&mut self, now: CoreTime, configured: ConfiguredMove<'_>) {
         let stage = self
             .row_of(configured.name, configured.revision)
             .map_or(0, |row| row.stage);
@@ -121,32 +121,32 @@
         if driven.revision != configured.revision {
             *driven = new_driven(now, configured.revision, stage);
         }
-        driven.judge.close_window(now.monotonic);
-        let requests = driven.judge.old_requests();
+        driven.evaluator.close_window(now.monotonic);
+        let requests = driven.evaluator.old_requests();
         driven.rate.update(now.monotonic, requests);
         if driven.stage != stage {
             driven.stage = stage;
-            driven.judge.begin_stage();
+            driven.evaluator.begin_stage();
         }
     }
 
-    fn stop_if_bad(
+    fn stop_if_worse(
         &mut self,
         now: CoreTime,
         configured: ConfiguredMove<'_>,
         view: MoveView<'_>,
         effects: &mut EffectQueue,
     ) {
-        if let EvaluationResult::Worse { reason } = self.verdict(configured.name) {
+        if let EvaluationResult::Worse { reason } = self.evaluation(configured.name) {
             let stop = Self::new_stop(now, configured.revision, reason);
             self.stop(configured.name, stop, view.members, effects);
         }
     }
 
-    fn verdict(&self, name: &MoveName) -> EvaluationResult {
+    fn evaluation(&self, name: &MoveName) -> EvaluationResult {
         let driven = self.driven.get(name);
         driven.map_or(EvaluationResult::Inconclusive, |driven| {
-            driven.judge.result()
+            driven.evaluator.result()
         })
     }
 
@@ -159,7 +159,7 @@
         config: &ConfigView,
     ) -> Option<MoveRow> {
         let Some(row) = self.row_of(configured.name, configured.revision) else {
-            return Some(self.first_row(now, configured, lease));
+            return Some(self.initial_row(now, configured, lease));
         };
         let change = |state, stage, share_per_mille, reason: String| MoveRow {
             state,
@@ -171,17 +171,17 @@
             reason,
             ..row.clone()
         };
-        let back = |reason| Some(change(MoveState::TakenBack, row.stage, 0, reason));
+        let roll_back = |reason| Some(change(MoveState::TakenBack, row.stage, 0, reason));
         if let Some(stop) = self.stop_of(configured.name, configured.revision) {
-            return back(stop.reason.clone());
+            return roll_back(stop.reason.clone());
         }
         let plan = MovePlan::new(configured.spec, row.started_at, row.rate());
         if now.wall >= plan.decide_by {
-            return back("it could not be proved and soaked by its deadline".into());
+            return roll_back("it could not be proved and soaked by its deadline".into());
         }
         match row.state {
-            MoveState::Planned if runs(configured, config) => {
-                match self.requests_a_second(configured) {
+            MoveState::Planned if has_available_upstream(configured, config) => {
+                match self.measured_rate(configured) {
                     Some(rate) => {
                         let plan = MovePlan::new(configured.spec, row.started_at, rate);
                         let first = plan.stages.first().map(|stage| stage.share_per_mille);
@@ -191,11 +191,11 @@
                             ..change(MoveState::Moving, 0, share, "the first small share".into())
                         })
                     }
-                    None => self.taken_over(row, lease),
+                    None => self.takeover_row(row, lease),
                 }
             }
-            MoveState::Moving => match self.after_stage(now, configured, row, &plan) {
-                StageVerdict::Next => {
+            MoveState::Moving => match self.stage_decision(now, configured, row, &plan) {
+                StageDecision::Advance => {
                     let stage = row.stage + 1;
                     let next = plan.stages.get(stage as usize);
                     let reason = "the version was as good as the old one at the last share";
@@ -204,19 +204,19 @@
                         None => Some(change(MoveState::Soaking, stage, 1_000, reason.into())),
                     }
                 }
-                StageVerdict::TooLate => {
-                    back("too few requests proved it in time for the larger shares".into())
+                StageDecision::TooLate => {
+                    roll_back("too few requests proved it in time for the larger shares".into())
                 }
-                StageVerdict::Stay => self
+                StageDecision::Stay => self
                     .with_larger_share(configured, row, lease)
-                    .or_else(|| self.taken_over(row, lease)),
+                    .or_else(|| self.takeover_row(row, lease)),
             },
             MoveState::Soaking if now.wall.since(row.stage_at) >= plan.soak => {
                 let reason = "the version was as good as the old one";
                 let stage = row.stage;
                 Some(change(MoveState::Completed, stage, 1_000, reason.into()))
             }
-            MoveState::Planned | MoveState::Soaking => self.taken_over(row, lease),
+            MoveState::Planned | MoveState::Soaking => self.takeover_row(row, lease),
             MoveState::Completed | MoveState::TakenBack => None,
         }
     }
@@ -229,7 +229,7 @@
         row: &MoveRow,
         lease: LeaseGrant,
     ) -> Option<MoveRow> {
-        let rate = self.requests_a_second(configured)?;
+        let rate = self.measured_rate(configured)?;
         let plan = MovePlan::new(configured.spec, row.started_at, rate);
         let share = plan.stages.first()?.share_per_mille;
         (row.stage == 0 && share > row.share_per_mille).then(|| MoveRow {
@@ -244,7 +244,7 @@
 
     /// A new holder writes its name into the row, so that evidence comes to it, and its fencing
     /// number, so that a write of the last holder that is still under way finds the row changed.
-    fn taken_over(&self, row: &MoveRow, lease: LeaseGrant) -> Option<MoveRow> {
+    fn takeover_row(&self, row: &MoveRow, lease: LeaseGrant) -> Option<MoveRow> {
         (row.fencing < lease.fencing).then(|| MoveRow {
             holder: self.options.host.clone(),
             fencing: lease.fencing,
@@ -252,7 +252,7 @@
         })
     }
 
-    fn first_row(
+    fn initial_row(
         &self,
         now: CoreTime,
         configured: ConfiguredMove<'_>,
@@ -273,21 +273,21 @@
     }
 
     /// Requests of the old version, once they were watched long enough.
-    fn requests_a_second(&self, configured: ConfiguredMove<'_>) -> Option<f64> {
+    fn measured_rate(&self, configured: ConfiguredMove<'_>) -> Option<f64> {
         self.driven.get(configured.name)?.rate.per_second
     }
 
-    fn after_stage(
+    fn stage_decision(
         &self,
         now: CoreTime,
         configured: ConfiguredMove<'_>,
         row: &MoveRow,
         plan: &MovePlan,
-    ) -> StageVerdict {
+    ) -> StageDecision {
         let Some(stage) = plan.stages.get(row.stage as usize) else {
-            return StageVerdict::Next;
+            return StageDecision::Advance;
         };
-        let proved = match self.verdict(configured.name) {
+        let passed = match self.evaluation(configured.name) {
             EvaluationResult::NoRegression => true,
             EvaluationResult::NoLargeRegression => !stage.strict,
             EvaluationResult::Inconclusive | EvaluationResult::Worse { .. } => false,
@@ -296,13 +296,13 @@
         // The dwell is counted from when the stage began, which is later than planned when the
         // old version was measured first. Held to it all the same, a move of some two minutes
         // would be taken back with its proof at hand.
-        let rested = late || now.wall.since(row.stage_at) >= stage.dwell;
-        if proved && rested {
-            StageVerdict::Next
+        let dwell_elapsed = late || now.wall.since(row.stage_at) >= stage.dwell;
+        if passed && dwell_elapsed {
+            StageDecision::Advance
         } else if late {
-            StageVerdict::TooLate
+            StageDecision::TooLate
         } else {
-            StageVerdict::Stay
+            StageDecision::Stay
         }
     }
 
@@ -319,16 +319,16 @@
         if recorded.is_some_and(|recorded| recorded.row.fencing > lease.fencing) {
             return;
         }
-        let alone = now.monotonic < lease.acts_until;
-        invariant::check(effects, InvariantName::HolderActsAlone, alone, || {
+        let lease_valid = now.monotonic < lease.acts_until;
+        invariant::check(effects, InvariantName::HolderActsAlone, lease_valid, || {
             format!("move={} fencing={}", configured.name, lease.fencing)
         });
-        let unproven = row.state == MoveState::Moving && row.stage == 0;
-        let bounded = !unproven || row.share_per_mille <= MAX_FIRST_SHARE_PER_MILLE;
+        let is_first_stage = row.state == MoveState::Moving && row.stage == 0;
+        let bounded = !is_first_stage || row.share_per_mille <= MAX_FIRST_SHARE_PER_MILLE;
         invariant::check(effects, InvariantName::BadVersionBounded, bounded, || {
             format!("move={} share={}", configured.name, row.share_per_mille)
         });
-        if !alone || !bounded {
+        if !lease_valid || !bounded {
             return;
         }
         let key = row_key(configured.name);
@@ -350,24 +350,24 @@
 
 /// What follows a stage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum StageVerdict {
+enum StageDecision {
     Stay,
-    Next,
+    Advance,
     TooLate,
 }
 
 fn new_driven(now: CoreTime, revision: ConfigRevision, stage: u32) -> DrivenMove {
     DrivenMove {
         revision,
-        rate: RateMeasure::begin(now.monotonic),
-        judge: VersionEvaluator::new(HOLDER_WINDOW),
+        rate: RateMeasurement::begin(now.monotonic),
+        evaluator: VersionEvaluator::new(HOLDER_WINDOW),
         stage,
-        heard: BTreeMap::new(),
+        last_sequences: BTreeMap::new(),
     }
 }
 
 /// Whether an upstream of the service runs the new version and takes work.
-fn runs(configured: ConfiguredMove<'_>, config: &ConfigView) -> bool {
+fn has_available_upstream(configured: ConfiguredMove<'_>, config: &ConfigView) -> bool {
     let mut names = config.upstreams_of(&configured.spec.service);
     names.any(|name| {
         let spec = config.upstreams.get(name);
--- a/crates/savorywood-core/src/moves/plan.rs
+++ b/crates/savorywood-core/src/moves/plan.rs
@@ -43,7 +43,7 @@
 
 /// The old version is watched for so long before the new one gets its first share: how many
 /// requests there are decides how large that share must be.
-pub(super) const MEASURED_FOR: Duration = Duration::from_secs(10);
+pub(super) const RATE_MEASUREMENT_PERIOD: Duration = Duration::from_secs(10);
 
 /// Kept free before the deadline, so that the last commit and its spread are done by then.
 const LAST_MARGIN: Duration = Duration::from_secs(8);
@@ -93,7 +93,7 @@
             .map(|share| needed(*share, rate).max(time.mul_f64(LEAST_PART)))
             .collect();
         let later: Duration = dwells.iter().skip(1).sum();
-        let first = time.saturating_sub(MEASURED_FOR + later.mul_f64(LATER_SLACK));
+        let first = time.saturating_sub(RATE_MEASUREMENT_PERIOD + later.mul_f64(LATER_SLACK));
         dwells[0] = first.max(time.mul_f64(FIRST_LEAST));
         let rest = |place: usize| dwells.iter().skip(place + 1).sum();
         let stages = shares
