--- a/crates/savorywood-core/src/moves.rs
+++ b/crates/savorywood-core/src/moves.rs
@@ -174,7 +174,7 @@
             MoveEvent::Peer { from, message } => {
                 self.handle_peer_message(now, &from, message, view, effects)
             }
-            MoveEvent::Sampled(record_sample) => self.record_sample(&record_sample, view.config),
+            MoveEvent::Sampled(sample) => self.record_sample(&sample, view.config),
         }
         self.ensure_tick(now, view, effects);
         let splits = self.build_splits(now, view.config);
--- a/crates/savorywood-core/src/moves/driver.rs
+++ b/crates/savorywood-core/src/moves/driver.rs
@@ -59,11 +59,11 @@
         if elapsed < RATE_MEASUREMENT_PERIOD {
             return;
         }
-        let measured = requests.saturating_sub(self.requests) as f64;
+        let new_requests = requests.saturating_sub(self.requests) as f64;
         *self = Self {
             began_at: now,
             requests,
-            per_second: Some(measured / elapsed.as_secs_f64()),
+            per_second: Some(new_requests / elapsed.as_secs_f64()),
         };
     }
 }
@@ -79,11 +79,11 @@
         let Some(driven) = self.driven.get_mut(&batch.name) else {
             return;
         };
-        let last_sequences = driven.last_sequences.entry(from.clone()).or_default();
-        if driven.revision != batch.revision || batch.sequence <= *last_sequences {
+        let last_sequence = driven.last_sequences.entry(from.clone()).or_default();
+        if driven.revision != batch.revision || batch.sequence <= *last_sequence {
             return;
         }
-        *last_sequences = batch.sequence;
+        *last_sequence = batch.sequence;
         for statistics in &batch.routes {
             driven.evaluator.add(now.monotonic, statistics);
         }
@@ -161,7 +161,7 @@
         let Some(row) = self.row_of(configured.name, configured.revision) else {
             return Some(self.initial_row(now, configured, lease));
         };
-        let change = |state, stage, share_per_mille, reason: String| MoveRow {
+        let updated = |state, stage, share_per_mille, reason: String| MoveRow {
             state,
             stage,
             share_per_mille,
@@ -171,7 +171,7 @@
             reason,
             ..row.clone()
         };
-        let roll_back = |reason| Some(change(MoveState::TakenBack, row.stage, 0, reason));
+        let roll_back = |reason| Some(updated(MoveState::TakenBack, row.stage, 0, reason));
         if let Some(stop) = self.stop_of(configured.name, configured.revision) {
             return roll_back(stop.reason.clone());
         }
@@ -188,7 +188,7 @@
                         let share = first.unwrap_or_default();
                         Some(MoveRow {
                             requests_per_1000s: (rate * 1_000.0) as u32,
-                            ..change(MoveState::Moving, 0, share, "the first small share".into())
+                            ..updated(MoveState::Moving, 0, share, "the first small share".into())
                         })
                     }
                     None => self.takeover_row(row, lease),
@@ -200,8 +200,10 @@
                     let next = plan.stages.get(stage as usize);
                     let reason = "the version was as good as the old one at the last share";
                     match next.map(|stage| stage.share_per_mille) {
-                        Some(share) => Some(change(MoveState::Moving, stage, share, reason.into())),
-                        None => Some(change(MoveState::Soaking, stage, 1_000, reason.into())),
+                        Some(share) => {
+                            Some(updated(MoveState::Moving, stage, share, reason.into()))
+                        }
+                        None => Some(updated(MoveState::Soaking, stage, 1_000, reason.into())),
                     }
                 }
                 StageDecision::TooLate => {
@@ -214,7 +216,7 @@
             MoveState::Soaking if now.wall.since(row.stage_at) >= plan.soak => {
                 let reason = "the version was as good as the old one";
                 let stage = row.stage;
-                Some(change(MoveState::Completed, stage, 1_000, reason.into()))
+                Some(updated(MoveState::Completed, stage, 1_000, reason.into()))
             }
             MoveState::Planned | MoveState::Soaking => self.takeover_row(row, lease),
             MoveState::Completed | MoveState::TakenBack => None,
--- a/crates/savorywood-core/src/moves/evaluator.rs
+++ b/crates/savorywood-core/src/moves/evaluator.rs
@@ -272,10 +272,10 @@
     }
 
     fn regression(&self, route: &str) -> Option<String> {
-        let over = |sums: &[f64; 3]| sums.iter().any(|sum| *sum > WORSE_THRESHOLD);
+        let exceeds = |sums: &[f64; 3]| sums.iter().any(|sum| *sum > WORSE_THRESHOLD);
         let unpaired =
-            self.unpaired_windows >= MIN_UNPAIRED_WINDOWS && over(&self.unpaired_failure_cusums);
-        if unpaired || over(&self.paired_failure_cusums) {
+            self.unpaired_windows >= MIN_UNPAIRED_WINDOWS && exceeds(&self.unpaired_failure_cusums);
+        if unpaired || exceeds(&self.paired_failure_cusums) {
             return Some(format!(
                 "it fails more often than the old version on {route}"
             ));
@@ -301,10 +301,10 @@
     }
 }
 
-fn merge(total: &mut VersionStatistics, fraction: &VersionStatistics) {
-    total.finished = total.finished.saturating_add(fraction.finished);
-    total.failed = total.failed.saturating_add(fraction.failed);
-    total.timed = total.timed.saturating_add(fraction.timed);
-    total.log_sum += fraction.log_sum;
-    total.log_square += fraction.log_square;
+fn merge(total: &mut VersionStatistics, batch: &VersionStatistics) {
+    total.finished = total.finished.saturating_add(batch.finished);
+    total.failed = total.failed.saturating_add(batch.failed);
+    total.timed = total.timed.saturating_add(batch.timed);
+    total.log_sum += batch.log_sum;
+    total.log_square += batch.log_square;
 }
--- a/crates/savorywood-core/src/moves/evaluator/likelihood.rs
+++ b/crates/savorywood-core/src/moves/evaluator/likelihood.rs
@@ -65,8 +65,8 @@
 
     /// Variance of the logarithm of the speed between requests of one period.
     fn variance(&self) -> f64 {
-        let recorded = self.deviation_sum + 4.0 * 0.3 * 0.3;
-        (recorded / (self.degrees_of_freedom + 4.0)).max(MIN_LOG_DEVIATION * MIN_LOG_DEVIATION)
+        let deviations = self.deviation_sum + 4.0 * 0.3 * 0.3;
+        (deviations / (self.degrees_of_freedom + 4.0)).max(MIN_LOG_DEVIATION * MIN_LOG_DEVIATION)
     }
 }
 
@@ -103,17 +103,17 @@
         let count = f64::from(count);
         weights += weight;
         weighted_odds += weight * odds.powf(count - f64::from(new.failed));
-        let up = (new_finished - count) * (failed - count);
-        weight *= up / ((count + 1.0) * (old_finished - failed + count + 1.0));
+        let step = (new_finished - count) * (failed - count);
+        weight *= step / ((count + 1.0) * (old_finished - failed + count + 1.0));
     }
     -(weighted_odds / weights).ln()
 }
 
 /// Failure rate of the old version in a slot in which it fails more than now and then, else zero.
 pub(super) fn shared_failure_rate(old: &VersionStatistics) -> f64 {
-    let now = f64::from(old.failed) / f64::from(old.finished.max(1));
+    let rate = f64::from(old.failed) / f64::from(old.finished.max(1));
     if old.failed >= MIN_SHARED_FAILURES {
-        now
+        rate
     } else {
         0.0
     }
@@ -133,14 +133,14 @@
         .failure_rate()
         .max(shared_rate)
         .max(MIN_FAILURE_RATE);
-    let regression = (expected_rate + excess).min(MAX_FAILURE_RATE);
-    if regression <= expected_rate {
+    let regressed_rate = (expected_rate + excess).min(MAX_FAILURE_RATE);
+    if regressed_rate <= expected_rate {
         return 0.0;
     }
     let failed = f64::from(new.failed);
     let passed = f64::from(new.finished) - failed;
-    failed * (regression / expected_rate).ln()
-        + passed * ((1.0 - regression) / (1.0 - expected_rate)).ln()
+    failed * (regressed_rate / expected_rate).ln()
+        + passed * ((1.0 - regressed_rate) / (1.0 - expected_rate)).ln()
 }
 
 /// For "slower than the old one by `factor`" against "as fast".
@@ -166,8 +166,8 @@
         return 0.0;
     };
     let difference = (new_mean - old_mean).clamp(-MAX_LOG_DIFFERENCE, MAX_LOG_DIFFERENCE);
-    let noise = baseline.variance() * (1.0 / new_timed + 1.0 / old_timed);
-    let variance = noise + 2.0 * ENGINE_LOG_DEVIATION * ENGINE_LOG_DEVIATION;
+    let sampling_variance = baseline.variance() * (1.0 / new_timed + 1.0 / old_timed);
+    let variance = sampling_variance + 2.0 * ENGINE_LOG_DEVIATION * ENGINE_LOG_DEVIATION;
     let shift = factor.ln();
     (shift * difference - shift * shift / 2.0) / variance
 }
--- a/crates/savorywood-core/src/moves/local_statistics.rs
+++ b/crates/savorywood-core/src/moves/local_statistics.rs
@@ -30,7 +30,7 @@
 pub(super) struct LocalStatistics {
     revision: ConfigRevision,
     buffer: SampleBuffer,
-    judge: VersionEvaluator,
+    evaluator: VersionEvaluator,
     sequence: u64,
     sent_at: MonotonicTime,
 }
@@ -40,7 +40,7 @@
         Self {
             revision,
             buffer: SampleBuffer::default(),
-            judge: VersionEvaluator::new(LOCAL_WINDOW),
+            evaluator: VersionEvaluator::new(LOCAL_WINDOW),
             sequence: 0,
             sent_at: MonotonicTime::default(),
         }
@@ -57,31 +57,31 @@
 }
 
 impl MovesState {
-    pub(super) fn record_sample(&mut self, record_sample: &MoveSample, config: &ConfigView) {
-        let Some(split) = self.splits.get(&record_sample.service) else {
+    pub(super) fn record_sample(&mut self, sample: &MoveSample, config: &ConfigView) {
+        let Some(split) = self.splits.get(&sample.service) else {
             return;
         };
-        let arm = if record_sample.version == split.new {
+        let version = if sample.version == split.new {
             ComparedVersion::New
-        } else if record_sample.version == split.old {
+        } else if sample.version == split.old {
             ComparedVersion::Old
         } else {
             return;
         };
         let name = split.move_name.clone();
         let revision = super::spec_revision(&name, config);
-        let over = self.is_over(&name, config) || self.is_stopped(&name, revision);
-        if over {
+        let is_ended = self.is_over(&name, config) || self.is_stopped(&name, revision);
+        if is_ended {
             return;
         }
-        let watch = self
+        let local = self
             .local
             .entry(name)
             .or_insert_with(|| LocalStatistics::new(revision));
-        if watch.revision != revision {
-            *watch = LocalStatistics::new(revision);
+        if local.revision != revision {
+            *local = LocalStatistics::new(revision);
         }
-        watch.buffer.add(arm, record_sample);
+        local.buffer.add(version, sample);
     }
 
     /// Judges what was gathered and sends it on.
@@ -91,9 +91,9 @@
         view: MoveView<'_>,
         effects: &mut EffectQueue,
     ) {
-        let period = send_interval(view.members);
+        let interval = send_interval(view.members);
         for configured in configured_moves(view.config) {
-            let Some(batch) = self.take_batch(now, configured.name, period) else {
+            let Some(batch) = self.take_batch(now, configured.name, interval) else {
                 continue;
             };
             // What this daemon sees by itself may be enough: it need not wait for the holder,
@@ -110,34 +110,34 @@
         &mut self,
         now: CoreTime,
         name: &MoveName,
-        period: Duration,
+        interval: Duration,
     ) -> Option<StatisticsBatch> {
-        let watch = self.local.get_mut(name)?;
-        let due = now.monotonic.since(watch.sent_at) >= period;
-        if !due && !watch.buffer.has_new_failures() {
+        let local = self.local.get_mut(name)?;
+        let due = now.monotonic.since(local.sent_at) >= interval;
+        if !due && !local.buffer.has_new_failures() {
             return None;
         }
-        let routes = watch.buffer.take();
+        let routes = local.buffer.take();
         if routes.is_empty() {
             return None;
         }
-        watch.sent_at = now.monotonic;
-        watch.sequence += 1;
+        local.sent_at = now.monotonic;
+        local.sequence += 1;
         Some(StatisticsBatch {
             name: name.clone(),
-            revision: watch.revision,
-            sequence: watch.sequence,
+            revision: local.revision,
+            sequence: local.sequence,
             routes,
         })
     }
 
     fn evaluate_locally(&mut self, now: CoreTime, batch: &StatisticsBatch) -> Option<String> {
-        let watch = self.local.get_mut(&batch.name)?;
+        let local = self.local.get_mut(&batch.name)?;
         for statistics in &batch.routes {
-            watch.judge.add(now.monotonic, statistics);
+            local.evaluator.add(now.monotonic, statistics);
         }
-        watch.judge.close_window(now.monotonic);
-        match watch.judge.result() {
+        local.evaluator.close_window(now.monotonic);
+        match local.evaluator.result() {
             EvaluationResult::Worse { reason } => Some(reason),
             EvaluationResult::Inconclusive
             | EvaluationResult::NoLargeRegression
--- a/crates/savorywood-core/src/moves/plan.rs
+++ b/crates/savorywood-core/src/moves/plan.rs
@@ -86,16 +86,16 @@
         let decide_by = earlier(spec.finish_by, DEADLINE_MARGIN);
         let soak = Duration::from_secs(spec.soak_seconds.into());
         let soak_at = earlier(decide_by, soak + COMMIT_SLACK);
-        let time = soak_at.since(started_at);
-        let shares = shares(spec, first_share(rate, time / 2));
+        let available = soak_at.since(started_at);
+        let shares = stage_shares(spec, first_share(rate, available / 2));
         let mut dwells: Vec<_> = shares
             .iter()
-            .map(|share| required_time(*share, rate).max(time.mul_f64(MIN_STAGE_FRACTION)))
+            .map(|share| required_time(*share, rate).max(available.mul_f64(MIN_STAGE_FRACTION)))
             .collect();
         let later: Duration = dwells.iter().skip(1).sum();
         let first =
-            time.saturating_sub(RATE_MEASUREMENT_PERIOD + later.mul_f64(LATER_STAGES_FACTOR));
-        dwells[0] = first.max(time.mul_f64(MIN_FIRST_STAGE_FRACTION));
+            available.saturating_sub(RATE_MEASUREMENT_PERIOD + later.mul_f64(LATER_STAGES_FACTOR));
+        dwells[0] = first.max(available.mul_f64(MIN_FIRST_STAGE_FRACTION));
         let rest = |index: usize| dwells.iter().skip(index + 1).sum();
         let stages = shares
             .iter()
@@ -134,7 +134,7 @@
 }
 
 /// The first share is never above the cap, whatever the operator asks for.
-fn shares(spec: &TrafficMoveSpec, first: u16) -> Vec<u16> {
+fn stage_shares(spec: &TrafficMoveSpec, first: u16) -> Vec<u16> {
     let requested = spec.steps.iter().map(|step| step.share_per_mille);
     let mut later: Vec<_> = requested.collect();
     if spec.steps.is_empty() {
--- a/crates/savorywood-core/src/moves/row_updates.rs
+++ b/crates/savorywood-core/src/moves/row_updates.rs
@@ -41,8 +41,8 @@
     }
 
     pub(super) fn read_rows(&mut self, now: CoreTime, effects: &mut EffectQueue) {
-        let waiting = self.pending_read.as_ref();
-        if waiting.is_some_and(|reading| now.monotonic.since(reading.sent_at) < READ_TIMEOUT) {
+        let pending = self.pending_read.as_ref();
+        if pending.is_some_and(|read| now.monotonic.since(read.sent_at) < READ_TIMEOUT) {
             return;
         }
         let request = TableRequest::Scan {
@@ -58,16 +58,16 @@
     pub(super) fn handle_response(
         &mut self,
         number: u64,
-        answer: TableResponse,
+        response: TableResponse,
         effects: &mut EffectQueue,
     ) {
         if self
             .pending_read
             .as_ref()
-            .is_some_and(|reading| reading.number == number)
+            .is_some_and(|read| read.number == number)
         {
             self.pending_read = None;
-            if let TableResponse::Rows { rows, .. } = answer {
+            if let TableResponse::Rows { rows, .. } = response {
                 for row in &rows {
                     // Only a scan moves this on: a row that came with a conflict may be newer than
                     // rows of other moves that were not read yet.
@@ -77,22 +77,27 @@
             }
             return;
         }
-        let mut writing = self.pending_writes.iter();
-        let Some(name) = writing.find(|(_, writing)| writing.number == number) else {
+        let mut write = self.pending_writes.iter();
+        let Some(name) = write.find(|(_, write)| write.number == number) else {
             return;
         };
         let name = name.0.clone();
-        self.finish_write(&name, answer, effects);
+        self.finish_write(&name, response, effects);
     }
 
     /// A commit took effect, or did not, or nobody knows: then the next read tells.
-    fn finish_write(&mut self, name: &MoveName, answer: TableResponse, effects: &mut EffectQueue) {
-        let Some(writing) = self.pending_writes.remove(name) else {
+    fn finish_write(
+        &mut self,
+        name: &MoveName,
+        response: TableResponse,
+        effects: &mut EffectQueue,
+    ) {
+        let Some(write) = self.pending_writes.remove(name) else {
             return;
         };
-        match answer {
+        match response {
             TableResponse::Committed { revision } => {
-                let row = writing.row;
+                let row = write.row;
                 self.record_row(name.clone(), MoveRecord { row, revision }, effects);
             }
             TableResponse::Conflict { rows } => {
--- a/crates/savorywood-core/src/moves/samples.rs
+++ b/crates/savorywood-core/src/moves/samples.rs
@@ -44,11 +44,11 @@
 
 impl SampleBuffer {
     /// Adds one request.
-    pub fn add(&mut self, arm: ComparedVersion, record_sample: &MoveSample) {
-        let recorded = self.routes.contains_key(&record_sample.route);
-        let room = recorded || self.routes.len() < MAX_ROUTES;
-        let route = if room {
-            &record_sample.route
+    pub fn add(&mut self, version: ComparedVersion, sample: &MoveSample) {
+        let is_tracked = self.routes.contains_key(&sample.route);
+        let has_room = is_tracked || self.routes.len() < MAX_ROUTES;
+        let route = if has_room {
+            &sample.route
         } else {
             OTHER_ROUTES
         };
@@ -60,17 +60,17 @@
                 old: VersionStatistics::default(),
                 new: VersionStatistics::default(),
             });
-        let side = match arm {
+        let counts = match version {
             ComparedVersion::Old => &mut statistics.old,
             ComparedVersion::New => &mut statistics.new,
         };
-        side.finished += 1;
-        side.failed += u32::from(record_sample.failed);
-        if let Some(micros) = record_sample.micros.filter(|_| !record_sample.failed) {
+        counts.finished += 1;
+        counts.failed += u32::from(sample.failed);
+        if let Some(micros) = sample.micros.filter(|_| !sample.failed) {
             let log = (micros.max(1) as f32).ln();
-            side.timed += 1;
-            side.log_sum += log;
-            side.log_square += log * log;
+            counts.timed += 1;
+            counts.log_sum += log;
+            counts.log_square += log * log;
         }
     }
 
--- a/crates/savorywood-core/src/moves/splits.rs
+++ b/crates/savorywood-core/src/moves/splits.rs
@@ -13,9 +13,9 @@
     ) -> BTreeMap<ServiceName, VersionSplit> {
         let mut newest: BTreeMap<&ServiceName, ConfiguredMove<'_>> = BTreeMap::new();
         for configured in configured_moves(config) {
-            let place = newest.entry(&configured.spec.service).or_insert(configured);
-            if configured.revision > place.revision {
-                *place = configured;
+            let latest = newest.entry(&configured.spec.service).or_insert(configured);
+            if configured.revision > latest.revision {
+                *latest = configured;
             }
         }
         let splits = newest.into_values().map(|configured| {
@@ -23,14 +23,14 @@
                 move_name: configured.name.clone(),
                 old: configured.spec.from.clone(),
                 new: configured.spec.to.clone(),
-                new_per_mille: self.share(now, configured),
+                new_per_mille: self.new_per_mille(now, configured),
             };
             (configured.spec.service.clone(), split)
         });
         splits.collect()
     }
 
-    fn share(&self, now: CoreTime, configured: ConfiguredMove<'_>) -> u16 {
+    fn new_per_mille(&self, now: CoreTime, configured: ConfiguredMove<'_>) -> u16 {
         let Some(row) = self.row_of(configured.name, configured.revision) else {
             return 0;
         };
