--- a/crates/savorywood-core/src/moves.rs
+++ b/crates/savorywood-core/src/moves.rs
@@ -171,9 +171,7 @@
             MoveEvent::ConfigChanged => self.remove_deleted(view.config),
             MoveEvent::TimerFired { number } => self.handle_timer(now, number, view, effects),
             MoveEvent::Table { number, answer } => self.handle_response(number, answer, effects),
-            MoveEvent::Peer { from, message } => {
-                self.handle_peer_message(now, &from, message, view, effects)
-            }
+            MoveEvent::Peer { from, message } => self.receive(now, &from, message, view, effects),
             MoveEvent::Sampled(sample) => self.record_sample(&sample, view.config),
         }
         self.ensure_tick(now, view, effects);
--- a/crates/savorywood-core/src/moves/stops.rs
+++ b/crates/savorywood-core/src/moves/stops.rs
@@ -112,7 +112,7 @@
         self.stops = stops;
     }
 
-    pub(super) fn handle_peer_message(
+    pub(super) fn receive(
         &mut self,
         now: CoreTime,
         from: &HostName,
