--- a/crates/savorywood-core/src/moves.rs
+++ b/crates/savorywood-core/src/moves.rs
@@ -1,6 +1,8 @@
-//! Moves of traffic from one version to another: driven by one holder, stopped by anybody.
+//! Progressive delivery: shifts the traffic of a service from one version to another in stages.
 //!
-//! See `docs/design/moves.md`.
+//! The holder of the lease [`LeaseName::Moves`](crate::leases::LeaseName) decides on the stages and
+//! writes them to the table. Every daemon can stop a move without the table or the holder. The
+//! design is in `docs/design/moves.md`.
 
 pub mod evaluator;
 pub mod options;
@@ -38,94 +40,99 @@
 };
 use std::{collections::BTreeMap, time::Duration};
 
-/// Between two looks at what was gathered and at the clock.
+/// Interval at which samples are evaluated and deadlines are checked.
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What happens to moves.
+/// Input of the move duty.
 #[derive(Debug, Clone, PartialEq)]
 pub enum MoveEvent {
-    /// The daemon begins.
+    /// The daemon started.
     Started,
-    /// The configuration in force changed.
+    /// The configuration in force was replaced.
     ConfigChanged,
-    /// One of its timers fired.
+    /// A timer of this duty fired.
     TimerFired {
-        /// Number of the timer.
+        /// Number from the [`TimerKey`] that the duty set.
         number: u64,
     },
-    /// The table answered.
+    /// A table call of this duty ended.
     Table {
-        /// Number of the call.
+        /// Number from the [`TableCall`] that the duty made.
         number: u64,
-        /// Its answer.
+        /// Response of the table, or why there is none.
         answer: TableResponse,
     },
-    /// A peer tells something.
+    /// A datagram about a move arrived from a peer.
     Peer {
-        /// Who.
+        /// Host of the sender.
         from: HostName,
-        /// What.
+        /// A stop, or statistics for the lease holder.
         message: MoveMessage,
     },
-    /// A request of some service ended.
+    /// A request ended that this daemon dispatched for a service with a move.
     Sampled(MoveSample),
 }
 
-/// What the move duty reads of other duties in a step.
+/// State of other duties that a step of the move duty reads.
 #[derive(Debug, Clone, Copy)]
 pub struct MoveView<'a> {
     /// Configuration in force.
     pub config: &'a ConfigView,
-    /// Daemons known.
+    /// Members of the cluster.
     pub members: &'a MemberView,
-    /// Lease for driving moves, asked for at this very step.
+    /// Lease for driving moves as of this step; `None` unless this daemon holds it.
     pub lease: Option<LeaseGrant>,
 }
 
-/// What a step did to the splits.
+/// Whether a step changed the traffic splits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MoveStepResult {
-    /// Traffic is split as before.
+    /// All splits are as before the step.
     Unchanged,
-    /// Traffic is split otherwise: the scheduler must look.
+    /// At least one split changed, so the scheduler must run again.
     SplitsChanged,
 }
 
-/// A write of a row under way.
+/// A row write whose response is outstanding.
 #[derive(Debug)]
 struct PendingWrite {
     number: u64,
     row: MoveRow,
 }
 
-/// A read of the rows under way.
+/// A scan of the rows whose response is outstanding.
 #[derive(Debug)]
 struct PendingRead {
     number: u64,
     sent_at: MonotonicTime,
 }
 
-/// State of the move duty.
+/// State of the move duty of one daemon.
 #[derive(Debug)]
 pub struct MovesState {
     options: MoveOptions,
     rng: ChaCha8Rng,
     rows: BTreeMap<MoveName, MoveRecord>,
+    /// Revision after which the next scan begins.
     scanned_to: CommitRevision,
     pending_read: Option<PendingRead>,
     pending_writes: BTreeMap<MoveName, PendingWrite>,
+    /// Newest stop of each move, issued here or received from a peer.
     stops: BTreeMap<MoveName, StopRecord>,
+    /// Samples and evaluation of the requests that this daemon dispatched.
     local: BTreeMap<MoveName, LocalStatistics>,
+    /// Evaluation over all daemons; empty unless this daemon holds the lease.
     driven: BTreeMap<MoveName, DrivenMove>,
     splits: BTreeMap<ServiceName, VersionSplit>,
     tick_scheduled: bool,
-    /// Until when the timer for reading is known to be set.
+    /// Time until which the poll timer counts as set; absent until the first poll is scheduled.
     poll_scheduled_until: Option<MonotonicTime>,
+    /// Number of the newest table call.
     last_call: u64,
 }
 
 impl MovesState {
-    /// A daemon that knows of no move.
+    /// Creates the state before any row was read.
     #[must_use]
     pub fn new(options: MoveOptions) -> Self {
         Self {
@@ -145,20 +152,20 @@
         }
     }
 
-    /// How the traffic of services with a move is split. Once a move was stopped here or its time
-    /// is over, its new version has no share.
+    /// Returns the traffic split of each service that has a move. The new version has no share once
+    /// this daemon records a stop of the move or its deadline has passed.
     #[must_use]
     pub fn splits(&self) -> &BTreeMap<ServiceName, VersionSplit> {
         &self.splits
     }
 
-    /// Whether a move is under way, so that some daemon must hold the lease.
+    /// Whether any move is unfinished, which requires a daemon to hold the lease.
     #[must_use]
     pub fn needs_lease(&self, config: &ConfigView) -> bool {
         config.moves.keys().any(|name| !self.is_over(name, config))
     }
 
-    /// Handles one event.
+    /// Handles one event and appends the resulting effects.
     pub fn step(
         &mut self,
         now: CoreTime,
@@ -205,6 +212,7 @@
         }
     }
 
+    /// Keeps the tick timer running while a move is unfinished or a stop must be sent again.
     fn ensure_tick(&mut self, now: CoreTime, view: MoveView<'_>, effects: &mut EffectQueue) {
         if self.tick_scheduled || !(self.needs_lease(view.config) || self.has_stops_to_resend()) {
             return;
@@ -222,13 +230,13 @@
         self.row_of(name, revision).is_some_and(MoveRow::is_over)
     }
 
-    /// Row of a move, if it is about that revision of its spec.
+    /// Returns the row of a move if it belongs to that revision of the spec.
     fn row_of(&self, name: &MoveName, revision: ConfigRevision) -> Option<&MoveRow> {
         let row = &self.rows.get(name)?.row;
         (row.spec_revision == revision).then_some(row)
     }
 
-    /// Forgets what belongs to moves that were deleted.
+    /// Discards the statistics of moves that were deleted from the configuration.
     fn remove_deleted(&mut self, config: &ConfigView) {
         self.local.retain(|name, _| config.moves.contains_key(name));
         self.driven
@@ -245,7 +253,7 @@
     }
 }
 
-/// One move as the configuration has it.
+/// A move in the configuration in force, with the revision of its spec.
 #[derive(Debug, Clone, Copy)]
 struct ConfiguredMove<'a> {
     name: &'a MoveName,
@@ -271,7 +279,7 @@
     revision.unwrap_or_default()
 }
 
-/// Timers of this duty.
+/// Timers of the move duty. The discriminant is the number in the [`TimerKey`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum MoveTimer {
     Tick,
--- a/crates/savorywood-core/src/moves/driver.rs
+++ b/crates/savorywood-core/src/moves/driver.rs
@@ -1,4 +1,5 @@
-//! What the holder of the lease decides. Each decision is a row in the table first.
+//! Decisions of the lease holder: when a move starts, advances, completes or rolls back. A decision
+//! takes effect only once its row is committed to the table.
 
 use super::{
     ConfiguredMove, MoveView, MovesState, PendingWrite, configured_moves,
@@ -20,27 +21,28 @@
 };
 use std::{collections::BTreeMap, time::Duration};
 
-/// Slot of the holder's judgement, which sees the requests of all daemons.
+/// Comparison window of the holder's evaluation, which covers the requests of all daemons.
 const HOLDER_WINDOW: Duration = Duration::from_secs(1);
 
-/// A move as its driver knows it.
+/// Evaluation of a move on the lease holder.
 #[derive(Debug)]
 pub(super) struct DrivenMove {
     revision: ConfigRevision,
     rate: RateMeasurement,
     evaluator: VersionEvaluator,
-    /// Stage that the proof in the judge is for.
+    /// Stage that the evaluation in progress belongs to.
     stage: u32,
+    /// Sequence number of the newest batch from each daemon.
     last_sequences: BTreeMap<HostName, u64>,
 }
 
-/// Requests of the old version, measured again and again.
+/// Repeated measurement of the request rate of the old version.
 #[derive(Debug, Clone, Copy)]
 struct RateMeasurement {
     began_at: MonotonicTime,
-    /// Requests before that.
+    /// Total of requests when the measurement began.
     requests: u64,
-    /// Requests a second in the newest whole measurement.
+    /// Requests per second in the newest completed measurement; absent before the first.
     per_second: Option<f64>,
 }
 
@@ -53,7 +55,7 @@
         }
     }
 
-    /// Takes the requests so far; ends the measurement when it has lasted long enough.
+    /// Updates the rate from the total of requests so far if the measurement period has elapsed.
     fn update(&mut self, now: MonotonicTime, requests: u64) {
         let elapsed = now.since(self.began_at);
         if elapsed < RATE_MEASUREMENT_PERIOD {
@@ -69,7 +71,8 @@
 }
 
 impl MovesState {
-    /// Takes evidence of a daemon, unless it came before.
+    /// Adds the statistics of a daemon to the evaluation. Ignores duplicates, reordered batches and
+    /// batches for another revision of the spec.
     pub(super) fn record_statistics(
         &mut self,
         now: CoreTime,
@@ -89,7 +92,7 @@
         }
     }
 
-    /// Drives all moves, if this daemon holds the lease.
+    /// Makes the next decision for each move if this daemon holds the lease.
     pub(super) fn drive(&mut self, now: CoreTime, view: MoveView<'_>, effects: &mut EffectQueue) {
         let Some(lease) = view.lease else {
             self.driven.clear();
@@ -109,7 +112,7 @@
         }
     }
 
-    /// Begins a new proof when the stage or the spec is another one.
+    /// Closes the comparison window and restarts the evaluation if the stage or the spec changed.
     fn update_evaluation(&mut self, now: CoreTime, configured: ConfiguredMove<'_>) {
         let stage = self
             .row_of(configured.name, configured.revision)
@@ -150,7 +153,7 @@
         })
     }
 
-    /// The row that must follow, if another one must.
+    /// Returns the row to write next, if the state, the stage, the share or the holder must change.
     fn next_row(
         &self,
         now: CoreTime,
@@ -177,7 +180,7 @@
         }
         let plan = MovePlan::new(configured.spec, row.started_at, row.rate());
         if now.wall >= plan.decide_by {
-            return roll_back("it could not be proved and soaked by its deadline".into());
+            return roll_back("evaluation and soak not finished by the deadline".into());
         }
         match row.state {
             MoveState::Planned if has_available_upstream(configured, config) => {
@@ -188,7 +191,7 @@
                         let share = first.unwrap_or_default();
                         Some(MoveRow {
                             requests_per_1000s: (rate * 1_000.0) as u32,
-                            ..updated(MoveState::Moving, 0, share, "the first small share".into())
+                            ..updated(MoveState::Moving, 0, share, "first stage started".into())
                         })
                     }
                     None => self.takeover_row(row, lease),
@@ -198,7 +201,7 @@
                 StageDecision::Advance => {
                     let stage = row.stage + 1;
                     let next = plan.stages.get(stage as usize);
-                    let reason = "the version was as good as the old one at the last share";
+                    let reason = "no regression found at the previous share";
                     match next.map(|stage| stage.share_per_mille) {
                         Some(share) => {
                             Some(updated(MoveState::Moving, stage, share, reason.into()))
@@ -214,7 +217,7 @@
                     .or_else(|| self.takeover_row(row, lease)),
             },
             MoveState::Soaking if now.wall.since(row.stage_at) >= plan.soak => {
-                let reason = "the version was as good as the old one";
+                let reason = "soak completed without a regression";
                 let stage = row.stage;
                 Some(updated(MoveState::Completed, stage, 1_000, reason.into()))
             }
@@ -223,8 +226,9 @@
         }
     }
 
-    /// Fewer requests come than the first share was chosen for: it must be larger to bring the proof
-    /// in time. As many requests meet the version as were planned.
+    /// Returns a row with a larger first share if the request rate is below the one that the share
+    /// was chosen for, since the evaluation would otherwise not finish in time. The new version
+    /// still receives only as many requests as were planned.
     fn with_larger_share(
         &self,
         configured: ConfiguredMove<'_>,
@@ -239,13 +243,13 @@
             requests_per_1000s: (rate * 1_000.0) as u32,
             holder: self.options.host.clone(),
             fencing: lease.fencing,
-            reason: "fewer requests come than were measured before".into(),
+            reason: "first share increased: request rate is lower than measured before".into(),
             ..row.clone()
         })
     }
 
-    /// A new holder writes its name into the row, so that evidence comes to it, and its fencing
-    /// number, so that a write of the last holder that is still under way finds the row changed.
+    /// Returns the row of a new holder. Its host name directs the statistics to it; its fencing
+    /// number makes a write of the previous holder that is still in flight conflict.
     fn takeover_row(&self, row: &MoveRow, lease: LeaseGrant) -> Option<MoveRow> {
         (row.fencing < lease.fencing).then(|| MoveRow {
             holder: self.options.host.clone(),
@@ -270,15 +274,17 @@
             stage_at: now.wall,
             holder: self.options.host.clone(),
             fencing: lease.fencing,
-            reason: "the old version is measured, and an upstream with the new one awaited".into(),
+            reason: "measuring the request rate and waiting for an upstream with the new version"
+                .into(),
         }
     }
 
-    /// Requests of the old version, once they were watched long enough.
+    /// Returns the requests per second of the old version, once a measurement is complete.
     fn measured_rate(&self, configured: ConfiguredMove<'_>) -> Option<f64> {
         self.driven.get(configured.name)?.rate.per_second
     }
 
+    /// Decides whether the current stage continues, is passed or is too late.
     fn stage_decision(
         &self,
         now: CoreTime,
@@ -295,9 +301,9 @@
             EvaluationResult::Inconclusive | EvaluationResult::Worse { .. } => false,
         };
         let late = now.wall >= stage.latest_end;
-        // The dwell is counted from when the stage began, which is later than planned when the
-        // old version was measured first. Held to it all the same, a move of some two minutes
-        // would be taken back with its proof at hand.
+        // The dwell time counts from the start of the stage, which the rate measurement delays.
+        // A passed stage need not complete it after its latest end: otherwise a move of about two
+        // minutes would be rolled back although the evaluation has passed.
         let dwell_elapsed = late || now.wall.since(row.stage_at) >= stage.dwell;
         if passed && dwell_elapsed {
             StageDecision::Advance
@@ -317,7 +323,8 @@
         effects: &mut EffectQueue,
     ) {
         let recorded = self.rows.get(configured.name);
-        // Another holder with a larger number has written since: this one was paused.
+        // A holder with a larger fencing number has written since, so this daemon was paused and
+        // its lease is no longer valid.
         if recorded.is_some_and(|recorded| recorded.row.fencing > lease.fencing) {
             return;
         }
@@ -350,11 +357,14 @@
     }
 }
 
-/// What follows a stage.
+/// Decision on the current stage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum StageDecision {
+    /// The evaluation or the dwell time continues.
     Stay,
+    /// The stage is passed.
     Advance,
+    /// The stage was not passed by its latest end.
     TooLate,
 }
 
@@ -368,7 +378,7 @@
     }
 }
 
-/// Whether an upstream of the service runs the new version and takes work.
+/// Whether an upstream of the service is configured with the new version and is not draining.
 fn has_available_upstream(configured: ConfiguredMove<'_>, config: &ConfigView) -> bool {
     let mut names = config.upstreams_of(&configured.spec.service);
     names.any(|name| {
--- a/crates/savorywood-core/src/moves/evaluator.rs
+++ b/crates/savorywood-core/src/moves/evaluator.rs
@@ -1,10 +1,11 @@
 //! Sequential tests of a new version against the old one.
 //!
-//! Both versions are compared within slots of a few seconds, route by route: what daemons saw of
-//! both in the same periods. A hot room slows both and leaves their ratio alone. For each route, and for all together, two
-//! kinds of statistics run over the log-likelihood ratio between "like the old" and some kind of
-//! bad: a cumulative sum that never falls below zero finds a version that turns bad at any time
-//! (Page's test); a plain sum since the stage began proves a version good (Wald's test).
+//! Both versions are compared by route within windows of a few seconds, so that conditions which
+//! affect both, such as thermal throttling of the engines, leave their ratio unchanged. For each
+//! route and for all routes together, two kinds of statistics accumulate the log-likelihood ratio
+//! between "like the old version" and a given kind of regression. A cumulative sum with a lower
+//! bound of zero detects a version that becomes worse at any time (Page's CUSUM test). A plain sum
+//! since the start of the stage accepts a version (Wald's sequential probability ratio test).
 
 mod likelihood;
 
@@ -18,68 +19,78 @@
 };
 use std::{collections::BTreeMap, time::Duration};
 
-/// A cumulative sum above this shows the version to be bad. For one statistic the mean number of
-/// requests between two false alarms is at least `exp(16)`, some nine million.
+/// CUSUM above which the new version counts as worse. For one statistic the mean number of requests
+/// between two false alarms is at least `exp(16)`, about nine million.
 const WORSE_THRESHOLD: f64 = 16.0;
 
-/// A plain sum below this proves the version good: a bad one passes once in a hundred times.
+/// Plain sum below which the tested regression is rejected; a version with it passes with a
+/// probability of 1 in 100.
 const PASS_THRESHOLD: f64 = -4.6;
 
-/// Excess failure rates that are tested for. A small one needs many requests to be seen, a large
-/// one must be seen after a few.
+/// Excess failure rates that are tested for. Detecting a small one takes many requests; a large one
+/// must be detected after a few.
 const EXCESS_FAILURE_RATES: [f64; 3] = [0.03, 0.2, 0.7];
 
-/// Odds of failing, relative to the old version, that are tested for where it is a control.
+/// Odds ratios of failure, new to old version, that are tested for in windows with a control.
 const FAILURE_ODDS_RATIOS: [f64; 3] = [4.0, 25.0, 300.0];
 
-/// Slots without a control that must speak against the version. Seconds in which something fails
-/// that both versions need would otherwise take back a good version in its soak, when hardly any
-/// request meets the old one.
+/// Consecutive windows without a control that must indicate a regression. During the soak hardly
+/// any request runs on the old version; with fewer windows, a failure of a shared dependency for
+/// some seconds would roll back a good version.
 const MIN_UNPAIRED_WINDOWS: u32 = 8;
 
-/// Slowdowns that are tested for, as factors.
+/// Slowdown factors that are tested for.
 const SLOWDOWN_FACTORS: [f64; 2] = [1.3, 2.0];
 
-/// Requests of the new version that each larger route must have shown in a stage.
+/// Requests to the new version that each major route must have had in a stage.
 const MIN_ROUTE_REQUESTS: u32 = 3;
 
-/// Part of the new version's requests above which a route counts as larger.
+/// Fraction of the old version's recent requests from which a route counts as major.
 const MAJOR_ROUTE_FRACTION: f64 = 0.1;
 
-/// A plain sum below this proves that the version fails hardly more often. Weaker than for gross
-/// faults: what slips through is still found by the cumulative sums at the larger shares.
+/// Plain sum below which the smallest excess failure rate is rejected. Less strict than
+/// [`PASS_THRESHOLD`], since the CUSUM tests still detect a missed small excess at the larger
+/// shares.
 const SMALL_EXCESS_THRESHOLD: f64 = -3.0;
 
-/// What the evidence says.
+/// Result of the comparison so far.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EvaluationResult {
     /// The new version is worse than the old one.
     Worse {
-        /// What was seen, for a person.
+        /// Human-readable description of the regression, with the route.
         reason: String,
     },
-    /// Not enough is known.
+    /// There are too few samples to decide.
     Inconclusive,
-    /// No gross fault: enough for the next share, not for a large one.
+    /// A large regression is ruled out. Suffices to advance from a small share.
     NoLargeRegression,
-    /// As good as the old one.
+    /// Large and small regressions are ruled out.
     NoRegression,
 }
 
-/// Statistics of one route, or of all.
+/// Test statistics of one route or of all routes together.
 #[derive(Debug, Clone, Default)]
 struct TestStatistics {
+    /// CUSUMs of the windows with a control, one for each odds ratio.
     paired_failure_cusums: [f64; 3],
+    /// CUSUMs of the windows without a control, one for each excess failure rate.
     unpaired_failure_cusums: [f64; 3],
+    /// Consecutive windows without a control that indicate a regression.
     unpaired_windows: u32,
+    /// CUSUMs for each slowdown factor.
     slowdown_cusums: [f64; 2],
+    /// Plain sums since the start of the stage, one for each excess failure rate.
     failure_sums: [f64; 3],
+    /// Plain sum since the start of the stage for the smallest slowdown factor.
     slowdown_sum: f64,
+    /// Requests to the new version since the start of the stage.
     finished: u32,
+    /// Those of them with a measured speed.
     timed: u32,
 }
 
-/// One route.
+/// Evaluation of one route, with the counts of the open window.
 #[derive(Debug, Clone, Default)]
 struct RouteEvaluation {
     baseline: BaselineStatistics,
@@ -88,14 +99,14 @@
     new: VersionStatistics,
 }
 
-/// Log-likelihood ratios of one slot.
+/// Log-likelihood ratios of one window.
 #[derive(Debug, Clone, Copy, Default)]
 struct WindowRatios {
-    /// Where the old version is a control.
+    /// Failures against the old version in the same window, if it had enough requests.
     paired: [f64; 3],
-    /// Where it is none: by its record.
+    /// Failures against the baseline, if the window has no control.
     unpaired: [f64; 3],
-    /// By its record, everywhere.
+    /// Failures against the baseline in every window.
     failures: [f64; 3],
     slowdowns: [f64; 2],
 }
@@ -109,7 +120,7 @@
     }
 }
 
-/// Compares a new version with an old one.
+/// Compares the new version of a move with the old one. A detected regression is final.
 #[derive(Debug, Clone)]
 pub struct VersionEvaluator {
     window: Duration,
@@ -121,7 +132,7 @@
 }
 
 impl VersionEvaluator {
-    /// A judge that compares within slots of that length.
+    /// Creates an evaluator that compares within windows of at least that length.
     #[must_use]
     pub fn new(window: Duration) -> Self {
         Self {
@@ -134,13 +145,13 @@
         }
     }
 
-    /// Requests of the old version seen so far.
+    /// Returns the total of requests to the old version so far.
     #[must_use]
     pub fn old_requests(&self) -> u64 {
         self.old_requests
     }
 
-    /// Adds what one daemon saw in one period to the slot.
+    /// Adds the statistics of one daemon and one route to the open window, or opens one.
     pub fn add(&mut self, now: MonotonicTime, statistics: &RouteStatistics) {
         self.window_started_at.get_or_insert(now);
         self.old_requests += u64::from(statistics.old.finished);
@@ -149,7 +160,7 @@
         merge(&mut record.new, &statistics.new);
     }
 
-    /// Judges the slot, if its time is over.
+    /// Updates the tests from the open window if its length has elapsed.
     pub fn close_window(&mut self, now: MonotonicTime) {
         let due = self
             .window_started_at
@@ -183,7 +194,7 @@
         }
     }
 
-    /// Begins a new proof; what speaks against the version is kept.
+    /// Resets the plain sums for a new stage. The CUSUMs and a detected regression remain.
     pub fn begin_stage(&mut self) {
         let routes = self.routes.values_mut().map(|record| &mut record.sums);
         for sums in routes.chain([&mut self.all_routes]) {
@@ -194,7 +205,7 @@
         }
     }
 
-    /// What the evidence says so far.
+    /// Returns the result over all windows closed so far.
     #[must_use]
     pub fn result(&self) -> EvaluationResult {
         if let Some(reason) = &self.regression {
@@ -214,7 +225,8 @@
         }
     }
 
-    /// A version may be bad on one route only, so that each larger one must have shown itself.
+    /// Whether each major route had enough requests on the new version in this stage, since a
+    /// version may be worse on one route only.
     fn routes_covered(&self) -> bool {
         let total = f64::from(self.all_routes.finished);
         let old_requests_total: f64 = self
@@ -231,7 +243,8 @@
 }
 
 impl RouteEvaluation {
-    /// Ratios of the slot; `None` when the new version had no request in it.
+    /// Returns the ratios of the window and updates the baseline; `None` if the new version had no
+    /// request in the window.
     fn close(&mut self, shared_rate: f64) -> Option<WindowRatios> {
         let old = std::mem::take(&mut self.old);
         self.baseline.add(&old);
@@ -271,6 +284,7 @@
         self.unpaired_windows = if worse { self.unpaired_windows + 1 } else { 0 };
     }
 
+    /// Describes the first test that is above its threshold.
     fn regression(&self, route: &str) -> Option<String> {
         let exceeds = |sums: &[f64; 3]| sums.iter().any(|sum| *sum > WORSE_THRESHOLD);
         let unpaired =
@@ -294,7 +308,7 @@
     }
 }
 
-/// Page's cumulative sums.
+/// Adds to CUSUMs, which never fall below zero.
 fn accumulate<const N: usize>(sums: &mut [f64; N], ratios: &[f64; N]) {
     for (sum, ratio) in sums.iter_mut().zip(ratios) {
         *sum = (*sum + ratio).max(0.0);
--- a/crates/savorywood-core/src/moves/evaluator/likelihood.rs
+++ b/crates/savorywood-core/src/moves/evaluator/likelihood.rs
@@ -1,32 +1,34 @@
-//! Log-likelihood ratios of one period's evidence.
+//! Log-likelihood ratios of the statistics of one window.
 
 use savorywood_protocol::peer::moves::VersionStatistics;
 
-/// Requests over which the old version's record is kept, about.
+/// Approximate number of requests that the baseline of the old version averages over.
 const BASELINE_REQUESTS: f64 = 2_000.0;
 
-/// Failure rate that any version is granted.
+/// Failure rate that is always accepted as normal.
 const MIN_FAILURE_RATE: f64 = 0.002;
 
-/// Largest failure rate that is tested for.
+/// Maximum failure rate that is tested for.
 const MAX_FAILURE_RATE: f64 = 0.98;
 
-/// Least spread of the logarithm of the speed between two requests.
+/// Minimum standard deviation of the log duration between requests.
 const MIN_LOG_DEVIATION: f64 = 0.1;
 
-/// Spread between two engines of one kind, which more requests on one engine don't average out.
+/// Standard deviation of the log duration between engines of one kind, which more requests on one
+/// engine do not average out.
 const ENGINE_LOG_DEVIATION: f64 = 0.05;
 
-/// A difference of logarithms beyond this counts as this: one stuck stream is no proof.
+/// Limit on the difference of mean log durations, so that one stalled stream is not decisive.
 const MAX_LOG_DIFFERENCE: f64 = 1.0;
 
-/// Failures of the old version in one slot from which the slot counts as a bad moment for both.
+/// Failures of the old version in one window from which a cause common to both versions is assumed.
 const MIN_SHARED_FAILURES: u32 = 2;
 
-/// Requests of the old version that a slot must have to serve as a control.
+/// Minimum requests to the old version for a window to have a control.
 const MIN_CONTROL_REQUESTS: u32 = 5;
 
-/// What the old version did lately, with older requests counting less.
+/// Recent behaviour of the old version, as exponentially weighted counts and moments. Durations are
+/// natural logarithms of microseconds.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct BaselineStatistics {
     finished: f64,
@@ -54,31 +56,33 @@
         self.degrees_of_freedom = self.degrees_of_freedom * retained + (timed - 1.0);
     }
 
-    /// Requests behind it.
+    /// Returns the weighted number of requests in the baseline.
     pub(super) fn requests(&self) -> f64 {
         self.finished
     }
 
+    /// Returns the failure rate, smoothed with a prior of half a failure in 50 requests.
     fn failure_rate(&self) -> f64 {
         (self.failed + 0.5) / (self.finished + 50.0)
     }
 
-    /// Variance of the logarithm of the speed between requests of one period.
+    /// Returns the variance of the log duration between requests of one window. A prior of four
+    /// degrees of freedom with a standard deviation of 0.3 stands in until there are samples.
     fn variance(&self) -> f64 {
         let deviations = self.deviation_sum + 4.0 * 0.3 * 0.3;
         (deviations / (self.degrees_of_freedom + 4.0)).max(MIN_LOG_DEVIATION * MIN_LOG_DEVIATION)
     }
 }
 
-/// Whether the old version had enough requests in the slot to compare with.
+/// Whether the old version had enough requests in the window to serve as a control.
 pub(super) fn has_control(old: &VersionStatistics, new: &VersionStatistics) -> bool {
     old.finished >= MIN_CONTROL_REQUESTS.max(new.finished / 20)
 }
 
-/// For "the odds of failing are `odds` times those of the old one" against "they are the same",
-/// given how many requests failed in the slot over both versions. Under the second the failures
-/// fall on the versions like balls drawn from one urn, at whatever rate both fail, so that
-/// trouble which both share is no evidence at all.
+/// Returns the log-likelihood ratio of "the odds of failure are `odds` times those of the old
+/// version" to "they are the same", conditional on the total of failures in the window. If the odds
+/// are the same, the failures of the new version follow a hypergeometric distribution whatever the
+/// common failure rate, so a failure of a shared dependency does not count against the new version.
 pub(super) fn paired_failure_ratio(
     old: &VersionStatistics,
     new: &VersionStatistics,
@@ -95,7 +99,7 @@
         f64::from(new.finished),
         f64::from(old.finished),
     );
-    // Relative weights of the hypergeometric distribution, from one count to the next.
+    // Unnormalized hypergeometric weights, each computed from the previous one.
     let mut weight = 1.0;
     let mut weights = 0.0;
     let mut weighted_odds = 0.0;
@@ -109,7 +113,8 @@
     -(weighted_odds / weights).ln()
 }
 
-/// Failure rate of the old version in a slot in which it fails more than now and then, else zero.
+/// Returns the failure rate of the old version in the window, or zero if it had fewer failures than
+/// [`MIN_SHARED_FAILURES`].
 pub(super) fn shared_failure_rate(old: &VersionStatistics) -> f64 {
     let rate = f64::from(old.failed) / f64::from(old.finished.max(1));
     if old.failed >= MIN_SHARED_FAILURES {
@@ -119,10 +124,10 @@
     }
 }
 
-/// For "fails more often than the old one by `excess`" against "fails as often", by the old one's
-/// record. When the old version fails as well in the same slot, at the rate `trouble`, something
-/// that both need is broken; judging the new one by the old one's better days would take back a
-/// good version.
+/// Returns the log-likelihood ratio of "the failure rate exceeds that of the old version by
+/// `excess`" to "it is the same", measured against the baseline. `shared_rate` is the failure rate
+/// of the old version in the same window: if it is higher than the baseline, a shared dependency
+/// fails, and a comparison with the baseline would roll back a good version.
 pub(super) fn failure_ratio(
     baseline: &BaselineStatistics,
     shared_rate: f64,
@@ -143,7 +148,7 @@
         + passed * ((1.0 - regressed_rate) / (1.0 - expected_rate)).ln()
 }
 
-/// For "slower than the old one by `factor`" against "as fast".
+/// Returns the log-likelihood ratio of "slower than the old version by `factor`" to "equally fast".
 pub(super) fn slowdown_ratio(
     baseline: &BaselineStatistics,
     old: &VersionStatistics,
@@ -155,8 +160,9 @@
     }
     let new_timed = f64::from(new.timed);
     let new_mean = f64::from(new.log_sum) / new_timed;
-    // Without requests of the old version in the same period its last speed stands in, and only a
-    // gross slowdown counts: the room may have grown hotter since.
+    // Without requests to the old version in the window, the baseline replaces them, and only large
+    // factors are tested, since all engines may have become slower since, for example by
+    // throttling.
     let (old_mean, old_timed) = if old.timed > 0 {
         let timed = f64::from(old.timed);
         (f64::from(old.log_sum) / timed, timed)
--- a/crates/savorywood-core/src/moves/local_statistics.rs
+++ b/crates/savorywood-core/src/moves/local_statistics.rs
@@ -1,4 +1,5 @@
-//! Gathering what this daemon sees, judging it here, and sending it to the holder.
+//! Statistics of the requests that this daemon dispatched: evaluated locally and sent to the lease
+//! holder.
 
 use super::{
     ComparedVersion, MoveSample, MoveView, MovesState, configured_moves,
@@ -15,17 +16,18 @@
 };
 use std::time::Duration;
 
-/// Evidence messages a second that the holder gets from all daemons. At some 100 bytes each they
-/// use half of the 9 KB/s that a daemon may spend.
+/// Statistics messages per second that the holder receives from all daemons together. At about 100
+/// bytes each they use half of the 9 KB/s budget of a daemon.
 const MAX_MESSAGES_PER_SECOND: usize = 40;
 
-/// Between two messages of a daemon that saw nothing fail.
+/// Minimum interval between two batches of a daemon, unless a request failed on the new version.
 const MIN_SEND_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Slot of a daemon's own judgement: long enough for the old version to be a control.
+/// Comparison window of the local evaluation, long enough to contain requests of the old version as
+/// a control.
 const LOCAL_WINDOW: Duration = Duration::from_secs(3);
 
-/// What this daemon sees of one move.
+/// Samples and local evaluation of one move.
 #[derive(Debug)]
 pub(super) struct LocalStatistics {
     revision: ConfigRevision,
@@ -47,16 +49,19 @@
     }
 }
 
-/// Evidence on its way to the holder.
+/// Statistics of one daemon for one interval, addressed to the lease holder.
 #[derive(Debug)]
 pub(super) struct StatisticsBatch {
     pub(super) name: MoveName,
     pub(super) revision: ConfigRevision,
+    /// Increases by one with each batch; a batch that is not newer than the last one is ignored.
     pub(super) sequence: u64,
     pub(super) routes: Vec<RouteStatistics>,
 }
 
 impl MovesState {
+    /// Counts the outcome of a request if its service has an unfinished move and it ran on one of
+    /// the two versions.
     pub(super) fn record_sample(&mut self, sample: &MoveSample, config: &ConfigView) {
         let Some(split) = self.splits.get(&sample.service) else {
             return;
@@ -84,7 +89,7 @@
         local.buffer.add(version, sample);
     }
 
-    /// Judges what was gathered and sends it on.
+    /// Evaluates the collected samples locally and sends them to the lease holder.
     pub(super) fn process_samples(
         &mut self,
         now: CoreTime,
@@ -96,8 +101,8 @@
             let Some(batch) = self.take_batch(now, configured.name, interval) else {
                 continue;
             };
-            // What this daemon sees by itself may be enough: it need not wait for the holder,
-            // which may be cut off or gone.
+            // Local statistics may suffice to stop the move without the holder, which may be
+            // partitioned or down.
             if let Some(reason) = self.evaluate_locally(now, &batch) {
                 let stop = Self::new_stop(now, batch.revision, reason);
                 self.stop(&batch.name, stop, view.members, effects);
@@ -106,6 +111,7 @@
         }
     }
 
+    /// Takes the next batch if it is due and not empty.
     fn take_batch(
         &mut self,
         now: CoreTime,
@@ -131,6 +137,7 @@
         })
     }
 
+    /// Returns the reason if the local evaluation finds the new version worse.
     fn evaluate_locally(&mut self, now: CoreTime, batch: &StatisticsBatch) -> Option<String> {
         let local = self.local.get_mut(&batch.name)?;
         for statistics in &batch.routes {
@@ -181,6 +188,8 @@
     }
 }
 
+/// Returns the interval between batches of one daemon, which grows with the number of serving
+/// members.
 fn send_interval(members: &MemberView) -> Duration {
     let members = members.serving().count();
     let millis = members * 1_000 / MAX_MESSAGES_PER_SECOND;
--- a/crates/savorywood-core/src/moves/options.rs
+++ b/crates/savorywood-core/src/moves/options.rs
@@ -1,12 +1,12 @@
-//! Settings of the move duty.
+//! Options of the move duty.
 
 use savorywood_protocol::HostName;
 
-/// Settings of the move duty.
+/// Options that the daemon core passes to the move duty at startup.
 #[derive(Debug, Clone)]
 pub struct MoveOptions {
-    /// Host that the daemon runs on.
+    /// Host of this daemon; written to rows as the lease holder.
     pub host: HostName,
-    /// Seed of its random numbers.
+    /// Seed of the random numbers for gossip targets and poll jitter.
     pub seed: u64,
 }
--- a/crates/savorywood-core/src/moves/plan.rs
+++ b/crates/savorywood-core/src/moves/plan.rs
@@ -1,86 +1,88 @@
-//! Stages of a move, sized so that each can be proved before the deadline.
+//! Stage plan of a move, sized so that each stage can be evaluated before the deadline.
 //!
-//! Most of the time is spent at a small share: a version that fails there is met by few. Once it
-//! is proved, larger shares bring evidence so fast that they need little time. Each stage has a
-//! latest end, from which the rest can still be done; without proof by then the move is taken
-//! back rather than hurried.
+//! Most of the time is spent at a small share, where a bad version affects few requests. Larger
+//! shares yield samples fast enough to need little time. Each stage has a latest end that leaves
+//! enough time for the later stages; a move that has not passed a stage by then is rolled back.
 
 use savorywood_protocol::{WallTime, resource::TrafficMoveSpec};
 use std::time::Duration;
 
-/// Share of a version of which nothing is proved, in thousandths, where there are many requests.
+/// Minimum first share, in thousandths; used for services with a high request rate.
 pub const MIN_FIRST_SHARE_PER_MILLE: u16 = 10;
 
-/// Largest share of a version of which nothing is proved, in thousandths. A bad version is found
-/// after some number of requests, whatever its share, so a service with few requests may give it
-/// a larger share without more of them meeting it.
+/// Maximum share of a version that has not passed a stage yet, in thousandths. Detecting a bad
+/// version takes a number of requests that does not depend on the share, so a service with a low
+/// request rate can use a larger share without more failed requests.
 pub const MAX_FIRST_SHARE_PER_MILLE: u16 = 50;
 
-/// Requests that the first stage shall bring.
+/// Requests to the new version that the first stage is sized for.
 const FIRST_STAGE_REQUESTS: f64 = 150.0;
 
-/// Share from which a stage must be proved to the full before the next one.
+/// Share from which a stage must pass the strict evaluation before the next one starts, in
+/// thousandths.
 const STRICT_SHARE_PER_MILLE: u16 = 200;
 
-/// Part of the time before the soak that each later stage gets at least.
+/// Minimum fraction of the time before the soak for each later stage.
 const MIN_STAGE_FRACTION: f64 = 0.05;
 
-/// Requests of the new version for which a later stage is sized, and more where the proof must be
-/// strict.
+/// Requests to the new version that a later stage is sized for, unless its evaluation is strict.
 const STAGE_REQUESTS: f64 = 60.0;
 
-/// Requests that a strict proof takes, with slack for a few failures.
+/// Requests to the new version that a strict evaluation takes, with slack for a few failures.
 const STRICT_STAGE_REQUESTS: f64 = 250.0;
 
-/// Longest time that a stage asks for, in seconds.
+/// Maximum duration computed for a stage, in seconds.
 const MAX_STAGE_SECONDS: f64 = 86_400.0;
 
-/// Time kept for the later stages, relative to what they need. Evidence may come slowly.
+/// Factor on the time reserved for the later stages, in case samples arrive more slowly than
+/// measured.
 const LATER_STAGES_FACTOR: f64 = 1.5;
 
-/// Least part of the time before the soak that the first stage gets.
+/// Minimum fraction of the time before the soak for the first stage.
 const MIN_FIRST_STAGE_FRACTION: f64 = 0.25;
 
-/// The old version is watched for so long before the new one gets its first share: how many
-/// requests there are decides how large that share must be.
+/// Duration of one request rate measurement. The first one precedes the first share, whose size
+/// depends on the rate.
 pub(super) const RATE_MEASUREMENT_PERIOD: Duration = Duration::from_secs(10);
 
-/// Kept free before the deadline, so that the last commit and its spread are done by then.
+/// Time reserved before the deadline for the last commit and its propagation to all daemons.
 const DEADLINE_MARGIN: Duration = Duration::from_secs(8);
 
-/// Kept free before the decision for the ticks and commits between the stages. Without it a short
-/// move ends its soak in the moment in which it is taken back for being late.
+/// Time reserved before the decision for the ticks and commits between stages. Without it a short
+/// move would reach the end of its soak just when it is rolled back as late.
 const COMMIT_SLACK: Duration = Duration::from_secs(2);
 
-/// Shares after the first when the operator names none, in thousandths.
+/// Shares after the first if the spec names no steps, in thousandths.
 const DEFAULT_LATER_SHARES_PER_MILLE: [u16; 3] = [50, 200, 600];
 
-/// One stage.
+/// One stage of a plan.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlannedStage {
-    /// Share of the new version, in thousandths.
+    /// Share of the traffic that the new version receives, in thousandths.
     pub share_per_mille: u16,
-    /// Held at least for so long, so that what shows itself late is seen at a small share.
+    /// Minimum duration, so that a failure that appears late is found at a small share.
     pub dwell: Duration,
-    /// Taken back when it is not proved by then.
+    /// Time by which the stage must be passed, or the move is rolled back.
     pub latest_end: WallTime,
-    /// Whether it must be proved to the full before the next one.
+    /// Whether the stage requires
+    /// [`NoRegression`](super::evaluator::EvaluationResult::NoRegression); otherwise
+    /// `NoLargeRegression` suffices.
     pub strict: bool,
 }
 
-/// All stages before the soak.
+/// Stages before the soak, and the times that follow from the deadline.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MovePlan {
-    /// Stages in order.
+    /// Stages in order of increasing share.
     pub stages: Vec<PlannedStage>,
-    /// Time with all traffic on the new version.
+    /// Duration of the soak, with all traffic on the new version.
     pub soak: Duration,
-    /// The move is taken back unless it is completed by then.
+    /// Time by which the move must be completed, or it is rolled back.
     pub decide_by: WallTime,
 }
 
 impl MovePlan {
-    /// Plans a move that begins at `started_at`, of a service with so many requests a second.
+    /// Plans a move that begins at `started_at`, for a service with `rate` requests per second.
     #[must_use]
     pub fn new(spec: &TrafficMoveSpec, started_at: WallTime, rate: f64) -> Self {
         let decide_by = earlier(spec.finish_by, DEADLINE_MARGIN);
@@ -114,7 +116,8 @@
     }
 }
 
-/// Time in which a stage of that share brings the requests that its proof needs.
+/// Returns the time in which a stage with `share` (in thousandths) receives the requests that its
+/// evaluation needs.
 fn required_time(share: u16, rate: f64) -> Duration {
     let strict = share >= STRICT_SHARE_PER_MILLE;
     let requests = if strict {
@@ -126,14 +129,16 @@
     Duration::from_secs_f64((requests / new_rate.max(0.01)).min(MAX_STAGE_SECONDS))
 }
 
-/// First share of a service with so many requests a second, for a stage of that length.
+/// Returns the first share in thousandths, for `rate` requests per second and a stage of length
+/// `dwell`.
 fn first_share(rate: f64, dwell: Duration) -> u16 {
     let requests = (rate * dwell.as_secs_f64()).max(1.0);
     let share = (1_000.0 * FIRST_STAGE_REQUESTS / requests).ceil();
     (share as u16).clamp(MIN_FIRST_SHARE_PER_MILLE, MAX_FIRST_SHARE_PER_MILLE)
 }
 
-/// The first share is never above the cap, whatever the operator asks for.
+/// Returns the shares of all stages in thousandths. The computed first share always comes first;
+/// smaller steps of the spec are dropped, so the spec cannot exceed the cap on the first share.
 fn stage_shares(spec: &TrafficMoveSpec, first: u16) -> Vec<u16> {
     let requested = spec.steps.iter().map(|step| step.share_per_mille);
     let mut later: Vec<_> = requested.collect();
--- a/crates/savorywood-core/src/moves/row.rs
+++ b/crates/savorywood-core/src/moves/row.rs
@@ -1,4 +1,4 @@
-//! The row of a move.
+//! The table row that stores the progress of a move.
 
 use savorywood_protocol::{
     ConfigRevision, FencingNumber, HostName, MoveName, WallTime, resource::MoveState,
@@ -6,58 +6,59 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Prefix of all rows of moves.
+/// Key prefix of all rows of moves.
 pub const MOVE_PREFIX: &str = "move/";
 
-/// Content of a move's row.
+/// Content of the row of a move, stored as JSON. Written only by the lease holder.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MoveRow {
-    /// Revision of the spec that it is about.
+    /// Configuration revision of the spec that the row belongs to.
     pub spec_revision: ConfigRevision,
-    /// Where the move stands.
+    /// State of the move.
     pub state: MoveState,
-    /// Place in the plan's stages.
+    /// Index into the stages of the plan, from 0.
     pub stage: u32,
-    /// Share of the new version, in thousandths.
+    /// Share of the traffic that the new version receives, in thousandths.
     pub share_per_mille: u16,
-    /// Requests of the service in a thousand seconds, as measured before the first share.
+    /// Requests of the service in 1000 s, as measured before the first share or when that share was
+    /// last increased; 0 before the first measurement.
     pub requests_per_1000s: u32,
-    /// When the move began.
+    /// When the first row of this spec revision was written.
     pub started_at: WallTime,
-    /// When the stage began.
+    /// When the state or the stage last changed.
     pub stage_at: WallTime,
-    /// Who drives it: evidence goes there.
+    /// Host of the lease holder that drives the move; daemons send their statistics to it.
     pub holder: HostName,
-    /// Term of the lease under which the row was written.
+    /// Fencing number of the lease under which the row was written.
     pub fencing: FencingNumber,
-    /// Sentence for a person: why it stands where it stands.
+    /// Human-readable reason for the current state.
     pub reason: String,
 }
 
-/// A row with the commit that wrote it.
+/// A row with the revision of the commit that wrote it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MoveRecord {
-    /// The row.
+    /// Content as of that commit.
     pub row: MoveRow,
-    /// The commit.
+    /// Revision that a conditional write of the row must name.
     pub revision: CommitRevision,
 }
 
 impl MoveRow {
-    /// Requests of the service in a second.
+    /// Returns the measured request rate of the service in requests per second.
     #[must_use]
     pub fn rate(&self) -> f64 {
         f64::from(self.requests_per_1000s) / 1_000.0
     }
 
-    /// Whether the move has ended, one way or the other.
+    /// Whether the move was completed or rolled back.
     #[must_use]
     pub fn is_over(&self) -> bool {
         matches!(self.state, MoveState::Completed | MoveState::TakenBack)
     }
 }
 
-/// Key of a move's row.
+/// Returns the table key of the row of a move.
 #[must_use]
 pub fn row_key(name: &MoveName) -> String {
     format!("{MOVE_PREFIX}{name}")
--- a/crates/savorywood-core/src/moves/row_updates.rs
+++ b/crates/savorywood-core/src/moves/row_updates.rs
@@ -1,4 +1,5 @@
-//! Reading the rows of moves. Nobody calls a move done or taken back before its row says so.
+//! Reads the rows of moves and handles the responses to row writes. A move counts as completed or
+//! rolled back only once its row has that state.
 
 use super::{
     MoveTimer, MovesState, PendingRead,
@@ -16,10 +17,10 @@
 };
 use std::time::Duration;
 
-/// Rows asked for in one read. The next poll goes on after the last one.
+/// Maximum rows in one scan. The next poll continues after the last row received.
 const SCAN_LIMIT: u32 = 500;
 
-/// A read whose answer has not come for so long is made anew.
+/// Time after which a scan without a response is sent again.
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl MovesState {
@@ -28,6 +29,8 @@
             .is_some_and(|until| now.monotonic < until)
     }
 
+    /// Sets the poll timer, with random jitter that shortens the period by up to 20 %. The poll
+    /// counts as scheduled for two periods, after which a lost timer is set again.
     pub(super) fn schedule_poll(
         &mut self,
         now: CoreTime,
@@ -69,8 +72,8 @@
             self.pending_read = None;
             if let TableResponse::Rows { rows, .. } = response {
                 for row in &rows {
-                    // Only a scan moves this on: a row that came with a conflict may be newer than
-                    // rows of other moves that were not read yet.
+                    // Only a scan advances the scan position: a row from a conflict may be newer
+                    // than rows of other moves that were not read yet.
                     self.scanned_to = self.scanned_to.max(row.revision);
                     self.apply_row(row, effects);
                 }
@@ -85,7 +88,8 @@
         self.finish_write(&name, response, effects);
     }
 
-    /// A commit took effect, or did not, or nobody knows: then the next read tells.
+    /// Handles the response to a commit. If it is unknown whether the commit took effect, the next
+    /// scan returns the row as it is.
     fn finish_write(
         &mut self,
         name: &MoveName,
@@ -124,7 +128,8 @@
         self.record_row(name, MoveRecord { row, revision }, effects);
     }
 
-    /// Keeps the newer of two rows: a slow read may bring one that was overwritten meanwhile.
+    /// Records a row unless the recorded one is at least as new: a slow scan may return a row that
+    /// was overwritten in the meantime.
     fn record_row(&mut self, name: MoveName, record: MoveRecord, effects: &mut EffectQueue) {
         let recorded = self.rows.get(&name);
         if recorded.is_some_and(|recorded| recorded.revision >= record.revision) {
--- a/crates/savorywood-core/src/moves/samples.rs
+++ b/crates/savorywood-core/src/moves/samples.rs
@@ -1,4 +1,4 @@
-//! What this daemon sees of the two versions of a move, gathered until it is sent.
+//! Request samples of the two versions of a move, aggregated by route until they are sent.
 
 use savorywood_protocol::{
     ServiceName, VersionName,
@@ -6,44 +6,47 @@
 };
 use std::collections::BTreeMap;
 
-/// Routes told apart in one move. More are put together, so that a message stays small.
+/// Routes counted separately in one move. Further routes share one entry, which bounds the size of
+/// a message.
 const MAX_ROUTES: usize = 16;
 
-/// Name under which further routes are put together.
+/// Name of the entry that further routes share.
 const OTHER_ROUTES: &str = "other routes";
 
-/// How one request ended.
+/// Outcome of one dispatched request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MoveSample {
-    /// Service.
+    /// Service that the request belongs to.
     pub service: ServiceName,
     /// Route within the service.
     pub route: String,
-    /// Version of the upstream that it was dispatched to.
+    /// Version of the upstream that the request was dispatched to.
     pub version: VersionName,
-    /// Whether the upstream failed it. A caller that left is no failure.
+    /// Whether the attempt failed at the upstream. A request that its caller cancels before the
+    /// deadline gives no sample.
     pub failed: bool,
-    /// Microseconds between two tokens (model) or for the whole answer (plain), if measured.
+    /// Microseconds between two tokens (model service) or for the complete response (plain
+    /// service); absent if not measured.
     pub micros: Option<u32>,
 }
 
-/// Which of the two versions a request met.
+/// Which of the two compared versions served a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ComparedVersion {
-    /// The one that had the traffic.
+    /// The version that the move shifts traffic from; the baseline.
     Old,
-    /// The one that gets it.
+    /// The version that the move shifts traffic to; the version under test.
     New,
 }
 
-/// Evidence of one move since it was sent last.
+/// Statistics of one move since the last batch was taken.
 #[derive(Debug, Clone, Default)]
 pub struct SampleBuffer {
     routes: BTreeMap<String, RouteStatistics>,
 }
 
 impl SampleBuffer {
-    /// Adds one request.
+    /// Counts one request under its route.
     pub fn add(&mut self, version: ComparedVersion, sample: &MoveSample) {
         let is_tracked = self.routes.contains_key(&sample.route);
         let has_room = is_tracked || self.routes.len() < MAX_ROUTES;
@@ -74,12 +77,13 @@
         }
     }
 
-    /// Takes out what was gathered.
+    /// Returns the statistics of all routes and empties the buffer.
     pub fn take(&mut self) -> Vec<RouteStatistics> {
         std::mem::take(&mut self.routes).into_values().collect()
     }
 
-    /// Whether the new version failed since the last message: told sooner than the rest.
+    /// Whether a request failed on the new version since the last batch. Such a batch is sent
+    /// without waiting for the send interval.
     #[must_use]
     pub fn has_new_failures(&self) -> bool {
         self.routes
--- a/crates/savorywood-core/src/moves/splits.rs
+++ b/crates/savorywood-core/src/moves/splits.rs
@@ -1,4 +1,4 @@
-//! How traffic is split, from the rows, the stops and the clock.
+//! Traffic splits, derived from the rows, the recorded stops and the clock.
 
 use super::{ConfiguredMove, MovesState, configured_moves};
 use crate::view::{ConfigView, VersionSplit};
@@ -6,6 +6,7 @@
 use std::collections::BTreeMap;
 
 impl MovesState {
+    /// Computes the split of each service from its newest move.
     pub(super) fn build_splits(
         &self,
         now: CoreTime,
@@ -38,8 +39,8 @@
             MoveState::Completed => 1_000,
             MoveState::Planned | MoveState::TakenBack => 0,
             MoveState::Moving | MoveState::Soaking => {
-                // The table may be down and the holder gone: then nobody writes that the move was
-                // taken back, and an unproven version would keep its share past the deadline.
+                // While the table or the holder is unreachable, no row records the rollback.
+                // Without this check an unverified version would keep its share past the deadline.
                 let late = now.wall >= configured.spec.finish_by;
                 let stopped = self.is_stopped(configured.name, configured.revision);
                 if late || stopped {
--- a/crates/savorywood-core/src/moves/status.rs
+++ b/crates/savorywood-core/src/moves/status.rs
@@ -1,4 +1,4 @@
-//! What the system says of a move.
+//! Reported state and status conditions of a move.
 
 use super::{MovesState, row::MoveRow};
 use crate::view::ConfigView;
@@ -8,8 +8,9 @@
 };
 
 impl MovesState {
-    /// Where a move stands by the table. A stop that this daemon knows of shows as "not
-    /// progressing" before the table says that it was taken back.
+    /// Returns the state of a move according to its row; `Planned` while there is no row for the
+    /// current spec. A recorded stop shows only in the conditions, as "not progressing", until the
+    /// row has the state `TakenBack`.
     #[must_use]
     pub fn state_of(&self, name: &MoveName, config: &ConfigView) -> MoveState {
         let revision = super::spec_revision(name, config);
@@ -17,7 +18,7 @@
             .map_or(MoveState::Planned, |row| row.state)
     }
 
-    /// Conditions of a move for its status.
+    /// Returns the status conditions of a move; empty while there is no row for the current spec.
     #[must_use]
     pub fn conditions_of(&self, name: &MoveName, config: &ConfigView) -> Vec<StatusCondition> {
         let revision = super::spec_revision(name, config);
--- a/crates/savorywood-core/src/moves/stops.rs
+++ b/crates/savorywood-core/src/moves/stops.rs
@@ -1,4 +1,4 @@
-//! Stopping a move here and everywhere, without the table.
+//! Stops of moves: applied at once on this daemon and gossiped to peers, independent of the table.
 
 use super::{MoveView, MovesState, local_statistics::StatisticsBatch};
 use crate::{
@@ -11,23 +11,24 @@
     peer::{MoveMessage, PeerMessage},
 };
 
-/// Peers told in each round.
+/// Peers that a stop is sent to in each gossip round.
 const GOSSIP_FANOUT: usize = 6;
 
-/// Rounds after the first. Each daemon that hears of a stop tells it as well, so with half of the
-/// datagrams lost all of 350 still have it after a few.
+/// Gossip rounds after the first. Each daemon that receives a stop gossips it as well, so a stop
+/// reaches all of 350 daemons within a few rounds even with half of the datagrams lost.
 const GOSSIP_REPEATS: u32 = 3;
 
 /// Why and when a move was stopped.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StopRecord {
-    /// Revision of the spec that was stopped. A later one is a new try.
+    /// Configuration revision of the stopped spec. A later revision is a new attempt and is not
+    /// affected.
     pub revision: ConfigRevision,
-    /// What was seen.
+    /// Human-readable reason, from the daemon that issued the stop.
     pub reason: String,
-    /// When it was seen.
+    /// Time of the stop by the clock of the daemon that issued it.
     pub at: WallTime,
-    /// Rounds in which peers are still told.
+    /// Gossip rounds that remain.
     rounds_left: u32,
 }
 
@@ -44,7 +45,8 @@
             .filter(|stop| stop.revision == revision)
     }
 
-    /// Stops a move here at once and tells peers.
+    /// Records a stop, which ends the share of the new version on this daemon, and gossips it. Does
+    /// nothing if a stop of this or a later revision is already recorded.
     pub(super) fn stop(
         &mut self,
         name: &MoveName,
@@ -73,6 +75,7 @@
         }
     }
 
+    /// Sends a stop to randomly chosen serving peers.
     fn gossip_stop(
         &mut self,
         name: &MoveName,
@@ -101,6 +104,7 @@
         self.stops.values().any(|stop| stop.rounds_left > 0)
     }
 
+    /// Sends each stop that has gossip rounds left once more.
     pub(super) fn resend_stops(&mut self, members: &MemberView, effects: &mut EffectQueue) {
         let mut stops = std::mem::take(&mut self.stops);
         for (name, stop) in &mut stops {
