--- a/crates/savorywood-core/src/moves.rs
+++ b/crates/savorywood-core/src/moves.rs
@@ -1,6 +1,8 @@
-//! Moves of traffic from one version to another: driven by one holder, stopped by anybody.
+//! Progressive delivery: shifts the traffic of a service from one version to another in stages.
 //!
-//! See `docs/design/moves.md`.
+//! The holder of the lease [`LeaseName::Moves`](crate::leases::LeaseName) decides on the stages and
+//! writes them to the table. Every daemon can stop a move without the table or the holder. The
+//! design is in `docs/design/moves.md`.
 
 pub mod evaluator;
 pub mod options;
@@ -26,7 +28,7 @@
     view::{ConfigView, MemberView, VersionSplit},
 };
 use driver::DrivenMove;
-use local_statistics::LocalWatch;
+use local_statistics::LocalStatistics;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use row::{MoveRecord, MoveRow};
@@ -38,127 +40,132 @@
 };
 use std::{collections::BTreeMap, time::Duration};
 
-/// Between two looks at what was gathered and at the clock.
-const TICK: Duration = Duration::from_millis(250);
+/// Interval at which samples are evaluated and deadlines are checked.
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What happens to moves.
+/// Input of the move duty.
 #[derive(Debug, Clone, PartialEq)]
 pub enum MoveEvent {
-    /// The daemon begins.
+    /// The daemon started.
     Started,
-    /// The configuration in force changed.
+    /// The configuration in force was replaced.
     ConfigChanged,
-    /// One of its timers fired.
+    /// A timer of this duty fired.
     TimerFired {
-        /// Number of the timer.
+        /// Number from the [`TimerKey`] that the duty set.
         number: u64,
     },
-    /// The table answered.
+    /// A table call of this duty ended.
     Table {
-        /// Number of the call.
+        /// Number from the [`TableCall`] that the duty made.
         number: u64,
-        /// Its answer.
+        /// Response of the table, or why there is none.
         answer: TableResponse,
     },
-    /// A peer tells something.
+    /// A datagram about a move arrived from a peer.
     Peer {
-        /// Who.
+        /// Host of the sender.
         from: HostName,
-        /// What.
+        /// A stop, or statistics for the lease holder.
         message: MoveMessage,
     },
-    /// A request of some service ended.
+    /// A request ended that this daemon dispatched for a service with a move.
     Sampled(MoveSample),
 }
 
-/// What the move duty reads of other duties in a step.
+/// State of other duties that a step of the move duty reads.
 #[derive(Debug, Clone, Copy)]
 pub struct MoveView<'a> {
     /// Configuration in force.
     pub config: &'a ConfigView,
-    /// Daemons known.
+    /// Members of the cluster.
     pub members: &'a MemberView,
-    /// Lease for driving moves, asked for at this very step.
+    /// Lease for driving moves as of this step; `None` unless this daemon holds it.
     pub lease: Option<LeaseGrant>,
 }
 
-/// What a step did to the splits.
+/// Whether a step changed the traffic splits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MoveStepResult {
-    /// Traffic is split as before.
+    /// All splits are as before the step.
     Unchanged,
-    /// Traffic is split otherwise: the scheduler must look.
+    /// At least one split changed, so the scheduler must run again.
     SplitsChanged,
 }
 
-/// A write of a row under way.
+/// A row write whose response is outstanding.
 #[derive(Debug)]
-struct RowWriting {
+struct PendingWrite {
     number: u64,
     row: MoveRow,
 }
 
-/// A read of the rows under way.
+/// A scan of the rows whose response is outstanding.
 #[derive(Debug)]
-struct RowReading {
+struct PendingRead {
     number: u64,
-    asked_at: MonotonicTime,
+    sent_at: MonotonicTime,
 }
 
-/// State of the move duty.
+/// State of the move duty of one daemon.
 #[derive(Debug)]
 pub struct MovesState {
     options: MoveOptions,
     rng: ChaCha8Rng,
     rows: BTreeMap<MoveName, MoveRecord>,
-    read_to: CommitRevision,
-    reading: Option<RowReading>,
-    writing: BTreeMap<MoveName, RowWriting>,
+    /// Revision after which the next scan begins.
+    scanned_to: CommitRevision,
+    pending_read: Option<PendingRead>,
+    pending_writes: BTreeMap<MoveName, PendingWrite>,
+    /// Newest stop of each move, issued here or received from a peer.
     stops: BTreeMap<MoveName, StopRecord>,
-    watches: BTreeMap<MoveName, LocalWatch>,
+    /// Samples and evaluation of the requests that this daemon dispatched.
+    local: BTreeMap<MoveName, LocalStatistics>,
+    /// Evaluation over all daemons; empty unless this daemon holds the lease.
     driven: BTreeMap<MoveName, DrivenMove>,
     splits: BTreeMap<ServiceName, VersionSplit>,
-    ticking: bool,
-    /// Until when the timer for reading is known to be set.
-    polled_until: Option<MonotonicTime>,
-    calls: u64,
+    tick_scheduled: bool,
+    /// Time until which the poll timer counts as set; absent until the first poll is scheduled.
+    poll_scheduled_until: Option<MonotonicTime>,
+    /// Number of the newest table call.
+    last_call: u64,
 }
 
 impl MovesState {
-    /// A daemon that knows of no move.
+    /// Creates the state before any row was read.
     #[must_use]
     pub fn new(options: MoveOptions) -> Self {
         Self {
             rng: ChaCha8Rng::seed_from_u64(options.seed),
             options,
             rows: BTreeMap::new(),
-            read_to: 0,
-            reading: None,
-            writing: BTreeMap::new(),
+            scanned_to: 0,
+            pending_read: None,
+            pending_writes: BTreeMap::new(),
             stops: BTreeMap::new(),
-            watches: BTreeMap::new(),
+            local: BTreeMap::new(),
             driven: BTreeMap::new(),
             splits: BTreeMap::new(),
-            ticking: false,
-            polled_until: None,
-            calls: 0,
+            tick_scheduled: false,
+            poll_scheduled_until: None,
+            last_call: 0,
         }
     }
 
-    /// How the traffic of services with a move is split. Once a move was stopped here or its time
-    /// is over, its new version has no share.
+    /// Returns the traffic split of each service that has a move. The new version has no share once
+    /// this daemon records a stop of the move or its deadline has passed.
     #[must_use]
     pub fn splits(&self) -> &BTreeMap<ServiceName, VersionSplit> {
         &self.splits
     }
 
-    /// Whether a move is under way, so that some daemon must hold the lease.
+    /// Whether any move is unfinished, which requires a daemon to hold the lease.
     #[must_use]
     pub fn needs_lease(&self, config: &ConfigView) -> bool {
         config.moves.keys().any(|name| !self.is_over(name, config))
     }
 
-    /// Handles one event.
+    /// Handles one event and appends the resulting effects.
     pub fn step(
         &mut self,
         now: CoreTime,
@@ -168,13 +175,13 @@
     ) -> MoveStepResult {
         match event {
             MoveEvent::Started => self.read_rows(now, effects),
-            MoveEvent::ConfigChanged => self.forget_old(view.config),
-            MoveEvent::TimerFired { number } => self.timer(now, number, view, effects),
-            MoveEvent::Table { number, answer } => self.answered(number, answer, effects),
-            MoveEvent::Peer { from, message } => self.hear(now, &from, message, view, effects),
-            MoveEvent::Sampled(sample) => self.sample(&sample, view.config),
+            MoveEvent::ConfigChanged => self.remove_deleted(view.config),
+            MoveEvent::TimerFired { number } => self.handle_timer(now, number, view, effects),
+            MoveEvent::Table { number, answer } => self.handle_response(number, answer, effects),
+            MoveEvent::Peer { from, message } => self.receive(now, &from, message, view, effects),
+            MoveEvent::Sampled(sample) => self.record_sample(&sample, view.config),
         }
-        self.keep_ticking(now, view, effects);
+        self.ensure_tick(now, view, effects);
         let splits = self.build_splits(now, view.config);
         if splits == self.splits {
             return MoveStepResult::Unchanged;
@@ -183,31 +190,38 @@
         MoveStepResult::SplitsChanged
     }
 
-    fn timer(&mut self, now: CoreTime, number: u64, view: MoveView<'_>, effects: &mut EffectQueue) {
+    fn handle_timer(
+        &mut self,
+        now: CoreTime,
+        number: u64,
+        view: MoveView<'_>,
+        effects: &mut EffectQueue,
+    ) {
         match MoveTimer::from_number(number) {
             Some(MoveTimer::Tick) => {
-                self.ticking = false;
-                self.flush(now, view, effects);
+                self.tick_scheduled = false;
+                self.process_samples(now, view, effects);
                 self.drive(now, view, effects);
-                self.repeat_stops(view.members, effects);
+                self.resend_stops(view.members, effects);
             }
-            Some(MoveTimer::Read) => {
+            Some(MoveTimer::Poll) => {
                 self.read_rows(now, effects);
-                self.set_read(now, view.members, effects);
+                self.schedule_poll(now, view.members, effects);
             }
             None => {}
         }
     }
 
-    fn keep_ticking(&mut self, now: CoreTime, view: MoveView<'_>, effects: &mut EffectQueue) {
-        if self.ticking || !(self.needs_lease(view.config) || self.stops_to_repeat()) {
+    /// Keeps the tick timer running while a move is unfinished or a stop must be sent again.
+    fn ensure_tick(&mut self, now: CoreTime, view: MoveView<'_>, effects: &mut EffectQueue) {
+        if self.tick_scheduled || !(self.needs_lease(view.config) || self.has_stops_to_resend()) {
             return;
         }
-        self.ticking = true;
-        effects.set_timer(MoveTimer::Tick.key(), now.monotonic + TICK);
-        if self.reading.is_none() && !self.is_polling(now) {
+        self.tick_scheduled = true;
+        effects.set_timer(MoveTimer::Tick.key(), now.monotonic + TICK_INTERVAL);
+        if self.pending_read.is_none() && !self.is_poll_scheduled(now) {
             self.read_rows(now, effects);
-            self.set_read(now, view.members, effects);
+            self.schedule_poll(now, view.members, effects);
         }
     }
 
@@ -216,23 +230,22 @@
         self.row_of(name, revision).is_some_and(MoveRow::is_over)
     }
 
-    /// Row of a move, if it is about that revision of its spec.
+    /// Returns the row of a move if it belongs to that revision of the spec.
     fn row_of(&self, name: &MoveName, revision: ConfigRevision) -> Option<&MoveRow> {
         let row = &self.rows.get(name)?.row;
         (row.spec_revision == revision).then_some(row)
     }
 
-    /// Forgets what belongs to moves that were deleted.
-    fn forget_old(&mut self, config: &ConfigView) {
-        self.watches
-            .retain(|name, _| config.moves.contains_key(name));
+    /// Discards the statistics of moves that were deleted from the configuration.
+    fn remove_deleted(&mut self, config: &ConfigView) {
+        self.local.retain(|name, _| config.moves.contains_key(name));
         self.driven
             .retain(|name, _| config.moves.contains_key(name));
     }
 
     fn call_table(&mut self, request: TableRequest, effects: &mut EffectQueue) -> u64 {
-        self.calls += 1;
-        let number = self.calls;
+        self.last_call += 1;
+        let number = self.last_call;
         let duty = DutyKind::Moves;
         let call = TableCall { duty, number };
         effects.push(DaemonEffect::CallTable { call, request });
@@ -240,16 +253,16 @@
     }
 }
 
-/// One move as the configuration has it.
+/// A move in the configuration in force, with the revision of its spec.
 #[derive(Debug, Clone, Copy)]
-struct PlannedMove<'a> {
+struct ConfiguredMove<'a> {
     name: &'a MoveName,
     revision: ConfigRevision,
     spec: &'a TrafficMoveSpec,
 }
 
-fn planned_moves(config: &ConfigView) -> impl Iterator<Item = PlannedMove<'_>> {
-    config.moves.iter().map(|(name, spec)| PlannedMove {
+fn configured_moves(config: &ConfigView) -> impl Iterator<Item = ConfiguredMove<'_>> {
+    config.moves.iter().map(|(name, spec)| ConfiguredMove {
         name,
         revision: spec_revision(name, config),
         spec,
@@ -266,11 +279,11 @@
     revision.unwrap_or_default()
 }
 
-/// Timers of this duty.
+/// Timers of the move duty. The discriminant is the number in the [`TimerKey`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum MoveTimer {
     Tick,
-    Read,
+    Poll,
 }
 
 impl MoveTimer {
@@ -281,7 +294,7 @@
     }
 
     fn from_number(number: u64) -> Option<Self> {
-        [Self::Tick, Self::Read]
+        [Self::Tick, Self::Poll]
             .into_iter()
             .find(|timer| *timer as u64 == number)
     }
--- a/crates/savorywood-core/src/moves/driver.rs
+++ b/crates/savorywood-core/src/moves/driver.rs
@@ -1,11 +1,12 @@
-//! What the holder of the lease decides. Each decision is a row in the table first.
+//! Decisions of the lease holder: when a move starts, advances, completes or rolls back. A decision
+//! takes effect only once its row is committed to the table.
 
 use super::{
-    MoveView, MovesState, PlannedMove, RowWriting,
+    ConfiguredMove,
+    MoveView, MovesState, PendingWrite, configured_moves,
     evaluator::{EvaluationResult, VersionEvaluator},
-    local_statistics::EvidenceParcel,
-    plan::{MAX_FIRST_SHARE_PER_MILLE, MEASURED_FOR, MovePlan},
-    planned_moves,
+    local_statistics::StatisticsBatch,
+    plan::{MAX_FIRST_SHARE_PER_MILLE, MovePlan, RATE_MEASUREMENT_PERIOD},
     row::{MoveRow, row_key},
 };
 use crate::{
@@ -21,31 +22,32 @@
 };
 use std::{collections::BTreeMap, time::Duration};
 
-/// Slot of the holder's judgement, which sees the requests of all daemons.
-const HOLDER_SLOT: Duration = Duration::from_secs(1);
+/// Comparison window of the holder's evaluation, which covers the requests of all daemons.
+const HOLDER_WINDOW: Duration = Duration::from_secs(1);
 
-/// A move as its driver knows it.
+/// Evaluation of a move on the lease holder.
 #[derive(Debug)]
 pub(super) struct DrivenMove {
     revision: ConfigRevision,
-    rate: RateMeasure,
-    judge: VersionEvaluator,
-    /// Stage that the proof in the judge is for.
+    rate: RateMeasurement,
+    evaluator: VersionEvaluator,
+    /// Stage that the evaluation in progress belongs to.
     stage: u32,
-    heard: BTreeMap<HostName, u64>,
+    /// Sequence number of the newest batch from each daemon.
+    last_sequences: BTreeMap<HostName, u64>,
 }
 
-/// Requests of the old version, measured again and again.
+/// Repeated measurement of the request rate of the old version.
 #[derive(Debug, Clone, Copy)]
-struct RateMeasure {
+struct RateMeasurement {
     began_at: MonotonicTime,
-    /// Requests before that.
+    /// Total of requests when the measurement began.
     requests: u64,
-    /// Requests a second in the newest whole measurement.
+    /// Requests per second in the newest completed measurement; absent before the first.
     per_second: Option<f64>,
 }
 
-impl RateMeasure {
+impl RateMeasurement {
     fn begin(now: MonotonicTime) -> Self {
         Self {
             began_at: now,
@@ -54,113 +56,114 @@
         }
     }
 
-    /// Takes the requests so far; ends the measurement when it has lasted long enough.
+    /// Updates the rate from the total of requests so far if the measurement period has elapsed.
     fn update(&mut self, now: MonotonicTime, requests: u64) {
         let elapsed = now.since(self.began_at);
-        if elapsed < MEASURED_FOR {
+        if elapsed < RATE_MEASUREMENT_PERIOD {
             return;
         }
-        let measured = requests.saturating_sub(self.requests) as f64;
+        let new_requests = requests.saturating_sub(self.requests) as f64;
         *self = Self {
             began_at: now,
             requests,
-            per_second: Some(measured / elapsed.as_secs_f64()),
+            per_second: Some(new_requests / elapsed.as_secs_f64()),
         };
     }
 }
 
 impl MovesState {
-    /// Takes evidence of a daemon, unless it came before.
-    pub(super) fn hear_evidence(
+    /// Adds the statistics of a daemon to the evaluation. Ignores duplicates, reordered batches and
+    /// batches for another revision of the spec.
+    pub(super) fn record_statistics(
         &mut self,
         now: CoreTime,
         from: &HostName,
-        parcel: &EvidenceParcel,
+        batch: &StatisticsBatch,
     ) {
-        let Some(driven) = self.driven.get_mut(&parcel.name) else {
+        let Some(driven) = self.driven.get_mut(&batch.name) else {
             return;
         };
-        let heard = driven.heard.entry(from.clone()).or_default();
-        if driven.revision != parcel.revision || parcel.sequence <= *heard {
+        let last_sequence = driven.last_sequences.entry(from.clone()).or_default();
+        if driven.revision != batch.revision || batch.sequence <= *last_sequence {
             return;
         }
-        *heard = parcel.sequence;
-        for evidence in &parcel.routes {
-            driven.judge.add(now.monotonic, evidence);
+        *last_sequence = batch.sequence;
+        for statistics in &batch.routes {
+            driven.evaluator.add(now.monotonic, statistics);
         }
     }
 
-    /// Drives all moves, if this daemon holds the lease.
+    /// Makes the next decision for each move if this daemon holds the lease.
     pub(super) fn drive(&mut self, now: CoreTime, view: MoveView<'_>, effects: &mut EffectQueue) {
         let Some(lease) = view.lease else {
             self.driven.clear();
             return;
         };
-        for planned in planned_moves(view.config) {
-            if self.is_over(planned.name, view.config) || self.writing.contains_key(planned.name) {
+        for configured in configured_moves(view.config) {
+            if self.is_over(configured.name, view.config) || self.pending_writes.contains_key(configured.name) {
                 continue;
             }
-            self.watch_proof(now, planned);
-            self.stop_if_bad(now, planned, view, effects);
-            if let Some(row) = self.next_row(now, planned, lease, view.config) {
-                self.write_row(now, planned, lease, row, effects);
+            self.update_evaluation(now, configured);
+            self.stop_if_worse(now, configured, view, effects);
+            if let Some(row) = self.next_row(now, configured, lease, view.config) {
+                self.write_row(now, configured, lease, row, effects);
             }
         }
     }
 
-    /// Begins a new proof when the stage or the spec is another one.
-    fn watch_proof(&mut self, now: CoreTime, planned: PlannedMove<'_>) {
+    /// Closes the comparison window and restarts the evaluation if the stage or the spec changed.
+    fn update_evaluation(&mut self, now: CoreTime, configured: ConfiguredMove<'_>) {
         let stage = self
-            .row_of(planned.name, planned.revision)
+            .row_of(configured.name, configured.revision)
             .map_or(0, |row| row.stage);
         let driven = self
             .driven
-            .entry(planned.name.clone())
-            .or_insert_with(|| new_driven(now, planned.revision, stage));
-        if driven.revision != planned.revision {
-            *driven = new_driven(now, planned.revision, stage);
+            .entry(configured.name.clone())
+            .or_insert_with(|| new_driven(now, configured.revision, stage));
+        if driven.revision != configured.revision {
+            *driven = new_driven(now, configured.revision, stage);
         }
-        driven.judge.close_window(now.monotonic);
-        let requests = driven.judge.old_requests();
+        driven.evaluator.close_window(now.monotonic);
+        let requests = driven.evaluator.old_requests();
         driven.rate.update(now.monotonic, requests);
         if driven.stage != stage {
             driven.stage = stage;
-            driven.judge.begin_stage();
+            driven.evaluator.begin_stage();
         }
     }
 
-    fn stop_if_bad(
+    fn stop_if_worse(
         &mut self,
         now: CoreTime,
-        planned: PlannedMove<'_>,
+        configured: ConfiguredMove<'_>,
         view: MoveView<'_>,
         effects: &mut EffectQueue,
     ) {
-        if let EvaluationResult::Worse { reason } = self.verdict(planned.name) {
-            let stop = Self::new_stop(now, planned.revision, reason);
-            self.stop(planned.name, stop, view.members, effects);
+        if let EvaluationResult::Worse { reason } = self.evaluation(configured.name) {
+            let stop = Self::new_stop(now, configured.revision, reason);
+            self.stop(configured.name, stop, view.members, effects);
         }
     }
 
-    fn verdict(&self, name: &MoveName) -> EvaluationResult {
+    fn evaluation(&self, name: &MoveName) -> EvaluationResult {
         let driven = self.driven.get(name);
         driven.map_or(EvaluationResult::Inconclusive, |driven| {
-            driven.judge.result()
+            driven.evaluator.result()
         })
     }
 
-    /// The row that must follow, if another one must.
+    /// Returns the row to write next, if the state, the stage, the share or the holder must change.
     fn next_row(
         &self,
         now: CoreTime,
-        planned: PlannedMove<'_>,
+        configured: ConfiguredMove<'_>,
         lease: LeaseGrant,
         config: &ConfigView,
     ) -> Option<MoveRow> {
-        let Some(row) = self.row_of(planned.name, planned.revision) else {
-            return Some(self.first_row(now, planned, lease));
+        let Some(row) = self.row_of(configured.name, configured.revision) else {
+            return Some(self.initial_row(now, configured, lease));
         };
-        let change = |state, stage, share_per_mille, reason: String| MoveRow {
+        let updated = |state, stage, share_per_mille, reason: String| MoveRow {
             state,
             stage,
             share_per_mille,
@@ -170,78 +173,81 @@
             reason,
             ..row.clone()
         };
-        let back = |reason| Some(change(MoveState::TakenBack, row.stage, 0, reason));
-        if let Some(stop) = self.stop_of(planned.name, planned.revision) {
-            return back(stop.reason.clone());
+        let roll_back = |reason| Some(updated(MoveState::TakenBack, row.stage, 0, reason));
+        if let Some(stop) = self.stop_of(configured.name, configured.revision) {
+            return roll_back(stop.reason.clone());
         }
-        let plan = MovePlan::new(planned.spec, row.started_at, row.rate());
+        let plan = MovePlan::new(configured.spec, row.started_at, row.rate());
         if now.wall >= plan.decide_by {
-            return back("it could not be proved and soaked by its deadline".into());
+            return roll_back("evaluation and soak not finished by the deadline".into());
         }
         match row.state {
-            MoveState::Planned if runs(planned, config) => match self.requests_a_second(planned) {
+            MoveState::Planned if has_available_upstream(configured, config) => { match self.measured_rate(configured) {
                 Some(rate) => {
-                    let plan = MovePlan::new(planned.spec, row.started_at, rate);
+                    let plan = MovePlan::new(configured.spec, row.started_at, rate);
                     let first = plan.stages.first().map(|stage| stage.share_per_mille);
                     let share = first.unwrap_or_default();
                     Some(MoveRow {
                         requests_per_1000s: (rate * 1_000.0) as u32,
-                        ..change(MoveState::Moving, 0, share, "the first small share".into())
+                        ..updated(MoveState::Moving, 0, share, "first stage started".into())
                     })
                 }
-                None => self.taken_over(row, lease),
-            },
-            MoveState::Moving => match self.after_stage(now, planned, row, &plan) {
-                StageVerdict::Next => {
+                None => self.takeover_row(row, lease),
+            }
+            }
+            MoveState::Moving => match self.stage_decision(now, configured, row, &plan) {
+                StageDecision::Advance => {
                     let stage = row.stage + 1;
                     let next = plan.stages.get(stage as usize);
-                    let reason = "the version was as good as the old one at the last share";
+                    let reason = "no regression found at the previous share";
                     match next.map(|stage| stage.share_per_mille) {
-                        Some(share) => Some(change(MoveState::Moving, stage, share, reason.into())),
-                        None => Some(change(MoveState::Soaking, stage, 1_000, reason.into())),
+                        Some(share) => { Some(updated(MoveState::Moving, stage, share, reason.into()))
+                        }
+                        None => Some(updated(MoveState::Soaking, stage, 1_000, reason.into())),
                     }
                 }
-                StageVerdict::TooLate => {
-                    back("too few requests proved it in time for the larger shares".into())
+                StageDecision::TooLate => {
+                    roll_back("too few requests proved it in time for the larger shares".into())
                 }
-                StageVerdict::Stay => self
-                    .with_larger_share(planned, row, lease)
-                    .or_else(|| self.taken_over(row, lease)),
+                StageDecision::Stay => self
+                    .with_larger_share(configured, row, lease)
+                    .or_else(|| self.takeover_row(row, lease)),
             },
             MoveState::Soaking if now.wall.since(row.stage_at) >= plan.soak => {
-                let reason = "the version was as good as the old one";
+                let reason = "soak completed without a regression";
                 let stage = row.stage;
-                Some(change(MoveState::Completed, stage, 1_000, reason.into()))
+                Some(updated(MoveState::Completed, stage, 1_000, reason.into()))
             }
-            MoveState::Planned | MoveState::Soaking => self.taken_over(row, lease),
+            MoveState::Planned | MoveState::Soaking => self.takeover_row(row, lease),
             MoveState::Completed | MoveState::TakenBack => None,
         }
     }
 
-    /// Fewer requests come than the first share was chosen for: it must be larger to bring the proof
-    /// in time. As many requests meet the version as were planned.
+    /// Returns a row with a larger first share if the request rate is below the one that the share
+    /// was chosen for, since the evaluation would otherwise not finish in time. The new version
+    /// still receives only as many requests as were planned.
     fn with_larger_share(
         &self,
-        planned: PlannedMove<'_>,
+        configured: ConfiguredMove<'_>,
         row: &MoveRow,
         lease: LeaseGrant,
     ) -> Option<MoveRow> {
-        let rate = self.requests_a_second(planned)?;
-        let plan = MovePlan::new(planned.spec, row.started_at, rate);
+        let rate = self.measured_rate(configured)?;
+        let plan = MovePlan::new(configured.spec, row.started_at, rate);
         let share = plan.stages.first()?.share_per_mille;
         (row.stage == 0 && share > row.share_per_mille).then(|| MoveRow {
             share_per_mille: share,
             requests_per_1000s: (rate * 1_000.0) as u32,
             holder: self.options.host.clone(),
             fencing: lease.fencing,
-            reason: "fewer requests come than were measured before".into(),
+            reason: "first share increased: request rate is lower than measured before".into(),
             ..row.clone()
         })
     }
 
-    /// A new holder writes its name into the row, so that evidence comes to it, and its fencing
-    /// number, so that a write of the last holder that is still under way finds the row changed.
-    fn taken_over(&self, row: &MoveRow, lease: LeaseGrant) -> Option<MoveRow> {
+    /// Returns the row of a new holder. Its host name directs the statistics to it; its fencing
+    /// number makes a write of the previous holder that is still in flight conflict.
+    fn takeover_row(&self, row: &MoveRow, lease: LeaseGrant) -> Option<MoveRow> {
         (row.fencing < lease.fencing).then(|| MoveRow {
             holder: self.options.host.clone(),
             fencing: lease.fencing,
@@ -249,9 +255,10 @@
         })
     }
 
-    fn first_row(&self, now: CoreTime, planned: PlannedMove<'_>, lease: LeaseGrant) -> MoveRow {
+    fn initial_row(&self, now: CoreTime,
+        configured: ConfiguredMove<'_>, lease: LeaseGrant,) -> MoveRow {
         MoveRow {
-            spec_revision: planned.revision,
+            spec_revision: configured.revision,
             state: MoveState::Planned,
             stage: 0,
             share_per_mille: 0,
@@ -260,74 +267,77 @@
             stage_at: now.wall,
             holder: self.options.host.clone(),
             fencing: lease.fencing,
-            reason: "the old version is measured, and an upstream with the new one awaited".into(),
+            reason: "measuring the request rate and waiting for an upstream with the new version".into(),
         }
     }
 
-    /// Requests of the old version, once they were watched long enough.
-    fn requests_a_second(&self, planned: PlannedMove<'_>) -> Option<f64> {
-        self.driven.get(planned.name)?.rate.per_second
+    /// Returns the requests per second of the old version, once a measurement is complete.
+    fn measured_rate(&self, configured: ConfiguredMove<'_>) -> Option<f64> {
+        self.driven.get(configured.name)?.rate.per_second
     }
 
-    fn after_stage(
+    /// Decides whether the current stage continues, is passed or is too late.
+
+    fn stage_decision(
         &self,
         now: CoreTime,
-        planned: PlannedMove<'_>,
+        configured: ConfiguredMove<'_>,
         row: &MoveRow,
         plan: &MovePlan,
-    ) -> StageVerdict {
+    ) -> StageDecision {
         let Some(stage) = plan.stages.get(row.stage as usize) else {
-            return StageVerdict::Next;
+            return StageDecision::Advance;
         };
-        let proved = match self.verdict(planned.name) {
+        let passed = match self.evaluation(configured.name) {
             EvaluationResult::NoRegression => true,
             EvaluationResult::NoLargeRegression => !stage.strict,
             EvaluationResult::Inconclusive | EvaluationResult::Worse { .. } => false,
         };
         let late = now.wall >= stage.latest_end;
-        // The dwell is counted from when the stage began, which is later than planned when the
-        // old version was measured first. Held to it all the same, a move of some two minutes
-        // would be taken back with its proof at hand.
-        let rested = late || now.wall.since(row.stage_at) >= stage.dwell;
-        if proved && rested {
-            StageVerdict::Next
+        // The dwell time counts from the start of the stage, which the rate measurement delays.
+        // A passed stage need not complete it after its latest end: otherwise a move of about two
+        // minutes would be rolled back although the evaluation has passed.
+        let dwell_elapsed = late || now.wall.since(row.stage_at) >= stage.dwell;
+        if passed && dwell_elapsed {
+            StageDecision::Advance
         } else if late {
-            StageVerdict::TooLate
+            StageDecision::TooLate
         } else {
-            StageVerdict::Stay
+            StageDecision::Stay
         }
     }
 
     fn write_row(
         &mut self,
         now: CoreTime,
-        planned: PlannedMove<'_>,
+        configured: ConfiguredMove<'_>,
         lease: LeaseGrant,
         row: MoveRow,
         effects: &mut EffectQueue,
     ) {
-        let known = self.rows.get(planned.name);
-        // Another holder with a larger number has written since: this one was paused.
-        if known.is_some_and(|known| known.row.fencing > lease.fencing) {
+        let recorded = self.rows.get(configured.name);
+        // A holder with a larger fencing number has written since, so this daemon was paused and
+        // its lease is no longer valid.
+        if recorded.is_some_and(|recorded| recorded.row.fencing > lease.fencing) {
             return;
         }
-        let alone = now.monotonic < lease.valid_until;
-        invariant::check(effects, InvariantName::HolderActsAlone, alone, || {
-            format!("move={} fencing={}", planned.name, lease.fencing)
+        let lease_valid = now.monotonic < lease.valid_until;
+        invariant::check(effects, InvariantName::HolderActsAlone, lease_valid, || {
+            format!("move={} fencing={}", configured.name, lease.fencing)
         });
-        let unproven = row.state == MoveState::Moving && row.stage == 0;
-        let bounded = !unproven || row.share_per_mille <= MAX_FIRST_SHARE_PER_MILLE;
+        let is_first_stage = row.state == MoveState::Moving && row.stage == 0;
+        let bounded = !is_first_stage || row.share_per_mille <= MAX_FIRST_SHARE_PER_MILLE;
         invariant::check(effects, InvariantName::BadVersionBounded, bounded, || {
-            format!("move={} share={}", planned.name, row.share_per_mille)
+            format!("move={} share={}", configured.name, row.share_per_mille)
         });
-        if !alone || !bounded {
+        if !lease_valid || !bounded {
             return;
         }
-        let key = row_key(planned.name);
+        let key = row_key(configured.name);
         let commit = TableCommit {
             conditions: vec![RowCondition {
                 key: key.clone(),
-                revision: known.map(|known| known.revision),
+                revision: recorded.map(|recorded| recorded.revision),
             }],
             writes: vec![RowWrite {
                 key,
@@ -335,34 +345,37 @@
             }],
         };
         let number = self.call_table(TableRequest::Commit(commit), effects);
-        self.writing
-            .insert(planned.name.clone(), RowWriting { number, row });
+        self.pending_writes
+            .insert(configured.name.clone(), PendingWrite { number, row });
     }
 }
 
-/// What follows a stage.
+/// Decision on the current stage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum StageVerdict {
+enum StageDecision {
+    /// The evaluation or the dwell time continues.
     Stay,
-    Next,
+    /// The stage is passed.
+    Advance,
+    /// The stage was not passed by its latest end.
     TooLate,
 }
 
 fn new_driven(now: CoreTime, revision: ConfigRevision, stage: u32) -> DrivenMove {
     DrivenMove {
         revision,
-        rate: RateMeasure::begin(now.monotonic),
-        judge: VersionEvaluator::new(HOLDER_SLOT),
+        rate: RateMeasurement::begin(now.monotonic),
+        evaluator: VersionEvaluator::new(HOLDER_WINDOW),
         stage,
-        heard: BTreeMap::new(),
+        last_sequences: BTreeMap::new(),
     }
 }
 
-/// Whether an upstream of the service runs the new version and takes work.
-fn runs(planned: PlannedMove<'_>, config: &ConfigView) -> bool {
-    let mut names = config.upstreams_of(&planned.spec.service);
+/// Whether an upstream of the service is configured with the new version and is not draining.
+fn has_available_upstream(configured: ConfiguredMove<'_>, config: &ConfigView) -> bool {
+    let mut names = config.upstreams_of(&configured.spec.service);
     names.any(|name| {
         let spec = config.upstreams.get(name);
-        spec.is_some_and(|spec| spec.version == planned.spec.to && !spec.draining)
+        spec.is_some_and(|spec| spec.version == configured.spec.to && !spec.draining)
     })
 }
--- a/crates/savorywood-core/src/moves/local_statistics.rs
+++ b/crates/savorywood-core/src/moves/local_statistics.rs
@@ -1,9 +1,9 @@
-//! Gathering what this daemon sees, judging it here, and sending it to the holder.
+//! Statistics of the requests that this daemon dispatched: evaluated locally and sent to the lease
+//! holder.
 
 use super::{
-    ComparedVersion, MoveSample, MoveView, MovesState,
+    ComparedVersion, MoveSample, MoveView, MovesState, configured_moves,
     evaluator::{EvaluationResult, VersionEvaluator},
-    planned_moves,
     samples::SampleBuffer,
 };
 use crate::{
@@ -16,53 +16,57 @@
 };
 use std::time::Duration;
 
-/// Evidence messages a second that the holder gets from all daemons. At some 100 bytes each they
-/// use half of the 9 KB/s that a daemon may spend.
-const MESSAGES_PER_SECOND: usize = 40;
+/// Statistics messages per second that the holder receives from all daemons together. At about 100
+/// bytes each they use half of the 9 KB/s budget of a daemon.
+const MAX_MESSAGES_PER_SECOND: usize = 40;
 
-/// Between two messages of a daemon that saw nothing fail.
-const MIN_PERIOD: Duration = Duration::from_millis(500);
+/// Minimum interval between two batches of a daemon, unless a request failed on the new version.
+const MIN_SEND_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Slot of a daemon's own judgement: long enough for the old version to be a control.
-const LOCAL_SLOT: Duration = Duration::from_secs(3);
+/// Comparison window of the local evaluation, long enough to contain requests of the old version as
+/// a control.
+const LOCAL_WINDOW: Duration = Duration::from_secs(3);
 
-/// What this daemon sees of one move.
+/// Samples and local evaluation of one move.
 #[derive(Debug)]
-pub(super) struct LocalWatch {
+pub(super) struct LocalStatistics {
     revision: ConfigRevision,
     buffer: SampleBuffer,
-    judge: VersionEvaluator,
+    evaluator: VersionEvaluator,
     sequence: u64,
     sent_at: MonotonicTime,
 }
 
-impl LocalWatch {
+impl LocalStatistics {
     fn new(revision: ConfigRevision) -> Self {
         Self {
             revision,
             buffer: SampleBuffer::default(),
-            judge: VersionEvaluator::new(LOCAL_SLOT),
+            evaluator: VersionEvaluator::new(LOCAL_WINDOW),
             sequence: 0,
             sent_at: MonotonicTime::default(),
         }
     }
 }
 
-/// Evidence on its way to the holder.
+/// Statistics of one daemon for one interval, addressed to the lease holder.
 #[derive(Debug)]
-pub(super) struct EvidenceParcel {
+pub(super) struct StatisticsBatch {
     pub(super) name: MoveName,
     pub(super) revision: ConfigRevision,
+    /// Increases by one with each batch; a batch that is not newer than the last one is ignored.
     pub(super) sequence: u64,
     pub(super) routes: Vec<RouteStatistics>,
 }
 
 impl MovesState {
-    pub(super) fn sample(&mut self, sample: &MoveSample, config: &ConfigView) {
+    /// Counts the outcome of a request if its service has an unfinished move and it ran on one of
+    /// the two versions.
+    pub(super) fn record_sample(&mut self, sample: &MoveSample, config: &ConfigView) {
         let Some(split) = self.splits.get(&sample.service) else {
             return;
         };
-        let arm = if sample.version == split.new {
+        let version = if sample.version == split.new {
             ComparedVersion::New
         } else if sample.version == split.old {
             ComparedVersion::Old
@@ -71,69 +75,76 @@
         };
         let name = split.move_name.clone();
         let revision = super::spec_revision(&name, config);
-        let over = self.is_over(&name, config) || self.is_stopped(&name, revision);
-        if over {
+        let is_ended = self.is_over(&name, config) || self.is_stopped(&name, revision);
+        if is_ended {
             return;
         }
-        let watch = self
-            .watches
+        let local = self
+            .local
             .entry(name)
-            .or_insert_with(|| LocalWatch::new(revision));
-        if watch.revision != revision {
-            *watch = LocalWatch::new(revision);
+            .or_insert_with(|| LocalStatistics::new(revision));
+        if local.revision != revision {
+            *local = LocalStatistics::new(revision);
         }
-        watch.buffer.add(arm, sample);
+        local.buffer.add(version, sample);
     }
 
-    /// Judges what was gathered and sends it on.
-    pub(super) fn flush(&mut self, now: CoreTime, view: MoveView<'_>, effects: &mut EffectQueue) {
-        let period = evidence_period(view.members);
-        for planned in planned_moves(view.config) {
-            let Some(parcel) = self.take_parcel(now, planned.name, period) else {
+    /// Evaluates the collected samples locally and sends them to the lease holder.
+    pub(super) fn process_samples(
+        &mut self,
+        now: CoreTime,
+        view: MoveView<'_>,
+        effects: &mut EffectQueue,
+    ) {
+        let interval = send_interval(view.members);
+        for configured in configured_moves(view.config) {
+            let Some(batch) = self.take_batch(now, configured.name, interval) else {
                 continue;
             };
-            // What this daemon sees by itself may be enough: it need not wait for the holder,
-            // which may be cut off or gone.
-            if let Some(reason) = self.judge_locally(now, &parcel) {
-                let stop = Self::new_stop(now, parcel.revision, reason);
-                self.stop(&parcel.name, stop, view.members, effects);
+            // Local statistics may suffice to stop the move without the holder, which may be
+            // partitioned or down.
+            if let Some(reason) = self.evaluate_locally(now, &batch) {
+                let stop = Self::new_stop(now, batch.revision, reason);
+                self.stop(&batch.name, stop, view.members, effects);
             }
-            self.send_parcel(now, parcel, view.members, effects);
+            self.send_batch(now, batch, view.members, effects);
         }
     }
 
-    fn take_parcel(
+    /// Takes the next batch if it is due and not empty.
+    fn take_batch(
         &mut self,
         now: CoreTime,
         name: &MoveName,
-        period: Duration,
-    ) -> Option<EvidenceParcel> {
-        let watch = self.watches.get_mut(name)?;
-        let due = now.monotonic.since(watch.sent_at) >= period;
-        if !due && !watch.buffer.is_urgent() {
+        interval: Duration,
+    ) -> Option<StatisticsBatch> {
+        let local = self.local.get_mut(name)?;
+        let due = now.monotonic.since(local.sent_at) >= interval;
+        if !due && !local.buffer.has_new_failures() {
             return None;
         }
-        let routes = watch.buffer.take();
+        let routes = local.buffer.take();
         if routes.is_empty() {
             return None;
         }
-        watch.sent_at = now.monotonic;
-        watch.sequence += 1;
-        Some(EvidenceParcel {
+        local.sent_at = now.monotonic;
+        local.sequence += 1;
+        Some(StatisticsBatch {
             name: name.clone(),
-            revision: watch.revision,
-            sequence: watch.sequence,
+            revision: local.revision,
+            sequence: local.sequence,
             routes,
         })
     }
 
-    fn judge_locally(&mut self, now: CoreTime, parcel: &EvidenceParcel) -> Option<String> {
-        let watch = self.watches.get_mut(&parcel.name)?;
-        for evidence in &parcel.routes {
-            watch.judge.add(now.monotonic, evidence);
+    /// Returns the reason if the local evaluation finds the new version worse.
+    fn evaluate_locally(&mut self, now: CoreTime, batch: &StatisticsBatch) -> Option<String> {
+        let local = self.local.get_mut(&batch.name)?;
+        for statistics in &batch.routes {
+            local.evaluator.add(now.monotonic, statistics);
         }
-        watch.judge.close_window(now.monotonic);
-        match watch.judge.result() {
+        local.evaluator.close_window(now.monotonic);
+        match local.evaluator.result() {
             EvaluationResult::Worse { reason } => Some(reason),
             EvaluationResult::Inconclusive
             | EvaluationResult::NoLargeRegression
@@ -141,29 +152,29 @@
         }
     }
 
-    fn send_parcel(
+    fn send_batch(
         &mut self,
         now: CoreTime,
-        parcel: EvidenceParcel,
+        batch: StatisticsBatch,
         members: &MemberView,
         effects: &mut EffectQueue,
     ) {
         let own = self.options.host.clone();
-        let Some(holder) = self.holder_of(&parcel.name) else {
+        let Some(holder) = self.holder_of(&batch.name) else {
             return;
         };
         if holder == own {
-            self.hear_evidence(now, &own, &parcel);
+            self.record_statistics(now, &own, &batch);
             return;
         }
         let Some(member) = members.members.get(&holder) else {
             return;
         };
         let message = MoveMessage::Statistics {
-            name: parcel.name,
-            revision: parcel.revision,
-            sequence: parcel.sequence,
-            routes: parcel.routes,
+            name: batch.name,
+            revision: batch.revision,
+            sequence: batch.sequence,
+            routes: batch.routes,
         };
         effects.push(DaemonEffect::SendPeer {
             to: holder,
@@ -177,8 +188,10 @@
     }
 }
 
-fn evidence_period(members: &MemberView) -> Duration {
+/// Returns the interval between batches of one daemon, which grows with the number of serving
+/// members.
+fn send_interval(members: &MemberView) -> Duration {
     let members = members.serving().count();
-    let millis = members * 1_000 / MESSAGES_PER_SECOND;
-    Duration::from_millis(millis as u64).max(MIN_PERIOD)
+    let millis = members * 1_000 / MAX_MESSAGES_PER_SECOND;
+    Duration::from_millis(millis as u64).max(MIN_SEND_INTERVAL)
 }
--- a/crates/savorywood-core/src/moves/splits.rs
+++ b/crates/savorywood-core/src/moves/splits.rs
@@ -1,47 +1,48 @@
-//! How traffic is split, from the rows, the stops and the clock.
+//! Traffic splits, derived from the rows, the recorded stops and the clock.
 
-use super::{MovesState, PlannedMove, planned_moves};
+use super::{ConfiguredMove, MovesState, configured_moves};
 use crate::view::{ConfigView, VersionSplit};
 use savorywood_protocol::{CoreTime, ServiceName, resource::MoveState};
 use std::collections::BTreeMap;
 
 impl MovesState {
+    /// Computes the split of each service from its newest move.
     pub(super) fn build_splits(
         &self,
         now: CoreTime,
         config: &ConfigView,
     ) -> BTreeMap<ServiceName, VersionSplit> {
-        let mut newest: BTreeMap<&ServiceName, PlannedMove<'_>> = BTreeMap::new();
-        for planned in planned_moves(config) {
-            let place = newest.entry(&planned.spec.service).or_insert(planned);
-            if planned.revision > place.revision {
-                *place = planned;
+        let mut newest: BTreeMap<&ServiceName, ConfiguredMove<'_>> = BTreeMap::new();
+        for configured in configured_moves(config) {
+            let latest = newest.entry(&configured.spec.service).or_insert(configured);
+            if configured.revision > latest.revision {
+                *latest = configured;
             }
         }
-        let splits = newest.into_values().map(|planned| {
+        let splits = newest.into_values().map(|configured| {
             let split = VersionSplit {
-                move_name: planned.name.clone(),
-                old: planned.spec.from.clone(),
-                new: planned.spec.to.clone(),
-                new_per_mille: self.share(now, planned),
+                move_name: configured.name.clone(),
+                old: configured.spec.from.clone(),
+                new: configured.spec.to.clone(),
+                new_per_mille: self.new_per_mille(now, configured),
             };
-            (planned.spec.service.clone(), split)
+            (configured.spec.service.clone(), split)
         });
         splits.collect()
     }
 
-    fn share(&self, now: CoreTime, planned: PlannedMove<'_>) -> u16 {
-        let Some(row) = self.row_of(planned.name, planned.revision) else {
+    fn new_per_mille(&self, now: CoreTime, configured: ConfiguredMove<'_>) -> u16 {
+        let Some(row) = self.row_of(configured.name, configured.revision) else {
             return 0;
         };
         match row.state {
             MoveState::Completed => 1_000,
             MoveState::Planned | MoveState::TakenBack => 0,
             MoveState::Moving | MoveState::Soaking => {
-                // The table may be down and the holder gone: then nobody writes that the move was
-                // taken back, and an unproven version would keep its share past the deadline.
-                let late = now.wall >= planned.spec.finish_by;
-                let stopped = self.is_stopped(planned.name, planned.revision);
+                // While the table or the holder is unreachable, no row records the rollback.
+                // Without this check an unverified version would keep its share past the deadline.
+                let late = now.wall >= configured.spec.finish_by;
+                let stopped = self.is_stopped(configured.name, configured.revision);
                 if late || stopped {
                     0
                 } else {
