--- a/crates/savorywood-core/examples/core_slopes.rs
+++ b/crates/savorywood-core/examples/core_slopes.rs
@@ -6,8 +6,8 @@
 //! request, microseconds a second at rest.
 
 use savorywood_core::{
-    AnswerReport, CallerEvent, CoreOptions, DaemonCore, DaemonEffect, DaemonEvent, DispatchOrder,
-    DutyKind, EffectQueue, PromptShape, RequestArrival, TableCall, TimerKey, TokenDigest,
+    CallerEvent, CoreOptions, DaemonCore, DaemonEffect, DaemonEvent, DispatchOrder, DutyKind,
+    EffectQueue, PromptShape, RequestArrival, ResponseReport, TableCall, TimerKey, TokenDigest,
     UpstreamEvent,
     config::row::{HEAD_KEY, HeadRow, ResourceRow, row_key},
 };
@@ -222,7 +222,7 @@
                     count: 4,
                 }));
             }
-            let report = AnswerReport {
+            let report = ResponseReport {
                 status: 200,
                 prompt_tokens: 200,
                 cached_tokens: 64,
--- a/crates/savorywood-core/src/claims/outcome.rs
+++ b/crates/savorywood-core/src/claims/outcome.rs
@@ -20,7 +20,7 @@
                 let outcome = self.outcome_of(*request, report.status);
                 self.record(now, *request, outcome, view, effects);
             }
-            UpstreamEvent::Broken { request, .. } => {
+            UpstreamEvent::Failed { request, .. } => {
                 self.record(now, *request, ClaimOutcome::Unknown, view, effects);
             }
             UpstreamEvent::FirstToken { .. }
--- a/crates/savorywood-core/src/daemon.rs
+++ b/crates/savorywood-core/src/daemon.rs
@@ -233,10 +233,10 @@
             }
             DaemonEvent::HostsListed(hosts) => self.list_hosts(now, hosts, effects),
             DaemonEvent::StopRequested => self.leave(now, StopEvent::Requested, effects),
-            DaemonEvent::AnswerKept { request, answer } => {
+            DaemonEvent::ResponseCaptured { request, answer } => {
                 self.claim(now, ClaimEvent::AnswerKept { request, answer }, effects);
             }
-            DaemonEvent::OrderAnswered { call, answer } => {
+            DaemonEvent::OrderCompleted { call, answer } => {
                 self.order(now, OrderEvent::Answered { call, answer }, effects);
             }
         }
--- a/crates/savorywood-core/src/daemon/deciding.rs
+++ b/crates/savorywood-core/src/daemon/deciding.rs
@@ -190,7 +190,7 @@
     pub(super) fn caller(&mut self, now: CoreTime, event: CallerEvent, effects: &mut EffectQueue) {
         match event {
             CallerEvent::Arrived(arrival) => self.arrive(now, &arrival, effects),
-            CallerEvent::Left { request } => self.caller_left(now, request, effects),
+            CallerEvent::Disconnected { request } => self.caller_left(now, request, effects),
             CallerEvent::Resumed(arrival) => self.resume(now, &arrival, effects),
         }
     }
--- a/crates/savorywood-core/src/daemon/gate.rs
+++ b/crates/savorywood-core/src/daemon/gate.rs
@@ -155,7 +155,7 @@
                     entry.stage = GateStage::Here;
                 }
             }
-            UpstreamEvent::Finished { request, .. } | UpstreamEvent::Broken { request, .. } => {
+            UpstreamEvent::Finished { request, .. } | UpstreamEvent::Failed { request, .. } => {
                 self.close(*request);
             }
             UpstreamEvent::FirstToken { .. }
@@ -212,7 +212,7 @@
         | UpstreamEvent::Finished {
             request, attempt, ..
         }
-        | UpstreamEvent::Broken {
+        | UpstreamEvent::Failed {
             request, attempt, ..
         } => Some(AttemptKey {
             request: *request,
--- a/crates/savorywood-core/src/daemon/moving.rs
+++ b/crates/savorywood-core/src/daemon/moving.rs
@@ -3,7 +3,7 @@
 use super::DaemonCore;
 use crate::{
     effect::EffectQueue,
-    event::{BreakCause, UpstreamEvent},
+    event::{FailureCause, UpstreamEvent},
     leases::LeaseName,
     moves::{MoveEvent, MoveSample, MoveVerdict, MoveView},
     scheduler::SchedulerEvent,
@@ -57,14 +57,14 @@
     ) {
         let sample = match event {
             UpstreamEvent::Finished { request, .. } => self.sample_of(now, *request, false),
-            UpstreamEvent::Broken { request, cause, .. } => {
+            UpstreamEvent::Failed { request, cause, .. } => {
                 let expired = self
                     .gate
                     .get(*request)
                     .is_some_and(|queued| queued.deadline_at <= now.monotonic);
                 // A caller that left says nothing of the version; one that was kept waiting
                 // past its deadline does.
-                let says_something = *cause != BreakCause::Cancelled || expired;
+                let says_something = *cause != FailureCause::Cancelled || expired;
                 let sample = self.sample_of(now, *request, true);
                 sample.filter(|_| says_something)
             }
--- a/crates/savorywood-core/src/daemon/objectives.rs
+++ b/crates/savorywood-core/src/daemon/objectives.rs
@@ -82,7 +82,7 @@
                     measured.finish(now, burn);
                 }
             }
-            UpstreamEvent::Broken { request, .. } => self.refused(now, *request, burn),
+            UpstreamEvent::Failed { request, .. } => self.refused(now, *request, burn),
             UpstreamEvent::NotSent { .. }
             | UpstreamEvent::LoadReported { .. }
             | UpstreamEvent::CacheChanged { .. } => {}
--- a/crates/savorywood-core/src/event.rs
+++ b/crates/savorywood-core/src/event.rs
@@ -65,7 +65,7 @@
     /// A caller asks for the rest of a stream that another daemon began.
     Resumed(Box<ResumeArrival>),
     /// The caller closed its connection before its answer ended.
-    Left {
+    Disconnected {
         /// Request that nobody waits for any longer.
         request: RequestId,
     },
@@ -73,7 +73,7 @@
 
 /// What an upstream's answer says of the work done.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct AnswerReport {
+pub struct ResponseReport {
     /// HTTP status of the answer.
     pub status: u16,
     /// Prompt tokens counted by the upstream.
@@ -87,7 +87,7 @@
 /// How a dispatched request broke.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display, EnumIter, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
-pub enum BreakCause {
+pub enum FailureCause {
     /// The connection was reset or closed before an answer began.
     Connection,
     /// The answer ended before its length or end mark.
@@ -166,16 +166,16 @@
         /// Which attempt.
         attempt: AttemptNumber,
         /// What the answer says.
-        report: AnswerReport,
+        report: ResponseReport,
     },
     /// The attempt failed after a byte may have left.
-    Broken {
+    Failed {
         /// Request of the attempt.
         request: RequestId,
         /// Which attempt.
         attempt: AttemptNumber,
         /// How.
-        cause: BreakCause,
+        cause: FailureCause,
     },
     /// The upstream reported its load.
     LoadReported {
@@ -250,7 +250,7 @@
         snapshot: Option<Box<ConfigSnapshot>>,
     },
     /// An upstream answered an order, or did not.
-    OrderAnswered {
+    OrderCompleted {
         /// Names the order's call.
         call: OrderCall,
         /// The answer.
@@ -258,7 +258,7 @@
     },
     /// The whole answer of a call that may not be repeated, small enough to be recorded. Comes
     /// before the `Finished` of the same request.
-    AnswerKept {
+    ResponseCaptured {
         /// Request that was answered.
         request: RequestId,
         /// Its answer.
--- a/crates/savorywood-core/src/lib.rs
+++ b/crates/savorywood-core/src/lib.rs
@@ -32,8 +32,8 @@
 pub use daemon::{CoreOptions, DaemonCore};
 pub use effect::{DaemonEffect, DispatchOrder, EffectQueue, LogField, LogLevel, LogLine};
 pub use event::{
-    AnswerReport, BreakCause, CacheEvent, CacheEventBatch, CallerEvent, DaemonEvent, DutyKind,
-    HostEntry, LoadReport, TableCall, TimerKey, UpstreamEvent,
+    CacheEvent, CacheEventBatch, CallerEvent, DaemonEvent, DutyKind, FailureCause, HostEntry,
+    LoadReport, ResponseReport, TableCall, TimerKey, UpstreamEvent,
 };
 pub use invariant::{InvariantBreach, InvariantName};
 pub use operator::{OperatorCall, OperatorReply, OperatorRequest};
--- a/crates/savorywood-core/src/scheduler/progress.rs
+++ b/crates/savorywood-core/src/scheduler/progress.rs
@@ -9,7 +9,7 @@
 };
 use crate::{
     effect::{EffectQueue, LogLevel, LogLine},
-    event::{AnswerReport, BreakCause, UpstreamEvent},
+    event::{FailureCause, ResponseReport, UpstreamEvent},
 };
 use rand::Rng;
 use savorywood_protocol::{AttemptNumber, MonotonicTime, RequestId};
@@ -50,7 +50,7 @@
                 let key = attempt_key(*request, *attempt);
                 self.finished(now, key, *report, view, effects);
             }
-            UpstreamEvent::Broken {
+            UpstreamEvent::Failed {
                 request,
                 attempt,
                 cause,
@@ -143,7 +143,7 @@
         &mut self,
         now: MonotonicTime,
         key: AttemptKey,
-        report: AnswerReport,
+        report: ResponseReport,
         view: SchedulerView<'_>,
         effects: &mut EffectQueue,
     ) {
@@ -163,7 +163,7 @@
         self.fill(now, record.upstream, view, effects);
     }
 
-    fn learn_cost(&mut self, now: MonotonicTime, record: &AttemptRecord, report: AnswerReport) {
+    fn learn_cost(&mut self, now: MonotonicTime, record: &AttemptRecord, report: ResponseReport) {
         if report.status >= SERVER_ERROR {
             return;
         }
@@ -183,7 +183,12 @@
         estimates.error_tokens += u64::from(output.abs_diff(record.estimate.output_median));
     }
 
-    fn count_finished(&mut self, now: MonotonicTime, record: &AttemptRecord, report: AnswerReport) {
+    fn count_finished(
+        &mut self,
+        now: MonotonicTime,
+        record: &AttemptRecord,
+        report: ResponseReport,
+    ) {
         let uncached = prefilled(record, report);
         let prefill = &mut self.counters.prefill;
         prefill.total += u64::from(uncached);
@@ -208,7 +213,7 @@
         &mut self,
         now: MonotonicTime,
         key: AttemptKey,
-        cause: BreakCause,
+        cause: FailureCause,
         view: SchedulerView<'_>,
         effects: &mut EffectQueue,
     ) {
@@ -266,7 +271,7 @@
 
 /// Prompt tokens that were really prefilled. An upstream that reports nothing is taken at its
 /// prediction.
-fn prefilled(record: &AttemptRecord, report: AnswerReport) -> u32 {
+fn prefilled(record: &AttemptRecord, report: ResponseReport) -> u32 {
     if report.prompt_tokens == 0 {
         return record.uncached;
     }
--- a/crates/savorywood-core/tests/claim/store.rs
+++ b/crates/savorywood-core/tests/claim/store.rs
@@ -3,8 +3,8 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use savorywood_core::{
-    AnswerReport, BreakCause, DaemonEffect, EffectQueue, KeptAnswer, MemberView, PromptShape,
-    QueuedRequest, TimerKey, UpstreamEvent,
+    DaemonEffect, EffectQueue, FailureCause, KeptAnswer, MemberView, PromptShape, QueuedRequest,
+    ResponseReport, TimerKey, UpstreamEvent,
     claims::{ClaimEvent, ClaimOptions, ClaimState, ClaimVerdict, ClaimView, ClaimWish},
 };
 use savorywood_protocol::{
@@ -290,8 +290,8 @@
                 self.step(daemon, ClaimEvent::Upstream(event));
                 self.step(daemon, ClaimEvent::Closed { request });
             } else {
-                let cause = BreakCause::Connection;
-                let event = UpstreamEvent::Broken {
+                let cause = FailureCause::Connection;
+                let event = UpstreamEvent::Failed {
                     request,
                     attempt,
                     cause,
@@ -306,9 +306,9 @@
             body: Some(b"charged".to_vec()),
         });
         self.step(daemon, ClaimEvent::AnswerKept { request, answer });
-        let report = AnswerReport {
+        let report = ResponseReport {
             status: 201,
-            ..AnswerReport::default()
+            ..ResponseReport::default()
         };
         let event = UpstreamEvent::Finished {
             request,
--- a/crates/savorywood-core/tests/claim_keys.rs
+++ b/crates/savorywood-core/tests/claim_keys.rs
@@ -5,7 +5,7 @@
 mod store;
 
 use savorywood_core::{
-    AnswerReport, DaemonEffect, EffectQueue, KeptAnswer, MemberRecord, MemberView, UpstreamEvent,
+    DaemonEffect, EffectQueue, KeptAnswer, MemberRecord, MemberView, ResponseReport, UpstreamEvent,
     claims::{ClaimEvent, ClaimKey, ClaimOptions, ClaimState, ClaimView, ClaimWish},
 };
 use savorywood_protocol::{
@@ -113,7 +113,7 @@
         self.step(ClaimEvent::Upstream(UpstreamEvent::Finished {
             request,
             attempt: AttemptNumber(0),
-            report: AnswerReport::default(),
+            report: ResponseReport::default(),
         }));
         self.pass(Duration::from_millis(200));
     }
--- a/crates/savorywood-core/tests/scheduler_rules/fixture.rs
+++ b/crates/savorywood-core/tests/scheduler_rules/fixture.rs
@@ -1,8 +1,8 @@
 //! One scheduler with its view, stepped by hand.
 
 use savorywood_core::{
-    AnswerReport, ConfigView, DaemonEffect, DispatchOrder, EffectQueue, InvariantBreach,
-    PromptShape, QueuedRequest, UpstreamEvent, VersionSplit,
+    ConfigView, DaemonEffect, DispatchOrder, EffectQueue, InvariantBreach, PromptShape,
+    QueuedRequest, ResponseReport, UpstreamEvent, VersionSplit,
     scheduler::{RequestScheduler, SchedulerEvent, SchedulerOptions, SchedulerView, SeatGrant},
 };
 use savorywood_protocol::{
@@ -140,7 +140,7 @@
 
     /// Ends an attempt well.
     pub fn finish(&mut self, order: &DispatchOrder) {
-        let report = AnswerReport {
+        let report = ResponseReport {
             status: 200,
             prompt_tokens: 100,
             cached_tokens: 0,
--- a/crates/savorywood-core/tests/scheduler_rules/limits.rs
+++ b/crates/savorywood-core/tests/scheduler_rules/limits.rs
@@ -2,7 +2,7 @@
 
 use crate::fixture::{BenchRequest, SchedulerBench};
 use savorywood_core::{
-    BreakCause, CacheEvent, CacheEventBatch, UpstreamEvent, VersionSplit,
+    CacheEvent, CacheEventBatch, FailureCause, UpstreamEvent, VersionSplit,
     scheduler::{SchedulerEvent, SeatGrant},
 };
 use std::{collections::BTreeMap, time::Duration};
@@ -25,10 +25,10 @@
         let order = bench.dispatches().pop().unwrap();
         bench.pass(Duration::from_millis(10));
         if order.upstream.as_str() == "u0" {
-            bench.upstream(UpstreamEvent::Broken {
+            bench.upstream(UpstreamEvent::Failed {
                 request: order.request,
                 attempt: order.attempt,
-                cause: BreakCause::Connection,
+                cause: FailureCause::Connection,
             });
         } else {
             bench.finish(&order);
--- a/crates/savorywood-core/tests/scheduler_rules/records.rs
+++ b/crates/savorywood-core/tests/scheduler_rules/records.rs
@@ -1,7 +1,7 @@
 //! At most one dispatch of a request, whatever upstreams and callers do.
 
 use crate::fixture::{BenchRequest, SchedulerBench};
-use savorywood_core::{BreakCause, DaemonEffect, UpstreamEvent, scheduler::SchedulerEvent};
+use savorywood_core::{DaemonEffect, FailureCause, UpstreamEvent, scheduler::SchedulerEvent};
 use savorywood_protocol::{OutcomeKind, RefusalCode};
 use std::time::Duration;
 
@@ -19,10 +19,10 @@
     let second = bench.dispatches()[1].clone();
     assert_ne!(first.upstream, second.upstream);
     assert_eq!(second.attempt, first.attempt.next());
-    bench.upstream(UpstreamEvent::Broken {
+    bench.upstream(UpstreamEvent::Failed {
         request,
         attempt: first.attempt,
-        cause: BreakCause::Connection,
+        cause: FailureCause::Connection,
     });
     assert_eq!(bench.scheduler.open_requests(), 1);
     bench.finish(&second);
@@ -36,10 +36,10 @@
     let mut bench = SchedulerBench::new(3, 4);
     let request = bench.send(&BenchRequest::default());
     let order = bench.dispatches()[0].clone();
-    bench.upstream(UpstreamEvent::Broken {
+    bench.upstream(UpstreamEvent::Failed {
         request,
         attempt: order.attempt,
-        cause: BreakCause::Truncated,
+        cause: FailureCause::Truncated,
     });
     bench.fire_timers(Duration::from_secs(5));
     assert_eq!(bench.dispatches().len(), 1);
--- a/crates/savorywood-core/tests/scheduler_rules/repeat.rs
+++ b/crates/savorywood-core/tests/scheduler_rules/repeat.rs
@@ -2,7 +2,7 @@
 
 use crate::fixture::{BenchRequest, SchedulerBench};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use savorywood_core::{BreakCause, DaemonEffect, UpstreamEvent, scheduler::SchedulerEvent};
+use savorywood_core::{DaemonEffect, FailureCause, UpstreamEvent, scheduler::SchedulerEvent};
 use std::time::Duration;
 
 const TEAMS: [&str; 4] = ["north", "south", "east", "west"];
@@ -96,10 +96,10 @@
         }),
         BenchAction::Finish { pick } => on_order(bench, *pick, SchedulerBench::finish),
         BenchAction::Break { pick } => on_order(bench, *pick, |bench, order| {
-            bench.upstream(UpstreamEvent::Broken {
+            bench.upstream(UpstreamEvent::Failed {
                 request: order.request,
                 attempt: order.attempt,
-                cause: BreakCause::Stalled,
+                cause: FailureCause::Stalled,
             });
         }),
         BenchAction::Unsent { pick } => on_order(bench, *pick, |bench, order| {
--- a/crates/savorywood-core/tests/whole/callers.rs
+++ b/crates/savorywood-core/tests/whole/callers.rs
@@ -152,7 +152,7 @@
         };
         call.left = true;
         let to = call.at;
-        let event = DaemonEvent::Caller(CallerEvent::Left { request });
+        let event = DaemonEvent::Caller(CallerEvent::Disconnected { request });
         self.later(0, Pending::Deliver { to, event });
     }
 
--- a/crates/savorywood-core/tests/whole/ledger.rs
+++ b/crates/savorywood-core/tests/whole/ledger.rs
@@ -1,6 +1,6 @@
 //! What is seen from outside: callers' requests, what ran, and which rules were broken.
 
-use savorywood_core::{BreakCause, KeptAnswer};
+use savorywood_core::{FailureCause, KeptAnswer};
 use savorywood_protocol::{
     AttemptNumber, HostName, OutcomeKind, RefusalCode, RequestId, RequestRefusal, UpstreamName,
 };
@@ -229,7 +229,7 @@
     }
 
     /// An attempt ended; its caller, if there is one, is told.
-    pub fn attempt_ended(&mut self, request: RequestId, cause: Option<BreakCause>) {
+    pub fn attempt_ended(&mut self, request: RequestId, cause: Option<FailureCause>) {
         let Some(call) = self.calls.get_mut(&request) else {
             return;
         };
--- a/crates/savorywood-core/tests/whole/upstreams.rs
+++ b/crates/savorywood-core/tests/whole/upstreams.rs
@@ -8,7 +8,7 @@
 };
 use rand::Rng;
 use savorywood_core::{
-    AnswerReport, BreakCause, DaemonEvent, DispatchOrder, KeptAnswer, UpstreamEvent,
+    DaemonEvent, DispatchOrder, FailureCause, KeptAnswer, ResponseReport, UpstreamEvent,
 };
 use savorywood_protocol::{AttemptNumber, RequestId};
 
@@ -162,7 +162,7 @@
                     self.ledger.answer(request);
                 }
             }
-            UpstreamEvent::Broken { cause, .. } => {
+            UpstreamEvent::Failed { cause, .. } => {
                 self.nodes[to.node].running.remove(&request);
                 self.ledger.attempt_ended(request, Some(*cause));
             }
@@ -183,7 +183,7 @@
             content_type: "text/plain".to_owned(),
             body: Some(call.key.clone().into_bytes()),
         });
-        self.step(to.node, DaemonEvent::AnswerKept { request, answer });
+        self.step(to.node, DaemonEvent::ResponseCaptured { request, answer });
     }
 
     pub(crate) fn cancel(&mut self, node: usize, request: RequestId, attempt: AttemptNumber) {
@@ -203,8 +203,8 @@
         // The connection may fail at the same moment; then the shell hears of that first.
         let overtaken = running.not_sent && self.rng.random_bool(0.5);
         if call.kind == CallKind::Model && !overtaken {
-            let cause = BreakCause::Cancelled;
-            let event = UpstreamEvent::Broken {
+            let cause = FailureCause::Cancelled;
+            let event = UpstreamEvent::Failed {
                 request,
                 attempt,
                 cause,
@@ -249,20 +249,20 @@
     fate: AttemptFate,
     pieces: u64,
 ) -> UpstreamEvent {
-    let broken = |cause| UpstreamEvent::Broken {
+    let broken = |cause| UpstreamEvent::Failed {
         request,
         attempt,
         cause,
     };
     match fate {
-        AttemptFate::Breaks if pieces == 0 => broken(BreakCause::Connection),
-        AttemptFate::Breaks => broken(BreakCause::Truncated),
-        AttemptFate::Stalls => broken(BreakCause::Stalled),
-        AttemptFate::ServerError => broken(BreakCause::UpstreamError),
+        AttemptFate::Breaks if pieces == 0 => broken(FailureCause::Connection),
+        AttemptFate::Breaks => broken(FailureCause::Truncated),
+        AttemptFate::Stalls => broken(FailureCause::Stalled),
+        AttemptFate::ServerError => broken(FailureCause::UpstreamError),
         AttemptFate::Whole | AttemptFate::NotSent => UpstreamEvent::Finished {
             request,
             attempt,
-            report: AnswerReport {
+            report: ResponseReport {
                 status: 200,
                 prompt_tokens: 256,
                 cached_tokens: 0,
@@ -282,7 +282,7 @@
         | UpstreamEvent::Finished {
             request, attempt, ..
         }
-        | UpstreamEvent::Broken {
+        | UpstreamEvent::Failed {
             request, attempt, ..
         } => Some((*request, *attempt)),
         UpstreamEvent::LoadReported { .. } | UpstreamEvent::CacheChanged { .. } => None,
--- a/crates/savorywood-core/tests/whole/world.rs
+++ b/crates/savorywood-core/tests/whole/world.rs
@@ -235,7 +235,7 @@
             Pending::Resumed { to, request } => {
                 if self.is_alive(to) {
                     self.ledger.answer(request);
-                    let event = DaemonEvent::Caller(CallerEvent::Left { request });
+                    let event = DaemonEvent::Caller(CallerEvent::Disconnected { request });
                     self.later(0, Pending::Deliver { to, event });
                 }
             }
--- a/crates/savorywood-daemon/src/outbound/orders.rs
+++ b/crates/savorywood-daemon/src/outbound/orders.rs
@@ -29,7 +29,7 @@
             let answer = OrderAnswer::Lost;
             owner
                 .driver
-                .step(DaemonEvent::OrderAnswered { call, answer });
+                .step(DaemonEvent::OrderCompleted { call, answer });
             return;
         }
         let answer = match owner.client.call(&request).await {
@@ -44,7 +44,7 @@
         };
         owner
             .driver
-            .step(DaemonEvent::OrderAnswered { call, answer });
+            .step(DaemonEvent::OrderCompleted { call, answer });
     };
     shared.executor.spawn(run).detach();
 }
--- a/crates/savorywood-daemon/src/relay/attempt.rs
+++ b/crates/savorywood-daemon/src/relay/attempt.rs
@@ -10,7 +10,8 @@
 use futures_lite::future;
 use http_types::{Body, Method, Request, Response, Url};
 use savorywood_core::{
-    AnswerReport, BreakCause, DaemonEvent, DispatchOrder, InvariantName, KeptAnswer, UpstreamEvent,
+    DaemonEvent, DispatchOrder, FailureCause, InvariantName, KeptAnswer, ResponseReport,
+    UpstreamEvent,
 };
 use savorywood_http::{
     BodySender, CallRequest, SendError, UpstreamAnswer, body::BodyPair, body_channel,
@@ -55,9 +56,9 @@
     /// No byte left this host.
     NotSent,
     /// The whole answer was relayed.
-    Finished(AnswerReport),
+    Finished(ResponseReport),
     /// Bytes may have left, and there is no whole answer.
-    Broken(BreakCause),
+    Broken(FailureCause),
     /// The core gave it up.
     Cancelled,
 }
@@ -118,7 +119,7 @@
         );
         match error {
             SendError::NotSent { .. } => AttemptEnd::NotSent,
-            SendError::Broken { .. } => AttemptEnd::Broken(BreakCause::Connection),
+            SendError::Broken { .. } => AttemptEnd::Broken(FailureCause::Connection),
         }
     }
 
@@ -145,7 +146,7 @@
         let relayed = self.relay_body(&mut answer, &sender, &mut observer).await;
         match relayed {
             Ok(()) if self.is_whole(&answer) => self.finish(sender, observer, status).await,
-            Ok(()) => AttemptEnd::Broken(BreakCause::Truncated),
+            Ok(()) => AttemptEnd::Broken(FailureCause::Truncated),
             Err(cause) => AttemptEnd::Broken(cause),
         }
     }
@@ -172,7 +173,7 @@
         answer: &mut UpstreamAnswer,
         sender: &BodySender,
         observer: &mut AnswerObserver,
-    ) -> Result<(), BreakCause> {
+    ) -> Result<(), FailureCause> {
         let mut piece = vec![0; READ_BYTES];
         let hides = self.task.call.hides_usage && observer.is_token_stream();
         let mut filter = hides.then(UsageFilter::default);
@@ -197,7 +198,7 @@
             // recorded for the caller's retry.
             if sent.is_err() && self.task.call.idempotent {
                 self.caller_left();
-                return Err(BreakCause::Cancelled);
+                return Err(FailureCause::Cancelled);
             }
         }
     }
@@ -206,7 +207,7 @@
         &self,
         answer: &mut UpstreamAnswer,
         piece: &mut [u8],
-    ) -> Result<usize, BreakCause> {
+    ) -> Result<usize, FailureCause> {
         let stalled = async {
             Timer::after(self.task.shared.options.stall_time).await;
             Err(io::ErrorKind::TimedOut.into())
@@ -220,15 +221,17 @@
                 error.to_string()
             );
             match error.kind() {
-                io::ErrorKind::TimedOut => BreakCause::Stalled,
-                io::ErrorKind::UnexpectedEof | io::ErrorKind::InvalidData => BreakCause::Truncated,
-                _ => BreakCause::Connection,
+                io::ErrorKind::TimedOut => FailureCause::Stalled,
+                io::ErrorKind::UnexpectedEof | io::ErrorKind::InvalidData => {
+                    FailureCause::Truncated
+                }
+                _ => FailureCause::Connection,
             }
         })
     }
 
     fn caller_left(&self) {
-        let event = savorywood_core::CallerEvent::Left {
+        let event = savorywood_core::CallerEvent::Disconnected {
             request: self.task.request,
         };
         self.task.shared.driver.step(DaemonEvent::Caller(event));
@@ -267,7 +270,7 @@
             ObservedEnd::Whole(report) => report,
             // Without its end mark a token stream may lack its last tokens. The sender is
             // dropped, which breaks the caller's body off.
-            ObservedEnd::Truncated => return AttemptEnd::Broken(BreakCause::Truncated),
+            ObservedEnd::Truncated => return AttemptEnd::Broken(FailureCause::Truncated),
         };
         self.keep_answer(observer, status);
         if sender.finish().await.is_err() {
@@ -279,7 +282,7 @@
             driver.metrics.observe_whole_answer(service, elapsed);
         }
         if status >= 500 {
-            return AttemptEnd::Broken(BreakCause::UpstreamError);
+            return AttemptEnd::Broken(FailureCause::UpstreamError);
         }
         AttemptEnd::Finished(report)
     }
@@ -293,7 +296,7 @@
             content_type: observer.content_type().to_owned(),
             body: observer.into_kept(),
         };
-        let event = DaemonEvent::AnswerKept {
+        let event = DaemonEvent::ResponseCaptured {
             request: self.task.request,
             answer: Box::new(answer),
         };
--- a/crates/savorywood-daemon/src/relay/observer.rs
+++ b/crates/savorywood-daemon/src/relay/observer.rs
@@ -1,7 +1,7 @@
 //! What an answer says of the work done, read as it passes.
 
 use super::{stream::TokenStream, task::OutgoingCall};
-use savorywood_core::AnswerReport;
+use savorywood_core::ResponseReport;
 use savorywood_http::UpstreamAnswer;
 use savorywood_protocol::resource::ServiceProtocol;
 use serde::Deserialize;
@@ -38,7 +38,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ObservedEnd {
     /// With its end mark, or with the length that framed it.
-    Whole(AnswerReport),
+    Whole(ResponseReport),
     /// Without its end mark.
     Truncated,
 }
@@ -125,11 +125,11 @@
         ObservedEnd::Whole(self.report(usage))
     }
 
-    fn report(&self, usage: Option<UsageCounts>) -> AnswerReport {
-        let mut report = AnswerReport {
+    fn report(&self, usage: Option<UsageCounts>) -> ResponseReport {
+        let mut report = ResponseReport {
             status: self.status,
             output_tokens: self.tokens,
-            ..AnswerReport::default()
+            ..ResponseReport::default()
         };
         if let Some(usage) = usage {
             report.prompt_tokens = usage.prompt_tokens;
--- a/crates/savorywood-daemon/src/relay/task.rs
+++ b/crates/savorywood-daemon/src/relay/task.rs
@@ -69,7 +69,7 @@
     fn drop(&mut self) {
         if !self.answered {
             let request = self.request;
-            let event = DaemonEvent::Caller(CallerEvent::Left { request });
+            let event = DaemonEvent::Caller(CallerEvent::Disconnected { request });
             self.shared.driver.step(event);
         }
     }
@@ -142,7 +142,7 @@
                 RequestCommand::Resume(order) => {
                     self.resume(order).await;
                     let request = self.request;
-                    let event = DaemonEvent::Caller(CallerEvent::Left { request });
+                    let event = DaemonEvent::Caller(CallerEvent::Disconnected { request });
                     self.shared.driver.step(event);
                     break;
                 }
@@ -206,20 +206,20 @@
             }
             AttemptEnd::Cancelled => {
                 attempt.cancel_upstream(&order).await;
-                self.broken(&order, savorywood_core::BreakCause::Cancelled, "deadline");
+                self.broken(&order, savorywood_core::FailureCause::Cancelled, "deadline");
                 NextStep::Over
             }
         }
     }
 
-    fn broken(&self, order: &DispatchOrder, cause: savorywood_core::BreakCause, reason: &str) {
-        let event = UpstreamEvent::Broken {
+    fn broken(&self, order: &DispatchOrder, cause: savorywood_core::FailureCause, reason: &str) {
+        let event = UpstreamEvent::Failed {
             request: self.request,
             attempt: order.attempt,
             cause,
         };
         self.shared.driver.step(DaemonEvent::Upstream(event));
-        let refusal = if cause == savorywood_core::BreakCause::Cancelled {
+        let refusal = if cause == savorywood_core::FailureCause::Cancelled {
             deadline_passed()
         } else {
             let detail = format!("upstream {} broke off: {reason}", order.upstream);
--- a/crates/savorywood-experiment/src/slopes/drive.rs
+++ b/crates/savorywood-experiment/src/slopes/drive.rs
@@ -12,7 +12,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use savorywood_core::{
-    AnswerReport, DaemonEffect, DispatchOrder, PromptShape, QueuedRequest, UpstreamEvent,
+    DaemonEffect, DispatchOrder, PromptShape, QueuedRequest, ResponseReport, UpstreamEvent,
     scheduler::{SchedulerEvent, SchedulerOptions},
 };
 use savorywood_protocol::{MonotonicTime, NameError, TeamName, TierRank};
@@ -186,7 +186,7 @@
         let finished = UpstreamEvent::Finished {
             request,
             attempt,
-            report: AnswerReport {
+            report: ResponseReport {
                 status: 200,
                 prompt_tokens: 1_500,
                 cached_tokens: 1_024,
--- a/crates/savorywood-experiment/src/world/engines.rs
+++ b/crates/savorywood-experiment/src/world/engines.rs
@@ -6,7 +6,7 @@
     engine::{EngineSignal, SequenceEnd, SequenceKey},
     task::{TaskState, request_id},
 };
-use savorywood_core::{AnswerReport, UpstreamEvent};
+use savorywood_core::{ResponseReport, UpstreamEvent};
 use savorywood_protocol::{AttemptNumber, RequestId};
 
 /// Tokens after which a daemon is told of progress.
@@ -120,7 +120,7 @@
         self.count_prefill(key, end, in_time);
         let (request, attempt) = identity(key);
         let shape = self.tasks[key.task].task.shape;
-        let report = AnswerReport {
+        let report = ResponseReport {
             status: 200,
             prompt_tokens: shape.prompt,
             cached_tokens: end.cached,
--- a/crates/savorywood-experiment/src/world/ticks.rs
+++ b/crates/savorywood-experiment/src/world/ticks.rs
@@ -8,7 +8,7 @@
 };
 use rand::Rng;
 use savorywood_core::{
-    BreakCause, CacheEventBatch, LoadReport, UpstreamEvent, scheduler::SchedulerEvent,
+    CacheEventBatch, FailureCause, LoadReport, UpstreamEvent, scheduler::SchedulerEvent,
 };
 use savorywood_protocol::MonotonicTime;
 use std::time::Duration;
@@ -113,10 +113,10 @@
             self.break_sequence(engine, key);
             self.end_broken(key.task);
             let (request, attempt) = identity(key);
-            let event = UpstreamEvent::Broken {
+            let event = UpstreamEvent::Failed {
                 request,
                 attempt,
-                cause: BreakCause::Stalled,
+                cause: FailureCause::Stalled,
             };
             self.hear(now, key, event);
         }
