--- a/crates/savorywood-core/examples/config_cost.rs
+++ b/crates/savorywood-core/examples/config_cost.rs
@@ -8,7 +8,7 @@
 
 use fake_table::FakeTable;
 use savorywood_core::{
-    DaemonEffect, EffectQueue, MemberView, OperatorCall, OperatorReply, OperatorRequest,
+    DaemonEffect, EffectQueue, MemberView, OperatorCallId, OperatorReply, OperatorRequest,
     config::{ConfigEvent, ConfigOptions, ConfigState},
 };
 use savorywood_protocol::{
@@ -85,7 +85,7 @@
             expected: None,
         };
         self.step(ConfigEvent::Operator {
-            call: OperatorCall(self.calls),
+            call: OperatorCallId(self.calls),
             request: Box::new(request),
         })
     }
--- a/crates/savorywood-core/examples/core_slopes.rs
+++ b/crates/savorywood-core/examples/core_slopes.rs
@@ -7,7 +7,7 @@
 
 use savorywood_core::{
     CallerEvent, CoreOptions, DaemonCore, DaemonEffect, DaemonEvent, DispatchOrder, DutyKind,
-    EffectQueue, PromptShape, RequestArrival, ResponseReport, TableCall, TimerKey, TokenDigest,
+    EffectQueue, PromptShape, RequestArrival, ResponseReport, TableCallId, TimerKey, TokenDigest,
     UpstreamEvent,
     config::row::{HEAD_KEY, HeadRow, ResourceRow, row_key},
 };
@@ -111,7 +111,7 @@
     now: CoreTime,
     effects: EffectQueue,
     timers: BTreeMap<TimerKey, MonotonicTime>,
-    calls: Vec<TableCall>,
+    calls: Vec<TableCallId>,
 }
 
 impl CoreRig {
--- a/crates/savorywood-core/src/claims/batch.rs
+++ b/crates/savorywood-core/src/claims/batch.rs
@@ -3,7 +3,7 @@
 use super::{BATCH_TIMER, ClaimStage, ClaimState, ClaimView, RETRY_TIMER, TableTask};
 use crate::{
     effect::{DaemonEffect, EffectQueue},
-    event::{DutyKind, TableCall},
+    event::{DutyKind, TableCallId},
 };
 use savorywood_protocol::{
     MonotonicTime, RequestId,
@@ -161,7 +161,7 @@
         self.last_call += 1;
         let number = self.last_call;
         self.calls.insert(number, task);
-        let call = TableCall {
+        let call = TableCallId {
             duty: DutyKind::Claims,
             number,
         };
--- a/crates/savorywood-core/src/config.rs
+++ b/crates/savorywood-core/src/config.rs
@@ -24,8 +24,8 @@
         row::HeadMark, table_poll::TablePoll,
     },
     effect::{DaemonEffect, EffectQueue},
-    event::{DutyKind, TableCall, TimerKey},
-    operator::{OperatorCall, OperatorRequest},
+    event::{DutyKind, TableCallId, TimerKey},
+    operator::{OperatorCallId, OperatorRequest},
     snapshot::ConfigSnapshot,
     view::{ConfigView, MemberView},
 };
@@ -59,7 +59,7 @@
     /// An operator wants a change.
     Operator {
         /// Whom to answer.
-        call: OperatorCall,
+        call: OperatorCallId,
         /// What is wanted.
         request: Box<OperatorRequest>,
     },
@@ -266,7 +266,7 @@
 
     fn send_call(&self, number: u64, request: TableRequest, effects: &mut EffectQueue) {
         let duty = DutyKind::Config;
-        let call = TableCall { duty, number };
+        let call = TableCallId { duty, number };
         effects.push(DaemonEffect::CallTable { call, request });
     }
 }
--- a/crates/savorywood-core/src/config/pending_write.rs
+++ b/crates/savorywood-core/src/config/pending_write.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     config::row::{ChangeNonce, HeadMark, ResourceRow},
-    operator::{OperatorCall, OperatorReply, OperatorRequest},
+    operator::{OperatorCallId, OperatorReply, OperatorRequest},
     view::ConfigView,
 };
 use savorywood_protocol::{
@@ -47,7 +47,7 @@
 #[derive(Debug)]
 pub struct PendingWrite {
     /// Whom to answer.
-    pub call: OperatorCall,
+    pub call: OperatorCallId,
     /// What is wanted.
     pub request: OperatorRequest,
     /// Resource that it is about.
@@ -80,7 +80,7 @@
 impl PendingWrite {
     /// A change that just came in.
     #[must_use]
-    pub fn new(call: OperatorCall, request: OperatorRequest, deadline_at: MonotonicTime) -> Self {
+    pub fn new(call: OperatorCallId, request: OperatorRequest, deadline_at: MonotonicTime) -> Self {
         let key = match &request {
             OperatorRequest::Apply { document, .. } => document.key(),
             OperatorRequest::Delete { key, .. } => key.clone(),
--- a/crates/savorywood-core/src/config/writing.rs
+++ b/crates/savorywood-core/src/config/writing.rs
@@ -10,7 +10,7 @@
         row::{self, ChangeNonce, ChangeNote, HEAD_KEY, HeadMark},
     },
     effect::{DaemonEffect, EffectQueue, LogLevel, LogLine},
-    operator::{OperatorCall, OperatorReply, OperatorRequest},
+    operator::{OperatorCallId, OperatorReply, OperatorRequest},
 };
 use rand::Rng;
 use savorywood_protocol::{
@@ -44,7 +44,7 @@
     pub(super) fn accept_write(
         &mut self,
         now: CoreTime,
-        call: OperatorCall,
+        call: OperatorCallId,
         request: OperatorRequest,
         effects: &mut EffectQueue,
     ) {
@@ -284,7 +284,7 @@
     OperatorReply::Refused(refusal.with_retry_after(Duration::from_secs(1)))
 }
 
-fn reply(call: OperatorCall, verdict: OperatorReply, effects: &mut EffectQueue) {
+fn reply(call: OperatorCallId, verdict: OperatorReply, effects: &mut EffectQueue) {
     let level = match verdict {
         OperatorReply::Refused(_) => LogLevel::Warn,
         _ => LogLevel::Info,
--- a/crates/savorywood-core/src/daemon.rs
+++ b/crates/savorywood-core/src/daemon.rs
@@ -237,7 +237,7 @@
                 self.claim(now, ClaimEvent::AnswerKept { request, answer }, effects);
             }
             DaemonEvent::OrderCompleted { call, answer } => {
-                self.order(now, OrderEvent::Answered { call, answer }, effects);
+                self.order(now, OrderEvent::Completed { call, answer }, effects);
             }
         }
     }
--- a/crates/savorywood-core/src/effect.rs
+++ b/crates/savorywood-core/src/effect.rs
@@ -1,10 +1,10 @@
 //! What the core wants done. The shell executes effects in order.
 
 use crate::{
-    event::{TableCall, TimerKey},
+    event::{TableCallId, TimerKey},
     invariant::InvariantBreach,
-    operator::{OperatorCall, OperatorReply},
-    order::{OrderCall, UpstreamOrder},
+    operator::{OperatorCallId, OperatorReply},
+    order::{OrderCallId, UpstreamOrder},
     request::KeptAnswer,
 };
 use savorywood_protocol::{
@@ -156,7 +156,7 @@
     /// Call the table service.
     CallTable {
         /// Names the call.
-        call: TableCall,
+        call: TableCallId,
         /// What to ask.
         request: TableRequest,
     },
@@ -179,14 +179,14 @@
     /// Answer an operator.
     ReplyOperator {
         /// Which call.
-        call: OperatorCall,
+        call: OperatorCallId,
         /// What to say.
         reply: Box<OperatorReply>,
     },
     /// Give an upstream an order.
     OrderUpstream {
         /// Names the call.
-        call: OrderCall,
+        call: OrderCallId,
         /// To whom.
         upstream: UpstreamName,
         /// Where.
--- a/crates/savorywood-core/src/event.rs
+++ b/crates/savorywood-core/src/event.rs
@@ -1,8 +1,8 @@
 //! Everything that can happen to a daemon.
 
 use crate::{
-    operator::{OperatorCall, OperatorRequest},
-    order::{OrderAnswer, OrderCall},
+    operator::{OperatorCallId, OperatorRequest},
+    order::{OrderCallId, OrderResponse},
     request::{KeptAnswer, RequestArrival, ResumeArrival},
     snapshot::ConfigSnapshot,
 };
@@ -50,7 +50,7 @@
 
 /// Names a call of the table service, so that its answer finds the duty that asked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct TableCall {
+pub struct TableCallId {
     /// Duty that gets the answer.
     pub duty: DutyKind,
     /// Told apart within the duty.
@@ -231,14 +231,14 @@
     /// The table service answered, or will not.
     Table {
         /// Which call.
-        call: TableCall,
+        call: TableCallId,
         /// Its answer.
         answer: TableAnswer,
     },
     /// An operator wants to change a resource.
     Operator {
         /// Names the call.
-        call: OperatorCall,
+        call: OperatorCallId,
         /// What is wanted.
         request: Box<OperatorRequest>,
     },
@@ -252,9 +252,9 @@
     /// An upstream answered an order, or did not.
     OrderCompleted {
         /// Names the order's call.
-        call: OrderCall,
+        call: OrderCallId,
         /// The answer.
-        answer: OrderAnswer,
+        answer: OrderResponse,
     },
     /// The whole answer of a call that may not be repeated, small enough to be recorded. Comes
     /// before the `Finished` of the same request.
--- a/crates/savorywood-core/src/leases.rs
+++ b/crates/savorywood-core/src/leases.rs
@@ -17,7 +17,7 @@
 
 use crate::{
     effect::{DaemonEffect, EffectQueue, LogLevel, LogLine},
-    event::{DutyKind, TableCall, TimerKey},
+    event::{DutyKind, TableCallId, TimerKey},
     invariant::{self, InvariantName},
     view::MemberView,
 };
@@ -288,7 +288,7 @@
             purpose,
         });
         let duty = DutyKind::Leases;
-        let call = TableCall { duty, number };
+        let call = TableCallId { duty, number };
         effects.push(DaemonEffect::CallTable { call, request });
     }
 
--- a/crates/savorywood-core/src/lib.rs
+++ b/crates/savorywood-core/src/lib.rs
@@ -33,11 +33,11 @@
 pub use effect::{DaemonEffect, DispatchOrder, EffectQueue, LogField, LogLevel, LogLine};
 pub use event::{
     CacheEvent, CacheEventBatch, CallerEvent, DaemonEvent, DutyKind, FailureCause, HostEntry,
-    LoadReport, ResponseReport, TableCall, TimerKey, UpstreamEvent,
+    LoadReport, ResponseReport, TableCallId, TimerKey, UpstreamEvent,
 };
 pub use invariant::{InvariantBreach, InvariantName};
-pub use operator::{OperatorCall, OperatorReply, OperatorRequest};
-pub use order::{OrderAnswer, OrderCall, UpstreamOrder};
+pub use operator::{OperatorCallId, OperatorReply, OperatorRequest};
+pub use order::{OrderCallId, OrderResponse, UpstreamOrder};
 pub use request::{
     KeptAnswer, PromptShape, QueuedRequest, RequestArrival, ResumeArrival, TokenDigest,
 };
--- a/crates/savorywood-core/src/moves.rs
+++ b/crates/savorywood-core/src/moves.rs
@@ -21,7 +21,7 @@
 
 use crate::{
     effect::{DaemonEffect, EffectQueue},
-    event::{DutyKind, TableCall, TimerKey},
+    event::{DutyKind, TableCallId, TimerKey},
     leases::LeaseGrant,
     view::{ConfigView, MemberView, VersionSplit},
 };
@@ -234,7 +234,7 @@
         self.calls += 1;
         let number = self.calls;
         let duty = DutyKind::Moves;
-        let call = TableCall { duty, number };
+        let call = TableCallId { duty, number };
         effects.push(DaemonEffect::CallTable { call, request });
         number
     }
--- a/crates/savorywood-core/src/operator.rs
+++ b/crates/savorywood-core/src/operator.rs
@@ -7,7 +7,7 @@
 
 /// Names one operator's call within a daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct OperatorCall(pub u64);
+pub struct OperatorCallId(pub u64);
 
 /// A change that an operator wants.
 #[derive(Debug, Clone, PartialEq)]
--- a/crates/savorywood-core/src/order.rs
+++ b/crates/savorywood-core/src/order.rs
@@ -4,7 +4,7 @@
 
 /// Names one call that carries an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct OrderCall(pub u64);
+pub struct OrderCallId(pub u64);
 
 /// What an engine is to be.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -20,7 +20,7 @@
 
 /// What came back.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum OrderAnswer {
+pub enum OrderResponse {
     /// The engine says what it runs now, and the newest fencing number it has seen.
     Running {
         /// Version loaded.
--- a/crates/savorywood-core/src/orders.rs
+++ b/crates/savorywood-core/src/orders.rs
@@ -14,7 +14,7 @@
     effect::{EffectQueue, LogLevel, LogLine},
     event::{DutyKind, TimerKey},
     leases::LeaseGrant,
-    order::{OrderAnswer, OrderCall},
+    order::{OrderCallId, OrderResponse},
     view::ConfigView,
 };
 use engine::EngineRecord;
@@ -38,11 +38,11 @@
     /// Its timer fired.
     TimerFired,
     /// An engine answered, or did not.
-    Answered {
+    Completed {
         /// Which call.
-        call: OrderCall,
+        call: OrderCallId,
         /// The answer.
-        answer: OrderAnswer,
+        answer: OrderResponse,
     },
 }
 
@@ -98,7 +98,7 @@
         match event {
             OrderEvent::ViewChanged => {}
             OrderEvent::TimerFired => self.ticking = false,
-            OrderEvent::Answered { call, answer } => self.answered(now, call, answer, effects),
+            OrderEvent::Completed { call, answer } => self.answered(now, call, answer, effects),
         }
         self.begin_term(view);
         if let Some(lease) = view.lease.filter(|_| !self.fenced) {
@@ -128,15 +128,15 @@
     fn answered(
         &mut self,
         now: CoreTime,
-        call: OrderCall,
-        answer: OrderAnswer,
+        call: OrderCallId,
+        answer: OrderResponse,
         effects: &mut EffectQueue,
     ) {
         let mut engines = self.engines.iter_mut();
         let Some((name, engine)) = engines.find(|(_, engine)| engine.owns(call)) else {
             return;
         };
-        if let OrderAnswer::Fenced { newest } = answer {
+        if let OrderResponse::Fenced { newest } = answer {
             self.fenced = self.term.is_some_and(|term| newest > term);
             let line = LogLine::new(LogLevel::Warn, "order-fenced")
                 .with("upstream", name)
--- a/crates/savorywood-core/src/orders/engine.rs
+++ b/crates/savorywood-core/src/orders/engine.rs
@@ -1,6 +1,6 @@
 //! What the holder knows of one engine in this term.
 
-use crate::order::{OrderAnswer, OrderCall};
+use crate::order::{OrderCallId, OrderResponse};
 use savorywood_protocol::{MonotonicTime, VersionName};
 use std::time::Duration;
 
@@ -37,7 +37,7 @@
 /// A call under way.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct EngineCall {
-    call: OrderCall,
+    call: OrderCallId,
     sent_at: MonotonicTime,
 }
 
@@ -60,14 +60,14 @@
 }
 
 impl EngineRecord {
-    pub(super) fn owns(&self, call: OrderCall) -> bool {
+    pub(super) fn owns(&self, call: OrderCallId) -> bool {
         self.call.is_some_and(|current| current.call == call)
     }
 
-    pub(super) fn answered(&mut self, now: MonotonicTime, answer: OrderAnswer) {
+    pub(super) fn answered(&mut self, now: MonotonicTime, answer: OrderResponse) {
         self.call = None;
         match answer {
-            OrderAnswer::Running { version, ready, .. } => {
+            OrderResponse::Running { version, ready, .. } => {
                 let given = self.given.as_ref();
                 let done = ready && given.is_none_or(|given| given.version == version);
                 if done {
@@ -79,7 +79,7 @@
             }
             // The order may or may not have been taken. Giving it again at once would be harmless
             // to the engine, but its state must be known before another engine may load.
-            OrderAnswer::Lost | OrderAnswer::Fenced { .. } => self.report = None,
+            OrderResponse::Lost | OrderResponse::Fenced { .. } => self.report = None,
         }
     }
 
@@ -127,7 +127,7 @@
     pub(super) fn sent(
         &mut self,
         now: MonotonicTime,
-        call: OrderCall,
+        call: OrderCallId,
         ordered: Option<VersionName>,
     ) {
         self.asked_at = Some(now);
--- a/crates/savorywood-core/src/orders/giving.rs
+++ b/crates/savorywood-core/src/orders/giving.rs
@@ -9,7 +9,7 @@
     effect::{DaemonEffect, EffectQueue, LogLevel, LogLine},
     invariant::{self, InvariantName},
     leases::LeaseGrant,
-    order::{OrderCall, UpstreamOrder},
+    order::{OrderCallId, UpstreamOrder},
     view::ConfigView,
 };
 use savorywood_protocol::{
@@ -103,7 +103,7 @@
             return;
         }
         self.calls += 1;
-        let call = OrderCall(self.calls);
+        let call = OrderCallId(self.calls);
         if let Some(version) = &version {
             let line = LogLine::new(LogLevel::Info, "order-given")
                 .with("upstream", plan.name)
--- a/crates/savorywood-core/tests/order_faults.rs
+++ b/crates/savorywood-core/tests/order_faults.rs
@@ -4,7 +4,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use savorywood_core::{
-    ConfigView, DaemonEffect, EffectQueue, OrderAnswer, OrderCall, UpstreamOrder,
+    ConfigView, DaemonEffect, EffectQueue, OrderCallId, OrderResponse, UpstreamOrder,
     leases::LeaseGrant,
     orders::{OrderEvent, OrderOptions, OrderView, OrdersState},
 };
@@ -29,8 +29,8 @@
 }
 
 enum Pending {
-    Arrive(usize, OrderCall, UpstreamName, UpstreamOrder),
-    Answer(usize, OrderCall, OrderAnswer),
+    Arrive(usize, OrderCallId, UpstreamName, UpstreamOrder),
+    Answer(usize, OrderCallId, OrderResponse),
 }
 
 /// Two holders, the second after the first, and the engines.
@@ -129,7 +129,7 @@
                         self.arrive(holder, call, &name, &order);
                     }
                     Pending::Answer(holder, call, answer) => {
-                        self.step(holder, OrderEvent::Answered { call, answer });
+                        self.step(holder, OrderEvent::Completed { call, answer });
                     }
                 }
             }
@@ -185,7 +185,7 @@
     fn arrive(
         &mut self,
         holder: usize,
-        call: OrderCall,
+        call: OrderCallId,
         name: &UpstreamName,
         order: &UpstreamOrder,
     ) {
@@ -193,7 +193,7 @@
         let engine = self.engines.get_mut(name).expect("a known engine");
         let old = engine.checks && order.fencing.0 < engine.newest;
         let answer = if old {
-            OrderAnswer::Fenced {
+            OrderResponse::Fenced {
                 newest: FencingNumber(engine.newest),
             }
         } else {
@@ -205,14 +205,14 @@
                     engine.ready_at = now + 12 * SECOND;
                 }
             }
-            OrderAnswer::Running {
+            OrderResponse::Running {
                 version: engine.version.clone(),
                 ready: engine.ready_at <= now,
                 fencing: engine.checks.then_some(FencingNumber(engine.newest)),
             }
         };
         let lost = self.rng.random_range(0..100) < self.lost;
-        let answer = if lost { OrderAnswer::Lost } else { answer };
+        let answer = if lost { OrderResponse::Lost } else { answer };
         self.serial += 1;
         let pending = Pending::Answer(holder, call, answer);
         self.agenda
--- a/crates/savorywood-core/tests/support/config_cluster.rs
+++ b/crates/savorywood-core/tests/support/config_cluster.rs
@@ -4,7 +4,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use savorywood_core::{
-    ConfigSnapshot, DaemonEffect, EffectQueue, MemberRecord, MemberView, OperatorCall,
+    ConfigSnapshot, DaemonEffect, EffectQueue, MemberRecord, MemberView, OperatorCallId,
     OperatorReply, OperatorRequest,
     config::{ConfigEvent, ConfigOptions, ConfigState},
 };
@@ -148,7 +148,7 @@
         let document = service_document(service, mark);
         let request = OperatorRequest::Apply { document, expected };
         let event = ConfigEvent::Operator {
-            call: OperatorCall(number),
+            call: OperatorCallId(number),
             request: Box::new(request),
         };
         let reply = None;
--- a/crates/savorywood-core/tests/whole/links.rs
+++ b/crates/savorywood-core/tests/whole/links.rs
@@ -8,7 +8,7 @@
     world::{Pending, World},
 };
 use rand::Rng;
-use savorywood_core::{DaemonCore, DaemonEvent, DutyKind, HostEntry, TableCall};
+use savorywood_core::{DaemonCore, DaemonEvent, DutyKind, HostEntry, TableCallId};
 use savorywood_protocol::{
     HostName,
     peer::{
@@ -33,7 +33,7 @@
 const HOSTS_PERIOD: u64 = 2_000_000;
 
 impl World {
-    pub(crate) fn call_table(&mut self, node: usize, call: TableCall, request: TableRequest) {
+    pub(crate) fn call_table(&mut self, node: usize, call: TableCallId, request: TableRequest) {
         let from = self.nodes[node].at;
         let delay = self.rng.random_range(WAY_MICROS);
         self.later(
@@ -46,7 +46,7 @@
         );
     }
 
-    pub(crate) fn table_call(&mut self, from: NodeLife, call: TableCall, request: TableRequest) {
+    pub(crate) fn table_call(&mut self, from: NodeLife, call: TableCallId, request: TableRequest) {
         let mut delay = self.rng.random_range(WAY_MICROS);
         let windows = &self.windows;
         let cut = windows.cut_table[from.node] > self.now;
@@ -88,7 +88,7 @@
     fn sabotaged_table(
         &mut self,
         life: u64,
-        call: TableCall,
+        call: TableCallId,
         request: &TableRequest,
     ) -> TableAnswer {
         let is_commit = matches!(request, TableRequest::Commit(_));
--- a/crates/savorywood-core/tests/whole/operators.rs
+++ b/crates/savorywood-core/tests/whole/operators.rs
@@ -6,7 +6,7 @@
     world::{Pending, SETUP_MICROS, World},
 };
 use rand::Rng;
-use savorywood_core::{DaemonEvent, OperatorCall, OperatorReply, OperatorRequest};
+use savorywood_core::{DaemonEvent, OperatorCallId, OperatorReply, OperatorRequest};
 use savorywood_protocol::{
     ConfigRevision, OutcomeKind, UpstreamName,
     resource::{ResourceDocument, ResourceKey, ResourceKind},
@@ -31,7 +31,7 @@
 /// All calls of operators.
 #[derive(Debug, Default)]
 pub struct OperatorLedger {
-    pub calls: BTreeMap<OperatorCall, OperatorRecord>,
+    pub calls: BTreeMap<OperatorCallId, OperatorRecord>,
     pub undeclared: Vec<ResourceDocument>,
     /// When operators were told that an upstream is taken out.
     pub drained_at: BTreeMap<UpstreamName, u64>,
@@ -99,7 +99,7 @@
         expected: Option<ConfigRevision>,
         delay: u64,
     ) {
-        let call = OperatorCall(self.operators.calls.len() as u64);
+        let call = OperatorCallId(self.operators.calls.len() as u64);
         let to = self.nodes[node].at;
         let drainable = [ENGINES[0], PLAIN_UPSTREAMS[0]].contains(&document.name.as_str());
         let drains = (drainable && mark > 0).then(|| document.name.parse().unwrap());
@@ -115,7 +115,7 @@
         self.later(delay, Pending::Deliver { to, event });
     }
 
-    pub(crate) fn reply_operator(&mut self, call: OperatorCall, reply: OperatorReply) {
+    pub(crate) fn reply_operator(&mut self, call: OperatorCallId, reply: OperatorReply) {
         let Some(record) = self.operators.calls.get_mut(&call) else {
             return;
         };
--- a/crates/savorywood-core/tests/whole/world.rs
+++ b/crates/savorywood-core/tests/whole/world.rs
@@ -12,7 +12,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use savorywood_core::{
-    CallerEvent, DaemonEffect, DaemonEvent, EffectQueue, HostEntry, TableCall, TimerKey,
+    CallerEvent, DaemonEffect, DaemonEvent, EffectQueue, HostEntry, TableCallId, TimerKey,
 };
 use savorywood_protocol::{
     MonotonicTime, RefusalCode, RequestId, RequestRefusal, UpstreamName,
@@ -44,7 +44,7 @@
     /// A call reaches the table.
     Table {
         from: NodeLife,
-        call: TableCall,
+        call: TableCallId,
         request: TableRequest,
     },
     /// A write whose answer was given up long ago takes effect.
--- a/crates/savorywood-daemon/src/driver.rs
+++ b/crates/savorywood-daemon/src/driver.rs
@@ -10,7 +10,7 @@
 use async_channel::{Receiver, Sender};
 use event_listener::{Event, EventListener};
 use savorywood_core::{
-    ConfigView, DaemonCore, DaemonEffect, DaemonEvent, EffectQueue, OperatorCall, OperatorReply,
+    ConfigView, DaemonCore, DaemonEffect, DaemonEvent, EffectQueue, OperatorCallId, OperatorReply,
 };
 use savorywood_protocol::RequestId;
 use std::{
@@ -35,7 +35,7 @@
     config: Mutex<Arc<ConfigView>>,
     config_changed: Event,
     outbound: Sender<DaemonEffect>,
-    operators: Mutex<HashMap<OperatorCall, Sender<OperatorReply>>>,
+    operators: Mutex<HashMap<OperatorCallId, Sender<OperatorReply>>>,
     next_operator: AtomicU64,
     exit: Event,
 }
@@ -153,7 +153,7 @@
         }
     }
 
-    fn reply_operator(&self, call: OperatorCall, reply: OperatorReply) {
+    fn reply_operator(&self, call: OperatorCallId, reply: OperatorReply) {
         let mut operators = self
             .operators
             .lock()
@@ -165,7 +165,7 @@
 
     /// Opens a call of an operator.
     pub fn open_operator_call(&self) -> OperatorTicket {
-        let call = OperatorCall(self.next_operator.fetch_add(1, Ordering::Relaxed));
+        let call = OperatorCallId(self.next_operator.fetch_add(1, Ordering::Relaxed));
         let (sender, reply) = async_channel::bounded(1);
         let mut operators = self
             .operators
@@ -203,7 +203,7 @@
 #[derive(Debug)]
 pub struct OperatorTicket {
     /// Name of the call.
-    pub call: OperatorCall,
+    pub call: OperatorCallId,
     /// Gets the reply.
     pub reply: Receiver<OperatorReply>,
 }
--- a/crates/savorywood-daemon/src/outbound.rs
+++ b/crates/savorywood-daemon/src/outbound.rs
@@ -9,7 +9,7 @@
     peers::{DatagramLink, SnapshotLink},
 };
 use async_channel::Receiver;
-use savorywood_core::{DaemonEffect, DaemonEvent, DutyKind, TableCall};
+use savorywood_core::{DaemonEffect, DaemonEvent, DutyKind, TableCallId};
 use savorywood_platform::{PlatformClient, PlatformDuty};
 use savorywood_protocol::{HostName, table::TableRequest};
 use std::{net::SocketAddr, sync::Arc};
@@ -70,7 +70,7 @@
 fn call_table(
     shared: &Arc<DaemonShared>,
     links: &Arc<OutboundLinks>,
-    call: TableCall,
+    call: TableCallId,
     request: TableRequest,
 ) {
     let driver = Arc::clone(&shared.driver);
--- a/crates/savorywood-daemon/src/outbound/orders.rs
+++ b/crates/savorywood-daemon/src/outbound/orders.rs
@@ -2,7 +2,7 @@
 
 use crate::daemon::DaemonShared;
 use http_types::Method;
-use savorywood_core::{DaemonEvent, OrderAnswer, OrderCall, UpstreamOrder};
+use savorywood_core::{DaemonEvent, OrderCallId, OrderResponse, UpstreamOrder};
 use savorywood_http::{CallAnswer, CallRequest};
 use savorywood_protocol::{
     VersionName,
@@ -16,7 +16,7 @@
 /// Gives an order, or reads back when it names no version.
 pub fn give(
     shared: &Arc<DaemonShared>,
-    call: OrderCall,
+    call: OrderCallId,
     address: SocketAddr,
     order: UpstreamOrder,
 ) {
@@ -26,7 +26,7 @@
         // A process that was frozen since the order was decided may no longer hold the lease.
         if owner.driver.clock().now().monotonic >= order.act_by {
             log::warn!("event=order-too-late peer={address}");
-            let answer = OrderAnswer::Lost;
+            let answer = OrderResponse::Lost;
             owner
                 .driver
                 .step(DaemonEvent::OrderCompleted { call, answer });
@@ -39,7 +39,7 @@
                     "event=order-unanswered peer={address} error={:?}",
                     error.to_string()
                 );
-                OrderAnswer::Lost
+                OrderResponse::Lost
             }
         };
         owner
@@ -69,10 +69,10 @@
     request
 }
 
-fn read_answer(answer: &CallAnswer) -> OrderAnswer {
+fn read_answer(answer: &CallAnswer) -> OrderResponse {
     if answer.status == 409 {
         let fenced: Option<FencedDocument> = serde_json::from_slice(&answer.body).ok();
-        return fenced.map_or(OrderAnswer::Lost, |fenced| OrderAnswer::Fenced {
+        return fenced.map_or(OrderResponse::Lost, |fenced| OrderResponse::Fenced {
             newest: fenced.newest,
         });
     }
@@ -82,11 +82,11 @@
         .as_ref()
         .and_then(|state| VersionName::new(&state.version).ok());
     match (state, version) {
-        (Some(state), Some(version)) => OrderAnswer::Running {
+        (Some(state), Some(version)) => OrderResponse::Running {
             version,
             ready: state.ready,
             fencing: state.fencing,
         },
-        _ => OrderAnswer::Lost,
+        _ => OrderResponse::Lost,
     }
 }
