--- a/crates/savorywood-core/examples/core_slopes.rs
+++ b/crates/savorywood-core/examples/core_slopes.rs
@@ -6,7 +6,7 @@
 //! request, microseconds a second at rest.
 
 use savorywood_core::{
-    CallerEvent, CoreOptions, DaemonCore, DaemonEffect, DaemonEvent, DispatchOrder, DutyKind,
+    CallerEvent, CoreOptions, DaemonCore, DaemonEffect, DaemonEvent, DispatchCommand, DutyKind,
     EffectQueue, PromptShape, RequestArrival, ResponseReport, TableCallId, TimerKey, TokenDigest,
     UpstreamEvent,
     config::row::{HEAD_KEY, HeadRow, ResourceRow, row_key},
@@ -141,7 +141,7 @@
     }
 
     /// Steps the core and gives the dispatches that came of it.
-    fn step(&mut self, event: DaemonEvent) -> Vec<DispatchOrder> {
+    fn step(&mut self, event: DaemonEvent) -> Vec<DispatchCommand> {
         self.core.step(self.now, event, &mut self.effects);
         let mut orders = Vec::new();
         let effects: Vec<_> = self.effects.drain().collect();
@@ -151,7 +151,7 @@
                 DaemonEffect::SetTimer { key, at } => {
                     self.timers.insert(key, at);
                 }
-                DaemonEffect::Breach(breach) => panic!("{breach:?}"),
+                DaemonEffect::InvariantViolated(breach) => panic!("{breach:?}"),
                 DaemonEffect::Refuse { refusal, .. } => panic!("{refusal:?}"),
                 DaemonEffect::CallTable { call, .. } => self.calls.push(call),
                 _ => {}
@@ -180,7 +180,7 @@
         assert!(ready.is_ok(), "{ready:?}");
     }
 
-    fn arrive(&mut self, number: u32, case: SlopeCase) -> Vec<DispatchOrder> {
+    fn arrive(&mut self, number: u32, case: SlopeCase) -> Vec<DispatchCommand> {
         let mut token = [0; 32];
         token[..4].copy_from_slice(&(number % case.teams).to_be_bytes());
         let arrival = RequestArrival {
--- a/crates/savorywood-core/src/daemon/deciding.rs
+++ b/crates/savorywood-core/src/daemon/deciding.rs
@@ -3,7 +3,7 @@
 use super::DaemonCore;
 use crate::{
     claims::{ClaimEvent, ClaimVerdict, ClaimView},
-    effect::{DaemonEffect, DispatchOrder, EffectQueue},
+    effect::{DaemonEffect, DispatchCommand, EffectQueue},
     event::{CallerEvent, UpstreamEvent},
     invariant::{self, InvariantName},
     request::{QueuedRequest, ResumeArrival},
@@ -53,7 +53,7 @@
         self.note_queue(now, &service, effects);
     }
 
-    fn dispatch(&mut self, now: CoreTime, order: DispatchOrder, effects: &mut EffectQueue) {
+    fn dispatch(&mut self, now: CoreTime, order: DispatchCommand, effects: &mut EffectQueue) {
         let request = order.request;
         let idempotent = self.gate.is_idempotent(request);
         let takes_work = self.takes_work(&order.upstream);
@@ -73,7 +73,7 @@
 
     /// A version that was stopped, or has no share yet, gets nothing: a caller of it would meet
     /// the fault that it was stopped for.
-    fn check_version(&self, order: &DispatchOrder, effects: &mut EffectQueue) {
+    fn check_version(&self, order: &DispatchCommand, effects: &mut EffectQueue) {
         let spec = self.config.view().upstreams.get(&order.upstream);
         let split = spec.and_then(|spec| self.inputs.splits.get(&spec.service));
         let (Some(spec), Some(split)) = (spec, split) else {
--- a/crates/savorywood-core/src/daemon/gate.rs
+++ b/crates/savorywood-core/src/daemon/gate.rs
@@ -1,7 +1,7 @@
 //! The last look at a decision before it becomes an effect: invariants over all duties.
 
 use crate::{
-    effect::{DispatchOrder, EffectQueue},
+    effect::{DispatchCommand, EffectQueue},
     event::UpstreamEvent,
     invariant::{self, InvariantName},
     request::QueuedRequest,
@@ -123,7 +123,7 @@
     /// scheduler's table keeps it from happening; this look does not depend on that table.
     pub fn dispatch(
         &mut self,
-        order: &DispatchOrder,
+        order: &DispatchCommand,
         takes_work: bool,
         effects: &mut EffectQueue,
     ) -> bool {
--- a/crates/savorywood-core/src/effect.rs
+++ b/crates/savorywood-core/src/effect.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     event::{TableCallId, TimerKey},
-    invariant::InvariantBreach,
+    invariant::InvariantViolation,
     operator::{OperatorCallId, OperatorReply},
     order::{OrderCallId, UpstreamOrder},
     request::KeptAnswer,
@@ -90,7 +90,7 @@
 
 /// Sends a request to an upstream. The dispatch is on record before this effect exists.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct DispatchOrder {
+pub struct DispatchCommand {
     /// What to send.
     pub request: RequestId,
     /// Which attempt this is.
@@ -105,7 +105,7 @@
 
 /// Reads on a stream that another daemon dispatched. This is no second dispatch.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ResumeOrder {
+pub struct ResumeCommand {
     /// Request of the caller that asks for the rest.
     pub request: RequestId,
     /// Upstream that holds the stream.
@@ -129,7 +129,7 @@
         at: MonotonicTime,
     },
     /// Send a request to an upstream.
-    Dispatch(DispatchOrder),
+    Dispatch(DispatchCommand),
     /// Stop an attempt that is under way and tell the upstream, if it can be told.
     CancelAttempt {
         /// Request of the attempt.
@@ -161,7 +161,7 @@
         request: TableRequest,
     },
     /// Read a stream on from an offset.
-    Resume(ResumeOrder),
+    Resume(ResumeCommand),
     /// Give a repeated call the recorded answer of the first.
     Replay {
         /// The repeat.
@@ -184,7 +184,7 @@
         reply: Box<OperatorReply>,
     },
     /// Give an upstream an order.
-    OrderUpstream {
+    SendOrder {
         /// Names the call.
         call: OrderCallId,
         /// To whom.
@@ -199,7 +199,7 @@
     /// Write a line to the log.
     Log(LogLine),
     /// An invariant does not hold: log it, count it; in tests, fail.
-    Breach(InvariantBreach),
+    InvariantViolated(InvariantViolation),
     /// All is drained: the process may end.
     Exit,
 }
--- a/crates/savorywood-core/src/invariant.rs
+++ b/crates/savorywood-core/src/invariant.rs
@@ -33,7 +33,7 @@
 
 /// One breach.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct InvariantBreach {
+pub struct InvariantViolation {
     /// Which invariant.
     pub name: InvariantName,
     /// What was seen.
@@ -49,6 +49,9 @@
 ) {
     if !holds {
         let detail = detail();
-        effects.push(DaemonEffect::Breach(InvariantBreach { name, detail }));
+        effects.push(DaemonEffect::InvariantViolated(InvariantViolation {
+            name,
+            detail,
+        }));
     }
 }
--- a/crates/savorywood-core/src/lib.rs
+++ b/crates/savorywood-core/src/lib.rs
@@ -30,12 +30,12 @@
 
 pub use burn::BurnLedger;
 pub use daemon::{CoreOptions, DaemonCore};
-pub use effect::{DaemonEffect, DispatchOrder, EffectQueue, LogField, LogLevel, LogLine};
+pub use effect::{DaemonEffect, DispatchCommand, EffectQueue, LogField, LogLevel, LogLine};
 pub use event::{
     CacheEvent, CacheEventBatch, CallerEvent, DaemonEvent, DutyKind, FailureCause, HostEntry,
     LoadReport, ResponseReport, TableCallId, TimerKey, UpstreamEvent,
 };
-pub use invariant::{InvariantBreach, InvariantName};
+pub use invariant::{InvariantName, InvariantViolation};
 pub use operator::{OperatorCallId, OperatorReply, OperatorRequest};
 pub use order::{OrderCallId, OrderResponse, UpstreamOrder};
 pub use request::{
--- a/crates/savorywood-core/src/orders/giving.rs
+++ b/crates/savorywood-core/src/orders/giving.rs
@@ -113,7 +113,7 @@
         }
         let engine = self.engines.entry(plan.name.clone()).or_default();
         engine.sent(now.monotonic, call, version.clone());
-        effects.push(DaemonEffect::OrderUpstream {
+        effects.push(DaemonEffect::SendOrder {
             call,
             upstream: plan.name.clone(),
             address: plan.spec.address,
--- a/crates/savorywood-core/src/resume.rs
+++ b/crates/savorywood-core/src/resume.rs
@@ -1,6 +1,6 @@
 //! Reads on a stream that another daemon dispatched, without a second dispatch.
 
-use crate::{effect::ResumeOrder, request::ResumeArrival, view::ConfigView};
+use crate::{effect::ResumeCommand, request::ResumeArrival, view::ConfigView};
 use savorywood_protocol::{
     CoreTime, RefusalCode, RequestRefusal,
     resource::{UpstreamExtension, UpstreamSpec},
@@ -24,7 +24,7 @@
     arrival: &ResumeArrival,
     key: &ResumeKey,
     config: &ConfigView,
-) -> Result<ResumeOrder, RequestRefusal> {
+) -> Result<ResumeCommand, RequestRefusal> {
     let team = arrival.token.and_then(|token| config.team_of(&token));
     let team = team.ok_or_else(|| {
         let detail = "send `Authorization: Bearer TOKEN` with the token of the team that began \
@@ -34,7 +34,7 @@
     let token = ResumeToken::verify(&arrival.resume_token, key, team, now.wall, MAX_TOKEN_AGE)
         .map_err(|error| RequestRefusal::unknown(RefusalCode::BadResumeToken, error.to_string()))?;
     let upstream = find_upstream(&token, config)?;
-    Ok(ResumeOrder {
+    Ok(ResumeCommand {
         request: arrival.request,
         upstream: token.upstream.clone(),
         address: upstream.address,
--- a/crates/savorywood-core/src/scheduler/dispatch.rs
+++ b/crates/savorywood-core/src/scheduler/dispatch.rs
@@ -9,7 +9,7 @@
     table::{AttemptKey, AttemptRecord},
 };
 use crate::{
-    effect::{DaemonEffect, DispatchOrder, EffectQueue},
+    effect::{DaemonEffect, DispatchCommand, EffectQueue},
     invariant::{self, InvariantName},
 };
 use rand::Rng;
@@ -182,7 +182,7 @@
             self.shed(now, &waiting, RefusalCode::NoUpstream, effects);
             return;
         };
-        let order = DispatchOrder {
+        let order = DispatchCommand {
             request: planned.request,
             attempt: waiting.attempt,
             upstream: upstream.clone(),
--- a/crates/savorywood-core/tests/claim/store.rs
+++ b/crates/savorywood-core/tests/claim/store.rs
@@ -365,7 +365,7 @@
                     assert_eq!(answer.body.as_deref(), Some(&b"charged"[..]));
                     self.replays.insert(request);
                 }
-                DaemonEffect::Breach(breach) => panic!("{breach:?}"),
+                DaemonEffect::InvariantViolated(breach) => panic!("{breach:?}"),
                 _ => {}
             }
         }
--- a/crates/savorywood-core/tests/claim_keys.rs
+++ b/crates/savorywood-core/tests/claim_keys.rs
@@ -288,7 +288,10 @@
     let mut effects = EffectQueue::new();
     let may = desk.claims.may_dispatch(RequestId(9), false, &mut effects);
     assert!(!may);
-    assert!(matches!(effects.as_slice(), [DaemonEffect::Breach(_)]));
+    assert!(matches!(
+        effects.as_slice(),
+        [DaemonEffect::InvariantViolated(_)]
+    ));
 }
 
 /// The store is away. The charge must be refused as not run, with a time to come back, and the
--- a/crates/savorywood-core/tests/fleet/network.rs
+++ b/crates/savorywood-core/tests/fleet/network.rs
@@ -224,7 +224,7 @@
                 let host = host.clone();
                 self.push(at, NetworkEvent::Timer { host, key, at });
             }
-            DaemonEffect::Breach(breach) => panic!("{breach:?}"),
+            DaemonEffect::InvariantViolated(breach) => panic!("{breach:?}"),
             _ => {}
         }
     }
--- a/crates/savorywood-core/tests/order_faults.rs
+++ b/crates/savorywood-core/tests/order_faults.rs
@@ -162,7 +162,7 @@
         self.holders[holder].step(now, event, view, &mut effects);
         for effect in effects.drain() {
             match effect {
-                DaemonEffect::OrderUpstream {
+                DaemonEffect::SendOrder {
                     call,
                     upstream,
                     order,
@@ -176,7 +176,7 @@
                     self.agenda.insert((self.now + delay, self.serial), pending);
                 }
                 DaemonEffect::SetTimer { at, .. } => self.ticks[holder] = Some(at.0),
-                DaemonEffect::Breach(_) => self.breaches += 1,
+                DaemonEffect::InvariantViolated(_) => self.breaches += 1,
                 _ => {}
             }
         }
@@ -282,7 +282,7 @@
         &mut effects,
     );
     let orders = effects.drain().filter_map(|effect| match effect {
-        DaemonEffect::OrderUpstream { order, .. } => Some(order),
+        DaemonEffect::SendOrder { order, .. } => Some(order),
         _ => None,
     });
     let orders: Vec<_> = orders.collect();
--- a/crates/savorywood-core/tests/scheduler_rules/fixture.rs
+++ b/crates/savorywood-core/tests/scheduler_rules/fixture.rs
@@ -1,7 +1,7 @@
 //! One scheduler with its view, stepped by hand.
 
 use savorywood_core::{
-    ConfigView, DaemonEffect, DispatchOrder, EffectQueue, InvariantBreach, PromptShape,
+    ConfigView, DaemonEffect, DispatchCommand, EffectQueue, InvariantViolation, PromptShape,
     QueuedRequest, ResponseReport, UpstreamEvent, VersionSplit,
     scheduler::{RequestScheduler, SchedulerEvent, SchedulerOptions, SchedulerView, SeatGrant},
 };
@@ -139,7 +139,7 @@
     }
 
     /// Ends an attempt well.
-    pub fn finish(&mut self, order: &DispatchOrder) {
+    pub fn finish(&mut self, order: &DispatchCommand) {
         let report = ResponseReport {
             status: 200,
             prompt_tokens: 100,
@@ -185,7 +185,7 @@
         }
     }
 
-    pub fn dispatches(&self) -> Vec<DispatchOrder> {
+    pub fn dispatches(&self) -> Vec<DispatchCommand> {
         let effects = self.effects.iter().filter_map(|effect| match effect {
             DaemonEffect::Dispatch(order) => Some(order.clone()),
             _ => None,
@@ -201,9 +201,9 @@
         effects.collect()
     }
 
-    pub fn breaches(&self) -> Vec<InvariantBreach> {
+    pub fn breaches(&self) -> Vec<InvariantViolation> {
         let effects = self.effects.iter().filter_map(|effect| match effect {
-            DaemonEffect::Breach(breach) => Some(breach.clone()),
+            DaemonEffect::InvariantViolated(breach) => Some(breach.clone()),
             _ => None,
         });
         effects.collect()
--- a/crates/savorywood-core/tests/scheduler_rules/records.rs
+++ b/crates/savorywood-core/tests/scheduler_rules/records.rs
@@ -72,7 +72,7 @@
     );
 }
 
-fn open_order(bench: &SchedulerBench) -> Option<savorywood_core::DispatchOrder> {
+fn open_order(bench: &SchedulerBench) -> Option<savorywood_core::DispatchCommand> {
     let orders = bench.dispatches();
     let last = orders.last()?.clone();
     let after = bench.effects.iter().rev().find_map(|effect| match effect {
--- a/crates/savorywood-core/tests/scheduler_rules/repeat.rs
+++ b/crates/savorywood-core/tests/scheduler_rules/repeat.rs
@@ -116,7 +116,7 @@
 fn on_order(
     bench: &mut SchedulerBench,
     pick: u16,
-    act: impl FnOnce(&mut SchedulerBench, &savorywood_core::DispatchOrder),
+    act: impl FnOnce(&mut SchedulerBench, &savorywood_core::DispatchCommand),
 ) {
     let orders = bench.dispatches();
     if let Some(order) = orders.get(usize::from(pick) % orders.len().max(1)) {
@@ -130,7 +130,7 @@
         let first = run(&actions);
         let breached = first
             .iter()
-            .any(|effect| matches!(effect, DaemonEffect::Breach(_)));
+            .any(|effect| matches!(effect, DaemonEffect::InvariantViolated(_)));
         !breached && first == run(&actions)
     }
     let check = holds as fn(Vec<BenchAction>) -> bool;
--- a/crates/savorywood-core/tests/stop_planned.rs
+++ b/crates/savorywood-core/tests/stop_planned.rs
@@ -46,7 +46,7 @@
                     assert_eq!(requests, 0, "a request was cut off");
                     self.exited = true;
                 }
-                DaemonEffect::Breach(breach) => panic!("{breach:?}"),
+                DaemonEffect::InvariantViolated(breach) => panic!("{breach:?}"),
                 _ => {}
             }
         }
--- a/crates/savorywood-core/tests/support/config_cluster.rs
+++ b/crates/savorywood-core/tests/support/config_cluster.rs
@@ -314,7 +314,7 @@
                 assert!(record.reply.is_none(), "an operator was answered twice");
                 record.reply = Some(*reply);
             }
-            DaemonEffect::Breach(breach) => self.breaches.push(breach.detail),
+            DaemonEffect::InvariantViolated(breach) => self.breaches.push(breach.detail),
             _ => {}
         }
     }
--- a/crates/savorywood-core/tests/support/lease_cluster.rs
+++ b/crates/savorywood-core/tests/support/lease_cluster.rs
@@ -220,7 +220,7 @@
                 DaemonEffect::SetTimer { at, .. } => {
                     self.timers.insert(node, at.0);
                 }
-                DaemonEffect::Breach(breach) => self.breaches.push(breach.detail),
+                DaemonEffect::InvariantViolated(breach) => self.breaches.push(breach.detail),
                 _ => {}
             }
         }
--- a/crates/savorywood-core/tests/support/move_lab.rs
+++ b/crates/savorywood-core/tests/support/move_lab.rs
@@ -380,7 +380,7 @@
                 self.timers.insert((node, key.number), at.0);
             }
             DaemonEffect::SendPeer { to, message, .. } => self.send(node, &to, message),
-            DaemonEffect::Breach(breach) => {
+            DaemonEffect::InvariantViolated(breach) => {
                 eprintln!("breach: {breach:?}");
                 self.result.breaches += 1;
             }
--- a/crates/savorywood-core/tests/whole/callers.rs
+++ b/crates/savorywood-core/tests/whole/callers.rs
@@ -10,7 +10,7 @@
 use rand::Rng;
 use savorywood_core::{
     CallerEvent, DaemonEvent, KeptAnswer, PromptShape, RequestArrival, ResumeArrival,
-    effect::ResumeOrder,
+    effect::ResumeCommand,
 };
 use savorywood_protocol::{AttemptNumber, RequestId, resume_token::ResumeToken};
 use std::time::Duration;
@@ -195,7 +195,7 @@
         self.later(0, Pending::Deliver { to, event });
     }
 
-    pub(crate) fn resume_stream(&mut self, node: usize, order: &ResumeOrder) {
+    pub(crate) fn resume_stream(&mut self, node: usize, order: &ResumeCommand) {
         let request = order.request;
         let allowed = self.ledger.calls.get(&request).map(|call| call.key.clone());
         if allowed.as_deref() != Some(order.stream.as_str()) {
--- a/crates/savorywood-core/tests/whole/upstreams.rs
+++ b/crates/savorywood-core/tests/whole/upstreams.rs
@@ -8,7 +8,7 @@
 };
 use rand::Rng;
 use savorywood_core::{
-    DaemonEvent, DispatchOrder, FailureCause, KeptAnswer, ResponseReport, UpstreamEvent,
+    DaemonEvent, DispatchCommand, FailureCause, KeptAnswer, ResponseReport, UpstreamEvent,
 };
 use savorywood_protocol::{AttemptNumber, RequestId};
 
@@ -38,7 +38,7 @@
 }
 
 impl World {
-    pub(crate) fn dispatch(&mut self, node: usize, order: DispatchOrder) {
+    pub(crate) fn dispatch(&mut self, node: usize, order: DispatchCommand) {
         let to = self.nodes[node].at;
         self.check_leaving(node, &order);
         let request = order.request;
@@ -60,7 +60,7 @@
         self.sabotage_attempt(to, &order);
     }
 
-    fn draw_fate(&mut self, order: &DispatchOrder) -> AttemptFate {
+    fn draw_fate(&mut self, order: &DispatchCommand) -> AttemptFate {
         let down = self.windows.down.get(&order.upstream);
         if down.is_some_and(|until| *until > self.now) {
             return AttemptFate::NotSent;
@@ -74,7 +74,7 @@
         }
     }
 
-    fn play(&mut self, to: NodeLife, order: &DispatchOrder, fate: AttemptFate) {
+    fn play(&mut self, to: NodeLife, order: &DispatchCommand, fate: AttemptFate) {
         let (request, attempt) = (order.request, order.attempt);
         let mut at = self.rng.random_range(CONNECT_MICROS);
         if fate == AttemptFate::NotSent {
@@ -214,7 +214,7 @@
     }
 
     /// An upstream that was taken out gets nothing new once the daemons can know it.
-    fn check_leaving(&mut self, node: usize, order: &DispatchOrder) {
+    fn check_leaving(&mut self, node: usize, order: &DispatchCommand) {
         let Some(accepted) = self.operators.drained_at.get(&order.upstream) else {
             return;
         };
@@ -227,7 +227,7 @@
         }
     }
 
-    fn sabotage_attempt(&mut self, to: NodeLife, order: &DispatchOrder) {
+    fn sabotage_attempt(&mut self, to: NodeLife, order: &DispatchCommand) {
         let (request, attempt) = (order.request, order.attempt);
         match self.sabotage {
             Some(WorldSabotage::SendTwice) if self.rng.random_bool(0.1) => {
--- a/crates/savorywood-core/tests/whole/world.rs
+++ b/crates/savorywood-core/tests/whole/world.rs
@@ -346,14 +346,13 @@
                 self.fetch_snapshot(node, from, address);
             }
             DaemonEffect::ReplyOperator { call, reply } => self.reply_operator(call, *reply),
-            DaemonEffect::Breach(breach) => {
+            DaemonEffect::InvariantViolated(breach) => {
                 let detail = format!("{}: {}", breach.name, breach.detail);
                 self.ledger.breach(WorldRule::InProgram, detail);
             }
             DaemonEffect::Exit => self.exit(node),
-            DaemonEffect::OrderUpstream { .. }
-            | DaemonEffect::ConfigChanged
-            | DaemonEffect::Log(_) => {}
+            DaemonEffect::SendOrder { .. } | DaemonEffect::ConfigChanged | DaemonEffect::Log(_) => {
+            }
         }
     }
 
--- a/crates/savorywood-daemon/src/driver.rs
+++ b/crates/savorywood-daemon/src/driver.rs
@@ -126,7 +126,7 @@
             // Published before all others.
             DaemonEffect::ConfigChanged => {}
             DaemonEffect::Log(line) => logging::write_line(&line),
-            DaemonEffect::Breach(breach) => {
+            DaemonEffect::InvariantViolated(breach) => {
                 self.metrics.count_breach(breach.name);
                 log::error!(
                     "event=invariant-breach name={} detail={:?}",
@@ -140,7 +140,7 @@
             DaemonEffect::SendPeer { .. }
             | DaemonEffect::CallTable { .. }
             | DaemonEffect::FetchSnapshot { .. }
-            | DaemonEffect::OrderUpstream { .. } => {
+            | DaemonEffect::SendOrder { .. } => {
                 // The receiver lives as long as the daemon.
                 let _ = self.outbound.try_send(effect);
             }
--- a/crates/savorywood-daemon/src/outbound.rs
+++ b/crates/savorywood-daemon/src/outbound.rs
@@ -46,7 +46,7 @@
             DaemonEffect::FetchSnapshot { from, address } => {
                 fetch_snapshot(&shared, &links, from, address);
             }
-            DaemonEffect::OrderUpstream {
+            DaemonEffect::SendOrder {
                 call,
                 address,
                 order,
--- a/crates/savorywood-daemon/src/registry.rs
+++ b/crates/savorywood-daemon/src/registry.rs
@@ -1,7 +1,7 @@
 //! Requests that wait for a decision of the core.
 
 use async_channel::{Receiver, Sender};
-use savorywood_core::{DispatchOrder, KeptAnswer, effect::ResumeOrder};
+use savorywood_core::{DispatchCommand, KeptAnswer, effect::ResumeCommand};
 use savorywood_protocol::{AttemptNumber, RequestId, RequestRefusal};
 use std::{
     collections::HashMap,
@@ -14,9 +14,9 @@
     /// Give the final answer.
     Refuse(RequestRefusal),
     /// Send it to an upstream.
-    Dispatch(DispatchOrder),
+    Dispatch(DispatchCommand),
     /// Read on a stream that another daemon began.
-    Resume(ResumeOrder),
+    Resume(ResumeCommand),
     /// Give the recorded answer.
     Replay(Box<KeptAnswer>),
     /// Give the attempt up.
--- a/crates/savorywood-daemon/src/relay/attempt.rs
+++ b/crates/savorywood-daemon/src/relay/attempt.rs
@@ -10,7 +10,7 @@
 use futures_lite::future;
 use http_types::{Body, Method, Request, Response, Url};
 use savorywood_core::{
-    DaemonEvent, DispatchOrder, FailureCause, InvariantName, KeptAnswer, ResponseReport,
+    DaemonEvent, DispatchCommand, FailureCause, InvariantName, KeptAnswer, ResponseReport,
     UpstreamEvent,
 };
 use savorywood_http::{
@@ -66,14 +66,14 @@
 /// One attempt.
 pub struct RequestAttempt<'a> {
     task: &'a RequestTask,
-    order: &'a DispatchOrder,
+    order: &'a DispatchCommand,
     service: Option<ServiceName>,
     extensions: Vec<UpstreamExtension>,
 }
 
 impl<'a> RequestAttempt<'a> {
     /// Prepares an attempt.
-    pub fn new(task: &'a RequestTask, order: &'a DispatchOrder) -> Self {
+    pub fn new(task: &'a RequestTask, order: &'a DispatchCommand) -> Self {
         let config = task.shared.driver.config();
         let spec = config.upstreams.get(&order.upstream);
         Self {
@@ -337,7 +337,7 @@
     }
 
     /// Tells the engine to stop, so that it does not generate what nobody reads.
-    pub async fn cancel_upstream(&self, order: &DispatchOrder) {
+    pub async fn cancel_upstream(&self, order: &DispatchCommand) {
         if !self.extensions.contains(&UpstreamExtension::Cancel) {
             return;
         }
@@ -357,7 +357,7 @@
 
 fn build_request(
     call: &OutgoingCall,
-    order: &DispatchOrder,
+    order: &DispatchCommand,
     stream: &str,
 ) -> Result<Request, http_types::url::ParseError> {
     let url = Url::parse(&format!("http://{}{}", order.address, call.target))?;
--- a/crates/savorywood-daemon/src/relay/resume.rs
+++ b/crates/savorywood-daemon/src/relay/resume.rs
@@ -5,7 +5,7 @@
 use async_io::Timer;
 use futures_lite::future;
 use http_types::{Body, Method, Response};
-use savorywood_core::effect::ResumeOrder;
+use savorywood_core::effect::ResumeCommand;
 use savorywood_http::{CallRequest, UpstreamAnswer, body::BodyPair, body_channel};
 use savorywood_protocol::{OutcomeKind, RefusalCode, RequestRefusal};
 use std::io;
@@ -16,7 +16,7 @@
 impl RequestTask {
     /// Relays the rest of a stream. Reading it twice does no harm, so a failure here is told to
     /// the caller as "come again with the token".
-    pub(super) async fn resume(&self, order: ResumeOrder) {
+    pub(super) async fn resume(&self, order: ResumeCommand) {
         let target = format!(
             "/savorywood/streams/{}?offset={}",
             order.stream, order.offset
--- a/crates/savorywood-daemon/src/relay/task.rs
+++ b/crates/savorywood-daemon/src/relay/task.rs
@@ -10,7 +10,7 @@
 use futures_lite::future;
 use http_types::{Method, Response};
 use savorywood_core::{
-    CallerEvent, DaemonEvent, DispatchOrder, KeptAnswer, RequestArrival, UpstreamEvent,
+    CallerEvent, DaemonEvent, DispatchCommand, KeptAnswer, RequestArrival, UpstreamEvent,
 };
 use savorywood_protocol::{
     AttemptNumber, MonotonicTime, OutcomeKind, RefusalCode, RequestId, RequestRefusal, TeamName,
@@ -159,7 +159,7 @@
     }
 
     /// Runs one attempt and tells the core how it ended.
-    async fn attempt(&self, order: DispatchOrder) -> NextStep {
+    async fn attempt(&self, order: DispatchCommand) -> NextStep {
         let attempt = RequestAttempt::new(self, &order);
         let cancelled = async {
             self.wait_for_cancel(order.attempt).await;
@@ -212,7 +212,7 @@
         }
     }
 
-    fn broken(&self, order: &DispatchOrder, cause: savorywood_core::FailureCause, reason: &str) {
+    fn broken(&self, order: &DispatchCommand, cause: savorywood_core::FailureCause, reason: &str) {
         let event = UpstreamEvent::Failed {
             request: self.request,
             attempt: order.attempt,
--- a/crates/savorywood-experiment/src/slopes/drive.rs
+++ b/crates/savorywood-experiment/src/slopes/drive.rs
@@ -12,7 +12,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use savorywood_core::{
-    DaemonEffect, DispatchOrder, PromptShape, QueuedRequest, ResponseReport, UpstreamEvent,
+    DaemonEffect, DispatchCommand, PromptShape, QueuedRequest, ResponseReport, UpstreamEvent,
     scheduler::{SchedulerEvent, SchedulerOptions},
 };
 use savorywood_protocol::{MonotonicTime, NameError, TeamName, TierRank};
@@ -76,7 +76,7 @@
     host: DaemonHost,
     names: NameBook,
     teams: Vec<TeamName>,
-    running: VecDeque<DispatchOrder>,
+    running: VecDeque<DispatchCommand>,
     rng: ChaCha8Rng,
     micros: u64,
     sent: usize,
--- a/crates/savorywood-experiment/src/world/callers.rs
+++ b/crates/savorywood-experiment/src/world/callers.rs
@@ -10,7 +10,7 @@
 };
 use rand::Rng;
 use savorywood_core::{
-    DaemonEffect, DispatchOrder, PromptShape, QueuedRequest, scheduler::SchedulerEvent,
+    DaemonEffect, DispatchCommand, PromptShape, QueuedRequest, scheduler::SchedulerEvent,
 };
 use savorywood_protocol::{MonotonicTime, RefusalCode, RequestId, RequestRefusal, TierRank};
 use std::time::Duration;
@@ -152,12 +152,12 @@
                 let number = key.number;
                 self.agenda.add(at, WorldEvent::Timer { daemon, number });
             }
-            DaemonEffect::Breach(_) => self.tally.noticed_breaches += 1,
+            DaemonEffect::InvariantViolated(_) => self.tally.noticed_breaches += 1,
             _ => {}
         }
     }
 
-    fn dispatch(&mut self, now: f64, order: &DispatchOrder) {
+    fn dispatch(&mut self, now: f64, order: &DispatchCommand) {
         let key = parts_of(order.request, order.attempt.0);
         let mut names = self.names.upstreams.iter();
         let engine = names.position(|name| *name == order.upstream);
