--- a/crates/savorywood-core/src/daemon/gate.rs
+++ b/crates/savorywood-core/src/daemon/gate.rs
@@ -129,7 +129,7 @@
     ) -> bool {
         invariant::check(
             effects,
-            InvariantName::LeavingGetsNothing,
+            InvariantName::NoDispatchToLeaving,
             takes_work,
             || format!("request={} upstream={}", order.request, order.upstream),
         );
@@ -180,9 +180,12 @@
         let claims_not_run = refusal.outcome == OutcomeKind::NotRun;
         let dispatched = self.is_dispatched(request);
         let is_true = !(claims_not_run && dispatched);
-        invariant::check(effects, InvariantName::NotRunIsTrue, is_true, || {
-            format!("request={request} code={}", refusal.code)
-        });
+        invariant::check(
+            effects,
+            InvariantName::NotExecutedIsAccurate,
+            is_true,
+            || format!("request={request} code={}", refusal.code),
+        );
         if !is_true {
             refusal.outcome = OutcomeKind::Unknown;
         }
--- a/crates/savorywood-core/src/invariant.rs
+++ b/crates/savorywood-core/src/invariant.rs
@@ -16,19 +16,24 @@
     /// A bad version gets a small share, and none soon after it shows itself.
     BadVersionBounded,
     /// A caller gets the answer to its own request, whole.
-    WholeOwnAnswer,
+    #[strum(serialize = "whole-own-answer")]
+    ResponseMatchesRequest,
     /// A refusal that says "not run" is true.
-    NotRunIsTrue,
+    #[strum(serialize = "not-run-is-true")]
+    NotExecutedIsAccurate,
     /// Non-idempotent work runs at most once.
     ClaimBeforeDispatch,
     /// A leaving upstream gets no new work.
-    LeavingGetsNothing,
+    #[strum(serialize = "leaving-gets-nothing")]
+    NoDispatchToLeaving,
     /// A planned stop cuts off no request.
-    StopCutsNothing,
+    #[strum(serialize = "stop-cuts-nothing")]
+    StopCompletesRequests,
     /// Configuration in force never reverts.
     ConfigNeverReverts,
     /// Only the holder of a lease acts under it.
-    HolderActsAlone,
+    #[strum(serialize = "holder-acts-alone")]
+    ExclusiveLeaseHolder,
 }
 
 /// One breach.
--- a/crates/savorywood-core/src/leases.rs
+++ b/crates/savorywood-core/src/leases.rs
@@ -262,7 +262,7 @@
     ) {
         let grant = self.grant(now, name);
         let alone = grant.is_none_or(|grant| row.fencing <= grant.fencing);
-        invariant::check(effects, InvariantName::HolderActsAlone, alone, || {
+        invariant::check(effects, InvariantName::ExclusiveLeaseHolder, alone, || {
             format!(
                 "lease={name} holder={} fencing={}",
                 row.holder_text(),
--- a/crates/savorywood-core/src/moves/driving.rs
+++ b/crates/savorywood-core/src/moves/driving.rs
@@ -310,7 +310,7 @@
             return;
         }
         let alone = now.monotonic < lease.acts_until;
-        invariant::check(effects, InvariantName::HolderActsAlone, alone, || {
+        invariant::check(effects, InvariantName::ExclusiveLeaseHolder, alone, || {
             format!("move={} fencing={}", planned.name, lease.fencing)
         });
         let unproven = row.state == MoveState::Moving && row.stage == 0;
--- a/crates/savorywood-core/src/orders/giving.rs
+++ b/crates/savorywood-core/src/orders/giving.rs
@@ -96,7 +96,7 @@
         effects: &mut EffectQueue,
     ) {
         let alone = now.monotonic < lease.acts_until;
-        invariant::check(effects, InvariantName::HolderActsAlone, alone, || {
+        invariant::check(effects, InvariantName::ExclusiveLeaseHolder, alone, || {
             format!("upstream={} fencing={}", plan.name, lease.fencing)
         });
         if !alone {
--- a/crates/savorywood-core/src/stop.rs
+++ b/crates/savorywood-core/src/stop.rs
@@ -190,7 +190,7 @@
         log_open("stop_done", open, effects);
         invariant::check(
             effects,
-            InvariantName::StopCutsNothing,
+            InvariantName::StopCompletesRequests,
             open.is_none(),
             || format!("requests={} claims={}", open.requests, open.claims),
         );
--- a/crates/savorywood-daemon/src/relay/attempt.rs
+++ b/crates/savorywood-daemon/src/relay/attempt.rs
@@ -157,10 +157,10 @@
         let whole = answer.body.is_whole();
         if !whole {
             let metrics = &self.task.shared.driver.metrics;
-            metrics.count_breach(InvariantName::WholeOwnAnswer);
+            metrics.count_breach(InvariantName::ResponseMatchesRequest);
             log::error!(
                 "event=invariant-breach name={} detail=\"request={} upstream={}\"",
-                InvariantName::WholeOwnAnswer,
+                InvariantName::ResponseMatchesRequest,
                 self.task.request,
                 self.order.upstream
             );
