--- a/crates/savorywood-core/src/daemon.rs
+++ b/crates/savorywood-core/src/daemon.rs
@@ -154,7 +154,7 @@
             orders: OrdersState::new(OrderOptions::default()),
             wanted: WantedLeases::default(),
             stop: StopState::new(StopOptions {
-                max_age: options.address_max_age,
+                address_max_age: options.address_max_age,
                 ..StopOptions::default()
             }),
             resumed: BTreeSet::new(),
--- a/crates/savorywood-core/src/daemon/leaving.rs
+++ b/crates/savorywood-core/src/daemon/leaving.rs
@@ -6,7 +6,7 @@
     effect::EffectQueue,
     leases::LeaseEvent,
     membership::MembershipEvent,
-    stop::{OpenWork, StopEvent, StopVerdict},
+    stop::{OpenWork, StopAction, StopEvent},
 };
 use savorywood_protocol::CoreTime;
 
@@ -23,10 +23,10 @@
         }
         for verdict in verdicts {
             match verdict {
-                StopVerdict::AnnounceLeaving => self.join(now, MembershipEvent::Leave, effects),
-                StopVerdict::ReleaseLeases => self.lease(now, LeaseEvent::Leaving, effects),
-                StopVerdict::HandBackCredits => self.share(now, CreditEvent::HandBack, effects),
-                StopVerdict::SayFarewell => self.join(now, MembershipEvent::Farewell, effects),
+                StopAction::AnnounceLeaving => self.join(now, MembershipEvent::Leave, effects),
+                StopAction::ReleaseLeases => self.lease(now, LeaseEvent::Leaving, effects),
+                StopAction::ReleaseCredits => self.share(now, CreditEvent::HandBack, effects),
+                StopAction::AnnounceLeft => self.join(now, MembershipEvent::Farewell, effects),
             }
         }
         self.stop.finish(effects);
--- a/crates/savorywood-core/src/stop.rs
+++ b/crates/savorywood-core/src/stop.rs
@@ -27,21 +27,21 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StopOptions {
     /// Time that callers may keep an address answer.
-    pub max_age: Duration,
+    pub address_max_age: Duration,
     /// Time until every daemon knows that this one leaves.
-    pub spread_time: Duration,
+    pub propagation_delay: Duration,
     /// Time without any open request after which nothing more is expected. A caller that
     /// connected in the last moment must have time to send its request.
-    pub quiet_time: Duration,
+    pub idle_period: Duration,
 }
 
 impl Default for StopOptions {
     /// The usual max-age of ten seconds, three for the mark, one of quiet.
     fn default() -> Self {
         Self {
-            max_age: Duration::from_secs(10),
-            spread_time: Duration::from_secs(3),
-            quiet_time: Duration::from_secs(1),
+            address_max_age: Duration::from_secs(10),
+            propagation_delay: Duration::from_secs(3),
+            idle_period: Duration::from_secs(1),
         }
     }
 }
@@ -74,15 +74,15 @@
 
 /// What other duties have to do for the stop, in the order given.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum StopVerdict {
+pub enum StopAction {
     /// Membership: announce that this daemon leaves. Address answers leave it out at once.
     AnnounceLeaving,
     /// Leases: give up all that are held, and take no more.
     ReleaseLeases,
     /// Credits: give all seats back.
-    HandBackCredits,
+    ReleaseCredits,
     /// Membership: announce that this daemon is gone.
-    SayFarewell,
+    AnnounceLeft,
 }
 
 /// How far the stop has come.
@@ -127,7 +127,7 @@
         event: StopEvent,
         open: OpenWork,
         effects: &mut EffectQueue,
-    ) -> Vec<StopVerdict> {
+    ) -> Vec<StopAction> {
         let now = now.monotonic;
         match (event, self.phase) {
             (StopEvent::Requested, StopPhase::Serving) => self.begin(now, open, effects),
@@ -141,8 +141,8 @@
         now: MonotonicTime,
         open: OpenWork,
         effects: &mut EffectQueue,
-    ) -> Vec<StopVerdict> {
-        let serve_until = now + self.options.spread_time + self.options.max_age;
+    ) -> Vec<StopAction> {
+        let serve_until = now + self.options.propagation_delay + self.options.address_max_age;
         self.phase = StopPhase::Leaving {
             serve_until,
             quiet_since: open.is_none().then_some(now),
@@ -150,7 +150,7 @@
         };
         log_open("stop_begun", open, effects);
         effects.set_timer(STOP_TIMER, now + LOOK_PERIOD);
-        vec![StopVerdict::AnnounceLeaving, StopVerdict::ReleaseLeases]
+        vec![StopAction::AnnounceLeaving, StopAction::ReleaseLeases]
     }
 
     fn look(
@@ -158,7 +158,7 @@
         now: MonotonicTime,
         open: OpenWork,
         effects: &mut EffectQueue,
-    ) -> Vec<StopVerdict> {
+    ) -> Vec<StopAction> {
         let StopPhase::Leaving {
             serve_until,
             quiet_since,
@@ -176,7 +176,7 @@
             log_open("stop_waits", open, effects);
         }
         let quiet_for = quiet_since.map_or(Duration::ZERO, |since| now.since(since));
-        let quiet = quiet_since.is_some() && quiet_for >= self.options.quiet_time;
+        let quiet = quiet_since.is_some() && quiet_for >= self.options.idle_period;
         if now < *serve_until || !quiet {
             effects.set_timer(STOP_TIMER, now + LOOK_PERIOD);
             return Vec::new();
@@ -185,7 +185,7 @@
     }
 
     /// The last verdicts. They are carried out before [`Self::finish`] pushes the exit.
-    fn exit(&mut self, open: OpenWork, effects: &mut EffectQueue) -> Vec<StopVerdict> {
+    fn exit(&mut self, open: OpenWork, effects: &mut EffectQueue) -> Vec<StopAction> {
         self.phase = StopPhase::Exited;
         log_open("stop_done", open, effects);
         invariant::check(
@@ -194,7 +194,7 @@
             open.is_none(),
             || format!("requests={} claims={}", open.requests, open.claims),
         );
-        vec![StopVerdict::HandBackCredits, StopVerdict::SayFarewell]
+        vec![StopAction::ReleaseCredits, StopAction::AnnounceLeft]
     }
 
     /// Pushes the exit, once the last verdicts were carried out.
--- a/crates/savorywood-core/tests/stop_planned.rs
+++ b/crates/savorywood-core/tests/stop_planned.rs
@@ -3,7 +3,7 @@
 use quickcheck::quickcheck;
 use savorywood_core::{
     DaemonEffect, EffectQueue,
-    stop::{OpenWork, StopEvent, StopOptions, StopState, StopVerdict},
+    stop::{OpenWork, StopAction, StopEvent, StopOptions, StopState},
 };
 use savorywood_protocol::{CoreTime, MonotonicTime, WallTime};
 use std::time::Duration;
@@ -12,7 +12,7 @@
 struct Stopper {
     stop: StopState,
     now: CoreTime,
-    verdicts: Vec<StopVerdict>,
+    verdicts: Vec<StopAction>,
     exited: bool,
 }
 
@@ -36,7 +36,7 @@
         };
         let mut effects = EffectQueue::new();
         let verdicts = self.stop.step(self.now, event, open, &mut effects);
-        if verdicts.contains(&StopVerdict::SayFarewell) {
+        if verdicts.contains(&StopAction::AnnounceLeft) {
             self.stop.finish(&mut effects);
         }
         self.verdicts.extend(verdicts);
@@ -71,7 +71,7 @@
     stopper.step(StopEvent::Requested, 0);
     assert_eq!(
         stopper.verdicts,
-        [StopVerdict::AnnounceLeaving, StopVerdict::ReleaseLeases]
+        [StopAction::AnnounceLeaving, StopAction::ReleaseLeases]
     );
     stopper.wait(12, 0);
     assert!(!stopper.exited);
@@ -79,7 +79,7 @@
     assert!(stopper.exited);
     assert_eq!(
         stopper.verdicts[2..],
-        [StopVerdict::HandBackCredits, StopVerdict::SayFarewell]
+        [StopAction::ReleaseCredits, StopAction::AnnounceLeft]
     );
 }
 
