--- a/crates/savorywood-core/src/daemon/reads.rs
+++ b/crates/savorywood-core/src/daemon/reads.rs
@@ -4,7 +4,7 @@
 use crate::{
     claims::ClaimCounters,
     config::ChangeList,
-    discovery::{AddressAnswer, AddressQuery, rank_addresses},
+    discovery::{AddressQuery, AddressResponse, rank_addresses},
     scheduler::SchedulerCounters,
     snapshot::ConfigSnapshot,
 };
@@ -79,7 +79,7 @@
     /// # Errors
     ///
     /// When the service is unknown or no daemon takes work.
-    pub fn addresses(&self, query: &AddressQuery<'_>) -> Result<AddressAnswer, RequestRefusal> {
+    pub fn addresses(&self, query: &AddressQuery<'_>) -> Result<AddressResponse, RequestRefusal> {
         rank_addresses(
             query,
             self.membership.view(),
--- a/crates/savorywood-core/src/discovery.rs
+++ b/crates/savorywood-core/src/discovery.rs
@@ -7,7 +7,7 @@
 
 mod plan;
 
-pub use plan::AddressPlan;
+pub use plan::AddressRanker;
 
 use crate::view::{ConfigView, MemberView};
 use savorywood_protocol::{RequestRefusal, ServiceName, TeamName, ZoneName};
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DiscoveryOptions {
     /// Addresses in an answer at most.
-    pub list_length: usize,
+    pub max_addresses: usize,
     /// Time that callers may keep an answer. A daemon that leaves serves for at least as long.
     pub max_age: Duration,
 }
@@ -27,7 +27,7 @@
     /// Three addresses, kept for ten seconds.
     fn default() -> Self {
         Self {
-            list_length: 3,
+            max_addresses: 3,
             max_age: Duration::from_secs(10),
         }
     }
@@ -59,7 +59,7 @@
 
 /// Answer to `GET /v1/addresses`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AddressAnswer {
+pub struct AddressResponse {
     /// Addresses, best first.
     pub addresses: Vec<CallerAddress>,
     /// Seconds that the answer may be kept.
@@ -77,6 +77,6 @@
     config: &ConfigView,
     own_zone: &ZoneName,
     options: &DiscoveryOptions,
-) -> Result<AddressAnswer, RequestRefusal> {
-    AddressPlan::new(members).rank(query, config, own_zone, options)
+) -> Result<AddressResponse, RequestRefusal> {
+    AddressRanker::new(members).rank(query, config, own_zone, options)
 }
--- a/crates/savorywood-core/src/discovery/plan.rs
+++ b/crates/savorywood-core/src/discovery/plan.rs
@@ -1,6 +1,6 @@
 //! The part of address answers that depends on the member view alone.
 
-use super::{AddressAnswer, AddressQuery, CallerAddress, DiscoveryOptions};
+use super::{AddressQuery, AddressResponse, CallerAddress, DiscoveryOptions};
 use crate::{
     rendezvous,
     view::{ConfigView, MemberView},
@@ -35,12 +35,12 @@
 /// Daemons that take work, and who of a zone is first for which keys. Made anew when the member
 /// view changes.
 #[derive(Debug, Default)]
-pub struct AddressPlan {
+pub struct AddressRanker {
     members: Vec<PlanMember>,
     owners: BTreeMap<ZoneName, Vec<usize>>,
 }
 
-impl AddressPlan {
+impl AddressRanker {
     /// The plan for a member view.
     #[must_use]
     pub fn new(view: &MemberView) -> Self {
@@ -71,7 +71,7 @@
         config: &ConfigView,
         own_zone: &ZoneName,
         options: &DiscoveryOptions,
-    ) -> Result<AddressAnswer, RequestRefusal> {
+    ) -> Result<AddressResponse, RequestRefusal> {
         if !config.services.contains_key(query.service) {
             return Err(unknown_service(query.service, config));
         }
@@ -81,7 +81,7 @@
             return Err(refusal.with_retry_after(Duration::from_secs(1)));
         }
         let zone = query.zone.unwrap_or(own_zone);
-        let chosen = self.choose(query, config, zone, options.list_length.max(1));
+        let chosen = self.choose(query, config, zone, options.max_addresses.max(1));
         let addresses = chosen.into_iter().map(|index| {
             let member = &self.members[index];
             CallerAddress {
@@ -89,7 +89,7 @@
                 zone: member.zone.clone(),
             }
         });
-        Ok(AddressAnswer {
+        Ok(AddressResponse {
             addresses: addresses.collect(),
             max_age_seconds: options.max_age.as_secs(),
         })
