--- a/crates/savorywood-core/src/daemon.rs
+++ b/crates/savorywood-core/src/daemon.rs
@@ -11,7 +11,7 @@
 mod reads;
 mod sharing;
 
-pub use reads::DaemonUnready;
+pub use reads::NotReadyReason;
 
 use crate::{
     burn::BurnLedger,
--- a/crates/savorywood-core/src/daemon/holding.rs
+++ b/crates/savorywood-core/src/daemon/holding.rs
@@ -39,7 +39,7 @@
     pub(super) fn want_leases(&mut self, now: CoreTime, effects: &mut EffectQueue) {
         let config = self.config.view();
         let moves = self.moves.wants_lease(config);
-        let orders = OrdersState::wants_lease(config);
+        let orders = OrdersState::needs_lease(config);
         if moves != self.wanted.moves {
             self.wanted.moves = moves;
             self.want(now, LeaseName::Moves, moves, effects);
--- a/crates/savorywood-core/src/daemon/reads.rs
+++ b/crates/savorywood-core/src/daemon/reads.rs
@@ -18,7 +18,7 @@
 /// Why a daemon takes no new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, EnumIter, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
-pub enum DaemonUnready {
+pub enum NotReadyReason {
     /// It begins, and has not read the configuration.
     NoConfiguration,
     /// It can't confirm that its configuration is current.
@@ -33,15 +33,15 @@
     /// # Errors
     ///
     /// Says why not.
-    pub fn readiness(&self, now: CoreTime) -> Result<(), DaemonUnready> {
+    pub fn readiness(&self, now: CoreTime) -> Result<(), NotReadyReason> {
         if self.stop.is_stopping() {
-            return Err(DaemonUnready::Stopping);
+            return Err(NotReadyReason::Stopping);
         }
         if !self.config.is_ready() {
-            return Err(DaemonUnready::NoConfiguration);
+            return Err(NotReadyReason::NoConfiguration);
         }
         if !self.config.is_current(now) {
-            return Err(DaemonUnready::ConfigStale);
+            return Err(NotReadyReason::ConfigStale);
         }
         Ok(())
     }
--- a/crates/savorywood-core/src/orders.rs
+++ b/crates/savorywood-core/src/orders.rs
@@ -83,7 +83,7 @@
 
     /// Whether any engine takes orders, so that some daemon must hold the lease.
     #[must_use]
-    pub fn wants_lease(config: &ConfigView) -> bool {
+    pub fn needs_lease(config: &ConfigView) -> bool {
         config.upstreams.values().any(takes_orders)
     }
 
--- a/crates/savorywood-core/src/orders/giving.rs
+++ b/crates/savorywood-core/src/orders/giving.rs
@@ -59,13 +59,13 @@
         // An engine that ignores fencing numbers takes an order of the last holder that arrives
         // late, after ours, and would end with the wrong version. So the first order waits until
         // none of the last holder's can be under way any more.
-        let waited = now.monotonic.since(lease.gained_at) >= self.options.longest_order;
+        let waited = now.monotonic.since(lease.gained_at) >= self.options.max_order_duration;
         if !plan.spec.checks_fencing && !waited {
             return false;
         }
         let engines = self.engines.values();
         let loading = engines.filter(|engine| engine.may_load(now.monotonic));
-        if loading.count() >= self.options.loads_at_once {
+        if loading.count() >= self.options.max_concurrent_loads {
             return false;
         }
         !self.would_empty(now, plan.name, &plan.spec.service, config)
--- a/crates/savorywood-core/src/orders/options.rs
+++ b/crates/savorywood-core/src/orders/options.rs
@@ -13,15 +13,15 @@
 /// Settings of the order duty.
 #[derive(Debug, Clone)]
 pub struct OrderOptions {
-    pub(super) longest_order: Duration,
-    pub(super) loads_at_once: usize,
+    pub(super) max_order_duration: Duration,
+    pub(super) max_concurrent_loads: usize,
 }
 
 impl Default for OrderOptions {
     fn default() -> Self {
         Self {
-            longest_order: LONGEST_ORDER,
-            loads_at_once: LOADS_AT_ONCE,
+            max_order_duration: LONGEST_ORDER,
+            max_concurrent_loads: LOADS_AT_ONCE,
         }
     }
 }
@@ -29,18 +29,18 @@
 impl OrderOptions {
     /// Sets how long an order may be under way at most.
     #[must_use]
-    pub fn longest_order(self, longest_order: Duration) -> Self {
+    pub fn max_order_duration(self, max_order_duration: Duration) -> Self {
         Self {
-            longest_order,
+            max_order_duration,
             ..self
         }
     }
 
     /// Sets how many engines load at once.
     #[must_use]
-    pub fn loads_at_once(self, loads_at_once: usize) -> Self {
+    pub fn max_concurrent_loads(self, max_concurrent_loads: usize) -> Self {
         Self {
-            loads_at_once,
+            max_concurrent_loads,
             ..self
         }
     }
--- a/crates/savorywood-core/tests/order_faults.rs
+++ b/crates/savorywood-core/tests/order_faults.rs
@@ -263,7 +263,7 @@
 /// not send what it had decided, nor may the shell: the order says by when.
 #[test]
 fn an_order_says_by_when_it_must_be_sent() {
-    let mut holder = OrdersState::new(OrderOptions::default().longest_order(Duration::ZERO));
+    let mut holder = OrdersState::new(OrderOptions::default().max_order_duration(Duration::ZERO));
     let config = config(1);
     let lease = LeaseGrant {
         fencing: FencingNumber(7),
--- a/crates/savorywood-daemon/src/daemon.rs
+++ b/crates/savorywood-daemon/src/daemon.rs
@@ -12,7 +12,7 @@
 use async_channel::Receiver;
 use async_executor::Executor;
 use async_net::TcpListener;
-use savorywood_core::{DaemonCore, DaemonEffect, DaemonEvent, daemon::DaemonUnready};
+use savorywood_core::{DaemonCore, DaemonEffect, DaemonEvent, daemon::NotReadyReason};
 use savorywood_http::{HttpClient, HttpServer};
 use savorywood_platform::PlatformClient;
 use snafu::{ResultExt, Snafu};
@@ -133,7 +133,7 @@
     /// # Errors
     ///
     /// Says why not.
-    pub fn readiness(&self) -> Result<(), DaemonUnready> {
+    pub fn readiness(&self) -> Result<(), NotReadyReason> {
         self.shared
             .driver
             .with_core(|core, now, _| core.readiness(now))
