--- a/crates/savorywood-core/examples/core_slopes.rs
+++ b/crates/savorywood-core/examples/core_slopes.rs
@@ -168,12 +168,12 @@
                 DutyKind::Config => rows.clone(),
                 _ => Vec::new(),
             };
-            let answer = TableAnswer::Rows {
+            let response = TableAnswer::Rows {
                 revision: rows.len() as u64,
                 rows: read,
                 more: false,
             };
-            self.step(DaemonEvent::Table { call, answer });
+            self.step(DaemonEvent::Table { call, response });
         }
         drop(rows);
         let ready = self.core.readiness(self.now);
@@ -253,12 +253,12 @@
             self.now = self.now.after(wait);
             self.step(DaemonEvent::TimerFired(key));
             for call in std::mem::take(&mut self.calls) {
-                let answer = TableAnswer::Rows {
+                let response = TableAnswer::Rows {
                     rows: Vec::new(),
                     revision: 1,
                     more: false,
                 };
-                self.step(DaemonEvent::Table { call, answer });
+                self.step(DaemonEvent::Table { call, response });
             }
         }
         started.elapsed() / 10
--- a/crates/savorywood-core/src/claims/repeat.rs
+++ b/crates/savorywood-core/src/claims/repeat.rs
@@ -41,8 +41,8 @@
         let same_call = ours.service == first.service && ours.fingerprint == first.fingerprint;
         if same_call && let ClaimOutcome::Answered(answer) = &first.outcome {
             self.counters.replays += 1;
-            let answer = Box::new(answer.to_kept());
-            effects.push(DaemonEffect::Replay { request, answer });
+            let response = Box::new(answer.to_kept());
+            effects.push(DaemonEffect::Replay { request, response });
             return;
         }
         self.counters.repeats += 1;
--- a/crates/savorywood-core/src/daemon.rs
+++ b/crates/savorywood-core/src/daemon.rs
@@ -220,8 +220,8 @@
             DaemonEvent::Caller(event) => self.caller(now, event, effects),
             DaemonEvent::Upstream(event) => self.upstream(now, event, effects),
             DaemonEvent::Peer { from, message } => self.peer(now, from, message, effects),
-            DaemonEvent::Table { call, answer } => {
-                self.table(now, call.duty, call.number, answer, effects);
+            DaemonEvent::Table { call, response } => {
+                self.table(now, call.duty, call.number, response, effects);
             }
             DaemonEvent::Operator { call, request } => {
                 let event = ConfigEvent::Operator { call, request };
@@ -233,11 +233,18 @@
             }
             DaemonEvent::HostsListed(hosts) => self.list_hosts(now, hosts, effects),
             DaemonEvent::StopRequested => self.leave(now, StopEvent::Requested, effects),
-            DaemonEvent::ResponseCaptured { request, answer } => {
-                self.claim(now, ClaimEvent::AnswerKept { request, answer }, effects);
+            DaemonEvent::ResponseCaptured { request, response } => {
+                self.claim(
+                    now,
+                    ClaimEvent::AnswerKept {
+                        request,
+                        answer: response,
+                    },
+                    effects,
+                );
             }
-            DaemonEvent::OrderCompleted { call, answer } => {
-                self.order(now, OrderEvent::Completed { call, answer }, effects);
+            DaemonEvent::OrderCompleted { call, response } => {
+                self.order(now, OrderEvent::Completed { call, response }, effects);
             }
         }
     }
@@ -296,22 +303,46 @@
         now: CoreTime,
         duty: DutyKind,
         number: u64,
-        answer: TableAnswer,
+        response: TableAnswer,
         effects: &mut EffectQueue,
     ) {
         match duty {
             DutyKind::Config => {
-                let event = ConfigEvent::Table { number, answer };
+                let event = ConfigEvent::Table {
+                    number,
+                    answer: response,
+                };
                 self.configure(now, event, effects);
             }
             DutyKind::Claims => {
-                self.claim(now, ClaimEvent::Table { number, answer }, effects);
+                self.claim(
+                    now,
+                    ClaimEvent::Table {
+                        number,
+                        answer: response,
+                    },
+                    effects,
+                );
             }
             DutyKind::Leases => {
-                self.lease(now, LeaseEvent::Table { number, answer }, effects);
+                self.lease(
+                    now,
+                    LeaseEvent::Table {
+                        number,
+                        answer: response,
+                    },
+                    effects,
+                );
             }
             DutyKind::Moves => {
-                self.move_on(now, MoveEvent::Table { number, answer }, effects);
+                self.move_on(
+                    now,
+                    MoveEvent::Table {
+                        number,
+                        answer: response,
+                    },
+                    effects,
+                );
             }
             DutyKind::Scheduler
             | DutyKind::Credits
--- a/crates/savorywood-core/src/daemon/deciding.rs
+++ b/crates/savorywood-core/src/daemon/deciding.rs
@@ -146,10 +146,10 @@
                     let refusal = self.gate.refuse(request, refusal, effects);
                     effects.refuse(request, refusal);
                 }
-                DaemonEffect::Replay { request, answer } => {
+                DaemonEffect::Replay { request, response } => {
                     self.gate.close(request);
                     self.objectives.forget(request);
-                    effects.push(DaemonEffect::Replay { request, answer });
+                    effects.push(DaemonEffect::Replay { request, response });
                 }
                 other => effects.push(other),
             }
--- a/crates/savorywood-core/src/discovery.rs
+++ b/crates/savorywood-core/src/discovery.rs
@@ -66,7 +66,7 @@
     pub max_age_seconds: u64,
 }
 
-/// Ranks the daemons for one query. [`AddressPlan`] keeps what does not depend on the query.
+/// Ranks the daemons for one query. [`AddressRanker`] keeps what does not depend on the query.
 ///
 /// # Errors
 ///
--- a/crates/savorywood-core/src/effect.rs
+++ b/crates/savorywood-core/src/effect.rs
@@ -167,7 +167,7 @@
         /// The repeat.
         request: RequestId,
         /// Answer of the first call.
-        answer: Box<KeptAnswer>,
+        response: Box<KeptAnswer>,
     },
     /// Ask a daemon for its whole configuration, by TCP.
     FetchSnapshot {
--- a/crates/savorywood-core/src/event.rs
+++ b/crates/savorywood-core/src/event.rs
@@ -233,7 +233,7 @@
         /// Which call.
         call: TableCallId,
         /// Its answer.
-        answer: TableAnswer,
+        response: TableAnswer,
     },
     /// An operator wants to change a resource.
     Operator {
@@ -254,7 +254,7 @@
         /// Names the order's call.
         call: OrderCallId,
         /// The answer.
-        answer: OrderResponse,
+        response: OrderResponse,
     },
     /// The whole answer of a call that may not be repeated, small enough to be recorded. Comes
     /// before the `Finished` of the same request.
@@ -262,7 +262,7 @@
         /// Request that was answered.
         request: RequestId,
         /// Its answer.
-        answer: Box<KeptAnswer>,
+        response: Box<KeptAnswer>,
     },
     /// The host list was read.
     HostsListed(Vec<HostEntry>),
--- a/crates/savorywood-core/src/orders.rs
+++ b/crates/savorywood-core/src/orders.rs
@@ -42,7 +42,7 @@
         /// Which call.
         call: OrderCallId,
         /// The answer.
-        answer: OrderResponse,
+        response: OrderResponse,
     },
 }
 
@@ -98,7 +98,7 @@
         match event {
             OrderEvent::ViewChanged => {}
             OrderEvent::TimerFired => self.ticking = false,
-            OrderEvent::Completed { call, answer } => self.answered(now, call, answer, effects),
+            OrderEvent::Completed { call, response } => self.answered(now, call, response, effects),
         }
         self.begin_term(view);
         if let Some(lease) = view.lease.filter(|_| !self.fenced) {
@@ -129,21 +129,21 @@
         &mut self,
         now: CoreTime,
         call: OrderCallId,
-        answer: OrderResponse,
+        response: OrderResponse,
         effects: &mut EffectQueue,
     ) {
         let mut engines = self.engines.iter_mut();
         let Some((name, engine)) = engines.find(|(_, engine)| engine.owns(call)) else {
             return;
         };
-        if let OrderResponse::Fenced { newest } = answer {
+        if let OrderResponse::Fenced { newest } = response {
             self.fenced = self.term.is_some_and(|term| newest > term);
             let line = LogLine::new(LogLevel::Warn, "order-fenced")
                 .with("upstream", name)
                 .with("newest", newest);
             effects.log(line);
         }
-        engine.answered(now.monotonic, answer);
+        engine.answered(now.monotonic, response);
     }
 }
 
--- a/crates/savorywood-core/src/orders/engine.rs
+++ b/crates/savorywood-core/src/orders/engine.rs
@@ -64,9 +64,9 @@
         self.call.is_some_and(|current| current.call == call)
     }
 
-    pub(super) fn answered(&mut self, now: MonotonicTime, answer: OrderResponse) {
+    pub(super) fn answered(&mut self, now: MonotonicTime, response: OrderResponse) {
         self.call = None;
-        match answer {
+        match response {
             OrderResponse::Running { version, ready, .. } => {
                 let given = self.given.as_ref();
                 let done = ready && given.is_none_or(|given| given.version == version);
--- a/crates/savorywood-core/tests/claim/store.rs
+++ b/crates/savorywood-core/tests/claim/store.rs
@@ -361,8 +361,8 @@
                 DaemonEffect::Refuse { request, refusal } => {
                     self.refusals.push((request, refusal));
                 }
-                DaemonEffect::Replay { request, answer } => {
-                    assert_eq!(answer.body.as_deref(), Some(&b"charged"[..]));
+                DaemonEffect::Replay { request, response } => {
+                    assert_eq!(response.body.as_deref(), Some(&b"charged"[..]));
                     self.replays.insert(request);
                 }
                 DaemonEffect::InvariantViolated(breach) => panic!("{breach:?}"),
--- a/crates/savorywood-core/tests/claim_keys.rs
+++ b/crates/savorywood-core/tests/claim_keys.rs
@@ -87,7 +87,7 @@
                     answers.push((call.number, self.table.answer(&request)));
                 }
                 DaemonEffect::Refuse { refusal, .. } => self.refusals.push(refusal),
-                DaemonEffect::Replay { answer, .. } => self.replays.push(*answer),
+                DaemonEffect::Replay { response, .. } => self.replays.push(*response),
                 _ => {}
             }
         }
--- a/crates/savorywood-core/tests/order_faults.rs
+++ b/crates/savorywood-core/tests/order_faults.rs
@@ -128,8 +128,8 @@
                     Pending::Arrive(holder, call, name, order) => {
                         self.arrive(holder, call, &name, &order);
                     }
-                    Pending::Answer(holder, call, answer) => {
-                        self.step(holder, OrderEvent::Completed { call, answer });
+                    Pending::Answer(holder, call, response) => {
+                        self.step(holder, OrderEvent::Completed { call, response });
                     }
                 }
             }
--- a/crates/savorywood-core/tests/whole/links.rs
+++ b/crates/savorywood-core/tests/whole/links.rs
@@ -50,24 +50,24 @@
         let mut delay = self.rng.random_range(WAY_MICROS);
         let windows = &self.windows;
         let cut = windows.cut_table[from.node] > self.now;
-        let answer = if windows.outage > self.now || cut {
+        let response = if windows.outage > self.now || cut {
             TableAnswer::Unavailable
         } else if windows.lossy_table > self.now && self.rng.random_bool(0.4) {
             delay = TABLE_TIMEOUT;
             self.lose_answer(request)
         } else if windows.slow_table > self.now {
             delay = self.rng.random_range(SLOW_MICROS);
-            let answer = self.sabotaged_table(from.life, call, &request);
+            let response = self.sabotaged_table(from.life, call, &request);
             if delay > TABLE_TIMEOUT {
                 delay = TABLE_TIMEOUT;
                 TableAnswer::Lost
             } else {
-                answer
+                response
             }
         } else {
             self.sabotaged_table(from.life, call, &request)
         };
-        let event = DaemonEvent::Table { call, answer };
+        let event = DaemonEvent::Table { call, response };
         self.later(delay, Pending::Deliver { to: from, event });
     }
 
--- a/crates/savorywood-core/tests/whole/upstreams.rs
+++ b/crates/savorywood-core/tests/whole/upstreams.rs
@@ -178,12 +178,12 @@
         if call.kind != CallKind::Charge {
             return;
         }
-        let answer = Box::new(KeptAnswer {
+        let response = Box::new(KeptAnswer {
             status: 201,
             content_type: "text/plain".to_owned(),
             body: Some(call.key.clone().into_bytes()),
         });
-        self.step(to.node, DaemonEvent::ResponseCaptured { request, answer });
+        self.step(to.node, DaemonEvent::ResponseCaptured { request, response });
     }
 
     pub(crate) fn cancel(&mut self, node: usize, request: RequestId, attempt: AttemptNumber) {
--- a/crates/savorywood-core/tests/whole/world.rs
+++ b/crates/savorywood-core/tests/whole/world.rs
@@ -341,7 +341,7 @@
             }
             DaemonEffect::CallTable { call, request } => self.call_table(node, call, request),
             DaemonEffect::Resume(order) => self.resume_stream(node, &order),
-            DaemonEffect::Replay { request, answer } => self.replay(request, *answer),
+            DaemonEffect::Replay { request, response } => self.replay(request, *response),
             DaemonEffect::FetchSnapshot { from, address } => {
                 self.fetch_snapshot(node, from, address);
             }
--- a/crates/savorywood-daemon/src/driver.rs
+++ b/crates/savorywood-daemon/src/driver.rs
@@ -119,8 +119,8 @@
             DaemonEffect::Resume(order) => {
                 self.command(order.request, RequestCommand::Resume(order));
             }
-            DaemonEffect::Replay { request, answer } => {
-                self.command(request, RequestCommand::Replay(answer));
+            DaemonEffect::Replay { request, response } => {
+                self.command(request, RequestCommand::Replay(response));
             }
             DaemonEffect::ReplyOperator { call, reply } => self.reply_operator(call, *reply),
             // Published before all others.
--- a/crates/savorywood-daemon/src/outbound.rs
+++ b/crates/savorywood-daemon/src/outbound.rs
@@ -77,8 +77,8 @@
     let links = Arc::clone(links);
     let run = async move {
         let duty = platform_duty(call.duty);
-        let answer = links.platform.execute(duty, &request).await;
-        driver.step(DaemonEvent::Table { call, answer });
+        let response = links.platform.execute(duty, &request).await;
+        driver.step(DaemonEvent::Table { call, response });
     };
     shared.executor.spawn(run).detach();
 }
--- a/crates/savorywood-daemon/src/outbound/orders.rs
+++ b/crates/savorywood-daemon/src/outbound/orders.rs
@@ -26,14 +26,14 @@
         // A process that was frozen since the order was decided may no longer hold the lease.
         if owner.driver.clock().now().monotonic >= order.act_by {
             log::warn!("event=order-too-late peer={address}");
-            let answer = OrderResponse::Lost;
+            let response = OrderResponse::Lost;
             owner
                 .driver
-                .step(DaemonEvent::OrderCompleted { call, answer });
+                .step(DaemonEvent::OrderCompleted { call, response });
             return;
         }
-        let answer = match owner.client.call(&request).await {
-            Ok(answer) => read_answer(&answer),
+        let response = match owner.client.call(&request).await {
+            Ok(response) => read_answer(&response),
             Err(error) => {
                 log::info!(
                     "event=order-unanswered peer={address} error={:?}",
@@ -44,7 +44,7 @@
         };
         owner
             .driver
-            .step(DaemonEvent::OrderCompleted { call, answer });
+            .step(DaemonEvent::OrderCompleted { call, response });
     };
     shared.executor.spawn(run).detach();
 }
--- a/crates/savorywood-daemon/src/relay/attempt.rs
+++ b/crates/savorywood-daemon/src/relay/attempt.rs
@@ -291,14 +291,14 @@
         if self.task.call.idempotent {
             return;
         }
-        let answer = KeptAnswer {
+        let response = KeptAnswer {
             status,
             content_type: observer.content_type().to_owned(),
             body: observer.into_kept(),
         };
         let event = DaemonEvent::ResponseCaptured {
             request: self.task.request,
-            answer: Box::new(answer),
+            response: Box::new(response),
         };
         self.task.shared.driver.step(event);
     }
