--- a/crates/savorywood-core/src/effect.rs
+++ b/crates/savorywood-core/src/effect.rs
@@ -1,4 +1,4 @@
-//! What the core wants done. The shell executes effects in order.
+//! Output effects of the daemon core. The runtime executes them in the order given.
 
 use crate::{
     event::{TableCallId, TimerKey},
@@ -16,38 +16,38 @@
 /// Severity of a log line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogLevel {
-    /// Something must be looked at.
+    /// A failure that needs an operator's attention.
     Error,
-    /// Something is out of the ordinary.
+    /// An unusual condition that the daemon handles by itself.
     Warn,
-    /// A decision that an operator wants to see.
+    /// A decision or change of state that operators follow.
     Info,
     /// A decision about one request.
     Debug,
 }
 
-/// One key=value pair of a log line.
+/// One `key=value` pair of a log line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LogField {
-    /// Key.
+    /// Stable name of the pair.
     pub key: &'static str,
-    /// Value, quoted by the shell when it holds spaces.
+    /// Unquoted value; `Display` quotes it where necessary.
     pub value: String,
 }
 
-/// One event for the log.
+/// One structured line for the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LogLine {
-    /// Severity.
+    /// Severity of the line.
     pub level: LogLevel,
     /// Stable name of the event.
     pub event: &'static str,
-    /// Further pairs in order.
+    /// Further pairs, in the order in which they are written.
     pub fields: Vec<LogField>,
 }
 
 impl LogLine {
-    /// A line without fields.
+    /// Creates a line without fields.
     #[must_use]
     pub fn new(level: LogLevel, event: &'static str) -> Self {
         Self {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The same line with one more field.
+    /// Appends a field.
     #[must_use]
     pub fn with(mut self, key: &'static str, value: impl ToString) -> Self {
         let value = value.to_string();
@@ -75,12 +75,12 @@
     }
 }
 
-/// Values that hold blanks, quotes or control characters are quoted, so that a line stays one
-/// line and its pairs can be told apart.
+/// Quotes values that are empty or contain white space, control characters, `"` or `=`, so that
+/// each event stays on one line and its pairs can be parsed.
 impl fmt::Display for LogField {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let bare = |c: char| !c.is_whitespace() && !c.is_control() && !matches!(c, '"' | '=');
-        if !self.value.is_empty() && self.value.chars().all(bare) {
+        let needs_no_quotes = |c: char| !c.is_whitespace() && !c.is_control() && !matches!(c, '"' | '=');
+        if !self.value.is_empty() && self.value.chars().all(needs_no_quotes) {
             write!(f, "{}={}", self.key, self.value)
         } else {
             write!(f, "{}={:?}", self.key, self.value)
@@ -88,161 +88,163 @@
     }
 }
 
-/// Sends a request to an upstream. The dispatch is on record before this effect exists.
+/// Dispatch of a request to an upstream. The core records the dispatch before it emits this
+/// effect.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DispatchCommand {
-    /// What to send.
+    /// Request to send.
     pub request: RequestId,
-    /// Which attempt this is.
+    /// Number of the attempt within the request.
     pub attempt: AttemptNumber,
-    /// To whom.
+    /// Upstream to send it to.
     pub upstream: UpstreamName,
-    /// Where.
+    /// Address of the upstream.
     pub address: SocketAddr,
-    /// When the whole answer must be there.
+    /// Time by which the response must be complete.
     pub deadline_at: MonotonicTime,
 }
 
-/// Reads on a stream that another daemon dispatched. This is no second dispatch.
+/// Continues to read a response stream that another daemon dispatched. The request is not
+/// dispatched again.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ResumeCommand {
-    /// Request of the caller that asks for the rest.
+    /// Request with which the caller resumes the stream.
     pub request: RequestId,
-    /// Upstream that holds the stream.
+    /// Upstream that serves the stream.
     pub upstream: UpstreamName,
-    /// Where.
+    /// Address of the upstream.
     pub address: SocketAddr,
-    /// Name of the stream there.
+    /// Name of the stream at the upstream.
     pub stream: String,
-    /// Bytes that the caller has.
+    /// Bytes of the stream that the caller has received already.
     pub offset: u64,
 }
 
-/// One thing that the core wants done.
+/// One action that the runtime executes for the core.
 #[derive(Debug, Clone, PartialEq)]
 pub enum DaemonEffect {
-    /// Fire this timer at that time; replaces one with the same key.
+    /// Sets a timer; replaces a timer with the same key.
     SetTimer {
-        /// Timer.
+        /// Key that [`DaemonEvent::TimerFired`](crate::DaemonEvent::TimerFired) returns.
         key: TimerKey,
-        /// When.
+        /// Time at which the timer expires.
         at: MonotonicTime,
     },
-    /// Send a request to an upstream.
+    /// Sends a request to an upstream.
     Dispatch(DispatchCommand),
-    /// Stop an attempt that is under way and tell the upstream, if it can be told.
+    /// Cancels an attempt in progress, and notifies the upstream where that is possible.
     CancelAttempt {
-        /// Request of the attempt.
+        /// Request that the attempt belongs to.
         request: RequestId,
-        /// Which attempt.
+        /// Number of the attempt within the request.
         attempt: AttemptNumber,
     },
-    /// Give a request its final answer at once.
+    /// Ends a request with a refusal.
     Refuse {
-        /// Which request.
+        /// Request to refuse.
         request: RequestId,
-        /// What to say.
+        /// Refusal that the caller receives.
         refusal: RequestRefusal,
     },
-    /// Send a message to another daemon, by datagram.
+    /// Sends a message to another daemon by datagram.
     SendPeer {
-        /// To whom.
+        /// Host of the receiver.
         to: HostName,
-        /// Where.
+        /// Address of the receiver.
         address: SocketAddr,
-        /// What.
+        /// Message to send.
         message: PeerMessage,
     },
-    /// Call the table service.
+    /// Calls the table service.
     CallTable {
-        /// Names the call.
+        /// Identifies the call; returned with its response.
         call: TableCallId,
-        /// What to ask.
+        /// Request to the table service.
         request: TableRequest,
     },
-    /// Read a stream on from an offset.
+    /// Resumes a response stream at an offset.
     Resume(ResumeCommand),
-    /// Give a repeated call the recorded answer of the first.
+    /// Answers a repeated call with the recorded response of the first call.
     Replay {
-        /// The repeat.
+        /// Request of the repeated call.
         request: RequestId,
-        /// Answer of the first call.
+        /// Recorded response of the first call.
         response: Box<KeptAnswer>,
     },
-    /// Ask a daemon for its whole configuration, by TCP.
+    /// Requests a configuration snapshot from another daemon, over TCP.
     FetchSnapshot {
-        /// Whom.
+        /// Host of the daemon to ask.
         from: HostName,
-        /// Where.
+        /// Address of that daemon.
         address: SocketAddr,
     },
-    /// Answer an operator.
+    /// Replies to an operator.
     ReplyOperator {
-        /// Which call.
+        /// Call to reply to.
         call: OperatorCallId,
-        /// What to say.
+        /// Reply that the operator receives.
         reply: Box<OperatorReply>,
     },
-    /// Give an upstream an order.
+    /// Sends an order to an engine, or reads back which version it runs.
     SendOrder {
-        /// Names the call.
+        /// Identifies the call; returned with its response.
         call: OrderCallId,
-        /// To whom.
+        /// Upstream whose engine receives the order.
         upstream: UpstreamName,
-        /// Where.
+        /// Address of the upstream.
         address: SocketAddr,
-        /// What.
+        /// Order to send.
         order: UpstreamOrder,
     },
-    /// The configuration in force changed: wake the watchers.
+    /// The configuration in force changed; wakes the connections that watch it.
     ConfigChanged,
-    /// Write a line to the log.
+    /// Writes a line to the log.
     Log(LogLine),
-    /// An invariant does not hold: log it, count it; in tests, fail.
+    /// An invariant is violated. The daemon logs and counts the violation; tests fail on it.
     InvariantViolated(InvariantViolation),
-    /// All is drained: the process may end.
+    /// All open work is finished; the process can exit.
     Exit,
 }
 
-/// Effects of one step, in order.
+/// Effects of one step, in the order in which they are to be executed.
 #[derive(Debug, Default)]
 pub struct EffectQueue {
     effects: Vec<DaemonEffect>,
 }
 
 impl EffectQueue {
-    /// An empty queue.
+    /// Creates an empty queue.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds an effect after all others.
+    /// Appends an effect.
     pub fn push(&mut self, effect: DaemonEffect) {
         self.effects.push(effect);
     }
 
-    /// Adds a log line.
+    /// Appends a log line.
     pub fn log(&mut self, line: LogLine) {
         self.push(DaemonEffect::Log(line));
     }
 
-    /// Sets a timer.
+    /// Appends an effect that sets a timer.
     pub fn set_timer(&mut self, key: TimerKey, at: MonotonicTime) {
         self.push(DaemonEffect::SetTimer { key, at });
     }
 
-    /// Gives a request its final answer.
+    /// Appends an effect that ends a request with a refusal.
     pub fn refuse(&mut self, request: RequestId, refusal: RequestRefusal) {
         self.push(DaemonEffect::Refuse { request, refusal });
     }
 
-    /// Takes all effects out, in order.
+    /// Removes and returns all effects, in order.
     pub fn drain(&mut self) -> impl Iterator<Item = DaemonEffect> + '_ {
         self.effects.drain(..)
     }
 
-    /// The effects so far, in order.
+    /// Returns the effects pushed so far, in order.
     #[must_use]
     pub fn as_slice(&self) -> &[DaemonEffect] {
         &self.effects
--- a/crates/savorywood-core/src/lib.rs
+++ b/crates/savorywood-core/src/lib.rs
@@ -1,8 +1,8 @@
-//! Pure reducers that make every decision of a daemon.
+//! Deterministic state machines that make every decision of a daemon.
 //!
-//! Nothing here does I/O, reads a clock or starts a thread. [`DaemonCore::step`] takes one
-//! [`DaemonEvent`] and the time, and pushes [`DaemonEffect`]s that a shell executes. The same
-//! events in the same order always give the same effects.
+//! The crate does no I/O, reads no clock and starts no thread. [`DaemonCore::step`] takes one
+//! [`DaemonEvent`] and the current time and pushes [`DaemonEffect`]s, which a runtime (the I/O
+//! layer) executes. The same events in the same order always produce the same effects.
 
 pub mod burn;
 pub mod claims;
