--- a/crates/savorywood-core/src/daemon.rs
+++ b/crates/savorywood-core/src/daemon.rs
@@ -1,17 +1,17 @@
 //! The whole daemon: one reducer over all events.
 
-mod callers;
-mod deciding;
-mod gate;
-mod holding;
+mod arrivals;
+mod credits;
+mod dispatch_guard;
 mod hosts;
-mod leaving;
-mod moving;
+mod leases;
+mod moves;
 mod objectives;
-mod reads;
-mod sharing;
+mod queries;
+mod requests;
+mod stop;
 
-pub use reads::NotReadyReason;
+pub use queries::NotReadyReason;
 
 use crate::{
     burn::BurnLedger,
@@ -29,8 +29,9 @@
     stop::{StopEvent, StopOptions, StopState},
     view::{ConfigView, MemberView, VersionSplit},
 };
-use gate::DispatchGate;
-use holding::WantedLeases;
+use credits::{DemandCounts, HeldRequests};
+use dispatch_guard::DispatchGuard;
+use leases::RequestedLeases;
 use objectives::ObjectiveTracker;
 use savorywood_protocol::{
     CoreTime, HostIncarnation, HostName, MonotonicTime, RegionName, RequestId, ServiceName,
@@ -39,7 +40,6 @@
     resume_token::ResumeKey,
     table::TableAnswer,
 };
-use sharing::{DemandCount, HeldRequests};
 use std::{
     collections::{BTreeMap, BTreeSet},
     net::SocketAddr,
@@ -97,17 +97,17 @@
     config: ConfigState,
     membership: MembershipState,
     claims: ClaimState,
-    gate: DispatchGate,
+    guard: DispatchGuard,
     credits: CreditState,
-    demands: DemandCount,
+    demands: DemandCounts,
     held: HeldRequests,
-    queued: BTreeSet<ServiceName>,
+    queued_services: BTreeSet<ServiceName>,
     leases: LeaseState,
     moves: MovesState,
     orders: OrdersState,
-    wanted: WantedLeases,
+    requested_leases: RequestedLeases,
     stop: StopState,
-    resumed: BTreeSet<RequestId>,
+    resumed_requests: BTreeSet<RequestId>,
     leaving_hosts: BTreeSet<HostName>,
     leaving_upstreams: BTreeSet<UpstreamName>,
     scheduler: RequestScheduler,
@@ -137,11 +137,11 @@
                 options.incarnation,
                 seed,
             )),
-            gate: DispatchGate::default(),
+            guard: DispatchGuard::default(),
             credits: CreditState::new(CreditOptions::new(options.host.clone())),
-            demands: DemandCount::default(),
+            demands: DemandCounts::default(),
             held: HeldRequests::default(),
-            queued: BTreeSet::new(),
+            queued_services: BTreeSet::new(),
             leases: LeaseState::new(LeaseOptions::new(
                 options.host.clone(),
                 options.incarnation,
@@ -152,12 +152,12 @@
                 seed,
             }),
             orders: OrdersState::new(OrderOptions::default()),
-            wanted: WantedLeases::default(),
+            requested_leases: RequestedLeases::default(),
             stop: StopState::new(StopOptions {
                 address_max_age: options.address_max_age,
                 ..StopOptions::default()
             }),
-            resumed: BTreeSet::new(),
+            resumed_requests: BTreeSet::new(),
             leaving_hosts: BTreeSet::new(),
             leaving_upstreams: BTreeSet::new(),
             scheduler: RequestScheduler::new(SchedulerOptions::new(seed)),
@@ -191,50 +191,50 @@
     pub fn step(&mut self, now: CoreTime, event: DaemonEvent, effects: &mut EffectQueue) {
         let before = effects.as_slice().len();
         self.handle(now, event, effects);
-        self.measure_refusals(now, &effects.as_slice()[before..]);
+        self.record_refusals(now, &effects.as_slice()[before..]);
         if self.stop.is_stopping() {
-            self.leave(now, StopEvent::WorkChanged, effects);
+            self.step_stop(now, StopEvent::WorkChanged, effects);
         }
     }
 
     /// A refused request missed its deadline, whichever duty refused it, unless its caller is to
     /// blame: a key that was used before would otherwise burn the service's objective.
-    fn measure_refusals(&mut self, now: CoreTime, effects: &[DaemonEffect]) {
+    fn record_refusals(&mut self, now: CoreTime, effects: &[DaemonEffect]) {
         for effect in effects {
             let DaemonEffect::Refuse { request, refusal } = effect else {
                 continue;
             };
             if refusal.code.is_caller_fault() {
-                self.objectives.forget(*request);
+                self.objectives.discard(*request);
             } else {
                 self.objectives
-                    .refused(now.monotonic, *request, &mut self.burn);
+                    .record_missed_deadline(now.monotonic, *request, &mut self.burn);
             }
         }
     }
 
     fn handle(&mut self, now: CoreTime, event: DaemonEvent, effects: &mut EffectQueue) {
         match event {
-            DaemonEvent::Started => self.start(now, effects),
-            DaemonEvent::TimerFired(key) => self.timer(now, key, effects),
-            DaemonEvent::Caller(event) => self.caller(now, event, effects),
-            DaemonEvent::Upstream(event) => self.upstream(now, event, effects),
-            DaemonEvent::Peer { from, message } => self.peer(now, from, message, effects),
+            DaemonEvent::Started => self.handle_started(now, effects),
+            DaemonEvent::TimerFired(key) => self.handle_timer(now, key, effects),
+            DaemonEvent::Caller(event) => self.handle_caller(now, event, effects),
+            DaemonEvent::Upstream(event) => self.handle_upstream(now, event, effects),
+            DaemonEvent::Peer { from, message } => self.handle_peer(now, from, message, effects),
             DaemonEvent::Table { call, response } => {
-                self.table(now, call.duty, call.number, response, effects);
+                self.handle_table_response(now, call.duty, call.number, response, effects);
             }
             DaemonEvent::Operator { call, request } => {
                 let event = ConfigEvent::Operator { call, request };
-                self.configure(now, event, effects);
+                self.step_config(now, event, effects);
             }
             DaemonEvent::SnapshotFetched { from, snapshot } => {
                 let event = ConfigEvent::SnapshotFetched { from, snapshot };
-                self.configure(now, event, effects);
+                self.step_config(now, event, effects);
             }
-            DaemonEvent::HostsListed(hosts) => self.list_hosts(now, hosts, effects),
-            DaemonEvent::StopRequested => self.leave(now, StopEvent::Requested, effects),
+            DaemonEvent::HostsListed(hosts) => self.update_hosts(now, hosts, effects),
+            DaemonEvent::StopRequested => self.step_stop(now, StopEvent::Requested, effects),
             DaemonEvent::ResponseCaptured { request, response } => {
-                self.claim(
+                self.step_claims(
                     now,
                     ClaimEvent::AnswerKept {
                         request,
@@ -244,38 +244,40 @@
                 );
             }
             DaemonEvent::OrderCompleted { call, response } => {
-                self.order(now, OrderEvent::Completed { call, response }, effects);
+                self.step_orders(now, OrderEvent::Completed { call, response }, effects);
             }
         }
     }
 
-    fn start(&mut self, now: CoreTime, effects: &mut EffectQueue) {
+    fn handle_started(&mut self, now: CoreTime, effects: &mut EffectQueue) {
         self.started_at = now.monotonic;
-        self.join(now, MembershipEvent::Started, effects);
-        self.configure(now, ConfigEvent::Started, effects);
-        self.claim(now, ClaimEvent::Started, effects);
-        self.share(now, CreditEvent::Started, effects);
-        self.move_on(now, MoveEvent::Started, effects);
+        self.step_membership(now, MembershipEvent::Started, effects);
+        self.step_config(now, ConfigEvent::Started, effects);
+        self.step_claims(now, ClaimEvent::Started, effects);
+        self.step_credits(now, CreditEvent::Started, effects);
+        self.step_moves(now, MoveEvent::Started, effects);
     }
 
-    fn timer(&mut self, now: CoreTime, key: TimerKey, effects: &mut EffectQueue) {
+    fn handle_timer(&mut self, now: CoreTime, key: TimerKey, effects: &mut EffectQueue) {
         let number = key.number;
         match key.duty {
             DutyKind::Scheduler => {
-                self.schedule(now, SchedulerEvent::TimerFired { number }, effects);
+                self.step_scheduler(now, SchedulerEvent::TimerFired { number }, effects);
             }
-            DutyKind::Membership => self.join(now, MembershipEvent::TimerFired, effects),
-            DutyKind::Config => self.configure(now, ConfigEvent::TimerFired { number }, effects),
-            DutyKind::Claims => self.claim(now, ClaimEvent::TimerFired { number }, effects),
-            DutyKind::Credits => self.share(now, CreditEvent::TimerFired { number }, effects),
-            DutyKind::Leases => self.lease(now, LeaseEvent::TimerFired { number }, effects),
-            DutyKind::Stop => self.leave(now, StopEvent::TimerFired, effects),
-            DutyKind::Moves => self.move_on(now, MoveEvent::TimerFired { number }, effects),
-            DutyKind::Orders => self.order(now, OrderEvent::TimerFired, effects),
+            DutyKind::Membership => self.step_membership(now, MembershipEvent::TimerFired, effects),
+            DutyKind::Config => self.step_config(now, ConfigEvent::TimerFired { number }, effects),
+            DutyKind::Claims => self.step_claims(now, ClaimEvent::TimerFired { number }, effects),
+            DutyKind::Credits => {
+                self.step_credits(now, CreditEvent::TimerFired { number }, effects)
+            }
+            DutyKind::Leases => self.step_leases(now, LeaseEvent::TimerFired { number }, effects),
+            DutyKind::Stop => self.step_stop(now, StopEvent::TimerFired, effects),
+            DutyKind::Moves => self.step_moves(now, MoveEvent::TimerFired { number }, effects),
+            DutyKind::Orders => self.step_orders(now, OrderEvent::TimerFired, effects),
         }
     }
 
-    fn peer(
+    fn handle_peer(
         &mut self,
         now: CoreTime,
         from: HostName,
@@ -284,21 +286,21 @@
     ) {
         match message {
             PeerMessage::Membership(message) => {
-                self.join(now, MembershipEvent::Peer { from, message }, effects);
+                self.step_membership(now, MembershipEvent::Peer { from, message }, effects);
             }
             PeerMessage::Config(message) => {
-                self.configure(now, ConfigEvent::Peer { from, message }, effects);
+                self.step_config(now, ConfigEvent::Peer { from, message }, effects);
             }
             PeerMessage::Credits(message) => {
-                self.share(now, CreditEvent::Peer { from, message }, effects);
+                self.step_credits(now, CreditEvent::Peer { from, message }, effects);
             }
             PeerMessage::Moves(message) => {
-                self.move_on(now, MoveEvent::Peer { from, message }, effects);
+                self.step_moves(now, MoveEvent::Peer { from, message }, effects);
             }
         }
     }
 
-    fn table(
+    fn handle_table_response(
         &mut self,
         now: CoreTime,
         duty: DutyKind,
@@ -312,10 +314,10 @@
                     number,
                     answer: response,
                 };
-                self.configure(now, event, effects);
+                self.step_config(now, event, effects);
             }
             DutyKind::Claims => {
-                self.claim(
+                self.step_claims(
                     now,
                     ClaimEvent::Table {
                         number,
@@ -325,7 +327,7 @@
                 );
             }
             DutyKind::Leases => {
-                self.lease(
+                self.step_leases(
                     now,
                     LeaseEvent::Table {
                         number,
@@ -335,7 +337,7 @@
                 );
             }
             DutyKind::Moves => {
-                self.move_on(
+                self.step_moves(
                     now,
                     MoveEvent::Table {
                         number,
@@ -353,25 +355,30 @@
     }
 
     /// Steps the configuration duty and tells the others what came of it.
-    fn configure(&mut self, now: CoreTime, event: ConfigEvent, effects: &mut EffectQueue) {
+    fn step_config(&mut self, now: CoreTime, event: ConfigEvent, effects: &mut EffectQueue) {
         let verdict = self
             .config
             .step(now, event, self.membership.view(), effects);
         if verdict == ConfigVerdict::Changed {
             let revision = self.config.view().revision;
-            self.join(now, MembershipEvent::RevisionInForce(revision), effects);
+            self.step_membership(now, MembershipEvent::RevisionInForce(revision), effects);
             self.mark_leaving_upstreams(now, effects);
-            self.move_on(now, MoveEvent::ConfigChanged, effects);
-            self.order(now, OrderEvent::ViewChanged, effects);
-            self.schedule(now, SchedulerEvent::ViewChanged, effects);
+            self.step_moves(now, MoveEvent::ConfigChanged, effects);
+            self.step_orders(now, OrderEvent::ViewChanged, effects);
+            self.step_scheduler(now, SchedulerEvent::ViewChanged, effects);
         }
     }
 
     /// Steps the membership duty and tells the others what came of it.
-    fn join(&mut self, now: CoreTime, event: MembershipEvent, effects: &mut EffectQueue) {
+    fn step_membership(
+        &mut self,
+        now: CoreTime,
+        event: MembershipEvent,
+        effects: &mut EffectQueue,
+    ) {
         let change = self.membership.step(now, event, effects);
         if change.newer_revision.is_some() {
-            self.configure(now, ConfigEvent::MembersChanged, effects);
+            self.step_config(now, ConfigEvent::MembersChanged, effects);
         }
     }
 }
--- a/crates/savorywood-core/src/daemon/callers.rs
+++ b/crates/savorywood-core/src/daemon/arrivals.rs
@@ -11,16 +11,16 @@
 use std::time::Duration;
 
 /// When to come back to a daemon that can't confirm its configuration.
-const STALE_RETRY: Duration = Duration::from_secs(2);
+const STALE_CONFIG_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 impl DaemonCore {
-    pub(super) fn arrive(
+    pub(super) fn handle_arrival(
         &mut self,
         now: CoreTime,
         arrival: &RequestArrival,
         effects: &mut EffectQueue,
     ) {
-        if let Err(refusal) = self.check_current(now) {
+        if let Err(refusal) = self.check_config_freshness(now) {
             effects.refuse(arrival.request, refusal);
             return;
         }
@@ -32,10 +32,10 @@
         let spec = config.services.get(&request.service);
         let objectives = spec.map(|spec| spec.objectives).unwrap_or_default();
         let retention = spec.map(|spec| spec.claims).unwrap_or_default();
-        self.objectives.arrive(&request, objectives);
-        self.gate.open(request.clone());
+        self.objectives.start(&request, objectives);
+        self.guard.open(request.clone());
         if request.idempotent {
-            return self.admit(now, request, effects);
+            return self.submit(now, request, effects);
         }
         let wish = ClaimWish {
             request,
@@ -43,22 +43,22 @@
             fingerprint: arrival.fingerprint,
             retention,
         };
-        self.claim(now, ClaimEvent::Wanted(Box::new(wish)), effects);
+        self.step_claims(now, ClaimEvent::Wanted(Box::new(wish)), effects);
     }
 
     /// A daemon that is cut off from table and peers may not know that a team was shut out or an
     /// upstream taken away. Callers would see work go where it was stopped long ago; so it turns
     /// them away to a daemon that knows.
-    fn check_current(&self, now: CoreTime) -> Result<(), RequestRefusal> {
+    fn check_config_freshness(&self, now: CoreTime) -> Result<(), RequestRefusal> {
         if !self.config.is_ready() {
             let detail = "this daemon has not read the configuration yet; use another address";
             let refusal = RequestRefusal::not_run(RefusalCode::NotReady, detail);
-            return Err(refusal.with_retry_after(STALE_RETRY));
+            return Err(refusal.with_retry_after(STALE_CONFIG_RETRY_AFTER));
         }
         if !self.config.is_current(now) {
             let detail = "this daemon can't confirm its configuration; use another address";
             let refusal = RequestRefusal::not_run(RefusalCode::ConfigStale, detail);
-            return Err(refusal.with_retry_after(STALE_RETRY));
+            return Err(refusal.with_retry_after(STALE_CONFIG_RETRY_AFTER));
         }
         Ok(())
     }
--- a/crates/savorywood-core/src/daemon/sharing.rs
+++ b/crates/savorywood-core/src/daemon/credits.rs
@@ -17,14 +17,14 @@
 };
 
 /// Demands are counted again after this long: a burst of messages must not count them each time.
-const COUNT_EVERY: Duration = Duration::from_millis(20);
+const DEMAND_COUNT_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Requests that wait for others to yield, at most; further ones are refused at once.
-const MAX_HELD: usize = 1_024;
+const MAX_HELD_REQUESTS: usize = 1_024;
 
 /// Own demand on the upstreams, as counted last.
 #[derive(Debug, Default)]
-pub struct DemandCount {
+pub struct DemandCounts {
     counted_at: Option<MonotonicTime>,
     demands: BTreeMap<UpstreamName, LocalDemand>,
 }
@@ -38,7 +38,7 @@
 
 impl HeldRequest {
     /// The refusal once the deadline has passed: then it is not given for want of room.
-    fn expired(self) -> RequestRefusal {
+    fn into_deadline_refusal(self) -> RequestRefusal {
         let detail = "the deadline passed while lower tiers were asked to yield; come back after \
                       the given time or allow more";
         RequestRefusal {
@@ -73,7 +73,12 @@
 
 impl DaemonCore {
     /// Steps the credit duty; the scheduler looks again when grants or floors changed.
-    pub(super) fn share(&mut self, now: CoreTime, event: CreditEvent, effects: &mut EffectQueue) {
+    pub(super) fn step_credits(
+        &mut self,
+        now: CoreTime,
+        event: CreditEvent,
+        effects: &mut EffectQueue,
+    ) {
         self.count_demands(now.monotonic);
         let view = CreditView {
             config: self.config.view(),
@@ -85,15 +90,15 @@
         if changed {
             self.inputs.grants.clone_from(self.credits.grants());
             self.inputs.floors.clone_from(self.credits.floors());
-            self.schedule(now, SchedulerEvent::ViewChanged, effects);
+            self.step_scheduler(now, SchedulerEvent::ViewChanged, effects);
         }
         if changed || is_tick {
-            self.try_held_again(now, effects);
+            self.retry_held(now, effects);
         }
     }
 
     /// Tells the credit duty when work of a service begins to wait.
-    pub(super) fn note_queue(
+    pub(super) fn update_queue_state(
         &mut self,
         now: CoreTime,
         service: &ServiceName,
@@ -102,27 +107,27 @@
         let pressure = self.scheduler.service_pressure(now.monotonic, service);
         let waits = pressure.waiting.iter().any(|tier| tier.seats > 0);
         if !waits {
-            self.queued.remove(service);
-        } else if self.queued.insert(service.clone()) {
+            self.queued_services.remove(service);
+        } else if self.queued_services.insert(service.clone()) {
             self.demands.counted_at = None;
-            self.share(now, CreditEvent::QueueFormed, effects);
+            self.step_credits(now, CreditEvent::QueueFormed, effects);
         }
     }
 
     fn count_demands(&mut self, now: MonotonicTime) {
         let counted = self.demands.counted_at;
-        if counted.is_some_and(|at| now.since(at) < COUNT_EVERY) {
+        if counted.is_some_and(|at| now.since(at) < DEMAND_COUNT_INTERVAL) {
             return;
         }
         let config = self.config.view();
         let mut demands = BTreeMap::new();
-        self.queued.clear();
+        self.queued_services.clear();
         for service in config.services.keys() {
             let held = self.held.waiting_by_tier(service);
             let pressure = self.scheduler.service_pressure(now, service);
             let queued = !held.is_empty() || pressure.waiting.iter().any(|tier| tier.seats > 0);
             if queued {
-                self.queued.insert(service.clone());
+                self.queued_services.insert(service.clone());
             }
             let members = config.upstreams_of(service).count();
             for name in config.upstreams_of(service) {
@@ -132,7 +137,7 @@
                 }
             }
         }
-        self.demands = DemandCount {
+        self.demands = DemandCounts {
             counted_at: Some(now),
             demands,
         };
@@ -175,7 +180,7 @@
         effects: &mut EffectQueue,
     ) -> bool {
         let in_time = request.deadline_at > now.monotonic;
-        let full = self.held.by_request.len() >= MAX_HELD;
+        let full = self.held.by_request.len() >= MAX_HELD_REQUESTS;
         if !refusal.is_for_load() || !in_time || full || self.stop.is_stopping() {
             return true;
         }
@@ -211,17 +216,17 @@
     ) {
         let held = self.held.by_request.values().map(|held| &held.request);
         let lower = held.filter(|held| held.service == request.service && held.rank > request.rank);
-        let mut victims: Vec<_> = lower.map(|held| (held.rank, held.request)).collect();
-        victims.sort_unstable_by(|one, other| other.cmp(one));
-        for (_, victim) in victims {
+        let mut lower_requests: Vec<_> = lower.map(|held| (held.rank, held.request)).collect();
+        lower_requests.sort_unstable_by(|one, other| other.cmp(one));
+        for (_, victim) in lower_requests {
             if let Some(held) = self.held.by_request.remove(&victim) {
-                self.give_refusal(now, victim, held.refusal, effects);
+                self.send_refusal(now, victim, held.refusal, effects);
             }
         }
     }
 
     /// Hands held requests to the scheduler again; those whose time is over are refused.
-    fn try_held_again(&mut self, now: CoreTime, effects: &mut EffectQueue) {
+    fn retry_held(&mut self, now: CoreTime, effects: &mut EffectQueue) {
         if self.held.by_request.is_empty() {
             return;
         }
@@ -236,17 +241,17 @@
             };
             services.insert(held.request.service.clone());
             if held.request.deadline_at <= now.monotonic {
-                self.give_refusal(now, request, held.expired(), effects);
+                self.send_refusal(now, request, held.into_deadline_refusal(), effects);
             } else {
                 let event = SchedulerEvent::Returned {
-                    attempt: self.gate.next_attempt(request),
+                    attempt: self.guard.next_attempt(request),
                     request: Box::new(held.request),
                 };
-                self.schedule(now, event, effects);
+                self.step_scheduler(now, event, effects);
             }
         }
         for service in &services {
-            self.note_queue(now, service, effects);
+            self.update_queue_state(now, service, effects);
         }
     }
 }
--- a/crates/savorywood-core/src/daemon/gate.rs
+++ b/crates/savorywood-core/src/daemon/dispatch_guard.rs
@@ -11,41 +11,41 @@
 
 /// How far a request has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum GateStage {
+enum DispatchStage {
     /// No byte of it can have left this host.
-    Here,
+    Local,
     /// It may have reached an upstream in this attempt.
     Dispatched(AttemptNumber),
 }
 
 /// One open request.
 #[derive(Debug)]
-struct GateEntry {
-    stage: GateStage,
+struct GuardedRequest {
+    stage: DispatchStage,
     request: QueuedRequest,
     /// Upstream of the newest dispatch.
     upstream: Option<UpstreamName>,
     /// Attempt that comes next.
-    next: AttemptNumber,
+    next_attempt: AttemptNumber,
     /// Nobody waits for its answer any longer, but its attempt has not ended.
     abandoned: bool,
 }
 
 /// Open requests, and how far each has come.
 #[derive(Debug, Default)]
-pub struct DispatchGate {
-    entries: BTreeMap<RequestId, GateEntry>,
+pub struct DispatchGuard {
+    entries: BTreeMap<RequestId, GuardedRequest>,
 }
 
-impl DispatchGate {
+impl DispatchGuard {
     /// Notes a request that was let in.
     pub fn open(&mut self, request: QueuedRequest) {
         let key = request.request;
-        let entry = GateEntry {
-            stage: GateStage::Here,
+        let entry = GuardedRequest {
+            stage: DispatchStage::Local,
             request,
             upstream: None,
-            next: AttemptNumber::default(),
+            next_attempt: AttemptNumber::default(),
             abandoned: false,
         };
         self.entries.insert(key, entry);
@@ -60,7 +60,7 @@
     /// the first attempt would be taken for the second's.
     pub fn next_attempt(&self, request: RequestId) -> AttemptNumber {
         let entry = self.entries.get(&request);
-        entry.map(|entry| entry.next).unwrap_or_default()
+        entry.map(|entry| entry.next_attempt).unwrap_or_default()
     }
 
     /// An open request.
@@ -87,7 +87,7 @@
     /// Whether a request may have reached an upstream.
     pub fn is_dispatched(&self, request: RequestId) -> bool {
         let entry = self.entries.get(&request);
-        entry.is_some_and(|entry| entry.stage != GateStage::Here)
+        entry.is_some_and(|entry| entry.stage != DispatchStage::Local)
     }
 
     /// Notes that nobody waits for a request any longer.
@@ -99,21 +99,21 @@
 
     /// Whether an abandoned request turned out not to have left this host. Nothing more will
     /// come of it: kept open, it would hold up a planned stop for good.
-    pub fn is_given_up(&self, request: RequestId) -> bool {
+    pub fn is_abandoned_unsent(&self, request: RequestId) -> bool {
         let entry = self.entries.get(&request);
-        entry.is_some_and(|entry| entry.abandoned && entry.stage == GateStage::Here)
+        entry.is_some_and(|entry| entry.abandoned && entry.stage == DispatchStage::Local)
     }
 
     /// Whether an event is of the attempt that is under way, or of no request at all.
     ///
     /// A late event of an older attempt says nothing of the present one. Taken for it, "not
     /// sent" would release the claim of a call that runs, and its repeat would run too.
-    pub fn is_current(&self, event: &UpstreamEvent) -> bool {
-        let Some(key) = attempt_of(event) else {
+    pub fn is_current_attempt(&self, event: &UpstreamEvent) -> bool {
+        let Some(key) = attempt_key(event) else {
             return true;
         };
         let entry = self.entries.get(&key.request);
-        entry.is_some_and(|entry| entry.stage == GateStage::Dispatched(key.attempt))
+        entry.is_some_and(|entry| entry.stage == DispatchStage::Dispatched(key.attempt))
     }
 
     /// Checks a dispatch and notes it; `false` when it must not happen. `takes_work` says whether
@@ -134,11 +134,11 @@
             || format!("request={} upstream={}", order.request, order.upstream),
         );
         let entry = self.entries.get_mut(&order.request);
-        let first = entry.filter(|entry| entry.stage == GateStage::Here);
+        let first = entry.filter(|entry| entry.stage == DispatchStage::Local);
         let once = first.is_some();
         if let Some(entry) = first {
-            entry.stage = GateStage::Dispatched(order.attempt);
-            entry.next = order.attempt.next();
+            entry.stage = DispatchStage::Dispatched(order.attempt);
+            entry.next_attempt = order.attempt.next();
             entry.upstream = Some(order.upstream.clone());
         }
         invariant::check(effects, InvariantName::DispatchAtMostOnce, once, || {
@@ -148,11 +148,11 @@
     }
 
     /// Notes what an upstream did in the attempt that is under way.
-    pub fn upstream(&mut self, event: &UpstreamEvent) {
+    pub fn record_event(&mut self, event: &UpstreamEvent) {
         match event {
             UpstreamEvent::NotSent { request, .. } => {
                 if let Some(entry) = self.entries.get_mut(request) {
-                    entry.stage = GateStage::Here;
+                    entry.stage = DispatchStage::Local;
                 }
             }
             UpstreamEvent::Finished { request, .. } | UpstreamEvent::Failed { request, .. } => {
@@ -177,16 +177,16 @@
         mut refusal: RequestRefusal,
         effects: &mut EffectQueue,
     ) -> RequestRefusal {
-        let claims_not_run = refusal.outcome == OutcomeKind::NotRun;
+        let claims_not_executed = refusal.outcome == OutcomeKind::NotRun;
         let dispatched = self.is_dispatched(request);
-        let is_true = !(claims_not_run && dispatched);
+        let is_accurate = !(claims_not_executed && dispatched);
         invariant::check(
             effects,
             InvariantName::NotExecutedIsAccurate,
-            is_true,
+            is_accurate,
             || format!("request={request} code={}", refusal.code),
         );
-        if !is_true {
+        if !is_accurate {
             refusal.outcome = OutcomeKind::Unknown;
         }
         if dispatched && !self.is_idempotent(request) {
@@ -205,7 +205,7 @@
     attempt: AttemptNumber,
 }
 
-fn attempt_of(event: &UpstreamEvent) -> Option<AttemptKey> {
+fn attempt_key(event: &UpstreamEvent) -> Option<AttemptKey> {
     match event {
         UpstreamEvent::NotSent { request, attempt }
         | UpstreamEvent::FirstToken { request, attempt }
--- a/crates/savorywood-core/src/daemon/hosts.rs
+++ b/crates/savorywood-core/src/daemon/hosts.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeSet;
 
 impl DaemonCore {
-    pub(super) fn list_hosts(
+    pub(super) fn update_hosts(
         &mut self,
         now: CoreTime,
         hosts: Vec<HostEntry>,
@@ -27,7 +27,7 @@
             }
         }
         self.mark_leaving_upstreams(now, effects);
-        self.join(now, MembershipEvent::HostsListed(hosts), effects);
+        self.step_membership(now, MembershipEvent::HostsListed(hosts), effects);
     }
 
     /// Tells the scheduler which upstreams stand on leaving hosts, if that changed.
@@ -49,6 +49,6 @@
         }
         self.leaving_upstreams.clone_from(&leaving);
         self.scheduler.mark_leaving(leaving);
-        self.schedule(now, SchedulerEvent::ViewChanged, effects);
+        self.step_scheduler(now, SchedulerEvent::ViewChanged, effects);
     }
 }
--- a/crates/savorywood-core/src/daemon/holding.rs
+++ b/crates/savorywood-core/src/daemon/leases.rs
@@ -11,23 +11,28 @@
 
 /// Which leases this daemon has asked for.
 #[derive(Debug, Default)]
-pub struct WantedLeases {
+pub struct RequestedLeases {
     moves: bool,
     orders: bool,
 }
 
 impl DaemonCore {
     /// Steps the lease duty and tells those who act under a lease that it was gained.
-    pub(super) fn lease(&mut self, now: CoreTime, event: LeaseEvent, effects: &mut EffectQueue) {
+    pub(super) fn step_leases(
+        &mut self,
+        now: CoreTime,
+        event: LeaseEvent,
+        effects: &mut EffectQueue,
+    ) {
         let members = self.membership.view();
         let verdicts = self.leases.step(now, event, members, effects);
         for verdict in verdicts {
             match verdict {
                 LeaseVerdict::Gained(LeaseName::Orders) => {
-                    self.order(now, OrderEvent::ViewChanged, effects);
+                    self.step_orders(now, OrderEvent::ViewChanged, effects);
                 }
                 LeaseVerdict::Gained(LeaseName::Moves) => {
-                    self.move_on(now, MoveEvent::ConfigChanged, effects);
+                    self.step_moves(now, MoveEvent::ConfigChanged, effects);
                 }
                 // Both duties ask for their grant at each step.
                 LeaseVerdict::Dropped(_) => {}
@@ -36,26 +41,37 @@
     }
 
     /// Asks for the leases under which there is work, and gives up the others.
-    pub(super) fn want_leases(&mut self, now: CoreTime, effects: &mut EffectQueue) {
+    pub(super) fn request_leases(&mut self, now: CoreTime, effects: &mut EffectQueue) {
         let config = self.config.view();
         let moves = self.moves.wants_lease(config);
         let orders = OrdersState::needs_lease(config);
-        if moves != self.wanted.moves {
-            self.wanted.moves = moves;
-            self.want(now, LeaseName::Moves, moves, effects);
+        if moves != self.requested_leases.moves {
+            self.requested_leases.moves = moves;
+            self.request_lease(now, LeaseName::Moves, moves, effects);
         }
-        if orders != self.wanted.orders {
-            self.wanted.orders = orders;
-            self.want(now, LeaseName::Orders, orders, effects);
+        if orders != self.requested_leases.orders {
+            self.requested_leases.orders = orders;
+            self.request_lease(now, LeaseName::Orders, orders, effects);
         }
     }
 
-    fn want(&mut self, now: CoreTime, name: LeaseName, wanted: bool, effects: &mut EffectQueue) {
-        self.lease(now, LeaseEvent::Wanted { name, wanted }, effects);
+    fn request_lease(
+        &mut self,
+        now: CoreTime,
+        name: LeaseName,
+        wanted: bool,
+        effects: &mut EffectQueue,
+    ) {
+        self.step_leases(now, LeaseEvent::Wanted { name, wanted }, effects);
     }
 
     /// Steps the order duty.
-    pub(super) fn order(&mut self, now: CoreTime, event: OrderEvent, effects: &mut EffectQueue) {
+    pub(super) fn step_orders(
+        &mut self,
+        now: CoreTime,
+        event: OrderEvent,
+        effects: &mut EffectQueue,
+    ) {
         let view = OrderView {
             config: self.config.view(),
             lease: self.leases.grant(now, LeaseName::Orders),
--- a/crates/savorywood-core/src/daemon/moving.rs
+++ b/crates/savorywood-core/src/daemon/moves.rs
@@ -15,29 +15,34 @@
 
 impl DaemonCore {
     /// Steps the move duty; the scheduler looks again when traffic is split otherwise.
-    pub(super) fn move_on(&mut self, now: CoreTime, event: MoveEvent, effects: &mut EffectQueue) {
+    pub(super) fn step_moves(
+        &mut self,
+        now: CoreTime,
+        event: MoveEvent,
+        effects: &mut EffectQueue,
+    ) {
         let view = MoveView {
             config: self.config.view(),
             members: self.membership.view(),
             lease: self.leases.grant(now, LeaseName::Moves),
         };
         let verdict = self.moves.step(now, event, view, effects);
-        self.want_leases(now, effects);
-        self.note_move_states();
+        self.request_leases(now, effects);
+        self.record_move_states();
         if verdict == MoveVerdict::SplitsChanged {
             self.inputs.splits.clone_from(self.moves.splits());
-            self.schedule(now, SchedulerEvent::ViewChanged, effects);
+            self.step_scheduler(now, SchedulerEvent::ViewChanged, effects);
         }
     }
 
     /// Keeps the states of moves beside their documents: a service may have a new move once its
     /// last one is over, and the check of a document looks for that.
-    fn note_move_states(&mut self) {
+    fn record_move_states(&mut self) {
         let config = self.config.view();
-        let states: Vec<MoveStanding> = config
+        let states: Vec<MoveStateEntry> = config
             .moves
             .keys()
-            .map(|name| MoveStanding {
+            .map(|name| MoveStateEntry {
                 name: name.clone(),
                 state: self.moves.state_of(name, config),
             })
@@ -49,24 +54,24 @@
 
     /// Tells the move duty how a dispatched request ended. To be called before the gate and the
     /// objectives forget it.
-    pub(super) fn sample_version(
+    pub(super) fn record_version_sample(
         &mut self,
         now: CoreTime,
         event: &UpstreamEvent,
         effects: &mut EffectQueue,
     ) {
         let sample = match event {
-            UpstreamEvent::Finished { request, .. } => self.sample_of(now, *request, false),
+            UpstreamEvent::Finished { request, .. } => self.version_sample(now, *request, false),
             UpstreamEvent::Failed { request, cause, .. } => {
                 let expired = self
-                    .gate
+                    .guard
                     .get(*request)
                     .is_some_and(|queued| queued.deadline_at <= now.monotonic);
                 // A caller that left says nothing of the version; one that was kept waiting
                 // past its deadline does.
-                let says_something = *cause != FailureCause::Cancelled || expired;
-                let sample = self.sample_of(now, *request, true);
-                sample.filter(|_| says_something)
+                let is_informative = *cause != FailureCause::Cancelled || expired;
+                let sample = self.version_sample(now, *request, true);
+                sample.filter(|_| is_informative)
             }
             UpstreamEvent::NotSent { .. }
             | UpstreamEvent::FirstToken { .. }
@@ -75,17 +80,22 @@
             | UpstreamEvent::CacheChanged { .. } => None,
         };
         if let Some(sample) = sample {
-            self.move_on(now, MoveEvent::Sampled(sample), effects);
+            self.step_moves(now, MoveEvent::Sampled(sample), effects);
         }
     }
 
-    fn sample_of(&self, now: CoreTime, request: RequestId, failed: bool) -> Option<MoveSample> {
-        let queued = self.gate.get(request)?;
+    fn version_sample(
+        &self,
+        now: CoreTime,
+        request: RequestId,
+        failed: bool,
+    ) -> Option<MoveSample> {
+        let queued = self.guard.get(request)?;
         // Without a move of its service a sample is of no use to anybody.
         if !self.inputs.splits.contains_key(&queued.service) {
             return None;
         }
-        let upstream = self.gate.upstream_of(request)?;
+        let upstream = self.guard.upstream_of(request)?;
         let spec = self.config.view().upstreams.get(upstream)?;
         Some(MoveSample {
             service: queued.service.clone(),
@@ -107,7 +117,7 @@
 }
 
 /// Where one move stands.
-struct MoveStanding {
+struct MoveStateEntry {
     name: MoveName,
     state: MoveState,
 }
--- a/crates/savorywood-core/src/daemon/objectives.rs
+++ b/crates/savorywood-core/src/daemon/objectives.rs
@@ -15,7 +15,7 @@
     arrived_at: MonotonicTime,
     deadline_at: MonotonicTime,
     objectives: ServiceObjectives,
-    first_at: Option<MonotonicTime>,
+    first_token_at: Option<MonotonicTime>,
     tokens_after_first: u32,
 }
 
@@ -27,14 +27,14 @@
 
 impl ObjectiveTracker {
     /// Begins to measure a request.
-    pub fn arrive(&mut self, request: &QueuedRequest, objectives: ServiceObjectives) {
+    pub fn start(&mut self, request: &QueuedRequest, objectives: ServiceObjectives) {
         let measured = MeasuredRequest {
             service: request.service.clone(),
             rank: request.rank,
             arrived_at: request.arrived_at,
             deadline_at: request.deadline_at,
             objectives,
-            first_at: None,
+            first_token_at: None,
             tokens_after_first: 0,
         };
         self.requests.insert(request.request, measured);
@@ -46,30 +46,40 @@
         let gaps = measured.tokens_after_first.checked_sub(1)?;
         let elapsed = match gaps {
             0 => now.since(measured.arrived_at),
-            _ => now.since(measured.first_at?) / gaps,
+            _ => now.since(measured.first_token_at?) / gaps,
         };
         u32::try_from(elapsed.as_micros()).ok()
     }
 
     /// The caller left: nobody was kept waiting.
-    pub fn forget(&mut self, request: RequestId) {
+    pub fn discard(&mut self, request: RequestId) {
         self.requests.remove(&request);
     }
 
     /// A request was refused after it had been admitted, or at once for want of room: its
     /// deadline was missed.
-    pub fn refused(&mut self, now: MonotonicTime, request: RequestId, burn: &mut BurnLedger) {
+    pub fn record_missed_deadline(
+        &mut self,
+        now: MonotonicTime,
+        request: RequestId,
+        burn: &mut BurnLedger,
+    ) {
         if let Some(measured) = self.requests.remove(&request) {
             measured.record(now, BurnObjective::Deadline, false, burn);
         }
     }
 
     /// Notes what an upstream did.
-    pub fn upstream(&mut self, now: MonotonicTime, event: &UpstreamEvent, burn: &mut BurnLedger) {
+    pub fn record_event(
+        &mut self,
+        now: MonotonicTime,
+        event: &UpstreamEvent,
+        burn: &mut BurnLedger,
+    ) {
         match event {
             UpstreamEvent::FirstToken { request, .. } => {
                 if let Some(measured) = self.requests.get_mut(request) {
-                    measured.first_at = Some(now);
+                    measured.first_token_at = Some(now);
                 }
             }
             UpstreamEvent::Tokens { request, count, .. } => {
@@ -79,10 +89,12 @@
             }
             UpstreamEvent::Finished { request, .. } => {
                 if let Some(measured) = self.requests.remove(request) {
-                    measured.finish(now, burn);
+                    measured.record_completion(now, burn);
                 }
             }
-            UpstreamEvent::Failed { request, .. } => self.refused(now, *request, burn),
+            UpstreamEvent::Failed { request, .. } => {
+                self.record_missed_deadline(now, *request, burn)
+            }
             UpstreamEvent::NotSent { .. }
             | UpstreamEvent::LoadReported { .. }
             | UpstreamEvent::CacheChanged { .. } => {}
@@ -91,14 +103,14 @@
 }
 
 impl MeasuredRequest {
-    fn finish(&self, now: MonotonicTime, burn: &mut BurnLedger) {
-        let first_at = self.first_at.unwrap_or(now);
+    fn record_completion(&self, now: MonotonicTime, burn: &mut BurnLedger) {
+        let first_token_at = self.first_token_at.unwrap_or(now);
         let first_limit = Duration::from_millis(self.objectives.first_token_ms.into());
-        let first_met = first_at.since(self.arrived_at) <= first_limit;
+        let first_met = first_token_at.since(self.arrived_at) <= first_limit;
         self.record(now, BurnObjective::FirstToken, first_met, burn);
         let gaps = self.tokens_after_first.saturating_sub(1);
         if gaps > 0 {
-            let gap = now.since(first_at) / gaps;
+            let gap = now.since(first_token_at) / gaps;
             let gap_limit = Duration::from_millis(self.objectives.token_gap_ms.into());
             self.record(now, BurnObjective::TokenGap, gap <= gap_limit, burn);
         }
--- a/crates/savorywood-core/src/daemon/deciding.rs
+++ b/crates/savorywood-core/src/daemon/requests.rs
@@ -14,7 +14,7 @@
 
 impl DaemonCore {
     /// Steps the scheduler and passes its decisions on.
-    pub(super) fn schedule(
+    pub(super) fn step_scheduler(
         &mut self,
         now: CoreTime,
         event: SchedulerEvent,
@@ -33,7 +33,7 @@
             match effect {
                 DaemonEffect::Dispatch(order) => self.dispatch(now, order, effects),
                 DaemonEffect::Refuse { request, refusal } => {
-                    self.refuse(now, request, refusal, effects);
+                    self.handle_scheduler_refusal(now, request, refusal, effects);
                 }
                 other => effects.push(other),
             }
@@ -41,7 +41,7 @@
     }
 
     /// Hands a request to the scheduler for the first time.
-    pub(super) fn admit(
+    pub(super) fn submit(
         &mut self,
         now: CoreTime,
         request: QueuedRequest,
@@ -49,16 +49,16 @@
     ) {
         let service = request.service.clone();
         let event = SchedulerEvent::Arrived(Box::new(request));
-        self.schedule(now, event, effects);
-        self.note_queue(now, &service, effects);
+        self.step_scheduler(now, event, effects);
+        self.update_queue_state(now, &service, effects);
     }
 
     fn dispatch(&mut self, now: CoreTime, order: DispatchCommand, effects: &mut EffectQueue) {
         let request = order.request;
-        let idempotent = self.gate.is_idempotent(request);
-        let takes_work = self.takes_work(&order.upstream);
-        self.check_version(&order, effects);
-        let passes = self.gate.dispatch(&order, takes_work, effects)
+        let idempotent = self.guard.is_idempotent(request);
+        let takes_work = self.accepts_work(&order.upstream);
+        self.check_version_split(&order, effects);
+        let passes = self.guard.dispatch(&order, takes_work, effects)
             && self.claims.may_dispatch(request, idempotent, effects);
         if passes {
             effects.push(DaemonEffect::Dispatch(order));
@@ -66,14 +66,14 @@
         }
         let detail = "the daemon kept the request from being sent wrongly; send it again";
         let refusal = RequestRefusal::unknown(RefusalCode::Internal, detail);
-        self.give_refusal(now, request, refusal, effects);
+        self.send_refusal(now, request, refusal, effects);
         self.close(now, request, effects);
-        self.schedule(now, SchedulerEvent::CallerLeft { request }, effects);
+        self.step_scheduler(now, SchedulerEvent::CallerLeft { request }, effects);
     }
 
     /// A version that was stopped, or has no share yet, gets nothing: a caller of it would meet
     /// the fault that it was stopped for.
-    fn check_version(&self, order: &DispatchCommand, effects: &mut EffectQueue) {
+    fn check_version_split(&self, order: &DispatchCommand, effects: &mut EffectQueue) {
         let spec = self.config.view().upstreams.get(&order.upstream);
         let split = spec.and_then(|spec| self.inputs.splits.get(&spec.service));
         let (Some(spec), Some(split)) = (spec, split) else {
@@ -85,21 +85,21 @@
         });
     }
 
-    fn takes_work(&self, upstream: &UpstreamName) -> bool {
+    fn accepts_work(&self, upstream: &UpstreamName) -> bool {
         let spec = self.config.view().upstreams.get(upstream);
         let leaving = self.leaving_upstreams.contains(upstream);
         spec.is_some_and(|spec| !spec.draining) && !leaving
     }
 
     /// Refuses what the scheduler turned away, unless others must yield first.
-    fn refuse(
+    fn handle_scheduler_refusal(
         &mut self,
         now: CoreTime,
         request: RequestId,
         refusal: RequestRefusal,
         effects: &mut EffectQueue,
     ) {
-        let queued = self.gate.get(request).cloned();
+        let queued = self.guard.get(request).cloned();
         if let Some(queued) = queued {
             if !self.may_shed(now, &queued, &refusal, effects) {
                 return;
@@ -108,20 +108,20 @@
                 self.shed_lower_held(now, &queued, effects);
             }
         }
-        self.give_refusal(now, request, refusal, effects);
+        self.send_refusal(now, request, refusal, effects);
     }
 
     /// Gives a request its final answer and closes what other duties hold for it.
-    pub(super) fn give_refusal(
+    pub(super) fn send_refusal(
         &mut self,
         now: CoreTime,
         request: RequestId,
         refusal: RequestRefusal,
         effects: &mut EffectQueue,
     ) {
-        let goes_on = self.gate.is_dispatched(request) && !self.gate.is_idempotent(request);
-        let refusal = self.gate.refuse(request, refusal, effects);
-        if !goes_on {
+        let still_running = self.guard.is_dispatched(request) && !self.guard.is_idempotent(request);
+        let refusal = self.guard.refuse(request, refusal, effects);
+        if !still_running {
             self.close(now, request, effects);
         }
         effects.refuse(request, refusal);
@@ -129,12 +129,17 @@
 
     /// Nothing more will come of a request.
     fn close(&mut self, now: CoreTime, request: RequestId, effects: &mut EffectQueue) {
-        self.gate.close(request);
-        self.claim(now, ClaimEvent::Closed { request }, effects);
+        self.guard.close(request);
+        self.step_claims(now, ClaimEvent::Closed { request }, effects);
     }
 
     /// Steps the claim duty; calls whose claim holds go to the scheduler.
-    pub(super) fn claim(&mut self, now: CoreTime, event: ClaimEvent, effects: &mut EffectQueue) {
+    pub(super) fn step_claims(
+        &mut self,
+        now: CoreTime,
+        event: ClaimEvent,
+        effects: &mut EffectQueue,
+    ) {
         let view = ClaimView {
             members: self.membership.view(),
         };
@@ -143,54 +148,64 @@
         for effect in decided.drain() {
             match effect {
                 DaemonEffect::Refuse { request, refusal } => {
-                    let refusal = self.gate.refuse(request, refusal, effects);
+                    let refusal = self.guard.refuse(request, refusal, effects);
                     effects.refuse(request, refusal);
                 }
                 DaemonEffect::Replay { request, response } => {
-                    self.gate.close(request);
-                    self.objectives.forget(request);
+                    self.guard.close(request);
+                    self.objectives.discard(request);
                     effects.push(DaemonEffect::Replay { request, response });
                 }
                 other => effects.push(other),
             }
         }
         for ClaimVerdict::Granted(request) in verdicts {
-            self.admit(now, *request, effects);
+            self.submit(now, *request, effects);
         }
     }
 
-    pub(super) fn upstream(
+    pub(super) fn handle_upstream(
         &mut self,
         now: CoreTime,
         event: UpstreamEvent,
         effects: &mut EffectQueue,
     ) {
-        if self.gate.is_current(&event) {
-            self.note_attempt(now, &event, effects);
+        if self.guard.is_current_attempt(&event) {
+            self.record_attempt_event(now, &event, effects);
         }
-        self.schedule(now, SchedulerEvent::Upstream(event), effects);
+        self.step_scheduler(now, SchedulerEvent::Upstream(event), effects);
     }
 
     /// Notes what came of the attempt that is under way, before the scheduler acts on it.
-    fn note_attempt(&mut self, now: CoreTime, event: &UpstreamEvent, effects: &mut EffectQueue) {
-        self.sample_version(now, event, effects);
+    fn record_attempt_event(
+        &mut self,
+        now: CoreTime,
+        event: &UpstreamEvent,
+        effects: &mut EffectQueue,
+    ) {
+        self.record_version_sample(now, event, effects);
         self.objectives
-            .upstream(now.monotonic, event, &mut self.burn);
+            .record_event(now.monotonic, event, &mut self.burn);
         if self.claims.open_claims() > 0 {
-            self.claim(now, ClaimEvent::Upstream(event.clone()), effects);
+            self.step_claims(now, ClaimEvent::Upstream(event.clone()), effects);
         }
-        self.gate.upstream(event);
+        self.guard.record_event(event);
         if let UpstreamEvent::NotSent { request, .. } = event
-            && self.gate.is_given_up(*request)
+            && self.guard.is_abandoned_unsent(*request)
         {
             self.close(now, *request, effects);
         }
     }
 
-    pub(super) fn caller(&mut self, now: CoreTime, event: CallerEvent, effects: &mut EffectQueue) {
+    pub(super) fn handle_caller(
+        &mut self,
+        now: CoreTime,
+        event: CallerEvent,
+        effects: &mut EffectQueue,
+    ) {
         match event {
-            CallerEvent::Arrived(arrival) => self.arrive(now, &arrival, effects),
-            CallerEvent::Disconnected { request } => self.caller_left(now, request, effects),
+            CallerEvent::Arrived(arrival) => self.handle_arrival(now, &arrival, effects),
+            CallerEvent::Disconnected { request } => self.handle_disconnect(now, request, effects),
             CallerEvent::Resumed(arrival) => self.resume(now, &arrival, effects),
         }
     }
@@ -198,19 +213,19 @@
     /// A call that may not be repeated and may have reached its upstream goes on without its
     /// caller: cancelled halfway, its outcome would stay unknown for good, and the caller's retry
     /// could not be answered.
-    fn caller_left(&mut self, now: CoreTime, request: RequestId, effects: &mut EffectQueue) {
-        let idempotent = self.gate.is_idempotent(request);
-        if self.gate.is_dispatched(request) && !idempotent {
+    fn handle_disconnect(&mut self, now: CoreTime, request: RequestId, effects: &mut EffectQueue) {
+        let idempotent = self.guard.is_idempotent(request);
+        if self.guard.is_dispatched(request) && !idempotent {
             return;
         }
-        self.objectives.forget(request);
-        self.resumed.remove(&request);
+        self.objectives.discard(request);
+        self.resumed_requests.remove(&request);
         // The scheduler first: as in any of its steps, a seat that has become free may go to this
         // very request before it hears that the caller left.
-        self.schedule(now, SchedulerEvent::CallerLeft { request }, effects);
+        self.step_scheduler(now, SchedulerEvent::CallerLeft { request }, effects);
         self.held.remove(request);
-        if self.gate.is_dispatched(request) {
-            self.gate.abandon(request);
+        if self.guard.is_dispatched(request) {
+            self.guard.abandon(request);
         } else {
             self.close(now, request, effects);
         }
@@ -224,7 +239,7 @@
         };
         match resolve_resume(now, arrival, key, self.config.view()) {
             Ok(order) => {
-                self.resumed.insert(arrival.request);
+                self.resumed_requests.insert(arrival.request);
                 effects.push(DaemonEffect::Resume(order));
             }
             Err(refusal) => effects.refuse(arrival.request, refusal),
--- a/crates/savorywood-core/src/daemon/leaving.rs
+++ b/crates/savorywood-core/src/daemon/stop.rs
@@ -12,9 +12,9 @@
 
 impl DaemonCore {
     /// Steps the stop duty and carries its verdicts out.
-    pub(super) fn leave(&mut self, now: CoreTime, event: StopEvent, effects: &mut EffectQueue) {
+    pub(super) fn step_stop(&mut self, now: CoreTime, event: StopEvent, effects: &mut EffectQueue) {
         let open = OpenWork {
-            requests: self.gate.len() + self.resumed.len(),
+            requests: self.guard.len() + self.resumed_requests.len(),
             claims: self.claims.open_claims(),
         };
         let verdicts = self.stop.step(now, event, open, effects);
@@ -23,10 +23,16 @@
         }
         for verdict in verdicts {
             match verdict {
-                StopAction::AnnounceLeaving => self.join(now, MembershipEvent::Leave, effects),
-                StopAction::ReleaseLeases => self.lease(now, LeaseEvent::Leaving, effects),
-                StopAction::ReleaseCredits => self.share(now, CreditEvent::HandBack, effects),
-                StopAction::AnnounceLeft => self.join(now, MembershipEvent::Farewell, effects),
+                StopAction::AnnounceLeaving => {
+                    self.step_membership(now, MembershipEvent::Leave, effects)
+                }
+                StopAction::ReleaseLeases => self.step_leases(now, LeaseEvent::Leaving, effects),
+                StopAction::ReleaseCredits => {
+                    self.step_credits(now, CreditEvent::HandBack, effects)
+                }
+                StopAction::AnnounceLeft => {
+                    self.step_membership(now, MembershipEvent::Farewell, effects)
+                }
             }
         }
         self.stop.finish(effects);
--- a/crates/savorywood-core/src/effect.rs
+++ b/crates/savorywood-core/src/effect.rs
@@ -79,7 +79,8 @@
 /// each event stays on one line and its pairs can be parsed.
 impl fmt::Display for LogField {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let needs_no_quotes = |c: char| !c.is_whitespace() && !c.is_control() && !matches!(c, '"' | '=');
+        let needs_no_quotes =
+            |c: char| !c.is_whitespace() && !c.is_control() && !matches!(c, '"' | '=');
         if !self.value.is_empty() && self.value.chars().all(needs_no_quotes) {
             write!(f, "{}={}", self.key, self.value)
         } else {
