--- a/crates/savorywood-core/src/daemon.rs
+++ b/crates/savorywood-core/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The whole daemon: one reducer over all events.
+//! The daemon core: routes each event to the state machines of the duties and connects them.
 
 mod arrivals;
 mod credits;
@@ -47,26 +47,26 @@
     time::Duration,
 };
 
-/// What a daemon knows of itself from its settings.
+/// Identity, addresses and settings of one daemon.
 #[derive(Debug, Clone)]
 pub struct CoreOptions {
-    /// Host it runs on.
+    /// Host that the daemon runs on.
     pub host: HostName,
-    /// Its life; larger after a restart.
+    /// Incarnation of this process; larger after each restart.
     pub incarnation: HostIncarnation,
-    /// Availability zone.
+    /// Availability zone of the host.
     pub zone: ZoneName,
-    /// Region.
+    /// Region of the host.
     pub region: RegionName,
-    /// Where its peers reach it.
+    /// Address at which other daemons reach this one.
     pub peer_address: SocketAddr,
-    /// Where callers reach it.
+    /// Address at which callers reach this daemon.
     pub caller_address: SocketAddr,
-    /// How long callers may keep an address.
+    /// How long callers may cache an address response.
     pub address_max_age: Duration,
-    /// Key that signs resume tokens; without one, streams can't be resumed through this daemon.
+    /// Key that signs and verifies resume tokens. Without one, this daemon resumes no streams.
     pub resume_key: Option<ResumeKey>,
-    /// Seed of all its random numbers.
+    /// Seed of all random numbers of this daemon.
     pub seed: u64,
 }
 
@@ -81,7 +81,7 @@
     }
 }
 
-/// What duties tell the scheduler.
+/// Outputs of other duties that the scheduler reads at each step.
 #[derive(Debug, Default)]
 struct SchedulerInputs {
     splits: BTreeMap<ServiceName, VersionSplit>,
@@ -89,7 +89,7 @@
     floors: BTreeMap<ServiceName, TierRank>,
 }
 
-/// State of one daemon.
+/// State machine of one daemon.
 #[derive(Debug)]
 pub struct DaemonCore {
     options: CoreOptions,
@@ -118,7 +118,7 @@
 }
 
 impl DaemonCore {
-    /// A daemon that has not begun.
+    /// Creates the state of a daemon that has not started.
     #[must_use]
     pub fn new(options: CoreOptions) -> Self {
         let host = options.host.clone();
@@ -169,19 +169,20 @@
         }
     }
 
-    /// Configuration in force.
+    /// Returns the configuration in force.
     #[must_use]
     pub fn config(&self) -> &Arc<ConfigView> {
         self.config.view()
     }
 
-    /// Daemons known, this one included.
+    /// Returns the members of the cluster as this daemon sees them, itself included.
     #[must_use]
     pub fn members(&self) -> &MemberView {
         self.membership.view()
     }
 
-    /// Own life, with which datagrams are sealed.
+    /// Returns the own incarnation, which is part of the seal of outgoing datagrams. Larger than in
+    /// [`CoreOptions`] when membership had to raise it.
     #[must_use]
     pub fn incarnation(&self) -> HostIncarnation {
         self.membership.incarnation()
@@ -189,16 +190,17 @@
 
     /// Handles one event.
     pub fn step(&mut self, now: CoreTime, event: DaemonEvent, effects: &mut EffectQueue) {
-        let before = effects.as_slice().len();
+        let first_new = effects.as_slice().len();
         self.handle(now, event, effects);
-        self.record_refusals(now, &effects.as_slice()[before..]);
+        self.record_refusals(now, &effects.as_slice()[first_new..]);
         if self.stop.is_stopping() {
             self.step_stop(now, StopEvent::WorkChanged, effects);
         }
     }
 
-    /// A refused request missed its deadline, whichever duty refused it, unless its caller is to
-    /// blame: a key that was used before would otherwise burn the service's objective.
+    /// Counts refused requests as missed deadlines, whichever duty refused them. Refusals that the
+    /// caller caused, such as a reused idempotency key, do not count against the service's
+    /// objectives.
     fn record_refusals(&mut self, now: CoreTime, effects: &[DaemonEffect]) {
         for effect in effects {
             let DaemonEffect::Refuse { request, refusal } = effect else {
@@ -354,7 +356,7 @@
         }
     }
 
-    /// Steps the configuration duty and tells the others what came of it.
+    /// Steps the configuration duty and notifies the other duties of a newer configuration.
     fn step_config(&mut self, now: CoreTime, event: ConfigEvent, effects: &mut EffectQueue) {
         let verdict = self
             .config
@@ -369,7 +371,8 @@
         }
     }
 
-    /// Steps the membership duty and tells the others what came of it.
+    /// Steps the membership duty and notifies the configuration duty when a member has a newer
+    /// revision.
     fn step_membership(
         &mut self,
         now: CoreTime,
--- a/crates/savorywood-core/src/daemon/arrivals.rs
+++ b/crates/savorywood-core/src/daemon/arrivals.rs
@@ -1,4 +1,4 @@
-//! Arrivals: what is checked before a request is scheduled.
+//! Admission checks for arriving requests, before they reach the scheduler.
 
 use super::DaemonCore;
 use crate::{
@@ -10,10 +10,11 @@
 use savorywood_protocol::{CoreTime, RefusalCode, RequestRefusal};
 use std::time::Duration;
 
-/// When to come back to a daemon that can't confirm its configuration.
+/// Retry-after delay of refusals from a daemon that can't confirm its configuration.
 const STALE_CONFIG_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 impl DaemonCore {
+    /// Checks a request and submits it to the scheduler. Non-idempotent calls need a claim first.
     pub(super) fn handle_arrival(
         &mut self,
         now: CoreTime,
@@ -46,9 +47,10 @@
         self.step_claims(now, ClaimEvent::Wanted(Box::new(wish)), effects);
     }
 
-    /// A daemon that is cut off from table and peers may not know that a team was shut out or an
-    /// upstream taken away. Callers would see work go where it was stopped long ago; so it turns
-    /// them away to a daemon that knows.
+    /// Refuses requests while the configuration is not known to be current. A daemon that can reach
+    /// neither the table service nor its peers may have missed that a team was removed or an
+    /// upstream was drained, and would still dispatch work for them. The refusal refers callers to
+    /// another daemon.
     fn check_config_freshness(&self, now: CoreTime) -> Result<(), RequestRefusal> {
         if !self.config.is_ready() {
             let detail = "this daemon has not read the configuration yet; use another address";
@@ -56,7 +58,8 @@
             return Err(refusal.with_retry_after(STALE_CONFIG_RETRY_AFTER));
         }
         if !self.config.is_current(now) {
-            let detail = "this daemon can't confirm its configuration; use another address";
+            let detail =
+                "this daemon can't confirm that its configuration is current; use another address";
             let refusal = RequestRefusal::not_run(RefusalCode::ConfigStale, detail);
             return Err(refusal.with_retry_after(STALE_CONFIG_RETRY_AFTER));
         }
--- a/crates/savorywood-core/src/daemon/credits.rs
+++ b/crates/savorywood-core/src/daemon/credits.rs
@@ -1,4 +1,5 @@
-//! Credits: what the scheduler demands, what it is granted, and who must yield before a refusal.
+//! Connects the credit duty: reports the scheduler's demand to it, applies its grants, and holds
+//! requests back from refusal while lower tiers can be shed at other daemons.
 
 use super::DaemonCore;
 use crate::{
@@ -16,20 +17,22 @@
     time::Duration,
 };
 
-/// Demands are counted again after this long: a burst of messages must not count them each time.
+/// Minimum interval between two counts of the demand. It bounds the cost of a burst of messages,
+/// each of which would otherwise trigger a count.
 const DEMAND_COUNT_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Requests that wait for others to yield, at most; further ones are refused at once.
+/// Maximum number of requests that wait for lower tiers to be shed; further ones are refused at
+/// once.
 const MAX_HELD_REQUESTS: usize = 1_024;
 
-/// Own demand on the upstreams, as counted last.
+/// Demand of this daemon on the upstreams, with the time of the count. `None` forces a new count.
 #[derive(Debug, Default)]
 pub struct DemandCounts {
     counted_at: Option<MonotonicTime>,
     demands: BTreeMap<UpstreamName, LocalDemand>,
 }
 
-/// A request that the scheduler turned away while lower tiers may wait at other daemons.
+/// A request that the scheduler refused while requests of lower tiers may wait at other daemons.
 #[derive(Debug)]
 pub struct HeldRequest {
     request: QueuedRequest,
@@ -37,10 +40,11 @@
 }
 
 impl HeldRequest {
-    /// The refusal once the deadline has passed: then it is not given for want of room.
+    /// Returns the refusal for a deadline that passed while the request was held. The scheduler's
+    /// own refusal would report overload instead.
     fn into_deadline_refusal(self) -> RequestRefusal {
-        let detail = "the deadline passed while lower tiers were asked to yield; come back after \
-                      the given time or allow more";
+        let detail = "the deadline passed while lower tiers were asked to yield; retry after the \
+                      given delay or with a longer deadline";
         RequestRefusal {
             code: RefusalCode::DeadlineExceeded,
             detail: detail.to_owned(),
@@ -49,14 +53,14 @@
     }
 }
 
-/// Requests that wait until lower tiers elsewhere have yielded.
+/// Requests that wait until lower tiers were shed at other daemons.
 #[derive(Debug, Default)]
 pub struct HeldRequests {
     by_request: BTreeMap<RequestId, HeldRequest>,
 }
 
 impl HeldRequests {
-    /// Forgets a request whose caller left.
+    /// Removes a request whose caller disconnected.
     pub fn remove(&mut self, request: RequestId) {
         self.by_request.remove(&request);
     }
@@ -72,7 +76,7 @@
 }
 
 impl DaemonCore {
-    /// Steps the credit duty; the scheduler looks again when grants or floors changed.
+    /// Steps the credit duty and notifies the scheduler when grants or tier floors changed.
     pub(super) fn step_credits(
         &mut self,
         now: CoreTime,
@@ -97,7 +101,7 @@
         }
     }
 
-    /// Tells the credit duty when work of a service begins to wait.
+    /// Updates whether requests of a service wait, and notifies the credit duty when they start to.
     pub(super) fn update_queue_state(
         &mut self,
         now: CoreTime,
@@ -169,9 +173,10 @@
         }
     }
 
-    /// Whether a refusal for load may go out now. A tier may only be shed once nothing lower waits
-    /// at any daemon: without asking, a daemon full of the highest tier sheds it while another
-    /// still serves the lowest. If others must yield first, the request waits here for it.
+    /// Returns whether a refusal may be sent now. A tier may be shed for load only when no lower
+    /// tier waits at any daemon: otherwise a daemon that is full of the highest tier would shed it
+    /// while another daemon still serves the lowest. If lower tiers must be shed first, the request
+    /// is held and `false` is returned.
     pub(super) fn may_shed(
         &mut self,
         now: CoreTime,
@@ -205,9 +210,9 @@
         false
     }
 
-    /// Refuses the held requests of lower tiers, the lowest first, before a higher tier is refused
-    /// for load. They wait outside of the scheduler's queue, so it does not know that there is
-    /// something lower to shed; the higher tier's caller would be turned away first.
+    /// Refuses the held requests of lower tiers, lowest tier first, before a higher tier is refused
+    /// for load. Held requests are not in the scheduler's queue, so the scheduler can't shed them
+    /// by itself.
     pub(super) fn shed_lower_held(
         &mut self,
         now: CoreTime,
@@ -225,17 +230,17 @@
         }
     }
 
-    /// Hands held requests to the scheduler again; those whose time is over are refused.
+    /// Submits held requests to the scheduler again and refuses those whose deadline has passed.
     fn retry_held(&mut self, now: CoreTime, effects: &mut EffectQueue) {
         if self.held.by_request.is_empty() {
             return;
         }
         let held = self.held.by_request.values().map(|held| &held.request);
-        let mut turns: Vec<_> = held.map(|held| (held.rank, held.request)).collect();
-        turns.sort_unstable();
+        let mut candidates: Vec<_> = held.map(|held| (held.rank, held.request)).collect();
+        candidates.sort_unstable();
         let mut services = BTreeSet::new();
-        // The highest tier first; the others stay held, so that they can yield to it.
-        for (_, request) in turns {
+        // Highest tier first. The others stay held meanwhile, so that they can be shed for it.
+        for (_, request) in candidates {
             let Some(held) = self.held.by_request.remove(&request) else {
                 continue;
             };
--- a/crates/savorywood-core/src/daemon/dispatch_guard.rs
+++ b/crates/savorywood-core/src/daemon/dispatch_guard.rs
@@ -1,4 +1,5 @@
-//! The last look at a decision before it becomes an effect: invariants over all duties.
+//! Guard between the decisions of the duties and their effects. Tracks every open request and
+//! enforces the invariants that span several duties.
 
 use crate::{
     effect::{DispatchCommand, EffectQueue},
@@ -9,36 +10,36 @@
 use savorywood_protocol::{AttemptNumber, OutcomeKind, RequestId, RequestRefusal, UpstreamName};
 use std::collections::BTreeMap;
 
-/// How far a request has come.
+/// Whether a request may have reached an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum DispatchStage {
-    /// No byte of it can have left this host.
+    /// No byte of the request can have left this host.
     Local,
-    /// It may have reached an upstream in this attempt.
+    /// The request may have reached an upstream in this attempt.
     Dispatched(AttemptNumber),
 }
 
-/// One open request.
+/// State of one open request.
 #[derive(Debug)]
 struct GuardedRequest {
     stage: DispatchStage,
     request: QueuedRequest,
-    /// Upstream of the newest dispatch.
+    /// Upstream of the latest dispatch; `None` before the first.
     upstream: Option<UpstreamName>,
-    /// Attempt that comes next.
+    /// Number for the next attempt.
     next_attempt: AttemptNumber,
-    /// Nobody waits for its answer any longer, but its attempt has not ended.
+    /// No caller waits for the response any longer, but the attempt has not ended.
     abandoned: bool,
 }
 
-/// Open requests, and how far each has come.
+/// Open requests with their dispatch state.
 #[derive(Debug, Default)]
 pub struct DispatchGuard {
     entries: BTreeMap<RequestId, GuardedRequest>,
 }
 
 impl DispatchGuard {
-    /// Notes a request that was let in.
+    /// Adds a request that passed the admission checks.
     pub fn open(&mut self, request: QueuedRequest) {
         let key = request.request;
         let entry = GuardedRequest {
@@ -51,34 +52,35 @@
         self.entries.insert(key, entry);
     }
 
-    /// Upstream that a request was dispatched to last.
+    /// Returns the upstream of the latest dispatch of a request.
     pub fn upstream_of(&self, request: RequestId) -> Option<&UpstreamName> {
         self.entries.get(&request)?.upstream.as_ref()
     }
 
-    /// Attempt that comes next. A request that was held must not use a number twice: events of
-    /// the first attempt would be taken for the second's.
+    /// Returns the number for the next attempt. Numbers are never reused, also when a request was
+    /// held in between: late events of an earlier attempt would otherwise be attributed to the
+    /// later one.
     pub fn next_attempt(&self, request: RequestId) -> AttemptNumber {
         let entry = self.entries.get(&request);
         entry.map(|entry| entry.next_attempt).unwrap_or_default()
     }
 
-    /// An open request.
+    /// Returns an open request.
     pub fn get(&self, request: RequestId) -> Option<&QueuedRequest> {
         self.entries.get(&request).map(|entry| &entry.request)
     }
 
-    /// Forgets a request that is over.
+    /// Removes a request that has ended.
     pub fn close(&mut self, request: RequestId) {
         self.entries.remove(&request);
     }
 
-    /// Requests that are open.
+    /// Returns the number of open requests.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether a request may run twice without harm; unknown ones may not.
+    /// Whether a request is idempotent. Requests that are not open count as not idempotent.
     pub fn is_idempotent(&self, request: RequestId) -> bool {
         let entry = self.entries.get(&request);
         entry.is_some_and(|entry| entry.request.idempotent)
@@ -90,24 +92,25 @@
         entry.is_some_and(|entry| entry.stage != DispatchStage::Local)
     }
 
-    /// Notes that nobody waits for a request any longer.
+    /// Marks a request whose caller no longer waits for the response.
     pub fn abandon(&mut self, request: RequestId) {
         if let Some(entry) = self.entries.get_mut(&request) {
             entry.abandoned = true;
         }
     }
 
-    /// Whether an abandoned request turned out not to have left this host. Nothing more will
-    /// come of it: kept open, it would hold up a planned stop for good.
+    /// Whether an abandoned request was never sent. No further event ends such a request; if it
+    /// stayed open, a planned stop would wait for it forever.
     pub fn is_abandoned_unsent(&self, request: RequestId) -> bool {
         let entry = self.entries.get(&request);
         entry.is_some_and(|entry| entry.abandoned && entry.stage == DispatchStage::Local)
     }
 
-    /// Whether an event is of the attempt that is under way, or of no request at all.
+    /// Whether an event belongs to the current attempt of its request, or to no request at all.
     ///
-    /// A late event of an older attempt says nothing of the present one. Taken for it, "not
-    /// sent" would release the claim of a call that runs, and its repeat would run too.
+    /// Late events of earlier attempts must be ignored: a late
+    /// [`NotSent`](UpstreamEvent::NotSent) would release the claim of a call that is running, and
+    /// a repeat of the call would then run as well.
     pub fn is_current_attempt(&self, event: &UpstreamEvent) -> bool {
         let Some(key) = attempt_key(event) else {
             return true;
@@ -116,38 +119,39 @@
         entry.is_some_and(|entry| entry.stage == DispatchStage::Dispatched(key.attempt))
     }
 
-    /// Checks a dispatch and notes it; `false` when it must not happen. `takes_work` says whether
-    /// the upstream gets new work at all.
+    /// Checks and records a dispatch; returns `false` when it must not happen. `accepts_work` is
+    /// whether the upstream may receive new requests.
     ///
-    /// A second dispatch of the same request would run it twice: two charges, two bulletins. The
-    /// scheduler's table keeps it from happening; this look does not depend on that table.
+    /// A second dispatch while an attempt is open could execute the request twice, for example
+    /// charge a customer twice. The scheduler's table prevents this already; this check is
+    /// independent of that table.
     pub fn dispatch(
         &mut self,
-        order: &DispatchCommand,
-        takes_work: bool,
+        command: &DispatchCommand,
+        accepts_work: bool,
         effects: &mut EffectQueue,
     ) -> bool {
         invariant::check(
             effects,
             InvariantName::NoDispatchToLeaving,
-            takes_work,
-            || format!("request={} upstream={}", order.request, order.upstream),
+            accepts_work,
+            || format!("request={} upstream={}", command.request, command.upstream),
         );
-        let entry = self.entries.get_mut(&order.request);
-        let first = entry.filter(|entry| entry.stage == DispatchStage::Local);
-        let once = first.is_some();
-        if let Some(entry) = first {
-            entry.stage = DispatchStage::Dispatched(order.attempt);
-            entry.next_attempt = order.attempt.next();
-            entry.upstream = Some(order.upstream.clone());
+        let entry = self.entries.get_mut(&command.request);
+        let undispatched = entry.filter(|entry| entry.stage == DispatchStage::Local);
+        let is_first = undispatched.is_some();
+        if let Some(entry) = undispatched {
+            entry.stage = DispatchStage::Dispatched(command.attempt);
+            entry.next_attempt = command.attempt.next();
+            entry.upstream = Some(command.upstream.clone());
         }
-        invariant::check(effects, InvariantName::DispatchAtMostOnce, once, || {
-            format!("request={} attempt={}", order.request, order.attempt)
+        invariant::check(effects, InvariantName::DispatchAtMostOnce, is_first, || {
+            format!("request={} attempt={}", command.request, command.attempt)
         });
-        once && takes_work
+        is_first && accepts_work
     }
 
-    /// Notes what an upstream did in the attempt that is under way.
+    /// Records an event of the current attempt.
     pub fn record_event(&mut self, event: &UpstreamEvent) {
         match event {
             UpstreamEvent::NotSent { request, .. } => {
@@ -165,12 +169,13 @@
         }
     }
 
-    /// Checks a refusal, corrects it if it says too much, and closes the request.
+    /// Checks a refusal, corrects its outcome if necessary, and closes the request.
     ///
-    /// A caller that is told "not run" sends the request again. If it did run, it runs twice.
+    /// A caller retries a request whose outcome is "not run". If the request may have reached an
+    /// upstream, the outcome is corrected to unknown, since a retry could execute it twice.
     ///
-    /// A call that may not be repeated and may have reached its upstream stays open until its
-    /// attempt ends: its outcome is still to be recorded, and a planned stop has to wait for it.
+    /// A non-idempotent call that may have reached its upstream stays open until its attempt ends:
+    /// its outcome is still to be recorded, and a planned stop waits for that.
     pub fn refuse(
         &mut self,
         request: RequestId,
@@ -198,7 +203,7 @@
     }
 }
 
-/// One attempt of one request.
+/// Identifies one attempt of one request.
 #[derive(Debug, Clone, Copy)]
 struct AttemptKey {
     request: RequestId,
--- a/crates/savorywood-core/src/daemon/hosts.rs
+++ b/crates/savorywood-core/src/daemon/hosts.rs
@@ -1,4 +1,4 @@
-//! Upstreams whose hosts the platform takes away.
+//! Tracks hosts that the platform plans to remove, and the upstreams on them.
 
 use super::DaemonCore;
 use crate::{
@@ -11,6 +11,7 @@
 use std::collections::BTreeSet;
 
 impl DaemonCore {
+    /// Updates the set of leaving hosts and forwards the list to the membership duty.
     pub(super) fn update_hosts(
         &mut self,
         now: CoreTime,
@@ -18,8 +19,8 @@
         effects: &mut EffectQueue,
     ) {
         for entry in &hosts {
-            // A host that is no longer listed keeps its mark: it is gone, or the list is wrong.
-            // Only the list's own word that it stays takes the mark back.
+            // A host that is missing from the list stays marked: either it was removed or the list
+            // is wrong. Only an entry that says that the host stays clears the mark.
             if entry.leaving {
                 self.leaving_hosts.insert(entry.host.clone());
             } else {
@@ -30,7 +31,7 @@
         self.step_membership(now, MembershipEvent::HostsListed(hosts), effects);
     }
 
-    /// Tells the scheduler which upstreams stand on leaving hosts, if that changed.
+    /// Updates the set of upstreams on leaving hosts and notifies the scheduler if it changed.
     pub(super) fn mark_leaving_upstreams(&mut self, now: CoreTime, effects: &mut EffectQueue) {
         let upstreams = self.config.view().upstreams.iter();
         let leaving: BTreeSet<UpstreamName> = upstreams
--- a/crates/savorywood-core/src/daemon/leases.rs
+++ b/crates/savorywood-core/src/daemon/leases.rs
@@ -1,4 +1,4 @@
-//! Leases and what is done under them: moves and orders.
+//! Requests leases for the duties that act under one: traffic moves and orders to engines.
 
 use super::DaemonCore;
 use crate::{
@@ -9,7 +9,7 @@
 };
 use savorywood_protocol::CoreTime;
 
-/// Which leases this daemon has asked for.
+/// Leases that this daemon currently requests.
 #[derive(Debug, Default)]
 pub struct RequestedLeases {
     moves: bool,
@@ -17,7 +17,7 @@
 }
 
 impl DaemonCore {
-    /// Steps the lease duty and tells those who act under a lease that it was gained.
+    /// Steps the lease duty and notifies the duty that acts under a lease when it is acquired.
     pub(super) fn step_leases(
         &mut self,
         now: CoreTime,
@@ -34,13 +34,13 @@
                 LeaseVerdict::Gained(LeaseName::Moves) => {
                     self.step_moves(now, MoveEvent::ConfigChanged, effects);
                 }
-                // Both duties ask for their grant at each step.
+                // Nothing to do: both duties check their grant at each step.
                 LeaseVerdict::Dropped(_) => {}
             }
         }
     }
 
-    /// Asks for the leases under which there is work, and gives up the others.
+    /// Requests the leases for which there is work and releases the others.
     pub(super) fn request_leases(&mut self, now: CoreTime, effects: &mut EffectQueue) {
         let config = self.config.view();
         let moves = self.moves.wants_lease(config);
@@ -65,7 +65,7 @@
         self.step_leases(now, LeaseEvent::Wanted { name, wanted }, effects);
     }
 
-    /// Steps the order duty.
+    /// Steps the order duty with the current grant of its lease.
     pub(super) fn step_orders(
         &mut self,
         now: CoreTime,
--- a/crates/savorywood-core/src/daemon/moves.rs
+++ b/crates/savorywood-core/src/daemon/moves.rs
@@ -1,4 +1,4 @@
-//! Moves of versions: evidence from requests, splits for the scheduler, the lease of the driver.
+//! Connects the move duty: samples from requests, traffic splits for the scheduler, and the lease.
 
 use super::DaemonCore;
 use crate::{
@@ -14,7 +14,7 @@
 };
 
 impl DaemonCore {
-    /// Steps the move duty; the scheduler looks again when traffic is split otherwise.
+    /// Steps the move duty and notifies the scheduler when traffic splits changed.
     pub(super) fn step_moves(
         &mut self,
         now: CoreTime,
@@ -35,8 +35,8 @@
         }
     }
 
-    /// Keeps the states of moves beside their documents: a service may have a new move once its
-    /// last one is over, and the check of a document looks for that.
+    /// Copies the states of all moves to the configuration duty. Validation of a new move needs
+    /// them: a service may have a new move only after its previous one has ended.
     fn record_move_states(&mut self) {
         let config = self.config.view();
         let states: Vec<MoveStateEntry> = config
@@ -47,13 +47,13 @@
                 state: self.moves.state_of(name, config),
             })
             .collect();
-        for standing in states {
-            self.config.note_move_state(&standing.name, standing.state);
+        for entry in states {
+            self.config.note_move_state(&entry.name, entry.state);
         }
     }
 
-    /// Tells the move duty how a dispatched request ended. To be called before the gate and the
-    /// objectives forget it.
+    /// Reports the result of a dispatched request to the move duty. Must be called before the guard
+    /// and the objective tracker remove the request.
     pub(super) fn record_version_sample(
         &mut self,
         now: CoreTime,
@@ -67,8 +67,8 @@
                     .guard
                     .get(*request)
                     .is_some_and(|queued| queued.deadline_at <= now.monotonic);
-                // A caller that left says nothing of the version; one that was kept waiting
-                // past its deadline does.
+                // A caller that disconnected is no sample of the version; a request that missed its
+                // deadline is.
                 let is_informative = *cause != FailureCause::Cancelled || expired;
                 let sample = self.version_sample(now, *request, true);
                 sample.filter(|_| is_informative)
@@ -91,7 +91,7 @@
         failed: bool,
     ) -> Option<MoveSample> {
         let queued = self.guard.get(request)?;
-        // Without a move of its service a sample is of no use to anybody.
+        // Samples are used only while the service has a move in progress.
         if !self.inputs.splits.contains_key(&queued.service) {
             return None;
         }
@@ -106,7 +106,7 @@
         })
     }
 
-    /// What the move duty adds to the status of a move.
+    /// Adds the state and the conditions of a move to its status.
     pub(super) fn add_move_status(&self, name: &MoveName, status: &mut ResourceStatus) {
         let config = self.config.view();
         status.move_state = Some(self.moves.state_of(name, config));
@@ -116,7 +116,7 @@
     }
 }
 
-/// Where one move stands.
+/// State of one move.
 struct MoveStateEntry {
     name: MoveName,
     state: MoveState,
--- a/crates/savorywood-core/src/daemon/objectives.rs
+++ b/crates/savorywood-core/src/daemon/objectives.rs
@@ -1,4 +1,5 @@
-//! Measures each request against its service's objectives.
+//! Measures requests against the objectives of their services and records the results in the
+//! burn ledger.
 
 use crate::{burn::BurnLedger, event::UpstreamEvent, request::QueuedRequest};
 use savorywood_protocol::{
@@ -7,7 +8,7 @@
 };
 use std::{collections::HashMap, time::Duration};
 
-/// One request that is being measured.
+/// Measurements of one open request.
 #[derive(Debug)]
 struct MeasuredRequest {
     service: ServiceName,
@@ -16,17 +17,18 @@
     deadline_at: MonotonicTime,
     objectives: ServiceObjectives,
     first_token_at: Option<MonotonicTime>,
-    tokens_after_first: u32,
+    output_tokens: u32,
 }
 
-/// Requests that are being measured. Looked up by key alone, so the map's order reaches nothing.
+/// Open requests that are being measured. The map is never iterated, so its random order can't
+/// make the core non-deterministic.
 #[derive(Debug, Default)]
 pub struct ObjectiveTracker {
     requests: HashMap<RequestId, MeasuredRequest>,
 }
 
 impl ObjectiveTracker {
-    /// Begins to measure a request.
+    /// Starts to measure a request.
     pub fn start(&mut self, request: &QueuedRequest, objectives: ServiceObjectives) {
         let measured = MeasuredRequest {
             service: request.service.clone(),
@@ -35,15 +37,16 @@
             deadline_at: request.deadline_at,
             objectives,
             first_token_at: None,
-            tokens_after_first: 0,
+            output_tokens: 0,
         };
         self.requests.insert(request.request, measured);
     }
 
-    /// Microseconds between two tokens of a request so far, if there were two.
+    /// Returns the mean time between two tokens of a request so far, in microseconds. With a single
+    /// token this is the time since the request arrived; `None` without tokens.
     pub fn micros_per_token(&self, now: MonotonicTime, request: RequestId) -> Option<u32> {
         let measured = self.requests.get(&request)?;
-        let gaps = measured.tokens_after_first.checked_sub(1)?;
+        let gaps = measured.output_tokens.checked_sub(1)?;
         let elapsed = match gaps {
             0 => now.since(measured.arrived_at),
             _ => now.since(measured.first_token_at?) / gaps,
@@ -51,13 +54,12 @@
         u32::try_from(elapsed.as_micros()).ok()
     }
 
-    /// The caller left: nobody was kept waiting.
+    /// Stops measuring a request without a result, for example because its caller disconnected.
     pub fn discard(&mut self, request: RequestId) {
         self.requests.remove(&request);
     }
 
-    /// A request was refused after it had been admitted, or at once for want of room: its
-    /// deadline was missed.
+    /// Records that a request missed its deadline, because it was refused or its attempt failed.
     pub fn record_missed_deadline(
         &mut self,
         now: MonotonicTime,
@@ -69,7 +71,7 @@
         }
     }
 
-    /// Notes what an upstream did.
+    /// Records the progress or the end of an attempt.
     pub fn record_event(
         &mut self,
         now: MonotonicTime,
@@ -84,7 +86,7 @@
             }
             UpstreamEvent::Tokens { request, count, .. } => {
                 if let Some(measured) = self.requests.get_mut(request) {
-                    measured.tokens_after_first += count;
+                    measured.output_tokens += count;
                 }
             }
             UpstreamEvent::Finished { request, .. } => {
@@ -108,7 +110,7 @@
         let first_limit = Duration::from_millis(self.objectives.first_token_ms.into());
         let first_met = first_token_at.since(self.arrived_at) <= first_limit;
         self.record(now, BurnObjective::FirstToken, first_met, burn);
-        let gaps = self.tokens_after_first.saturating_sub(1);
+        let gaps = self.output_tokens.saturating_sub(1);
         if gaps > 0 {
             let gap = now.since(first_token_at) / gaps;
             let gap_limit = Duration::from_millis(self.objectives.token_gap_ms.into());
--- a/crates/savorywood-core/src/daemon/queries.rs
+++ b/crates/savorywood-core/src/daemon/queries.rs
@@ -1,4 +1,4 @@
-//! What the shell reads of a daemon to answer callers and operators.
+//! Read-only queries on the daemon core, which the runtime uses to answer callers and operators.
 
 use super::DaemonCore;
 use crate::{
@@ -15,24 +15,24 @@
 };
 use strum::{Display, EnumIter, IntoStaticStr};
 
-/// Why a daemon takes no new work.
+/// Why a daemon accepts no new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, EnumIter, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum NotReadyReason {
-    /// It begins, and has not read the configuration.
+    /// The daemon has started but has not read the configuration yet.
     NoConfiguration,
-    /// It can't confirm that its configuration is current.
+    /// The daemon can't confirm that its configuration is current.
     ConfigStale,
-    /// It is stopping.
+    /// The daemon is shutting down.
     Stopping,
 }
 
 impl DaemonCore {
-    /// Whether new work is taken.
+    /// Checks whether the daemon accepts new requests.
     ///
     /// # Errors
     ///
-    /// Says why not.
+    /// Returns the reason when it does not.
     pub fn readiness(&self, now: CoreTime) -> Result<(), NotReadyReason> {
         if self.stop.is_stopping() {
             return Err(NotReadyReason::Stopping);
@@ -46,7 +46,7 @@
         Ok(())
     }
 
-    /// A resource with what the system says of it now.
+    /// Returns a resource with its current status filled in.
     #[must_use]
     pub fn with_status(&self, document: &ResourceDocument) -> ResourceDocument {
         let key = document.key();
@@ -62,23 +62,24 @@
         }
     }
 
-    /// The whole configuration for another daemon; `None` until it was read whole.
+    /// Returns a snapshot of the configuration for another daemon; `None` until this daemon has
+    /// read the configuration completely.
     #[must_use]
     pub fn snapshot(&self) -> Option<ConfigSnapshot> {
         self.config.snapshot()
     }
 
-    /// Changes after a revision, for operators that watch.
+    /// Returns the changes after a revision, for operators that watch the configuration.
     #[must_use]
     pub fn changes_since(&self, revision: ConfigRevision) -> ChangeList {
         self.config.changes_since(revision)
     }
 
-    /// Addresses for a caller.
+    /// Returns the daemon addresses for a caller, best first.
     ///
     /// # Errors
     ///
-    /// When the service is unknown or no daemon takes work.
+    /// When the service does not exist or no daemon accepts new requests.
     pub fn addresses(&self, query: &AddressQuery<'_>) -> Result<AddressResponse, RequestRefusal> {
         rank_addresses(
             query,
@@ -89,19 +90,19 @@
         )
     }
 
-    /// What the scheduler counted.
+    /// Returns the counters of the scheduler since the daemon started.
     #[must_use]
     pub fn scheduler_counters(&self) -> &SchedulerCounters {
         self.scheduler.counters()
     }
 
-    /// What the claim duty counted.
+    /// Returns the counters of the claim duty since the daemon started.
     #[must_use]
     pub fn claim_counters(&self) -> ClaimCounters {
         self.claims.counters()
     }
 
-    /// Counts of met and missed objectives.
+    /// Returns the counts of met and missed objectives, over sliding windows.
     #[must_use]
     pub fn burn(&self, now: CoreTime) -> DaemonBurn {
         let observed = now.monotonic.since(self.started_at).as_millis();
--- a/crates/savorywood-core/src/daemon/requests.rs
+++ b/crates/savorywood-core/src/daemon/requests.rs
@@ -1,4 +1,4 @@
-//! Scheduling and claiming: how their decisions become effects.
+//! Request lifecycle: turns the decisions of the scheduler and of the claim duty into effects.
 
 use super::DaemonCore;
 use crate::{
@@ -13,7 +13,7 @@
 use savorywood_protocol::{CoreTime, RefusalCode, RequestId, RequestRefusal, UpstreamName};
 
 impl DaemonCore {
-    /// Steps the scheduler and passes its decisions on.
+    /// Steps the scheduler, then checks and forwards its decisions.
     pub(super) fn step_scheduler(
         &mut self,
         now: CoreTime,
@@ -27,11 +27,11 @@
             grants: &self.inputs.grants,
             floors: &self.inputs.floors,
         };
-        let mut decided = EffectQueue::new();
-        self.scheduler.step(now, event, view, &mut decided);
-        for effect in decided.drain() {
+        let mut decisions = EffectQueue::new();
+        self.scheduler.step(now, event, view, &mut decisions);
+        for effect in decisions.drain() {
             match effect {
-                DaemonEffect::Dispatch(order) => self.dispatch(now, order, effects),
+                DaemonEffect::Dispatch(command) => self.dispatch(now, command, effects),
                 DaemonEffect::Refuse { request, refusal } => {
                     self.handle_scheduler_refusal(now, request, refusal, effects);
                 }
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Hands a request to the scheduler for the first time.
+    /// Submits a request to the scheduler for the first time.
     pub(super) fn submit(
         &mut self,
         now: CoreTime,
@@ -53,35 +53,35 @@
         self.update_queue_state(now, &service, effects);
     }
 
-    fn dispatch(&mut self, now: CoreTime, order: DispatchCommand, effects: &mut EffectQueue) {
-        let request = order.request;
+    fn dispatch(&mut self, now: CoreTime, command: DispatchCommand, effects: &mut EffectQueue) {
+        let request = command.request;
         let idempotent = self.guard.is_idempotent(request);
-        let takes_work = self.accepts_work(&order.upstream);
-        self.check_version_split(&order, effects);
-        let passes = self.guard.dispatch(&order, takes_work, effects)
+        let accepts_work = self.accepts_work(&command.upstream);
+        self.check_version_split(&command, effects);
+        let permitted = self.guard.dispatch(&command, accepts_work, effects)
             && self.claims.may_dispatch(request, idempotent, effects);
-        if passes {
-            effects.push(DaemonEffect::Dispatch(order));
+        if permitted {
+            effects.push(DaemonEffect::Dispatch(command));
             return;
         }
-        let detail = "the daemon kept the request from being sent wrongly; send it again";
+        let detail = "the daemon blocked an invalid dispatch of this request; retry it";
         let refusal = RequestRefusal::unknown(RefusalCode::Internal, detail);
         self.send_refusal(now, request, refusal, effects);
         self.close(now, request, effects);
         self.step_scheduler(now, SchedulerEvent::CallerLeft { request }, effects);
     }
 
-    /// A version that was stopped, or has no share yet, gets nothing: a caller of it would meet
-    /// the fault that it was stopped for.
-    fn check_version_split(&self, order: &DispatchCommand, effects: &mut EffectQueue) {
-        let spec = self.config.view().upstreams.get(&order.upstream);
+    /// Reports an invariant violation if the dispatch goes to a new version whose share is zero: a
+    /// version whose move was stopped may fail its callers.
+    fn check_version_split(&self, command: &DispatchCommand, effects: &mut EffectQueue) {
+        let spec = self.config.view().upstreams.get(&command.upstream);
         let split = spec.and_then(|spec| self.inputs.splits.get(&spec.service));
         let (Some(spec), Some(split)) = (spec, split) else {
             return;
         };
-        let barred = split.new_per_mille == 0 && spec.version == split.new;
-        invariant::check(effects, InvariantName::BadVersionBounded, !barred, || {
-            format!("request={} version={}", order.request, spec.version)
+        let excluded = split.new_per_mille == 0 && spec.version == split.new;
+        invariant::check(effects, InvariantName::BadVersionBounded, !excluded, || {
+            format!("request={} version={}", command.request, spec.version)
         });
     }
 
@@ -91,7 +91,8 @@
         spec.is_some_and(|spec| !spec.draining) && !leaving
     }
 
-    /// Refuses what the scheduler turned away, unless others must yield first.
+    /// Handles a refusal by the scheduler. A refusal for load is held back while requests of lower
+    /// tiers can be shed first.
     fn handle_scheduler_refusal(
         &mut self,
         now: CoreTime,
@@ -111,7 +112,8 @@
         self.send_refusal(now, request, refusal, effects);
     }
 
-    /// Gives a request its final answer and closes what other duties hold for it.
+    /// Sends a refusal to the caller and closes the request in the other duties. A non-idempotent
+    /// call that may have reached its upstream stays open until its attempt ends.
     pub(super) fn send_refusal(
         &mut self,
         now: CoreTime,
@@ -127,13 +129,13 @@
         effects.refuse(request, refusal);
     }
 
-    /// Nothing more will come of a request.
+    /// Removes a request that has ended from the guard and from the claim duty.
     fn close(&mut self, now: CoreTime, request: RequestId, effects: &mut EffectQueue) {
         self.guard.close(request);
         self.step_claims(now, ClaimEvent::Closed { request }, effects);
     }
 
-    /// Steps the claim duty; calls whose claim holds go to the scheduler.
+    /// Steps the claim duty and submits calls whose claim was granted to the scheduler.
     pub(super) fn step_claims(
         &mut self,
         now: CoreTime,
@@ -143,9 +145,9 @@
         let view = ClaimView {
             members: self.membership.view(),
         };
-        let mut decided = EffectQueue::new();
-        let verdicts = self.claims.step(now, event, view, &mut decided);
-        for effect in decided.drain() {
+        let mut decisions = EffectQueue::new();
+        let verdicts = self.claims.step(now, event, view, &mut decisions);
+        for effect in decisions.drain() {
             match effect {
                 DaemonEffect::Refuse { request, refusal } => {
                     let refusal = self.guard.refuse(request, refusal, effects);
@@ -176,7 +178,7 @@
         self.step_scheduler(now, SchedulerEvent::Upstream(event), effects);
     }
 
-    /// Notes what came of the attempt that is under way, before the scheduler acts on it.
+    /// Records an event of the current attempt before the scheduler acts on it.
     fn record_attempt_event(
         &mut self,
         now: CoreTime,
@@ -210,9 +212,9 @@
         }
     }
 
-    /// A call that may not be repeated and may have reached its upstream goes on without its
-    /// caller: cancelled halfway, its outcome would stay unknown for good, and the caller's retry
-    /// could not be answered.
+    /// Handles a caller that disconnected. A non-idempotent call that may have reached its upstream
+    /// continues without its caller: if it were cancelled, its outcome would stay unknown, and a
+    /// retry by the caller could not be answered.
     fn handle_disconnect(&mut self, now: CoreTime, request: RequestId, effects: &mut EffectQueue) {
         let idempotent = self.guard.is_idempotent(request);
         if self.guard.is_dispatched(request) && !idempotent {
@@ -220,8 +222,8 @@
         }
         self.objectives.discard(request);
         self.resumed_requests.remove(&request);
-        // The scheduler first: as in any of its steps, a seat that has become free may go to this
-        // very request before it hears that the caller left.
+        // The scheduler runs first: in this step it may still dispatch this request to a slot that
+        // has become free, before it processes the disconnect.
         self.step_scheduler(now, SchedulerEvent::CallerLeft { request }, effects);
         self.held.remove(request);
         if self.guard.is_dispatched(request) {
@@ -238,9 +240,9 @@
             return effects.refuse(arrival.request, refusal);
         };
         match resolve_resume(now, arrival, key, self.config.view()) {
-            Ok(order) => {
+            Ok(command) => {
                 self.resumed_requests.insert(arrival.request);
-                effects.push(DaemonEffect::Resume(order));
+                effects.push(DaemonEffect::Resume(command));
             }
             Err(refusal) => effects.refuse(arrival.request, refusal),
         }
--- a/crates/savorywood-core/src/daemon/stop.rs
+++ b/crates/savorywood-core/src/daemon/stop.rs
@@ -1,4 +1,4 @@
-//! The planned stop: carries out what the stop duty decides.
+//! Planned stop: executes the actions that the stop duty decides.
 
 use super::DaemonCore;
 use crate::{
@@ -11,27 +11,27 @@
 use savorywood_protocol::CoreTime;
 
 impl DaemonCore {
-    /// Steps the stop duty and carries its verdicts out.
+    /// Steps the stop duty and executes its actions in the other duties.
     pub(super) fn step_stop(&mut self, now: CoreTime, event: StopEvent, effects: &mut EffectQueue) {
         let open = OpenWork {
             requests: self.guard.len() + self.resumed_requests.len(),
             claims: self.claims.open_claims(),
         };
-        let verdicts = self.stop.step(now, event, open, effects);
-        if verdicts.is_empty() {
+        let actions = self.stop.step(now, event, open, effects);
+        if actions.is_empty() {
             return;
         }
-        for verdict in verdicts {
-            match verdict {
+        for action in actions {
+            match action {
                 StopAction::AnnounceLeaving => {
-                    self.step_membership(now, MembershipEvent::Leave, effects)
+                    self.step_membership(now, MembershipEvent::Leave, effects);
                 }
                 StopAction::ReleaseLeases => self.step_leases(now, LeaseEvent::Leaving, effects),
                 StopAction::ReleaseCredits => {
-                    self.step_credits(now, CreditEvent::HandBack, effects)
+                    self.step_credits(now, CreditEvent::HandBack, effects);
                 }
                 StopAction::AnnounceLeft => {
-                    self.step_membership(now, MembershipEvent::Farewell, effects)
+                    self.step_membership(now, MembershipEvent::Farewell, effects);
                 }
             }
         }
--- a/crates/savorywood-core/src/event.rs
+++ b/crates/savorywood-core/src/event.rs
@@ -157,7 +157,8 @@
         request: RequestId,
         /// Number of the attempt within the request.
         attempt: AttemptNumber,
-        /// Tokens received since the previous event of this attempt.
+        /// Tokens received since the previous event of this attempt. The first such event includes
+        /// the first token.
         count: u32,
     },
     /// The response was received completely.
