--- a/crates/savorywood-core/src/order.rs
+++ b/crates/savorywood-core/src/order.rs
@@ -1,40 +1,41 @@
-//! Orders to engines. They are declarative: giving one twice does what giving it once does.
+//! Orders to engines and their responses. Orders declare a desired state and are idempotent.
 
 use savorywood_protocol::{FencingNumber, MonotonicTime, VersionName};
 
-/// Names one call that carries an order.
+/// Identifies one call to an engine that carries an order. Unique within this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OrderCallId(pub u64);
 
-/// What an engine is to be.
+/// Desired state of an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UpstreamOrder {
-    /// Term of the lease under which the order is given.
+    /// Fencing number of the lease term under which the order is given.
     pub fencing: FencingNumber,
-    /// Version that the engine is to run; `None` only reads back what it runs.
+    /// Version that the engine must run; `None` only reads which version it runs.
     pub version: Option<VersionName>,
-    /// Not to be sent at or after this time: the lease may have another holder by then. Whoever
-    /// sends looks at the clock right before it does, since it may have been paused.
+    /// End of the time in which the order may be sent: from then on the lease may have another
+    /// holder. The runtime checks the clock right before it sends, since the process may have been
+    /// paused.
     pub act_by: MonotonicTime,
 }
 
-/// What came back.
+/// Result of a call to an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderResponse {
-    /// The engine says what it runs now, and the newest fencing number it has seen.
+    /// The engine reports its state and the newest fencing number that it has received.
     Running {
-        /// Version loaded.
+        /// Version that the engine has loaded or is loading.
         version: VersionName,
-        /// Whether it is loaded whole and takes requests.
+        /// Whether the version is completely loaded and the engine accepts requests.
         ready: bool,
-        /// Newest fencing number seen, if the engine keeps one.
+        /// Newest fencing number that the engine has received; `None` if it does not check them.
         fencing: Option<FencingNumber>,
     },
-    /// The engine refused the order: it has seen a newer fencing number.
+    /// The engine rejected the order because it has received a newer fencing number.
     Fenced {
-        /// That number.
+        /// Newest fencing number that the engine has received.
         newest: FencingNumber,
     },
-    /// No answer: the order may or may not have been taken.
+    /// No response was received: the engine may or may not have accepted the order.
     Lost,
 }
--- a/crates/savorywood-core/src/orders.rs
+++ b/crates/savorywood-core/src/orders.rs
@@ -1,12 +1,12 @@
-//! Orders to engines: each is told to run the version that its resource declares.
+//! Order duty: makes each engine run the version that its upstream resource declares.
 //!
-//! One holder of the lease gives all orders. Orders are declarative, so giving one twice does no
-//! harm, and what an engine runs is read back rather than believed.
+//! Only the holder of the orders lease sends orders. Orders are idempotent, and the state of each
+//! engine is read back instead of being inferred from the orders that were sent.
 
 pub mod options;
 
+mod dispatch;
 mod engine;
-mod giving;
 
 pub use options::OrderOptions;
 
@@ -24,51 +24,52 @@
 };
 use std::{collections::BTreeMap, time::Duration};
 
-/// Between two looks at all engines.
-const TICK: Duration = Duration::from_secs(1);
+/// Interval between two checks of all engines.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Number of the only timer.
-const TICK_TIMER: u64 = 0;
+/// Number of the duty's only timer.
+const CHECK_TIMER_NUMBER: u64 = 0;
 
-/// What happens to orders.
+/// Input events of the order duty.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderEvent {
-    /// The configuration in force changed, or the lease was gained.
+    /// The configuration in force changed, or the lease was acquired.
     ViewChanged,
-    /// Its timer fired.
+    /// The duty's timer expired.
     TimerFired,
-    /// An engine answered, or did not.
+    /// A call to an engine completed, failed or timed out.
     Completed {
-        /// Which call.
+        /// Call that completed.
         call: OrderCallId,
-        /// The answer.
+        /// Response of the engine, or [`OrderResponse::Lost`].
         response: OrderResponse,
     },
 }
 
-/// What the order duty reads of other duties in a step.
+/// State of other duties that the order duty reads in a step.
 #[derive(Debug, Clone, Copy)]
 pub struct OrderView<'a> {
     /// Configuration in force.
     pub config: &'a ConfigView,
-    /// Lease for giving orders, asked for at this very step.
+    /// Current grant of the orders lease; `None` when this daemon does not hold it.
     pub lease: Option<LeaseGrant>,
 }
 
-/// State of the order duty.
+/// State machine of the order duty.
 #[derive(Debug)]
 pub struct OrdersState {
     options: OrderOptions,
     engines: BTreeMap<UpstreamName, EngineRecord>,
     term: Option<FencingNumber>,
-    /// A newer holder exists, as an engine said: nothing more is done in this term.
+    /// An engine reported a newer fencing number, so another daemon holds the lease: no more orders
+    /// are sent in this term.
     fenced: bool,
-    ticking: bool,
+    timer_set: bool,
     calls: u64,
 }
 
 impl OrdersState {
-    /// A daemon that has given no order.
+    /// Creates the state of a daemon that has sent no orders.
     #[must_use]
     pub fn new(options: OrderOptions) -> Self {
         Self {
@@ -76,15 +77,15 @@
             engines: BTreeMap::new(),
             term: None,
             fenced: false,
-            ticking: false,
+            timer_set: false,
             calls: 0,
         }
     }
 
-    /// Whether any engine takes orders, so that some daemon must hold the lease.
+    /// Whether any engine supports orders, so that a daemon must hold the lease.
     #[must_use]
     pub fn needs_lease(config: &ConfigView) -> bool {
-        config.upstreams.values().any(takes_orders)
+        config.upstreams.values().any(accepts_orders)
     }
 
     /// Handles one event.
@@ -97,22 +98,25 @@
     ) {
         match event {
             OrderEvent::ViewChanged => {}
-            OrderEvent::TimerFired => self.ticking = false,
-            OrderEvent::Completed { call, response } => self.answered(now, call, response, effects),
+            OrderEvent::TimerFired => self.timer_set = false,
+            OrderEvent::Completed { call, response } => {
+                self.handle_response(now, call, response, effects)
+            }
         }
         self.begin_term(view);
         if let Some(lease) = view.lease.filter(|_| !self.fenced) {
-            self.look_at_all(now, lease, view.config, effects);
+            self.check_engines(now, lease, view.config, effects);
         }
-        if view.lease.is_some() && !self.ticking {
-            self.ticking = true;
+        if view.lease.is_some() && !self.timer_set {
+            self.timer_set = true;
             let duty = DutyKind::Orders;
-            let number = TICK_TIMER;
-            effects.set_timer(TimerKey { duty, number }, now.monotonic + TICK);
+            let number = CHECK_TIMER_NUMBER;
+            effects.set_timer(TimerKey { duty, number }, now.monotonic + CHECK_INTERVAL);
         }
     }
 
-    /// A new term begins with no knowledge: the last holder may have ordered something else.
+    /// Resets the state at the start of a lease term, since the previous holder may have sent other
+    /// orders. Removes engines that no longer exist or no longer support orders.
     fn begin_term(&mut self, view: OrderView<'_>) {
         let term = view.lease.map(|lease| lease.fencing);
         if self.term != term {
@@ -122,10 +126,10 @@
         }
         let upstreams = &view.config.upstreams;
         self.engines
-            .retain(|name, _| upstreams.get(name).is_some_and(takes_orders));
+            .retain(|name, _| upstreams.get(name).is_some_and(accepts_orders));
     }
 
-    fn answered(
+    fn handle_response(
         &mut self,
         now: CoreTime,
         call: OrderCallId,
@@ -133,7 +137,7 @@
         effects: &mut EffectQueue,
     ) {
         let mut engines = self.engines.iter_mut();
-        let Some((name, engine)) = engines.find(|(_, engine)| engine.owns(call)) else {
+        let Some((name, engine)) = engines.find(|(_, engine)| engine.is_current_call(call)) else {
             return;
         };
         if let OrderResponse::Fenced { newest } = response {
@@ -143,10 +147,10 @@
                 .with("newest", newest);
             effects.log(line);
         }
-        engine.answered(now.monotonic, response);
+        engine.handle_response(now.monotonic, response);
     }
 }
 
-fn takes_orders(spec: &UpstreamSpec) -> bool {
+fn accepts_orders(spec: &UpstreamSpec) -> bool {
     spec.extensions.contains(&UpstreamExtension::Orders)
 }
--- a/crates/savorywood-core/src/orders/engine.rs
+++ b/crates/savorywood-core/src/orders/engine.rs
@@ -1,139 +1,147 @@
-//! What the holder knows of one engine in this term.
+//! State of one engine as observed by the lease holder, and the next action for it.
 
 use crate::order::{OrderCallId, OrderResponse};
 use savorywood_protocol::{MonotonicTime, VersionName};
 use std::time::Duration;
 
-/// Between two reads of an engine that runs what it should.
-const CALM_PERIOD: Duration = Duration::from_secs(10);
+/// Interval between two reads of an engine that runs its declared version.
+const READY_READ_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Between two reads of an engine that loads.
-const LOADING_PERIOD: Duration = Duration::from_secs(1);
+/// Interval between two reads of an engine that is loading or whose state is not known.
+const LOADING_READ_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A call whose answer has not come for so long is given up.
-const CALL_LIMIT: Duration = Duration::from_secs(10);
+/// Timeout after which a call without a response is abandoned.
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// An order that an engine seems not to follow is given again after this time.
-const REPEAT_AFTER: Duration = Duration::from_secs(60);
+/// Interval after which an order is repeated if the engine still reports another version.
+const ORDER_RETRY_INTERVAL: Duration = Duration::from_secs(60);
 
-/// An engine that is not ready for so long no longer counts as loading: one that died while it
-/// loaded would otherwise keep all others from being changed.
-const LOAD_LIMIT: Duration = Duration::from_secs(600);
+/// An engine that is not ready for this long no longer counts as loading. Otherwise an engine that
+/// crashed while loading would block the orders to all others.
+const LOAD_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// What an engine said last.
+/// State that an engine reported last.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct EngineReport {
+struct ReportedState {
     version: VersionName,
     ready: bool,
 }
 
-/// An order that was given in this term.
+/// An order that was sent in this term.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct GivenOrder {
+struct SentOrder {
     version: VersionName,
     at: MonotonicTime,
 }
 
-/// A call under way.
+/// A call in progress.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct EngineCall {
     call: OrderCallId,
     sent_at: MonotonicTime,
 }
 
-/// What must be done with an engine.
+/// Next action for an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum EngineNeed {
+pub(super) enum EngineAction {
     Nothing,
     Read,
     Order,
 }
 
-/// What the holder knows of one engine in this term.
+/// State of one engine as observed in the current lease term.
 #[derive(Debug, Default)]
 pub(super) struct EngineRecord {
-    report: Option<EngineReport>,
-    given: Option<GivenOrder>,
+    report: Option<ReportedState>,
+    last_order: Option<SentOrder>,
     call: Option<EngineCall>,
-    asked_at: Option<MonotonicTime>,
+    last_call_at: Option<MonotonicTime>,
     loading_since: Option<MonotonicTime>,
 }
 
 impl EngineRecord {
-    pub(super) fn owns(&self, call: OrderCallId) -> bool {
+    pub(super) fn is_current_call(&self, call: OrderCallId) -> bool {
         self.call.is_some_and(|current| current.call == call)
     }
 
-    pub(super) fn answered(&mut self, now: MonotonicTime, response: OrderResponse) {
+    pub(super) fn handle_response(&mut self, now: MonotonicTime, response: OrderResponse) {
         self.call = None;
         match response {
             OrderResponse::Running { version, ready, .. } => {
-                let given = self.given.as_ref();
-                let done = ready && given.is_none_or(|given| given.version == version);
+                let last_order = self.last_order.as_ref();
+                let done =
+                    ready && last_order.is_none_or(|last_order| last_order.version == version);
                 if done {
                     self.loading_since = None;
                 } else {
                     self.loading_since.get_or_insert(now);
                 }
-                self.report = Some(EngineReport { version, ready });
+                self.report = Some(ReportedState { version, ready });
             }
-            // The order may or may not have been taken. Giving it again at once would be harmless
-            // to the engine, but its state must be known before another engine may load.
+            // The engine may or may not have accepted the order. Its state must be read before
+            // another engine may load, although repeating the order at once would be harmless.
             OrderResponse::Lost | OrderResponse::Fenced { .. } => self.report = None,
         }
     }
 
-    /// Whether the engine loads, or may do so because an order was given and not yet read back.
+    /// Whether the engine is loading, or may be because an order was sent and its effect has not
+    /// been read back yet.
     pub(super) fn may_load(&self, now: MonotonicTime) -> bool {
         self.loading_since
-            .is_some_and(|since| now.since(since) < LOAD_LIMIT)
+            .is_some_and(|since| now.since(since) < LOAD_TIMEOUT)
     }
 
     pub(super) fn is_ready(&self) -> bool {
         self.report.as_ref().is_some_and(|report| report.ready)
     }
 
-    pub(super) fn need(&self, now: MonotonicTime, wanted: &VersionName) -> EngineNeed {
-        let waiting = self
+    pub(super) fn next_action(&self, now: MonotonicTime, declared: &VersionName) -> EngineAction {
+        let call_pending = self
             .call
-            .is_some_and(|call| now.since(call.sent_at) < CALL_LIMIT);
-        if waiting {
-            return EngineNeed::Nothing;
+            .is_some_and(|call| now.since(call.sent_at) < CALL_TIMEOUT);
+        if call_pending {
+            return EngineAction::Nothing;
         }
         let Some(report) = &self.report else {
-            return self.read_after(now, LOADING_PERIOD);
+            return self.read_after(now, LOADING_READ_INTERVAL);
         };
-        let right = report.version == *wanted;
-        let given = self.given.as_ref().filter(|given| given.version == *wanted);
-        match (right, report.ready) {
-            (true, true) => self.read_after(now, CALM_PERIOD),
-            (true, false) => self.read_after(now, LOADING_PERIOD),
-            (false, _) if given.is_some_and(|given| now.since(given.at) < REPEAT_AFTER) => {
-                self.read_after(now, LOADING_PERIOD)
+        let matches = report.version == *declared;
+        let last_order = self
+            .last_order
+            .as_ref()
+            .filter(|last_order| last_order.version == *declared);
+        match (matches, report.ready) {
+            (true, true) => self.read_after(now, READY_READ_INTERVAL),
+            (true, false) => self.read_after(now, LOADING_READ_INTERVAL),
+            (false, _)
+                if last_order
+                    .is_some_and(|last_order| now.since(last_order.at) < ORDER_RETRY_INTERVAL) =>
+            {
+                self.read_after(now, LOADING_READ_INTERVAL)
             }
-            (false, _) => EngineNeed::Order,
+            (false, _) => EngineAction::Order,
         }
     }
 
-    fn read_after(&self, now: MonotonicTime, period: Duration) -> EngineNeed {
-        let due = self.asked_at.is_none_or(|at| now.since(at) >= period);
-        if due {
-            EngineNeed::Read
+    fn read_after(&self, now: MonotonicTime, period: Duration) -> EngineAction {
+        let is_due = self.last_call_at.is_none_or(|at| now.since(at) >= period);
+        if is_due {
+            EngineAction::Read
         } else {
-            EngineNeed::Nothing
+            EngineAction::Nothing
         }
     }
 
-    pub(super) fn sent(
+    pub(super) fn record_call(
         &mut self,
         now: MonotonicTime,
         call: OrderCallId,
         ordered: Option<VersionName>,
     ) {
-        self.asked_at = Some(now);
+        self.last_call_at = Some(now);
         self.call = Some(EngineCall { call, sent_at: now });
         if let Some(version) = ordered {
-            self.given = Some(GivenOrder { version, at: now });
+            self.last_order = Some(SentOrder { version, at: now });
             self.loading_since = Some(now);
         }
     }
--- a/crates/savorywood-core/src/orders/options.rs
+++ b/crates/savorywood-core/src/orders/options.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-/// Longest time that an order may be under way after its holder sent it: the shell's timeout, and
-/// what the network may still deliver of a connection that was given up.
-const LONGEST_ORDER: Duration = Duration::from_secs(30);
+/// Longest time between the sending of an order and its arrival: the timeout of the call plus the
+/// time in which the network may still deliver data of an abandoned connection.
+const MAX_ORDER_DURATION: Duration = Duration::from_secs(30);
 
-/// Engines that load at once. They share the weight store's rate: with more at once all would be
-/// ready late, with few some are ready soon.
-const LOADS_AT_ONCE: usize = 2;
+/// Default number of engines that load weights concurrently. They share the bandwidth of the weight
+/// store: if all loaded at once, none would be ready early.
+const MAX_CONCURRENT_LOADS: usize = 2;
 
 /// Settings of the order duty.
 #[derive(Debug, Clone)]
@@ -20,14 +20,14 @@
 impl Default for OrderOptions {
     fn default() -> Self {
         Self {
-            max_order_duration: LONGEST_ORDER,
-            max_concurrent_loads: LOADS_AT_ONCE,
+            max_order_duration: MAX_ORDER_DURATION,
+            max_concurrent_loads: MAX_CONCURRENT_LOADS,
         }
     }
 }
 
 impl OrderOptions {
-    /// Sets how long an order may be under way at most.
+    /// Sets the longest time that an order may be in flight.
     #[must_use]
     pub fn max_order_duration(self, max_order_duration: Duration) -> Self {
         Self {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Sets how many engines load at once.
+    /// Sets how many engines may load weights concurrently.
     #[must_use]
     pub fn max_concurrent_loads(self, max_concurrent_loads: usize) -> Self {
         Self {
