--- a/crates/savorywood-core/src/invariant.rs
+++ b/crates/savorywood-core/src/invariant.rs
@@ -1,51 +1,54 @@
-//! What must always hold, checked inside the program in every build.
+//! Invariants of the daemon, checked at run time in every build.
 
 use crate::effect::{DaemonEffect, EffectQueue};
 use strum::{Display, EnumIter, IntoStaticStr};
 
-/// Names an invariant; also the label of its metric.
+/// Identifies an invariant. The text form is the label of the violation counter.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Display, EnumIter, IntoStaticStr,
 )]
 #[strum(serialize_all = "kebab-case")]
 pub enum InvariantName {
-    /// A request is dispatched at most once.
+    /// A request has at most one open dispatch.
     DispatchAtMostOnce,
     /// A higher tier is never shed before a lower one.
     ShedLowestFirst,
-    /// A bad version gets a small share, and none soon after it shows itself.
+    /// A new version that fails receives only a small share of the traffic, and none soon after the
+    /// failures are detected.
     BadVersionBounded,
-    /// A caller gets the answer to its own request, whole.
+    /// A caller receives the complete response to its own request.
     #[strum(serialize = "whole-own-answer")]
     ResponseMatchesRequest,
-    /// A refusal that says "not run" is true.
+    /// A request that is refused as "not run" was not executed.
     #[strum(serialize = "not-run-is-true")]
     NotExecutedIsAccurate,
-    /// Non-idempotent work runs at most once.
+    /// A non-idempotent call is dispatched only after its claim was granted, so that it runs at
+    /// most once.
     ClaimBeforeDispatch,
-    /// A leaving upstream gets no new work.
+    /// A draining upstream, or one on a leaving host, receives no new requests.
     #[strum(serialize = "leaving-gets-nothing")]
     NoDispatchToLeaving,
-    /// A planned stop cuts off no request.
+    /// A planned stop ends only after all requests are complete.
     #[strum(serialize = "stop-cuts-nothing")]
     StopCompletesRequests,
-    /// Configuration in force never reverts.
+    /// The configuration in force never reverts to an older revision.
     ConfigNeverReverts,
-    /// Only the holder of a lease acts under it.
+    /// Only the current holder of a lease acts under it.
     #[strum(serialize = "holder-acts-alone")]
     ExclusiveLeaseHolder,
 }
 
-/// One breach.
+/// One observed violation of an invariant.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InvariantViolation {
-    /// Which invariant.
+    /// Invariant that was violated.
     pub name: InvariantName,
-    /// What was seen.
+    /// Details of the violation, for the log.
     pub detail: String,
 }
 
-/// Pushes a breach unless `holds`. The detail is only made when it is needed.
+/// Pushes [`DaemonEffect::InvariantViolated`] unless `holds`. The detail is built only on a
+/// violation.
 pub fn check(
     effects: &mut EffectQueue,
     name: InvariantName,
--- a/crates/savorywood-core/src/order.rs
+++ b/crates/savorywood-core/src/order.rs
@@ -24,9 +24,10 @@
 pub enum OrderResponse {
     /// The engine reports its state and the newest fencing number that it has received.
     Running {
-        /// Version that the engine has loaded or is loading.
+        /// Version that the engine has loaded last.
         version: VersionName,
-        /// Whether the version is completely loaded and the engine accepts requests.
+        /// Whether the version is completely loaded and the engine accepts requests; false while it
+        /// loads another version.
         ready: bool,
         /// Newest fencing number that the engine has received; `None` if it does not check them.
         fencing: Option<FencingNumber>,
--- a/crates/savorywood-core/src/snapshot.rs
+++ b/crates/savorywood-core/src/snapshot.rs
@@ -1,14 +1,15 @@
-//! A whole configuration as one daemon hands it to another.
+//! Snapshot of the configuration, which daemons transfer between one another.
 
 use savorywood_protocol::{ConfigRevision, resource::ResourceDocument, table::CommitRevision};
 
-/// Resources in force at one revision.
+/// All resources in force at one revision.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ConfigSnapshot {
-    /// Revision in force.
+    /// Revision of the configuration.
     pub revision: ConfigRevision,
-    /// Newest commit of the table that it covers: where reading the table goes on.
+    /// Newest table commit that the snapshot includes. The receiver continues to read the table
+    /// after this commit.
     pub table_revision: CommitRevision,
-    /// All resources.
+    /// All resource documents in force.
     pub documents: Vec<ResourceDocument>,
 }
--- a/crates/savorywood-core/src/view.rs
+++ b/crates/savorywood-core/src/view.rs
@@ -1,4 +1,4 @@
-//! What duties may read of one another.
+//! Read-only views through which duties read one another's state.
 
 pub mod config_view;
 pub mod member_view;
--- a/crates/savorywood-core/src/view/config_view.rs
+++ b/crates/savorywood-core/src/view/config_view.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, indexed for decisions.
+//! The configuration in force, indexed for look-ups.
 
 use crate::request::TokenDigest;
 use savorywood_protocol::{
@@ -11,35 +11,35 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Resources in force at one revision.
+/// All resources in force at one revision, indexed by kind and name.
 #[derive(Debug, Clone, Default)]
 pub struct ConfigView {
-    /// Newest revision applied.
+    /// Revision of the newest change that was applied.
     pub revision: ConfigRevision,
-    /// Services by name.
+    /// Specs of the services.
     pub services: BTreeMap<ServiceName, ServiceSpec>,
-    /// Tiers by name.
+    /// Specs of the tiers.
     pub tiers: BTreeMap<TierName, TierSpec>,
-    /// Teams by name.
+    /// Specs of the teams.
     pub teams: BTreeMap<TeamName, TeamSpec>,
-    /// Upstreams by name.
+    /// Specs of the upstreams, of all services.
     pub upstreams: BTreeMap<UpstreamName, UpstreamSpec>,
-    /// Versions by name.
+    /// Specs of the versions, of all services.
     pub versions: BTreeMap<VersionName, VersionSpec>,
-    /// Moves by name.
+    /// Specs of the traffic moves, ended ones included until they are deleted.
     pub moves: BTreeMap<MoveName, TrafficMoveSpec>,
-    /// All documents as written, for reads and watches.
+    /// All resource documents as written by operators, for reads and watches.
     pub documents: BTreeMap<ResourceKey, ResourceDocument>,
     tokens: BTreeMap<TokenDigest, TeamName>,
     upstreams_by_service: BTreeMap<ServiceName, BTreeSet<UpstreamName>>,
 }
 
 impl ConfigView {
-    /// Adds or replaces a resource.
+    /// Inserts or replaces a resource.
     ///
     /// # Errors
     ///
-    /// When the document's name is not a name.
+    /// When the document's name is not a valid resource name.
     pub fn insert(&mut self, document: ResourceDocument) -> Result<(), NameError> {
         savorywood_protocol::name::check_name(&document.name)?;
         self.remove(&document.key());
@@ -80,7 +80,7 @@
         self.upstreams.insert(name, spec.clone());
     }
 
-    /// Removes a resource; absent ones are no error.
+    /// Removes a resource. Does nothing if it does not exist.
     pub fn remove(&mut self, key: &ResourceKey) {
         let Some(document) = self.documents.remove(key) else {
             return;
@@ -114,26 +114,27 @@
         }
     }
 
-    /// Team that holds a token. Digests, not tokens, are compared: how long the look-up takes
-    /// tells nothing of a token that an attacker does not hold.
+    /// Returns the team that a token belongs to. The look-up compares digests of tokens, so its
+    /// timing does not reveal anything about valid tokens.
     #[must_use]
     pub fn team_of(&self, token: &TokenDigest) -> Option<&TeamName> {
         self.tokens.get(token)
     }
 
-    /// Names of a service's upstreams, in order.
+    /// Returns the names of a service's upstreams, in lexical order.
     pub fn upstreams_of(&self, service: &ServiceName) -> impl Iterator<Item = &UpstreamName> {
         self.upstreams_by_service.get(service).into_iter().flatten()
     }
 
-    /// Rank of a tier.
+    /// Returns the rank of a tier; `None` if the tier does not exist. A smaller rank is
+    /// a higher tier.
     #[must_use]
     pub fn rank_of(&self, tier: &TierName) -> Option<TierRank> {
         self.tiers.get(tier).map(|spec| spec.rank)
     }
 }
 
-/// Reads 64 hexadecimal digits.
+/// Parses a SHA-256 digest from 64 hexadecimal digits.
 fn parse_digest(text: &str) -> Option<TokenDigest> {
     let mut digest = [0; 32];
     if text.len() != 2 * digest.len() || !text.is_ascii() {
--- a/crates/savorywood-core/src/view/member_view.rs
+++ b/crates/savorywood-core/src/view/member_view.rs
@@ -1,38 +1,39 @@
-//! The daemons that this one knows of.
+//! Cluster members as seen by this daemon.
 
 use savorywood_protocol::{
     ConfigRevision, HostIncarnation, HostName, RegionName, ZoneName, peer::membership::MemberState,
 };
 use std::{collections::BTreeMap, net::SocketAddr};
 
-/// What is known of one daemon.
+/// One member of the cluster, as last reported by gossip.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MemberRecord {
-    /// Its life.
+    /// Incarnation of the daemon process; larger after each restart.
     pub incarnation: HostIncarnation,
-    /// Whether it answers.
+    /// Liveness of the member.
     pub state: MemberState,
-    /// Where its peers reach it.
+    /// Address at which other daemons reach the member.
     pub peer_address: SocketAddr,
-    /// Where callers reach it.
+    /// Address at which callers reach the member.
     pub caller_address: SocketAddr,
-    /// Availability zone.
+    /// Availability zone of the member's host.
     pub zone: ZoneName,
-    /// Region.
+    /// Region of the member's host.
     pub region: RegionName,
-    /// Configuration revision in force there, as last heard.
+    /// Revision of the configuration in force at the member, as last reported.
     pub config_revision: ConfigRevision,
 }
 
-/// The daemons that this one knows of, itself included.
+/// Members of the cluster as seen by this daemon, itself included.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct MemberView {
-    /// Members by host.
+    /// Members by host name.
     pub members: BTreeMap<HostName, MemberRecord>,
 }
 
 impl MemberView {
-    /// Members that take new work: alive or merely suspected.
+    /// Returns the members that accept new requests: those that are alive or only suspected of a
+    /// failure.
     pub fn serving(&self) -> impl Iterator<Item = (&HostName, &MemberRecord)> {
         self.members
             .iter()
--- a/crates/savorywood-core/src/view/version_split.rs
+++ b/crates/savorywood-core/src/view/version_split.rs
@@ -1,16 +1,17 @@
-//! How a service's traffic is split between two versions.
+//! Traffic split of a service between two versions.
 
 use savorywood_protocol::{MoveName, VersionName};
 
-/// Split of one service's traffic while a move is under way.
+/// Traffic split of one service while a move is in progress.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VersionSplit {
     /// Move that the split belongs to.
     pub move_name: MoveName,
-    /// Version that has the rest of the traffic.
+    /// Version that receives the rest of the traffic.
     pub old: VersionName,
-    /// Version that has the share.
+    /// Version that receives `new_per_mille` of the traffic.
     pub new: VersionName,
-    /// Share of the new version, in thousandths; zero once the move was stopped.
+    /// Traffic share of the new version, in thousandths (0 to 1000); zero after the move was
+    /// stopped.
     pub new_per_mille: u16,
 }
