--- a/crates/savorywood-core/src/discovery.rs
+++ b/crates/savorywood-core/src/discovery.rs
@@ -1,30 +1,32 @@
-//! Which daemon a caller should connect to.
+//! Address discovery: which daemons a caller should connect to.
 //!
-//! Nothing stands in front of the daemons: callers ask any of them for addresses, keep the
-//! answer for its `max_age` and connect there. Callers of one team, or with prompts that share a
-//! prefix, are sent to the same daemon, which then knows which engine holds their prefix. All
-//! daemons give the same answer from the same member view, without asking one another.
+//! There is no load balancer in front of the daemons. Callers ask any daemon for addresses, cache
+//! the response for its `max_age` and connect directly. Callers of one team, or with prompts that
+//! share a prefix, are directed to the same daemon, which therefore knows which engine has their
+//! prefix cached. All daemons compute the same response from the same member view, without
+//! coordination.
 
-mod plan;
+mod ranker;
 
-pub use plan::AddressRanker;
+pub use ranker::AddressRanker;
 
 use crate::view::{ConfigView, MemberView};
 use savorywood_protocol::{RequestRefusal, ServiceName, TeamName, ZoneName};
 use serde::{Deserialize, Serialize};
 use std::{net::SocketAddr, time::Duration};
 
-/// Settings of address answers.
+/// Settings of address responses.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DiscoveryOptions {
-    /// Addresses in an answer at most.
+    /// Maximum number of addresses in a response; at least one is returned.
     pub max_addresses: usize,
-    /// Time that callers may keep an answer. A daemon that leaves serves for at least as long.
+    /// How long callers may cache a response. A daemon that is stopping accepts requests for at
+    /// least this long.
     pub max_age: Duration,
 }
 
 impl Default for DiscoveryOptions {
-    /// Three addresses, kept for ten seconds.
+    /// Returns at most three addresses with a max-age of 10 s.
     fn default() -> Self {
         Self {
             max_addresses: 3,
@@ -33,44 +35,46 @@
     }
 }
 
-/// What a caller says when it asks for addresses.
+/// Parameters of one address query.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AddressQuery<'a> {
-    /// Service that it will call.
+    /// Service that the caller will call.
     pub service: &'a ServiceName,
-    /// Its team, when it gave a token.
+    /// Team of the caller; `None` when it sent no token.
     pub team: Option<&'a TeamName>,
-    /// Prompts with a common prefix have a common group; goes before the team.
+    /// Group of prompts that share a prefix, chosen by the caller. Takes precedence over the team.
     pub prefix_group: Option<&'a str>,
-    /// Its availability zone; that of the asked daemon when it names none.
+    /// Availability zone of the caller. When absent, the zone of the queried daemon is used.
     pub zone: Option<&'a ZoneName>,
-    /// Anything that differs between callers of one team, such as the address it calls from.
+    /// Text that distinguishes callers of one team, such as the source address. Spreads the
+    /// callers of a large team over several daemons.
     pub caller: &'a str,
 }
 
-/// One address of an answer.
+/// One address of an [`AddressResponse`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerAddress {
-    /// Where to connect.
+    /// Address at which the daemon accepts connections from callers.
     pub address: SocketAddr,
-    /// Availability zone of the daemon there.
+    /// Availability zone of that daemon.
     pub zone: ZoneName,
 }
 
-/// Answer to `GET /v1/addresses`.
+/// Response to `GET /v1/addresses`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AddressResponse {
-    /// Addresses, best first.
+    /// Addresses in order of preference, best first.
     pub addresses: Vec<CallerAddress>,
-    /// Seconds that the answer may be kept.
+    /// Seconds for which the caller may cache the response.
     pub max_age_seconds: u64,
 }
 
-/// Ranks the daemons for one query. [`AddressRanker`] keeps what does not depend on the query.
+/// Ranks the daemons for one query. Callers with many queries for one member view can reuse an
+/// [`AddressRanker`].
 ///
 /// # Errors
 ///
-/// When the service is unknown or no daemon takes work.
+/// When the service does not exist or no daemon accepts new requests.
 pub fn rank_addresses(
     query: &AddressQuery<'_>,
     members: &MemberView,
--- a/crates/savorywood-core/src/discovery/plan.rs
+++ b/crates/savorywood-core/src/discovery/ranker.rs
@@ -1,4 +1,4 @@
-//! The part of address answers that depends on the member view alone.
+//! Ranking of daemons for address queries by rendezvous hashing with bounded loads.
 
 use super::{AddressQuery, AddressResponse, CallerAddress, DiscoveryOptions};
 use crate::{
@@ -15,16 +15,16 @@
     time::Duration,
 };
 
-/// Parts that the keys of all callers are divided into.
+/// Number of slots into which the hashes of query keys are divided.
 const KEY_SLOTS: usize = 256;
 
-/// A daemon gets at most this many thousandths of its even share of the slots. Without the
-/// bound, plain rendezvous hashing gives some daemon nearly twice its share when there are few
-/// slots a daemon; it would be full while others idle.
+/// Maximum number of slots of one daemon, in thousandths of an even share. With few slots per
+/// daemon, rendezvous hashing without a bound gives some daemons nearly twice an even share, so
+/// that they are overloaded while others are idle.
 const LOAD_BOUND_PER_MILLE: usize = 1_250;
 
 #[derive(Debug)]
-struct PlanMember {
+struct Candidate {
     host: HostName,
     address: SocketAddr,
     zone: ZoneName,
@@ -32,19 +32,19 @@
     suspect: bool,
 }
 
-/// Daemons that take work, and who of a zone is first for which keys. Made anew when the member
-/// view changes.
+/// Daemons that accept new requests, and the preferred daemon of each zone for each slot. Built
+/// from one member view; a changed view needs a new ranker.
 #[derive(Debug, Default)]
 pub struct AddressRanker {
-    members: Vec<PlanMember>,
-    owners: BTreeMap<ZoneName, Vec<usize>>,
+    members: Vec<Candidate>,
+    slot_owners: BTreeMap<ZoneName, Vec<usize>>,
 }
 
 impl AddressRanker {
-    /// The plan for a member view.
+    /// Creates the ranker for a member view.
     #[must_use]
     pub fn new(view: &MemberView) -> Self {
-        let members = view.serving().map(|(host, record)| PlanMember {
+        let members = view.serving().map(|(host, record)| Candidate {
             host: host.clone(),
             address: record.caller_address,
             zone: record.zone.clone(),
@@ -53,18 +53,21 @@
         });
         let members: Vec<_> = members.collect();
         let zones: BTreeSet<_> = members.iter().map(|member| &member.zone).collect();
-        let owners = zones
+        let slot_owners = zones
             .into_iter()
             .map(|zone| (zone.clone(), assign_slots(&members, zone)))
             .collect();
-        Self { members, owners }
+        Self {
+            members,
+            slot_owners,
+        }
     }
 
     /// Ranks the daemons for one query.
     ///
     /// # Errors
     ///
-    /// When the service is unknown or no daemon takes work.
+    /// When the service does not exist or no daemon accepts new requests.
     pub fn rank(
         &self,
         query: &AddressQuery<'_>,
@@ -76,13 +79,13 @@
             return Err(unknown_service(query.service, config));
         }
         if self.members.is_empty() {
-            let detail = "no daemon takes new work now; ask again";
+            let detail = "no daemon accepts new requests at present; retry after the given delay";
             let refusal = RequestRefusal::not_run(RefusalCode::NotReady, detail);
             return Err(refusal.with_retry_after(Duration::from_secs(1)));
         }
         let zone = query.zone.unwrap_or(own_zone);
-        let chosen = self.choose(query, config, zone, options.max_addresses.max(1));
-        let addresses = chosen.into_iter().map(|index| {
+        let selected = self.select(query, config, zone, options.max_addresses.max(1));
+        let addresses = selected.into_iter().map(|index| {
             let member = &self.members[index];
             CallerAddress {
                 address: member.address,
@@ -95,7 +98,7 @@
         })
     }
 
-    fn choose(
+    fn select(
         &self,
         query: &AddressQuery<'_>,
         config: &ConfigView,
@@ -103,48 +106,48 @@
         length: usize,
     ) -> Vec<usize> {
         let key = query_key(query);
-        let mut near = self.near_order(key, zone);
-        let spread = self.spread(query, config, near.len());
-        if spread > 1 {
-            let turn = rendezvous::hash_parts(&[query.caller]) % spread as u64;
-            near[..spread].rotate_left(usize::try_from(turn).unwrap_or_default());
+        let mut local = self.local_order(key, zone);
+        let width = self.spread_width(query, config, local.len());
+        if width > 1 {
+            let rotation = rendezvous::hash_parts(&[query.caller]) % width as u64;
+            local[..width].rotate_left(usize::try_from(rotation).unwrap_or_default());
         }
-        // One place is kept for another zone: when the caller's own zone goes down, it must hold
-        // an address that still answers.
-        let away = self.away_order(key, zone);
-        let kept = usize::from(length > 1 && !away.is_empty());
-        let mut chosen: Vec<_> = near.iter().copied().take(length - kept).collect();
-        chosen.extend(away);
-        let rest = near.into_iter().skip(length - kept);
-        chosen.extend(rest);
-        chosen.truncate(length);
-        chosen
+        // One address is reserved for another zone, so that the caller has a reachable address
+        // when its own zone fails.
+        let remote = self.remote_order(key, zone);
+        let reserved = usize::from(length > 1 && !remote.is_empty());
+        let mut selected: Vec<_> = local.iter().copied().take(length - reserved).collect();
+        selected.extend(remote);
+        let rest = local.into_iter().skip(length - reserved);
+        selected.extend(rest);
+        selected.truncate(length);
+        selected
     }
 
-    /// Members of the zone: the owner of the key's slot, then the others by their scores.
-    fn near_order(&self, key: u64, zone: &ZoneName) -> Vec<usize> {
+    /// Returns the members of the zone: the owner of the key's slot, then the others by score.
+    fn local_order(&self, key: u64, zone: &ZoneName) -> Vec<usize> {
         let mut order: Vec<_> = (0..self.members.len())
             .filter(|index| self.members[*index].zone == *zone)
             .collect();
         order.sort_by_key(|index| self.sort_key(key, *index));
-        let owners = self.owners.get(zone);
-        let owner = owners.and_then(|owners| owners.get(slot_of(key)));
-        if let Some(place) = order.iter().position(|index| Some(index) == owner) {
-            order[..=place].rotate_right(1);
+        let slot_owners = self.slot_owners.get(zone);
+        let owner = slot_owners.and_then(|slot_owners| slot_owners.get(slot_index(key)));
+        if let Some(position) = order.iter().position(|index| Some(index) == owner) {
+            order[..=position].rotate_right(1);
         }
         order
     }
 
-    /// Members of other zones: those of the same region first.
-    fn away_order(&self, key: u64, zone: &ZoneName) -> Vec<usize> {
+    /// Returns the members of other zones, those of the same region first.
+    fn remote_order(&self, key: u64, zone: &ZoneName) -> Vec<usize> {
         let mut members = self.members.iter();
         let region = members.find(|m| m.zone == *zone).map(|m| &m.region);
         let mut order: Vec<_> = (0..self.members.len())
             .filter(|index| self.members[*index].zone != *zone)
             .collect();
         order.sort_by_key(|index| {
-            let far = region.is_some_and(|region| *region != self.members[*index].region);
-            (far, self.sort_key(key, *index))
+            let other_region = region.is_some_and(|region| *region != self.members[*index].region);
+            (other_region, self.sort_key(key, *index))
         });
         order
     }
@@ -157,19 +160,27 @@
         }
     }
 
-    /// Daemons that a team's callers are spread over: a team that is larger than a daemon's even
-    /// share would otherwise fill one daemon while its neighbours idle.
-    fn spread(&self, query: &AddressQuery<'_>, config: &ConfigView, near: usize) -> usize {
-        if query.prefix_group.is_some() || near < 2 {
+    /// Returns the number of daemons over which the callers of a team are spread. A team whose
+    /// weight exceeds the even share of one daemon would otherwise overload that daemon while
+    /// others are idle.
+    fn spread_width(
+        &self,
+        query: &AddressQuery<'_>,
+        config: &ConfigView,
+        local_members: usize,
+    ) -> usize {
+        if query.prefix_group.is_some() || local_members < 2 {
             return 1;
         }
         let Some(team) = query.team.and_then(|team| config.teams.get(team)) else {
-            return near;
+            return local_members;
         };
         let weights = config.teams.values().map(|team| u64::from(team.weight));
         let total = weights.sum::<u64>().max(1);
-        let share = (u64::from(team.weight) * near as u64).div_ceil(total);
-        usize::try_from(share).unwrap_or(near).clamp(1, near)
+        let share = (u64::from(team.weight) * local_members as u64).div_ceil(total);
+        usize::try_from(share)
+            .unwrap_or(local_members)
+            .clamp(1, local_members)
     }
 }
 
@@ -179,28 +190,29 @@
     score: std::cmp::Reverse<u64>,
 }
 
-/// Gives each slot to the daemon of the zone with the highest score that is not full yet.
-fn assign_slots(members: &[PlanMember], zone: &ZoneName) -> Vec<usize> {
-    let near = members.iter().enumerate();
-    let near: Vec<_> = near.filter(|(_, member)| member.zone == *zone).collect();
-    let steady: Vec<_> = near.iter().filter(|(_, m)| !m.suspect).copied().collect();
-    let candidates = if steady.is_empty() { near } else { steady };
+/// Assigns each slot to the daemon of the zone that has the highest score among those below the
+/// load bound. Suspected daemons own slots only if all daemons of the zone are suspected.
+fn assign_slots(members: &[Candidate], zone: &ZoneName) -> Vec<usize> {
+    let local = members.iter().enumerate();
+    let local: Vec<_> = local.filter(|(_, member)| member.zone == *zone).collect();
+    let live: Vec<_> = local.iter().filter(|(_, m)| !m.suspect).copied().collect();
+    let candidates = if live.is_empty() { local } else { live };
     let bound = (KEY_SLOTS * LOAD_BOUND_PER_MILLE).div_ceil(1_000 * candidates.len().max(1));
     let mut loads = vec![0; members.len()];
-    let mut owners = Vec::with_capacity(KEY_SLOTS);
+    let mut slot_owners = Vec::with_capacity(KEY_SLOTS);
     for slot in 0..KEY_SLOTS {
-        let thing = rendezvous::mix_bits(slot as u64 + 1);
+        let slot_key = rendezvous::mix_bits(slot as u64 + 1);
         let free = candidates.iter().filter(|(index, _)| loads[*index] < bound);
-        let best = free.max_by_key(|(_, member)| rendezvous::score(thing, member.host.as_str()));
+        let best = free.max_by_key(|(_, member)| rendezvous::score(slot_key, member.host.as_str()));
         if let Some((index, _)) = best {
             loads[*index] += 1;
-            owners.push(*index);
+            slot_owners.push(*index);
         }
     }
-    owners
+    slot_owners
 }
 
-fn slot_of(key: u64) -> usize {
+fn slot_index(key: u64) -> usize {
     usize::try_from(key % KEY_SLOTS as u64).unwrap_or_default()
 }
 
@@ -214,10 +226,10 @@
 }
 
 fn unknown_service(service: &ServiceName, config: &ConfigView) -> RequestRefusal {
-    let known: Vec<_> = config.services.keys().map(ServiceName::as_str).collect();
+    let existing: Vec<_> = config.services.keys().map(ServiceName::as_str).collect();
     let detail = format!(
-        "there is no service {service}; there are: {}",
-        known.join(", ")
+        "service {service} does not exist; existing services: {}",
+        existing.join(", ")
     );
     RequestRefusal::not_run(RefusalCode::NotFound, detail)
 }
--- a/crates/savorywood-core/src/operator.rs
+++ b/crates/savorywood-core/src/operator.rs
@@ -1,58 +1,61 @@
-//! What operators ask for and what they are told.
+//! Requests of operators to change resources, and the replies to them.
 
 use savorywood_protocol::{
     ConfigRevision, RequestRefusal,
     resource::{ResourceDocument, ResourceFault, ResourceKey},
 };
 
-/// Names one operator's call within a daemon.
+/// Identifies one operator call. Unique within a daemon process; the runtime assigns it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OperatorCallId(pub u64);
 
-/// A change that an operator wants.
+/// A change of a resource, as requested by an operator.
 #[derive(Debug, Clone, PartialEq)]
 #[expect(
     clippy::large_enum_variant,
-    reason = "a request is boxed wherever it is kept"
+    reason = "requests are boxed wherever they are stored"
 )]
 pub enum OperatorRequest {
-    /// Create or replace a resource.
+    /// Creates or replaces a resource.
     Apply {
-        /// The resource.
+        /// New content of the resource.
         document: ResourceDocument,
-        /// Revision that the resource must have (`If-Match`): zero for "must not exist", `None`
-        /// when the operator does not mind.
+        /// Revision that the resource must have now (`If-Match`): zero if it must not exist, `None`
+        /// for an unconditional write.
         expected: Option<ConfigRevision>,
     },
-    /// Delete a resource.
+    /// Deletes a resource.
     Delete {
-        /// Which.
+        /// Resource to delete.
         key: ResourceKey,
-        /// Revision that the resource must have (`If-Match`).
+        /// Revision that the resource must have now (`If-Match`); `None` for an unconditional
+        /// deletion.
         expected: Option<ConfigRevision>,
     },
 }
 
-/// What an operator is told. `Accepted` is only said once the table says so.
+/// Reply to an operator. [`Accepted`](Self::Accepted) is sent only after the table service has
+/// confirmed the commit.
 #[derive(Debug, Clone, PartialEq)]
 pub enum OperatorReply {
-    /// Committed under this revision.
+    /// The change was committed.
     Accepted {
-        /// Revision of the configuration that holds the change.
+        /// First configuration revision that includes the change.
         revision: ConfigRevision,
     },
-    /// Another write came first; the resource as it stands.
+    /// The resource does not have the expected revision, or another write was committed first.
     Conflict {
-        /// The winner's resource; `None` when it was deleted or never existed.
+        /// Current resource; `None` when it was deleted or never existed.
         current: Option<Box<ResourceDocument>>,
     },
-    /// The resource can't be accepted.
+    /// Validation of the resource failed.
     Invalid {
-        /// All that is wrong.
+        /// All validation errors that were found.
         faults: Vec<ResourceFault>,
     },
-    /// There is no such resource to delete.
+    /// The resource to delete does not exist.
     NotFound,
-    /// Not now; says whether the change may have taken effect.
+    /// The change can't be made at present. The outcome of the refusal says whether it may have
+    /// taken effect.
     Refused(RequestRefusal),
 }
--- a/crates/savorywood-core/src/rendezvous.rs
+++ b/crates/savorywood-core/src/rendezvous.rs
@@ -1,16 +1,18 @@
-//! Rendezvous hashing: every daemon finds the same holder of a thing without asking anybody.
+//! Rendezvous hashing: all daemons assign a key to the same candidate without coordination.
 //!
-//! The score of each candidate depends on the candidate and the thing alone, so when a member
-//! goes only what it held moves. The hash must be the same in every build and process, which
-//! the standard library's does not promise; FNV-1a with a finishing mix is enough here.
+//! The score of a candidate depends only on the candidate and the key, so when a member leaves,
+//! only the keys that were assigned to it move. The hash must be identical in every build and
+//! process, which the standard library does not guarantee for its hasher. FNV-1a with a finalizing
+//! bit mix distributes short names evenly enough for this purpose.
 
-/// Offset of FNV-1a with 64 bits.
+/// Offset basis of 64-bit FNV-1a.
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 
-/// Prime of FNV-1a with 64 bits.
+/// Prime of 64-bit FNV-1a.
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// Hash of several texts; the same texts divided otherwise give another hash.
+/// Returns the hash of a sequence of texts. Different divisions of the same text into parts give
+/// different hashes.
 #[must_use]
 pub fn hash_parts(parts: &[&str]) -> u64 {
     let mut hash = FNV_OFFSET;
@@ -18,13 +20,14 @@
         for byte in part.as_bytes() {
             hash = (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME);
         }
-        // Byte 0xff is in no UTF-8 text, so it divides them.
+        // Byte 0xff does not occur in UTF-8, so it separates the parts unambiguously.
         hash = (hash ^ 0xff).wrapping_mul(FNV_PRIME);
     }
     mix_bits(hash)
 }
 
-/// Spreads small differences of a number over all its bits.
+/// Mixes the bits of a number, so that small differences affect all bits (the finalizer of
+/// SplitMix64).
 #[must_use]
 pub fn mix_bits(number: u64) -> u64 {
     let mut mixed = number;
@@ -33,8 +36,9 @@
     mixed ^ (mixed >> 31)
 }
 
-/// Score of a candidate for a thing; the highest holds it.
+/// Returns the score of a candidate for a key. The key is assigned to the candidate with the
+/// highest score.
 #[must_use]
-pub fn score(thing: u64, candidate: &str) -> u64 {
-    mix_bits(thing ^ hash_parts(&[candidate]))
+pub fn score(key: u64, candidate: &str) -> u64 {
+    mix_bits(key ^ hash_parts(&[candidate]))
 }
--- a/crates/savorywood-core/src/stop.rs
+++ b/crates/savorywood-core/src/stop.rs
@@ -1,8 +1,8 @@
-//! Planned stop: the daemon leaves without cutting off a request.
+//! Planned stop: graceful shutdown that completes all requests first.
 //!
-//! Callers keep the addresses that they were given, and other daemons go on naming ours until
-//! the leaving mark has reached them. So the daemon serves whatever still comes for as long as
-//! the two take together, then finishes every stream, and only then exits.
+//! Callers cache address responses, and other daemons include this one in theirs until gossip has
+//! told them that it is leaving. So the daemon accepts requests for the sum of both times, then
+//! completes every stream, and only then exits.
 
 use crate::{
     effect::{DaemonEffect, EffectQueue, LogLevel, LogLine},
@@ -17,26 +17,26 @@
     number: 0,
 };
 
-/// Time between two looks at whether all is done.
-const LOOK_PERIOD: Duration = Duration::from_millis(200);
+/// Interval between two checks whether all work is finished.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time between two log lines that say what the stop waits for.
-const REPORT_PERIOD: Duration = Duration::from_secs(30);
+/// Interval between two log lines that report what the stop waits for.
+const REPORT_INTERVAL: Duration = Duration::from_secs(30);
 
-/// Times of the planned stop.
+/// Periods of the planned stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StopOptions {
-    /// Time that callers may keep an address answer.
+    /// How long callers may cache an address response.
     pub address_max_age: Duration,
-    /// Time until every daemon knows that this one leaves.
+    /// Time until gossip has told every daemon that this one is leaving.
     pub propagation_delay: Duration,
-    /// Time without any open request after which nothing more is expected. A caller that
-    /// connected in the last moment must have time to send its request.
+    /// Time without open requests that must pass before the daemon exits, so that a caller that has
+    /// just connected can still send its request.
     pub idle_period: Duration,
 }
 
 impl Default for StopOptions {
-    /// The usual max-age of ten seconds, three for the mark, one of quiet.
+    /// Returns an address max-age of 10 s, a propagation delay of 3 s and an idle period of 1 s.
     fn default() -> Self {
         Self {
             address_max_age: Duration::from_secs(10),
@@ -46,58 +46,59 @@
     }
 }
 
-/// What happens to the stop duty.
+/// Input events of the stop duty.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopEvent {
-    /// The process was told to stop.
+    /// The process was asked to shut down.
     Requested,
-    /// Its timer fired.
+    /// The duty's timer expired.
     TimerFired,
-    /// Requests ended or came.
+    /// An event was handled that may have opened or ended a request.
     WorkChanged,
 }
 
-/// What is still open in the other duties.
+/// Work that is still open in the other duties.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct OpenWork {
-    /// Requests that wait or run, streams that are read on included.
+    /// Requests that wait or run, resumed streams included.
     pub requests: usize,
-    /// Claims whose outcome is not recorded yet.
+    /// Claims of idempotency keys whose outcome is not recorded yet.
     pub claims: usize,
 }
 
 impl OpenWork {
-    fn is_none(self) -> bool {
+    fn is_empty(self) -> bool {
         self.requests == 0 && self.claims == 0
     }
 }
 
-/// What other duties have to do for the stop, in the order given.
+/// An action for another duty. Actions are executed in the order in which they are returned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopAction {
-    /// Membership: announce that this daemon leaves. Address answers leave it out at once.
+    /// Membership announces that this daemon is leaving. Address responses of daemons that have
+    /// received the announcement no longer include it.
     AnnounceLeaving,
-    /// Leases: give up all that are held, and take no more.
+    /// The lease duty releases all leases and acquires no more.
     ReleaseLeases,
-    /// Credits: give all seats back.
+    /// The credit duty returns all slots that were granted to this daemon.
     ReleaseCredits,
-    /// Membership: announce that this daemon is gone.
+    /// Membership announces that this daemon has left.
     AnnounceLeft,
 }
 
-/// How far the stop has come.
+/// Phase of the planned stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum StopPhase {
     Serving,
     Leaving {
         serve_until: MonotonicTime,
-        quiet_since: Option<MonotonicTime>,
+        idle_since: Option<MonotonicTime>,
         reported_at: MonotonicTime,
     },
-    Exited,
+    Finished,
 }
 
-/// State of the stop duty.
+/// State machine of the stop duty.
 #[derive(Debug)]
 pub struct StopState {
     options: StopOptions,
@@ -105,7 +106,7 @@
 }
 
 impl StopState {
-    /// A daemon that serves.
+    /// Creates the state of a daemon that is not stopping.
     #[must_use]
     pub fn new(options: StopOptions) -> Self {
         Self {
@@ -114,13 +115,13 @@
         }
     }
 
-    /// Whether the stop has begun.
+    /// Whether a planned stop has been requested.
     #[must_use]
     pub fn is_stopping(&self) -> bool {
         self.phase != StopPhase::Serving
     }
 
-    /// Handles one event.
+    /// Handles one event and returns the actions for other duties.
     pub fn step(
         &mut self,
         now: CoreTime,
@@ -131,8 +132,8 @@
         let now = now.monotonic;
         match (event, self.phase) {
             (StopEvent::Requested, StopPhase::Serving) => self.begin(now, open, effects),
-            (_, StopPhase::Leaving { .. }) => self.look(now, open, effects),
-            (_, StopPhase::Serving | StopPhase::Exited) => Vec::new(),
+            (_, StopPhase::Leaving { .. }) => self.check_progress(now, open, effects),
+            (_, StopPhase::Serving | StopPhase::Finished) => Vec::new(),
         }
     }
 
@@ -145,15 +146,15 @@
         let serve_until = now + self.options.propagation_delay + self.options.address_max_age;
         self.phase = StopPhase::Leaving {
             serve_until,
-            quiet_since: open.is_none().then_some(now),
+            idle_since: open.is_empty().then_some(now),
             reported_at: now,
         };
         log_open("stop_begun", open, effects);
-        effects.set_timer(STOP_TIMER, now + LOOK_PERIOD);
+        effects.set_timer(STOP_TIMER, now + CHECK_INTERVAL);
         vec![StopAction::AnnounceLeaving, StopAction::ReleaseLeases]
     }
 
-    fn look(
+    fn check_progress(
         &mut self,
         now: MonotonicTime,
         open: OpenWork,
@@ -161,45 +162,46 @@
     ) -> Vec<StopAction> {
         let StopPhase::Leaving {
             serve_until,
-            quiet_since,
+            idle_since,
             reported_at,
         } = &mut self.phase
         else {
             return Vec::new();
         };
-        *quiet_since = match open.is_none() {
-            true => Some(quiet_since.unwrap_or(now)),
+        *idle_since = match open.is_empty() {
+            true => Some(idle_since.unwrap_or(now)),
             false => None,
         };
-        if now.since(*reported_at) >= REPORT_PERIOD {
+        if now.since(*reported_at) >= REPORT_INTERVAL {
             *reported_at = now;
             log_open("stop_waits", open, effects);
         }
-        let quiet_for = quiet_since.map_or(Duration::ZERO, |since| now.since(since));
-        let quiet = quiet_since.is_some() && quiet_for >= self.options.idle_period;
-        if now < *serve_until || !quiet {
-            effects.set_timer(STOP_TIMER, now + LOOK_PERIOD);
+        let idle_for = idle_since.map_or(Duration::ZERO, |since| now.since(since));
+        let is_idle = idle_since.is_some() && idle_for >= self.options.idle_period;
+        if now < *serve_until || !is_idle {
+            effects.set_timer(STOP_TIMER, now + CHECK_INTERVAL);
             return Vec::new();
         }
         self.exit(open, effects)
     }
 
-    /// The last verdicts. They are carried out before [`Self::finish`] pushes the exit.
+    /// Returns the last actions. The caller executes them before [`Self::finish`] pushes the exit.
     fn exit(&mut self, open: OpenWork, effects: &mut EffectQueue) -> Vec<StopAction> {
-        self.phase = StopPhase::Exited;
+        self.phase = StopPhase::Finished;
         log_open("stop_done", open, effects);
         invariant::check(
             effects,
             InvariantName::StopCompletesRequests,
-            open.is_none(),
+            open.is_empty(),
             || format!("requests={} claims={}", open.requests, open.claims),
         );
         vec![StopAction::ReleaseCredits, StopAction::AnnounceLeft]
     }
 
-    /// Pushes the exit, once the last verdicts were carried out.
+    /// Pushes [`DaemonEffect::Exit`] if the stop is complete. Called after the last actions were
+    /// executed.
     pub fn finish(&self, effects: &mut EffectQueue) {
-        if self.phase == StopPhase::Exited {
+        if self.phase == StopPhase::Finished {
             effects.push(DaemonEffect::Exit);
         }
     }
