--- a/crates/savorywood-core/src/daemon.rs
+++ b/crates/savorywood-core/src/daemon.rs
@@ -270,7 +270,7 @@
             DutyKind::Config => self.step_config(now, ConfigEvent::TimerFired { number }, effects),
             DutyKind::Claims => self.step_claims(now, ClaimEvent::TimerFired { number }, effects),
             DutyKind::Credits => {
-                self.step_credits(now, CreditEvent::TimerFired { number }, effects)
+                self.step_credits(now, CreditEvent::TimerFired { number }, effects);
             }
             DutyKind::Leases => self.step_leases(now, LeaseEvent::TimerFired { number }, effects),
             DutyKind::Stop => self.step_stop(now, StopEvent::TimerFired, effects),
--- a/crates/savorywood-core/src/daemon/arrivals.rs
+++ b/crates/savorywood-core/src/daemon/arrivals.rs
@@ -47,7 +47,7 @@
         self.step_claims(now, ClaimEvent::Wanted(Box::new(wish)), effects);
     }
 
-    /// Refuses requests while the configuration is not known to be current. A daemon that can reach
+    /// Refuses requests while the configuration is not confirmed to be current. A daemon that can reach
     /// neither the table service nor its peers may have missed that a team was removed or an
     /// upstream was drained, and would still dispatch work for them. The refusal refers callers to
     /// another daemon.
--- a/crates/savorywood-core/src/daemon/hosts.rs
+++ b/crates/savorywood-core/src/daemon/hosts.rs
@@ -20,7 +20,7 @@
     ) {
         for entry in &hosts {
             // A host that is missing from the list stays marked: either it was removed or the list
-            // is wrong. Only an entry that says that the host stays clears the mark.
+            // is wrong. Only an entry without `leaving` clears the mark.
             if entry.leaving {
                 self.leaving_hosts.insert(entry.host.clone());
             } else {
--- a/crates/savorywood-core/src/daemon/moves.rs
+++ b/crates/savorywood-core/src/daemon/moves.rs
@@ -116,7 +116,7 @@
     }
 }
 
-/// State of one move.
+/// A traffic move and its current state, copied before the configuration duty is updated.
 struct MoveStateEntry {
     name: MoveName,
     state: MoveState,
--- a/crates/savorywood-core/src/daemon/objectives.rs
+++ b/crates/savorywood-core/src/daemon/objectives.rs
@@ -95,7 +95,7 @@
                 }
             }
             UpstreamEvent::Failed { request, .. } => {
-                self.record_missed_deadline(now, *request, burn)
+                self.record_missed_deadline(now, *request, burn);
             }
             UpstreamEvent::NotSent { .. }
             | UpstreamEvent::LoadReported { .. }
--- a/crates/savorywood-core/src/discovery.rs
+++ b/crates/savorywood-core/src/discovery.rs
@@ -2,7 +2,7 @@
 //!
 //! There is no load balancer in front of the daemons. Callers ask any daemon for addresses, cache
 //! the response for its `max_age` and connect directly. Callers of one team, or with prompts that
-//! share a prefix, are directed to the same daemon, which therefore knows which engine has their
+//! share a prefix, are directed to the same daemon, which therefore tracks which engine has their
 //! prefix cached. All daemons compute the same response from the same member view, without
 //! coordination.
 
--- a/crates/savorywood-core/src/event.rs
+++ b/crates/savorywood-core/src/event.rs
@@ -31,7 +31,7 @@
     Leases,
     /// Traffic moves from one version of a service to another.
     Moves,
-    /// Orders that tell engines which version to load.
+    /// Orders to engines to load a version.
     Orders,
     /// Claims of idempotency keys for calls that must not run twice.
     Claims,
--- a/crates/savorywood-core/src/operator.rs
+++ b/crates/savorywood-core/src/operator.rs
@@ -55,7 +55,7 @@
     },
     /// The resource to delete does not exist.
     NotFound,
-    /// The change can't be made at present. The outcome of the refusal says whether it may have
-    /// taken effect.
+    /// The change can't be made at present. The refusal's outcome field indicates whether it
+    /// may have taken effect.
     Refused(RequestRefusal),
 }
--- a/crates/savorywood-core/src/orders.rs
+++ b/crates/savorywood-core/src/orders.rs
@@ -100,7 +100,7 @@
             OrderEvent::ViewChanged => {}
             OrderEvent::TimerFired => self.timer_set = false,
             OrderEvent::Completed { call, response } => {
-                self.handle_response(now, call, response, effects)
+                self.handle_response(now, call, response, effects);
             }
         }
         self.begin_term(view);
--- a/crates/savorywood-core/src/rendezvous.rs
+++ b/crates/savorywood-core/src/rendezvous.rs
@@ -3,7 +3,7 @@
 //! The score of a candidate depends only on the candidate and the key, so when a member leaves,
 //! only the keys that were assigned to it move. The hash must be identical in every build and
 //! process, which the standard library does not guarantee for its hasher. FNV-1a with a finalizing
-//! bit mix distributes short names evenly enough for this purpose.
+//! bit mix is sufficient here.
 
 /// Offset basis of 64-bit FNV-1a.
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
--- a/crates/savorywood-core/src/stop.rs
+++ b/crates/savorywood-core/src/stop.rs
@@ -1,8 +1,8 @@
 //! Planned stop: graceful shutdown that completes all requests first.
 //!
-//! Callers cache address responses, and other daemons include this one in theirs until gossip has
-//! told them that it is leaving. So the daemon accepts requests for the sum of both times, then
-//! completes every stream, and only then exits.
+//! Callers cache address responses, and other daemons include this one in theirs until they
+//! receive by gossip that it is leaving. So the daemon accepts requests for the sum of both times,
+//! then completes every stream, and only then exits.
 
 use crate::{
     effect::{DaemonEffect, EffectQueue, LogLevel, LogLine},
@@ -28,7 +28,7 @@
 pub struct StopOptions {
     /// How long callers may cache an address response.
     pub address_max_age: Duration,
-    /// Time until gossip has told every daemon that this one is leaving.
+    /// Time until every daemon has received by gossip that this one is leaving.
     pub propagation_delay: Duration,
     /// Time without open requests that must pass before the daemon exits, so that a caller that has
     /// just connected can still send its request.
--- a/crates/savorywood-core/src/view/member_view.rs
+++ b/crates/savorywood-core/src/view/member_view.rs
@@ -32,8 +32,8 @@
 }
 
 impl MemberView {
-    /// Returns the members that accept new requests: those that are alive or only suspected of a
-    /// failure.
+    /// Returns the members that accept new requests: those that are live, and those that are
+    /// suspected of a failure but not declared dead.
     pub fn serving(&self) -> impl Iterator<Item = (&HostName, &MemberRecord)> {
         self.members
             .iter()
