--- a/crates/savorywood-core/src/daemon/credits.rs
+++ b/crates/savorywood-core/src/daemon/credits.rs
@@ -65,6 +65,7 @@
         self.by_request.remove(&request);
     }
 
+    /// Returns the number of held requests of a service by tier.
     fn waiting_by_tier(&self, service: &ServiceName) -> BTreeMap<TierRank, u32> {
         let mut tiers = BTreeMap::new();
         let held = self.by_request.values();
@@ -89,14 +90,18 @@
             members: self.membership.view(),
             demands: &self.demands.demands,
         };
-        let is_tick = matches!(event, CreditEvent::TimerFired { .. });
+        let is_timer = matches!(event, CreditEvent::TimerFired { .. });
         let changed = self.credits.step(now, event, view, effects);
         if changed {
-            self.inputs.grants.clone_from(self.credits.grants());
-            self.inputs.floors.clone_from(self.credits.floors());
+            self.scheduler_inputs
+                .grants
+                .clone_from(self.credits.grants());
+            self.scheduler_inputs
+                .floors
+                .clone_from(self.credits.floors());
             self.step_scheduler(now, SchedulerEvent::ViewChanged, effects);
         }
-        if changed || is_tick {
+        if changed || is_timer {
             self.retry_held(now, effects);
         }
     }
@@ -109,8 +114,8 @@
         effects: &mut EffectQueue,
     ) {
         let pressure = self.scheduler.service_pressure(now.monotonic, service);
-        let waits = pressure.waiting.iter().any(|tier| tier.seats > 0);
-        if !waits {
+        let has_waiting = pressure.waiting.iter().any(|tier| tier.seats > 0);
+        if !has_waiting {
             self.queued_services.remove(service);
         } else if self.queued_services.insert(service.clone()) {
             self.demands.counted_at = None;
@@ -118,6 +123,7 @@
         }
     }
 
+    /// Counts the demand on all upstreams, at most once per [`DEMAND_COUNT_INTERVAL`].
     fn count_demands(&mut self, now: MonotonicTime) {
         let counted = self.demands.counted_at;
         if counted.is_some_and(|at| now.since(at) < DEMAND_COUNT_INTERVAL) {
@@ -127,15 +133,15 @@
         let mut demands = BTreeMap::new();
         self.queued_services.clear();
         for service in config.services.keys() {
-            let held = self.held.waiting_by_tier(service);
+            let held = self.held_requests.waiting_by_tier(service);
             let pressure = self.scheduler.service_pressure(now, service);
             let queued = !held.is_empty() || pressure.waiting.iter().any(|tier| tier.seats > 0);
             if queued {
                 self.queued_services.insert(service.clone());
             }
-            let members = config.upstreams_of(service).count();
+            let upstream_count = config.upstreams_of(service).count();
             for name in config.upstreams_of(service) {
-                let demand = self.local_demand(name, &held, members, queued);
+                let demand = self.local_demand(name, &held, upstream_count, queued);
                 if !demand.tiers.is_empty() {
                     demands.insert(name.clone(), demand);
                 }
@@ -147,20 +153,22 @@
         };
     }
 
+    /// Returns the demand on one upstream by tier, in slots. The held requests of a service are
+    /// divided evenly between its upstreams.
     fn local_demand(
         &self,
         name: &UpstreamName,
         held: &BTreeMap<TierRank, u32>,
-        members: usize,
+        upstream_count: usize,
         queued: bool,
     ) -> LocalDemand {
-        let members = u32::try_from(members.max(1)).unwrap_or(u32::MAX);
+        let upstream_count = u32::try_from(upstream_count.max(1)).unwrap_or(u32::MAX);
         let mut tiers: BTreeMap<TierRank, u32> = BTreeMap::new();
         for tier in self.scheduler.demand(name) {
             *tiers.entry(tier.rank).or_default() += tier.seats;
         }
         for (rank, count) in held {
-            *tiers.entry(*rank).or_default() += count.div_ceil(members);
+            *tiers.entry(*rank).or_default() += count.div_ceil(upstream_count);
         }
         let tiers = tiers.into_iter().filter(|(_, seats)| *seats > 0);
         LocalDemand {
@@ -185,7 +193,7 @@
         effects: &mut EffectQueue,
     ) -> bool {
         let in_time = request.deadline_at > now.monotonic;
-        let full = self.held.by_request.len() >= MAX_HELD_REQUESTS;
+        let full = self.held_requests.by_request.len() >= MAX_HELD_REQUESTS;
         if !refusal.is_for_load() || !in_time || full || self.stop.is_stopping() {
             return true;
         }
@@ -205,7 +213,7 @@
             request: request.clone(),
             refusal: refusal.clone(),
         };
-        self.held.by_request.insert(request.request, held);
+        self.held_requests.by_request.insert(request.request, held);
         self.demands.counted_at = None;
         false
     }
@@ -219,29 +227,37 @@
         request: &QueuedRequest,
         effects: &mut EffectQueue,
     ) {
-        let held = self.held.by_request.values().map(|held| &held.request);
+        let held = self
+            .held_requests
+            .by_request
+            .values()
+            .map(|held| &held.request);
         let lower = held.filter(|held| held.service == request.service && held.rank > request.rank);
         let mut lower_requests: Vec<_> = lower.map(|held| (held.rank, held.request)).collect();
         lower_requests.sort_unstable_by(|one, other| other.cmp(one));
-        for (_, victim) in lower_requests {
-            if let Some(held) = self.held.by_request.remove(&victim) {
-                self.send_refusal(now, victim, held.refusal, effects);
+        for (_, lower_request) in lower_requests {
+            if let Some(held) = self.held_requests.by_request.remove(&lower_request) {
+                self.send_refusal(now, lower_request, held.refusal, effects);
             }
         }
     }
 
     /// Submits held requests to the scheduler again and refuses those whose deadline has passed.
     fn retry_held(&mut self, now: CoreTime, effects: &mut EffectQueue) {
-        if self.held.by_request.is_empty() {
+        if self.held_requests.by_request.is_empty() {
             return;
         }
-        let held = self.held.by_request.values().map(|held| &held.request);
+        let held = self
+            .held_requests
+            .by_request
+            .values()
+            .map(|held| &held.request);
         let mut candidates: Vec<_> = held.map(|held| (held.rank, held.request)).collect();
         candidates.sort_unstable();
         let mut services = BTreeSet::new();
         // Highest tier first. The others stay held meanwhile, so that they can be shed for it.
         for (_, request) in candidates {
-            let Some(held) = self.held.by_request.remove(&request) else {
+            let Some(held) = self.held_requests.by_request.remove(&request) else {
                 continue;
             };
             services.insert(held.request.service.clone());
--- a/crates/savorywood-core/src/daemon/moves.rs
+++ b/crates/savorywood-core/src/daemon/moves.rs
@@ -30,7 +30,7 @@
         self.request_leases(now, effects);
         self.record_move_states();
         if verdict == MoveVerdict::SplitsChanged {
-            self.inputs.splits.clone_from(self.moves.splits());
+            self.scheduler_inputs.splits.clone_from(self.moves.splits());
             self.step_scheduler(now, SchedulerEvent::ViewChanged, effects);
         }
     }
@@ -92,7 +92,7 @@
     ) -> Option<MoveSample> {
         let queued = self.guard.get(request)?;
         // Samples are used only while the service has a move in progress.
-        if !self.inputs.splits.contains_key(&queued.service) {
+        if !self.scheduler_inputs.splits.contains_key(&queued.service) {
             return None;
         }
         let upstream = self.guard.upstream_of(request)?;
--- a/crates/savorywood-core/src/daemon/requests.rs
+++ b/crates/savorywood-core/src/daemon/requests.rs
@@ -23,9 +23,9 @@
         let view = SchedulerView {
             config: self.config.view(),
             zone: &self.options.zone,
-            splits: &self.inputs.splits,
-            grants: &self.inputs.grants,
-            floors: &self.inputs.floors,
+            splits: &self.scheduler_inputs.splits,
+            grants: &self.scheduler_inputs.grants,
+            floors: &self.scheduler_inputs.floors,
         };
         let mut decisions = EffectQueue::new();
         self.scheduler.step(now, event, view, &mut decisions);
@@ -75,7 +75,7 @@
     /// version whose move was stopped may fail its callers.
     fn check_version_split(&self, command: &DispatchCommand, effects: &mut EffectQueue) {
         let spec = self.config.view().upstreams.get(&command.upstream);
-        let split = spec.and_then(|spec| self.inputs.splits.get(&spec.service));
+        let split = spec.and_then(|spec| self.scheduler_inputs.splits.get(&spec.service));
         let (Some(spec), Some(split)) = (spec, split) else {
             return;
         };
@@ -225,7 +225,7 @@
         // The scheduler runs first: in this step it may still dispatch this request to a slot that
         // has become free, before it processes the disconnect.
         self.step_scheduler(now, SchedulerEvent::CallerLeft { request }, effects);
-        self.held.remove(request);
+        self.held_requests.remove(request);
         if self.guard.is_dispatched(request) {
             self.guard.abandon(request);
         } else {
--- a/crates/savorywood-core/src/orders/dispatch.rs
+++ b/crates/savorywood-core/src/orders/dispatch.rs
@@ -23,6 +23,7 @@
 }
 
 impl OrdersState {
+    /// Reads the state of each engine or orders it to load its declared version, where that is due.
     pub(super) fn check_engines(
         &mut self,
         now: CoreTime,
@@ -48,6 +49,7 @@
         }
     }
 
+    /// Whether an engine may be ordered to load another version now.
     fn may_order(
         &self,
         now: CoreTime,
@@ -88,6 +90,7 @@
             && !others.iter().any(|engine| is_serving(engine))
     }
 
+    /// Sends an order, or a read if `version` is `None`, unless the lease has expired.
     fn call_engine(
         &mut self,
         now: CoreTime,
--- a/crates/savorywood-core/src/orders/engine.rs
+++ b/crates/savorywood-core/src/orders/engine.rs
@@ -69,9 +69,9 @@
         match response {
             OrderResponse::Running { version, ready, .. } => {
                 let last_order = self.last_order.as_ref();
-                let done =
+                let is_loaded =
                     ready && last_order.is_none_or(|last_order| last_order.version == version);
-                if done {
+                if is_loaded {
                     self.loading_since = None;
                 } else {
                     self.loading_since.get_or_insert(now);
@@ -95,6 +95,7 @@
         self.report.as_ref().is_some_and(|report| report.ready)
     }
 
+    /// Returns the next action for an engine whose resource declares this version.
     pub(super) fn next_action(&self, now: MonotonicTime, declared: &VersionName) -> EngineAction {
         let call_pending = self
             .call
@@ -132,6 +133,7 @@
         }
     }
 
+    /// Records a call that was sent. `ordered` is the version that it orders; `None` for a read.
     pub(super) fn record_call(
         &mut self,
         now: MonotonicTime,
