--- a/crates/savorywood-core/examples/core_slopes.rs
+++ b/crates/savorywood-core/examples/core_slopes.rs
@@ -6,8 +6,8 @@
 //! request, microseconds a second at rest.
 
 use savorywood_core::{
-    AnswerReport, CallerEvent, CoreOptions, DaemonCore, DaemonEffect, DaemonEvent, DispatchOrder,
-    DutyKind, EffectQueue, PromptShape, RequestArrival, TableCall, TimerKey, TokenDigest,
+    CallerEvent, CoreOptions, DaemonCore, DaemonEffect, DaemonEvent, DispatchCommand, DutyKind,
+    EffectQueue, PromptShape, RequestArrival, ResponseReport, TableCallId, TimerKey, TokenDigest,
     UpstreamEvent,
     config::row::{HEAD_KEY, HeadRow, ResourceRow, row_key},
 };
@@ -111,7 +111,7 @@
     now: CoreTime,
     effects: EffectQueue,
     timers: BTreeMap<TimerKey, MonotonicTime>,
-    calls: Vec<TableCall>,
+    calls: Vec<TableCallId>,
 }
 
 impl CoreRig {
@@ -141,7 +141,7 @@
     }
 
     /// Steps the core and gives the dispatches that came of it.
-    fn step(&mut self, event: DaemonEvent) -> Vec<DispatchOrder> {
+    fn step(&mut self, event: DaemonEvent) -> Vec<DispatchCommand> {
         self.core.step(self.now, event, &mut self.effects);
         let mut orders = Vec::new();
         let effects: Vec<_> = self.effects.drain().collect();
@@ -151,7 +151,7 @@
                 DaemonEffect::SetTimer { key, at } => {
                     self.timers.insert(key, at);
                 }
-                DaemonEffect::Breach(breach) => panic!("{breach:?}"),
+                DaemonEffect::InvariantViolated(breach) => panic!("{breach:?}"),
                 DaemonEffect::Refuse { refusal, .. } => panic!("{refusal:?}"),
                 DaemonEffect::CallTable { call, .. } => self.calls.push(call),
                 _ => {}
@@ -168,19 +168,19 @@
                 DutyKind::Config => rows.clone(),
                 _ => Vec::new(),
             };
-            let answer = TableResponse::Rows {
+            let response = TableResponse::Rows {
                 revision: rows.len() as u64,
                 rows: read,
                 more: false,
             };
-            self.step(DaemonEvent::Table { call, answer });
+            self.step(DaemonEvent::Table { call, response });
         }
         drop(rows);
         let ready = self.core.readiness(self.now);
         assert!(ready.is_ok(), "{ready:?}");
     }
 
-    fn arrive(&mut self, number: u32, case: SlopeCase) -> Vec<DispatchOrder> {
+    fn arrive(&mut self, number: u32, case: SlopeCase) -> Vec<DispatchCommand> {
         let mut token = [0; 32];
         token[..4].copy_from_slice(&(number % case.teams).to_be_bytes());
         let arrival = RequestArrival {
@@ -222,7 +222,7 @@
                     count: 4,
                 }));
             }
-            let report = AnswerReport {
+            let report = ResponseReport {
                 status: 200,
                 prompt_tokens: 200,
                 cached_tokens: 64,
@@ -253,12 +253,12 @@
             self.now = self.now.after(wait);
             self.step(DaemonEvent::TimerFired(key));
             for call in std::mem::take(&mut self.calls) {
-                let answer = TableResponse::Rows {
+                let response = TableResponse::Rows {
                     rows: Vec::new(),
                     revision: 1,
                     more: false,
                 };
-                self.step(DaemonEvent::Table { call, answer });
+                self.step(DaemonEvent::Table { call, response });
             }
         }
         started.elapsed() / 10
--- a/crates/savorywood-core/src/claims/table_results.rs
+++ b/crates/savorywood-core/src/claims/table_results.rs
@@ -59,7 +59,7 @@
             // call elsewhere; treating it as successful would run the call under another attempt's
             // claim.
             TableResponse::Lost | TableResponse::Rows { .. } => {
-                self.mark_in_doubt(now, items, effects)
+                self.mark_in_doubt(now, items, effects);
             }
         }
     }
--- a/crates/savorywood-core/src/config.rs
+++ b/crates/savorywood-core/src/config.rs
@@ -26,8 +26,8 @@
         row::VersionedHead, table_poll::TablePoll,
     },
     effect::{DaemonEffect, EffectQueue},
-    event::{DutyKind, TableCall, TimerKey},
-    operator::{OperatorCall, OperatorRequest},
+    event::{DutyKind, TableCallId, TimerKey},
+    operator::{OperatorCallId, OperatorRequest},
     snapshot::ConfigSnapshot,
     view::{ConfigView, MemberView},
 };
@@ -61,7 +61,7 @@
     /// An operator requests a change.
     Operator {
         /// Call that the reply goes to.
-        call: OperatorCall,
+        call: OperatorCallId,
         /// Requested change.
         request: Box<OperatorRequest>,
     },
@@ -276,7 +276,7 @@
 
     fn send_call(&self, number: u64, request: TableRequest, effects: &mut EffectQueue) {
         let duty = DutyKind::Config;
-        let call = TableCall { duty, number };
+        let call = TableCallId { duty, number };
         effects.push(DaemonEffect::CallTable { call, request });
     }
 }
--- a/crates/savorywood-core/src/config/operator_writes.rs
+++ b/crates/savorywood-core/src/config/operator_writes.rs
@@ -11,7 +11,7 @@
         row::{self, ChangeNonce, HEAD_KEY, RecentChange, VersionedHead},
     },
     effect::{DaemonEffect, EffectQueue, LogLevel, LogLine},
-    operator::{OperatorCall, OperatorReply, OperatorRequest},
+    operator::{OperatorCallId, OperatorReply, OperatorRequest},
 };
 use rand::Rng;
 use savorywood_protocol::{
@@ -47,7 +47,7 @@
     pub(super) fn enqueue_write(
         &mut self,
         now: CoreTime,
-        call: OperatorCall,
+        call: OperatorCallId,
         request: OperatorRequest,
         effects: &mut EffectQueue,
     ) {
@@ -304,7 +304,7 @@
     OperatorReply::Refused(refusal.with_retry_after(Duration::from_secs(1)))
 }
 
-fn reply_to_operator(call: OperatorCall, reply: OperatorReply, effects: &mut EffectQueue) {
+fn reply_to_operator(call: OperatorCallId, reply: OperatorReply, effects: &mut EffectQueue) {
     let level = match reply {
         OperatorReply::Refused(_) => LogLevel::Warn,
         _ => LogLevel::Info,
--- a/crates/savorywood-core/src/config/pending_write.rs
+++ b/crates/savorywood-core/src/config/pending_write.rs
@@ -3,7 +3,7 @@
 
 use crate::{
     config::row::{ChangeNonce, ResourceRow, VersionedHead},
-    operator::{OperatorCall, OperatorReply, OperatorRequest},
+    operator::{OperatorCallId, OperatorReply, OperatorRequest},
     view::ConfigView,
 };
 use savorywood_protocol::{
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 pub struct PendingWrite {
     /// Call that the reply goes to.
-    pub call: OperatorCall,
+    pub call: OperatorCallId,
     /// Requested change.
     pub request: OperatorRequest,
     /// Resource that is changed or deleted.
@@ -82,7 +82,7 @@
 impl PendingWrite {
     /// Returns the state of a change that was just received.
     #[must_use]
-    pub fn new(call: OperatorCall, request: OperatorRequest, deadline_at: MonotonicTime) -> Self {
+    pub fn new(call: OperatorCallId, request: OperatorRequest, deadline_at: MonotonicTime) -> Self {
         let key = match &request {
             OperatorRequest::Apply { document, .. } => document.key(),
             OperatorRequest::Delete { key, .. } => key.clone(),
--- a/crates/savorywood-core/src/daemon/objectives.rs
+++ b/crates/savorywood-core/src/daemon/objectives.rs
@@ -1,4 +1,5 @@
-//! Measures each request against its service's objectives.
+//! Measures requests against the objectives of their services and records the results in the
+//! burn ledger.
 
 use crate::{burn::BurnTracker, event::UpstreamEvent, request::QueuedRequest};
 use savorywood_protocol::{
@@ -7,7 +8,7 @@
 };
 use std::{collections::HashMap, time::Duration};
 
-/// One request that is being measured.
+/// Measurements of one open request.
 #[derive(Debug)]
 struct MeasuredRequest {
     service: ServiceName,
@@ -15,74 +16,87 @@
     arrived_at: MonotonicTime,
     deadline_at: MonotonicTime,
     objectives: ServiceObjectives,
-    first_at: Option<MonotonicTime>,
-    tokens_after_first: u32,
+    first_token_at: Option<MonotonicTime>,
+    output_tokens: u32,
 }
 
-/// Requests that are being measured. Looked up by key alone, so the map's order reaches nothing.
+/// Open requests that are being measured. The map is never iterated, so its random order can't
+/// make the core non-deterministic.
 #[derive(Debug, Default)]
 pub struct ObjectiveTracker {
     requests: HashMap<RequestId, MeasuredRequest>,
 }
 
 impl ObjectiveTracker {
-    /// Begins to measure a request.
-    pub fn arrive(&mut self, request: &QueuedRequest, objectives: ServiceObjectives) {
+    /// Starts to measure a request.
+    pub fn start(&mut self, request: &QueuedRequest, objectives: ServiceObjectives) {
         let measured = MeasuredRequest {
             service: request.service.clone(),
             rank: request.rank,
             arrived_at: request.arrived_at,
             deadline_at: request.deadline_at,
             objectives,
-            first_at: None,
-            tokens_after_first: 0,
+            first_token_at: None,
+            output_tokens: 0,
         };
         self.requests.insert(request.request, measured);
     }
 
-    /// Microseconds between two tokens of a request so far, if there were two.
+    /// Returns the mean time between two tokens of a request so far, in microseconds. With a single
+    /// token this is the time since the request arrived; `None` without tokens.
     pub fn micros_per_token(&self, now: MonotonicTime, request: RequestId) -> Option<u32> {
         let measured = self.requests.get(&request)?;
-        let gaps = measured.tokens_after_first.checked_sub(1)?;
+        let gaps = measured.output_tokens.checked_sub(1)?;
         let elapsed = match gaps {
             0 => now.since(measured.arrived_at),
-            _ => now.since(measured.first_at?) / gaps,
+            _ => now.since(measured.first_token_at?) / gaps,
         };
         u32::try_from(elapsed.as_micros()).ok()
     }
 
-    /// The caller left: nobody was kept waiting.
-    pub fn forget(&mut self, request: RequestId) {
+    /// Stops measuring a request without a result, for example because its caller disconnected.
+    pub fn discard(&mut self, request: RequestId) {
         self.requests.remove(&request);
     }
 
-    /// A request was refused after it had been admitted, or at once for want of room: its
-    /// deadline was missed.
-    pub fn refused(&mut self, now: MonotonicTime, request: RequestId, burn: &mut BurnTracker) {
+    /// Records that a request missed its deadline, because it was refused or its attempt failed.
+    pub fn record_missed_deadline(
+        &mut self,
+        now: MonotonicTime,
+        request: RequestId,
+        burn: &mut BurnTracker,
+    ) {
         if let Some(measured) = self.requests.remove(&request) {
             measured.record(now, BurnObjective::Deadline, false, burn);
         }
     }
 
-    /// Notes what an upstream did.
-    pub fn upstream(&mut self, now: MonotonicTime, event: &UpstreamEvent, burn: &mut BurnTracker) {
+    /// Records the progress or the end of an attempt.
+    pub fn record_event(
+        &mut self,
+        now: MonotonicTime,
+        event: &UpstreamEvent,
+        burn: &mut BurnTracker,
+    ) {
         match event {
             UpstreamEvent::FirstToken { request, .. } => {
                 if let Some(measured) = self.requests.get_mut(request) {
-                    measured.first_at = Some(now);
+                    measured.first_token_at = Some(now);
                 }
             }
             UpstreamEvent::Tokens { request, count, .. } => {
                 if let Some(measured) = self.requests.get_mut(request) {
-                    measured.tokens_after_first += count;
+                    measured.output_tokens += count;
                 }
             }
             UpstreamEvent::Finished { request, .. } => {
                 if let Some(measured) = self.requests.remove(request) {
-                    measured.finish(now, burn);
+                    measured.record_completion(now, burn);
                 }
             }
-            UpstreamEvent::Broken { request, .. } => self.refused(now, *request, burn),
+            UpstreamEvent::Failed { request, .. } => {
+                self.record_missed_deadline(now, *request, burn);
+            }
             UpstreamEvent::NotSent { .. }
             | UpstreamEvent::LoadReported { .. }
             | UpstreamEvent::CacheChanged { .. } => {}
@@ -91,14 +105,14 @@
 }
 
 impl MeasuredRequest {
-    fn finish(&self, now: MonotonicTime, burn: &mut BurnTracker) {
-        let first_at = self.first_at.unwrap_or(now);
+    fn record_completion(&self, now: MonotonicTime, burn: &mut BurnTracker) {
+        let first_token_at = self.first_token_at.unwrap_or(now);
         let first_limit = Duration::from_millis(self.objectives.first_token_ms.into());
-        let first_met = first_at.since(self.arrived_at) <= first_limit;
+        let first_met = first_token_at.since(self.arrived_at) <= first_limit;
         self.record(now, BurnObjective::FirstToken, first_met, burn);
-        let gaps = self.tokens_after_first.saturating_sub(1);
+        let gaps = self.output_tokens.saturating_sub(1);
         if gaps > 0 {
-            let gap = now.since(first_at) / gaps;
+            let gap = now.since(first_token_at) / gaps;
             let gap_limit = Duration::from_millis(self.objectives.token_gap_ms.into());
             self.record(now, BurnObjective::TokenGap, gap <= gap_limit, burn);
         }
--- a/crates/savorywood-core/src/leases.rs
+++ b/crates/savorywood-core/src/leases.rs
@@ -17,7 +17,7 @@
 
 use crate::{
     effect::{DaemonEffect, EffectQueue, LogLevel, LogLine},
-    event::{DutyKind, TableCall, TimerKey},
+    event::{DutyKind, TableCallId, TimerKey},
     invariant::{self, InvariantName},
     view::MemberView,
 };
@@ -263,13 +263,18 @@
     ) {
         let grant = self.grant(now, name);
         let exclusive = grant.is_none_or(|grant| row.fencing <= grant.fencing);
-        invariant::check(effects, InvariantName::HolderActsAlone, exclusive, || {
-            format!(
-                "lease={name} holder={} fencing={}",
-                row.holder_text(),
-                row.fencing
-            )
-        });
+        invariant::check(
+            effects,
+            InvariantName::ExclusiveLeaseHolder,
+            exclusive,
+            || {
+                format!(
+                    "lease={name} holder={} fencing={}",
+                    row.holder_text(),
+                    row.fencing
+                )
+            },
+        );
     }
 
     fn call_table(
@@ -289,7 +294,7 @@
             purpose,
         });
         let duty = DutyKind::Leases;
-        let call = TableCall { duty, number };
+        let call = TableCallId { duty, number };
         effects.push(DaemonEffect::CallTable { call, request });
     }
 
--- a/crates/savorywood-core/src/lib.rs
+++ b/crates/savorywood-core/src/lib.rs
@@ -1,8 +1,8 @@
-//! Pure reducers that make every decision of a daemon.
+//! Deterministic state machines that make every decision of a daemon.
 //!
-//! Nothing here does I/O, reads a clock or starts a thread. [`DaemonCore::step`] takes one
-//! [`DaemonEvent`] and the time, and pushes [`DaemonEffect`]s that a shell executes. The same
-//! events in the same order always give the same effects.
+//! The crate does no I/O, reads no clock and starts no thread. [`DaemonCore::step`] takes one
+//! [`DaemonEvent`] and the current time and pushes [`DaemonEffect`]s, which a runtime (the I/O
+//! layer) executes. The same events in the same order always produce the same effects.
 
 pub mod burn;
 pub mod claims;
@@ -30,14 +30,14 @@
 
 pub use burn::BurnTracker;
 pub use daemon::{CoreOptions, DaemonCore};
-pub use effect::{DaemonEffect, DispatchOrder, EffectQueue, LogField, LogLevel, LogLine};
+pub use effect::{DaemonEffect, DispatchCommand, EffectQueue, LogField, LogLevel, LogLine};
 pub use event::{
-    AnswerReport, BreakCause, CacheEvent, CacheEventBatch, CallerEvent, DaemonEvent, DutyKind,
-    HostEntry, LoadReport, TableCall, TimerKey, UpstreamEvent,
+    CacheEvent, CacheEventBatch, CallerEvent, DaemonEvent, DutyKind, FailureCause, HostEntry,
+    LoadReport, ResponseReport, TableCallId, TimerKey, UpstreamEvent,
 };
-pub use invariant::{InvariantBreach, InvariantName};
-pub use operator::{OperatorCall, OperatorReply, OperatorRequest};
-pub use order::{OrderAnswer, OrderCall, UpstreamOrder};
+pub use invariant::{InvariantName, InvariantViolation};
+pub use operator::{OperatorCallId, OperatorReply, OperatorRequest};
+pub use order::{OrderCallId, OrderResponse, UpstreamOrder};
 pub use request::{
     PromptShape, QueuedRequest, RequestArrival, ResumeArrival, StoredResponse, TokenDigest,
 };
--- a/crates/savorywood-core/src/moves.rs
+++ b/crates/savorywood-core/src/moves.rs
@@ -23,7 +23,7 @@
 
 use crate::{
     effect::{DaemonEffect, EffectQueue},
-    event::{DutyKind, TableCall, TimerKey},
+    event::{DutyKind, TableCallId, TimerKey},
     leases::LeaseGrant,
     view::{ConfigView, MemberView, VersionSplit},
 };
@@ -247,7 +247,7 @@
         self.last_call += 1;
         let number = self.last_call;
         let duty = DutyKind::Moves;
-        let call = TableCall { duty, number };
+        let call = TableCallId { duty, number };
         effects.push(DaemonEffect::CallTable { call, request });
         number
     }
--- a/crates/savorywood-core/src/moves/driver.rs
+++ b/crates/savorywood-core/src/moves/driver.rs
@@ -2,8 +2,7 @@
 //! takes effect only once its row is committed to the table.
 
 use super::{
-    ConfiguredMove,
-    MoveView, MovesState, PendingWrite, configured_moves,
+    ConfiguredMove, MoveView, MovesState, PendingWrite, configured_moves,
     evaluator::{EvaluationResult, VersionEvaluator},
     local_statistics::StatisticsBatch,
     plan::{MAX_FIRST_SHARE_PER_MILLE, MovePlan, RATE_MEASUREMENT_PERIOD},
@@ -100,7 +99,9 @@
             return;
         };
         for configured in configured_moves(view.config) {
-            if self.is_over(configured.name, view.config) || self.pending_writes.contains_key(configured.name) {
+            if self.is_over(configured.name, view.config)
+                || self.pending_writes.contains_key(configured.name)
+            {
                 continue;
             }
             self.update_evaluation(now, configured);
@@ -182,18 +183,19 @@
             return roll_back("evaluation and soak not finished by the deadline".into());
         }
         match row.state {
-            MoveState::Planned if has_available_upstream(configured, config) => { match self.measured_rate(configured) {
-                Some(rate) => {
-                    let plan = MovePlan::new(configured.spec, row.started_at, rate);
-                    let first = plan.stages.first().map(|stage| stage.share_per_mille);
-                    let share = first.unwrap_or_default();
-                    Some(MoveRow {
-                        requests_per_1000s: (rate * 1_000.0) as u32,
-                        ..updated(MoveState::Moving, 0, share, "first stage started".into())
-                    })
+            MoveState::Planned if has_available_upstream(configured, config) => {
+                match self.measured_rate(configured) {
+                    Some(rate) => {
+                        let plan = MovePlan::new(configured.spec, row.started_at, rate);
+                        let first = plan.stages.first().map(|stage| stage.share_per_mille);
+                        let share = first.unwrap_or_default();
+                        Some(MoveRow {
+                            requests_per_1000s: (rate * 1_000.0) as u32,
+                            ..updated(MoveState::Moving, 0, share, "first stage started".into())
+                        })
+                    }
+                    None => self.takeover_row(row, lease),
                 }
-                None => self.takeover_row(row, lease),
-            }
             }
             MoveState::Moving => match self.stage_decision(now, configured, row, &plan) {
                 StageDecision::Advance => {
@@ -201,7 +203,8 @@
                     let next = plan.stages.get(stage as usize);
                     let reason = "no regression found at the previous share";
                     match next.map(|stage| stage.share_per_mille) {
-                        Some(share) => { Some(updated(MoveState::Moving, stage, share, reason.into()))
+                        Some(share) => {
+                            Some(updated(MoveState::Moving, stage, share, reason.into()))
                         }
                         None => Some(updated(MoveState::Soaking, stage, 1_000, reason.into())),
                     }
@@ -255,8 +258,12 @@
         })
     }
 
-    fn initial_row(&self, now: CoreTime,
-        configured: ConfiguredMove<'_>, lease: LeaseGrant,) -> MoveRow {
+    fn initial_row(
+        &self,
+        now: CoreTime,
+        configured: ConfiguredMove<'_>,
+        lease: LeaseGrant,
+    ) -> MoveRow {
         MoveRow {
             spec_revision: configured.revision,
             state: MoveState::Planned,
@@ -267,7 +274,8 @@
             stage_at: now.wall,
             holder: self.options.host.clone(),
             fencing: lease.fencing,
-            reason: "measuring the request rate and waiting for an upstream with the new version".into(),
+            reason: "measuring the request rate and waiting for an upstream with the new version"
+                .into(),
         }
     }
 
@@ -277,7 +285,6 @@
     }
 
     /// Decides whether the current stage continues, is passed or is too late.
-
     fn stage_decision(
         &self,
         now: CoreTime,
@@ -322,9 +329,12 @@
             return;
         }
         let lease_valid = now.monotonic < lease.valid_until;
-        invariant::check(effects, InvariantName::HolderActsAlone, lease_valid, || {
-            format!("move={} fencing={}", configured.name, lease.fencing)
-        });
+        invariant::check(
+            effects,
+            InvariantName::ExclusiveLeaseHolder,
+            lease_valid,
+            || format!("move={} fencing={}", configured.name, lease.fencing),
+        );
         let is_first_stage = row.state == MoveState::Moving && row.stage == 0;
         let bounded = !is_first_stage || row.share_per_mille <= MAX_FIRST_SHARE_PER_MILLE;
         invariant::check(effects, InvariantName::BadVersionBounded, bounded, || {
--- a/crates/savorywood-core/src/scheduler/dispatch.rs
+++ b/crates/savorywood-core/src/scheduler/dispatch.rs
@@ -9,7 +9,7 @@
     service::SlotDemand,
 };
 use crate::{
-    effect::{DaemonEffect, DispatchOrder, EffectQueue},
+    effect::{DaemonEffect, DispatchCommand, EffectQueue},
     invariant::{self, InvariantName},
 };
 use rand::Rng;
@@ -190,7 +190,7 @@
             self.refuse(now, &waiting, RefusalCode::NoUpstream, effects);
             return;
         };
-        let order = DispatchOrder {
+        let order = DispatchCommand {
             request: planned.request,
             attempt: waiting.attempt,
             upstream: upstream.clone(),
--- a/crates/savorywood-core/src/scheduler/feedback.rs
+++ b/crates/savorywood-core/src/scheduler/feedback.rs
@@ -10,7 +10,7 @@
 };
 use crate::{
     effect::{EffectQueue, LogLevel, LogLine},
-    event::{AnswerReport, BreakCause, UpstreamEvent},
+    event::{FailureCause, ResponseReport, UpstreamEvent},
 };
 use rand::Rng;
 use savorywood_protocol::{AttemptNumber, MonotonicTime, RequestId};
@@ -52,7 +52,7 @@
                 let key = attempt_key(*request, *attempt);
                 self.handle_finished(now, key, *report, view, effects);
             }
-            UpstreamEvent::Broken {
+            UpstreamEvent::Failed {
                 request,
                 attempt,
                 cause,
@@ -151,7 +151,7 @@
         &mut self,
         now: MonotonicTime,
         key: AttemptKey,
-        report: AnswerReport,
+        report: ResponseReport,
         view: SchedulerView<'_>,
         effects: &mut EffectQueue,
     ) {
@@ -171,7 +171,7 @@
         self.fill_upstream(now, record.upstream, view, effects);
     }
 
-    fn record_cost(&mut self, now: MonotonicTime, record: &AttemptRecord, report: AnswerReport) {
+    fn record_cost(&mut self, now: MonotonicTime, record: &AttemptRecord, report: ResponseReport) {
         if report.status >= MIN_SERVER_ERROR_STATUS {
             return;
         }
@@ -193,7 +193,12 @@
         estimates.error_tokens += u64::from(output.abs_diff(record.estimate.output_median));
     }
 
-    fn count_finished(&mut self, now: MonotonicTime, record: &AttemptRecord, report: AnswerReport) {
+    fn count_finished(
+        &mut self,
+        now: MonotonicTime,
+        record: &AttemptRecord,
+        report: ResponseReport,
+    ) {
         let uncached = prefilled_tokens(record, report);
         let prefill = &mut self.counters.prefill;
         prefill.total += u64::from(uncached);
@@ -219,7 +224,7 @@
         &mut self,
         now: MonotonicTime,
         key: AttemptKey,
-        cause: BreakCause,
+        cause: FailureCause,
         view: SchedulerView<'_>,
         effects: &mut EffectQueue,
     ) {
@@ -277,7 +282,7 @@
 
 /// Returns the prompt tokens that the upstream prefilled: by its report, or as predicted if it
 /// reports none.
-fn prefilled_tokens(record: &AttemptRecord, report: AnswerReport) -> u32 {
+fn prefilled_tokens(record: &AttemptRecord, report: ResponseReport) -> u32 {
     if report.prompt_tokens == 0 {
         return record.uncached;
     }
--- a/crates/savorywood-core/tests/claim/cluster.rs
+++ b/crates/savorywood-core/tests/claim/cluster.rs
@@ -3,9 +3,8 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use savorywood_core::{
-    AnswerReport, BreakCause, DaemonEffect, EffectQueue, MemberView, PromptShape,
-    QueuedRequest,
-    StoredResponse, TimerKey, UpstreamEvent,
+    DaemonEffect, EffectQueue, FailureCause, MemberView, PromptShape, QueuedRequest,
+    ResponseReport, StoredResponse, TimerKey, UpstreamEvent,
     claims::{ClaimDecision, ClaimEvent, ClaimOptions, ClaimRequest, ClaimState, ClaimView},
 };
 use savorywood_protocol::{
@@ -133,7 +132,6 @@
 }
 
 /// A table call whose response has not been delivered yet.
-
 #[derive(Debug, Clone)]
 struct PendingCall {
     daemon: usize,
@@ -302,8 +300,8 @@
                 self.step(daemon, ClaimEvent::Upstream(event));
                 self.step(daemon, ClaimEvent::Closed { request });
             } else {
-                let cause = BreakCause::Connection;
-                let event = UpstreamEvent::Broken {
+                let cause = FailureCause::Connection;
+                let event = UpstreamEvent::Failed {
                     request,
                     attempt,
                     cause,
@@ -318,9 +316,9 @@
             body: Some(b"charged".to_vec()),
         });
         self.step(daemon, ClaimEvent::ResponseReceived { request, answer });
-        let report = AnswerReport {
+        let report = ResponseReport {
             status: 201,
-            ..AnswerReport::default()
+            ..ResponseReport::default()
         };
         let event = UpstreamEvent::Finished {
             request,
@@ -373,11 +371,11 @@
                 DaemonEffect::Refuse { request, refusal } => {
                     self.refusals.push((request, refusal));
                 }
-                DaemonEffect::Replay { request, answer } => {
-                    assert_eq!(answer.body.as_deref(), Some(&b"charged"[..]));
+                DaemonEffect::Replay { request, response } => {
+                    assert_eq!(response.body.as_deref(), Some(&b"charged"[..]));
                     self.replays.insert(request);
                 }
-                DaemonEffect::Breach(breach) => panic!("{breach:?}"),
+                DaemonEffect::InvariantViolated(breach) => panic!("{breach:?}"),
                 _ => {}
             }
         }
@@ -402,7 +400,6 @@
 
     /// Panics if a key may have been executed twice, or if a request reported as not run may have
     /// been executed.
-
     pub fn check_invariants(&self) {
         for (key, executions) in self.executions() {
             assert!(executions <= 1, "key {key} ran {executions} times");
@@ -418,7 +415,6 @@
     }
 
     /// Returns the number of keys that may have been executed.
-
     pub fn executed_keys(&self) -> usize {
         self.executions()
             .values()
--- a/crates/savorywood-core/tests/claim_keys.rs
+++ b/crates/savorywood-core/tests/claim_keys.rs
@@ -7,7 +7,8 @@
 
 use cluster::{FakeTable, queued_request};
 use savorywood_core::{
-    AnswerReport, DaemonEffect, EffectQueue, MemberRecord, MemberView, StoredResponse, UpstreamEvent,
+    DaemonEffect, EffectQueue, MemberRecord, MemberView, ResponseReport, StoredResponse,
+    UpstreamEvent,
     claims::{ClaimEvent, ClaimKey, ClaimOptions, ClaimRequest, ClaimState, ClaimView},
 };
 use savorywood_protocol::{
@@ -88,7 +89,7 @@
                     responses.push((call.number, self.table.execute(&request)));
                 }
                 DaemonEffect::Refuse { refusal, .. } => self.refusals.push(refusal),
-                DaemonEffect::Replay { answer, .. } => self.replays.push(*answer),
+                DaemonEffect::Replay { response, .. } => self.replays.push(*response),
                 _ => {}
             }
         }
@@ -114,7 +115,7 @@
         self.step(ClaimEvent::Upstream(UpstreamEvent::Finished {
             request,
             attempt: AttemptNumber(0),
-            report: AnswerReport::default(),
+            report: ResponseReport::default(),
         }));
         self.advance(Duration::from_millis(200));
     }
@@ -292,7 +293,10 @@
         .claims
         .authorize_dispatch(RequestId(9), false, &mut effects);
     assert!(!may_dispatch);
-    assert!(matches!(effects.as_slice(), [DaemonEffect::Breach(_)]));
+    assert!(matches!(
+        effects.as_slice(),
+        [DaemonEffect::InvariantViolated(_)]
+    ));
 }
 
 /// While the store is unavailable a request is refused as not run with a retry-after delay, and a
--- a/crates/savorywood-core/tests/fleet/network.rs
+++ b/crates/savorywood-core/tests/fleet/network.rs
@@ -36,7 +36,6 @@
 }
 
 /// One direction of a partition.
-
 #[derive(Debug, Clone, Default)]
 pub struct NetworkPartition {
     pub from: BTreeSet<HostName>,
@@ -44,7 +43,6 @@
 }
 
 /// A host with its membership reducer, byte budget, replay guard and timers.
-
 #[derive(Debug)]
 pub struct FakeHost {
     pub membership: MembershipState,
@@ -79,7 +77,6 @@
 }
 
 /// Time of an event and the order in which it was scheduled.
-
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct EventOrder {
     at: MonotonicTime,
@@ -185,7 +182,6 @@
     }
 
     /// Pauses a host, which handles its datagrams and timers when the duration has passed.
-
     pub fn pause(&mut self, host: &HostName, duration: Duration) {
         let until = self.now.monotonic + duration;
         if let Some(fake_host) = self.hosts.get_mut(host) {
@@ -207,7 +203,6 @@
     }
 
     /// Delivers the platform's host list to all hosts.
-
     pub fn list_hosts(&mut self, leaving: &BTreeSet<HostName>) {
         let list = self.host_list(leaving);
         let hosts: Vec<_> = self.hosts.keys().cloned().collect();
@@ -239,7 +234,7 @@
                 let host = host.clone();
                 self.push(at, NetworkEvent::Timer { host, key, at });
             }
-            DaemonEffect::Breach(breach) => panic!("{breach:?}"),
+            DaemonEffect::InvariantViolated(breach) => panic!("{breach:?}"),
             _ => {}
         }
     }
--- a/crates/savorywood-core/tests/order_faults.rs
+++ b/crates/savorywood-core/tests/order_faults.rs
@@ -4,7 +4,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use savorywood_core::{
-    ConfigView, DaemonEffect, EffectQueue, OrderAnswer, OrderCall, UpstreamOrder,
+    ConfigView, DaemonEffect, EffectQueue, OrderCallId, OrderResponse, UpstreamOrder,
     leases::LeaseGrant,
     orders::{OrderEvent, OrderOptions, OrderView, OrdersState},
 };
@@ -29,8 +29,8 @@
 }
 
 enum Pending {
-    Arrive(usize, OrderCall, UpstreamName, UpstreamOrder),
-    Answer(usize, OrderCall, OrderAnswer),
+    Arrive(usize, OrderCallId, UpstreamName, UpstreamOrder),
+    Answer(usize, OrderCallId, OrderResponse),
 }
 
 /// Two holders, the second after the first, and the engines.
@@ -128,8 +128,8 @@
                     Pending::Arrive(holder, call, name, order) => {
                         self.arrive(holder, call, &name, &order);
                     }
-                    Pending::Answer(holder, call, answer) => {
-                        self.step(holder, OrderEvent::Answered { call, answer });
+                    Pending::Answer(holder, call, response) => {
+                        self.step(holder, OrderEvent::Completed { call, response });
                     }
                 }
             }
@@ -162,7 +162,7 @@
         self.holders[holder].step(now, event, view, &mut effects);
         for effect in effects.drain() {
             match effect {
-                DaemonEffect::OrderUpstream {
+                DaemonEffect::SendOrder {
                     call,
                     upstream,
                     order,
@@ -176,7 +176,7 @@
                     self.agenda.insert((self.now + delay, self.serial), pending);
                 }
                 DaemonEffect::SetTimer { at, .. } => self.ticks[holder] = Some(at.0),
-                DaemonEffect::Breach(_) => self.breaches += 1,
+                DaemonEffect::InvariantViolated(_) => self.breaches += 1,
                 _ => {}
             }
         }
@@ -185,7 +185,7 @@
     fn arrive(
         &mut self,
         holder: usize,
-        call: OrderCall,
+        call: OrderCallId,
         name: &UpstreamName,
         order: &UpstreamOrder,
     ) {
@@ -193,7 +193,7 @@
         let engine = self.engines.get_mut(name).expect("a known engine");
         let old = engine.checks && order.fencing.0 < engine.newest;
         let answer = if old {
-            OrderAnswer::Fenced {
+            OrderResponse::Fenced {
                 newest: FencingNumber(engine.newest),
             }
         } else {
@@ -205,14 +205,14 @@
                     engine.ready_at = now + 12 * SECOND;
                 }
             }
-            OrderAnswer::Running {
+            OrderResponse::Running {
                 version: engine.version.clone(),
                 ready: engine.ready_at <= now,
                 fencing: engine.checks.then_some(FencingNumber(engine.newest)),
             }
         };
         let lost = self.rng.random_range(0..100) < self.lost;
-        let answer = if lost { OrderAnswer::Lost } else { answer };
+        let answer = if lost { OrderResponse::Lost } else { answer };
         self.serial += 1;
         let pending = Pending::Answer(holder, call, answer);
         self.agenda
@@ -263,7 +263,7 @@
 /// not send what it had decided, nor may the shell: the order says by when.
 #[test]
 fn an_order_says_by_when_it_must_be_sent() {
-    let mut holder = OrdersState::new(OrderOptions::default().longest_order(Duration::ZERO));
+    let mut holder = OrdersState::new(OrderOptions::default().max_order_duration(Duration::ZERO));
     let config = config(1);
     let lease = LeaseGrant {
         fencing: FencingNumber(7),
@@ -282,7 +282,7 @@
         &mut effects,
     );
     let orders = effects.drain().filter_map(|effect| match effect {
-        DaemonEffect::OrderUpstream { order, .. } => Some(order),
+        DaemonEffect::SendOrder { order, .. } => Some(order),
         _ => None,
     });
     let orders: Vec<_> = orders.collect();
--- a/crates/savorywood-core/tests/scheduler_rules/repeat.rs
+++ b/crates/savorywood-core/tests/scheduler_rules/repeat.rs
@@ -2,7 +2,7 @@
 
 use crate::fixture::{BenchRequest, SchedulerBench};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use savorywood_core::{BreakCause, DaemonEffect, UpstreamEvent, scheduler::SchedulerEvent};
+use savorywood_core::{DaemonEffect, FailureCause, UpstreamEvent, scheduler::SchedulerEvent};
 use std::time::Duration;
 
 const TEAMS: [&str; 4] = ["north", "south", "east", "west"];
@@ -96,10 +96,10 @@
         }),
         BenchAction::Finish { pick } => on_order(bench, *pick, SchedulerBench::finish),
         BenchAction::Break { pick } => on_order(bench, *pick, |bench, order| {
-            bench.upstream(UpstreamEvent::Broken {
+            bench.upstream(UpstreamEvent::Failed {
                 request: order.request,
                 attempt: order.attempt,
-                cause: BreakCause::Stalled,
+                cause: FailureCause::Stalled,
             });
         }),
         BenchAction::Unsent { pick } => on_order(bench, *pick, |bench, order| {
@@ -116,7 +116,7 @@
 fn on_order(
     bench: &mut SchedulerBench,
     pick: u16,
-    act: impl FnOnce(&mut SchedulerBench, &savorywood_core::DispatchOrder),
+    act: impl FnOnce(&mut SchedulerBench, &savorywood_core::DispatchCommand),
 ) {
     let orders = bench.dispatches();
     if let Some(order) = orders.get(usize::from(pick) % orders.len().max(1)) {
@@ -130,7 +130,7 @@
         let first = run(&actions);
         let breached = first
             .iter()
-            .any(|effect| matches!(effect, DaemonEffect::Breach(_)));
+            .any(|effect| matches!(effect, DaemonEffect::InvariantViolated(_)));
         !breached && first == run(&actions)
     }
     let check = holds as fn(Vec<BenchAction>) -> bool;
--- a/crates/savorywood-core/tests/support/config_cluster.rs
+++ b/crates/savorywood-core/tests/support/config_cluster.rs
@@ -4,7 +4,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use savorywood_core::{
-    ConfigSnapshot, DaemonEffect, EffectQueue, MemberRecord, MemberView, OperatorCall,
+    ConfigSnapshot, DaemonEffect, EffectQueue, MemberRecord, MemberView, OperatorCallId,
     OperatorReply, OperatorRequest,
     config::{ConfigEvent, ConfigOptions, ConfigState},
 };
@@ -39,7 +39,6 @@
 }
 
 /// An event that is scheduled for a later time.
-
 enum Pending {
     /// An event for a node.
     NodeEvent(usize, ConfigEvent),
@@ -158,7 +157,7 @@
         let document = service_document(service, mark);
         let request = OperatorRequest::Apply { document, expected };
         let event = ConfigEvent::Operator {
-            call: OperatorCall(number),
+            call: OperatorCallId(number),
             request: Box::new(request),
         };
         let reply = None;
@@ -327,7 +326,7 @@
                 assert!(operator.reply.is_none(), "an operator call got two replies");
                 operator.reply = Some(*reply);
             }
-            DaemonEffect::Breach(breach) => self.breaches.push(breach.detail),
+            DaemonEffect::InvariantViolated(breach) => self.breaches.push(breach.detail),
             _ => {}
         }
     }
--- a/crates/savorywood-core/tests/support/lease_cluster.rs
+++ b/crates/savorywood-core/tests/support/lease_cluster.rs
@@ -16,7 +16,6 @@
 use std::{collections::BTreeMap, time::Duration};
 
 /// An event that is scheduled for a later time.
-
 enum Pending {
     /// An event for a node.
     NodeEvent(usize, LeaseEvent),
@@ -232,7 +231,7 @@
                 DaemonEffect::SetTimer { at, .. } => {
                     self.timers.insert(node, at.0);
                 }
-                DaemonEffect::Breach(breach) => self.breaches.push(breach.detail),
+                DaemonEffect::InvariantViolated(breach) => self.breaches.push(breach.detail),
                 _ => {}
             }
         }
--- a/crates/savorywood-core/tests/support/move_simulation.rs
+++ b/crates/savorywood-core/tests/support/move_simulation.rs
@@ -104,7 +104,6 @@
 const START_WALL_MS: u64 = 1_800_000_000_000;
 
 /// An event that is scheduled for a later time.
-
 enum Pending {
     /// An event for a node.
     NodeEvent(usize, Box<MoveEvent>),
@@ -262,7 +261,6 @@
     }
 
     /// Updates the thermal slowdown of all engines and starts shared failures at random.
-
     fn update_slowdown(&mut self) {
         if !self.scenario.thermal_slowdown {
             return;
@@ -413,7 +411,7 @@
                 self.timers.insert((node, key.number), at.0);
             }
             DaemonEffect::SendPeer { to, message, .. } => self.send(node, &to, message),
-            DaemonEffect::Breach(breach) => {
+            DaemonEffect::InvariantViolated(breach) => {
                 eprintln!("invariant breach: {breach:?}");
                 self.result.breaches += 1;
             }
@@ -446,7 +444,6 @@
 }
 
 /// Samples an approximately standard normal distribution as a sum of uniform samples.
-
 fn standard_normal(rng: &mut ChaCha8Rng) -> f64 {
     let sum: f64 = (0..12).map(|_| rng.random::<f64>()).sum();
     sum - 6.0
--- a/crates/savorywood-core/tests/whole/links.rs
+++ b/crates/savorywood-core/tests/whole/links.rs
@@ -8,7 +8,7 @@
     world::{Pending, World},
 };
 use rand::Rng;
-use savorywood_core::{DaemonCore, DaemonEvent, DutyKind, HostEntry, TableCall};
+use savorywood_core::{DaemonCore, DaemonEvent, DutyKind, HostEntry, TableCallId};
 use savorywood_protocol::{
     HostName,
     peer::{
@@ -33,7 +33,7 @@
 const HOSTS_PERIOD: u64 = 2_000_000;
 
 impl World {
-    pub(crate) fn call_table(&mut self, node: usize, call: TableCall, request: TableRequest) {
+    pub(crate) fn call_table(&mut self, node: usize, call: TableCallId, request: TableRequest) {
         let from = self.nodes[node].at;
         let delay = self.rng.random_range(WAY_MICROS);
         self.later(
@@ -46,28 +46,28 @@
         );
     }
 
-    pub(crate) fn table_call(&mut self, from: NodeLife, call: TableCall, request: TableRequest) {
+    pub(crate) fn table_call(&mut self, from: NodeLife, call: TableCallId, request: TableRequest) {
         let mut delay = self.rng.random_range(WAY_MICROS);
         let windows = &self.windows;
         let cut = windows.cut_table[from.node] > self.now;
-        let answer = if windows.outage > self.now || cut {
+        let response = if windows.outage > self.now || cut {
             TableResponse::Unavailable
         } else if windows.lossy_table > self.now && self.rng.random_bool(0.4) {
             delay = TABLE_TIMEOUT;
             self.lose_answer(request)
         } else if windows.slow_table > self.now {
             delay = self.rng.random_range(SLOW_MICROS);
-            let answer = self.sabotaged_table(from.life, call, &request);
+            let response = self.sabotaged_table(from.life, call, &request);
             if delay > TABLE_TIMEOUT {
                 delay = TABLE_TIMEOUT;
                 TableResponse::Lost
             } else {
-                answer
+                response
             }
         } else {
             self.sabotaged_table(from.life, call, &request)
         };
-        let event = DaemonEvent::Table { call, answer };
+        let event = DaemonEvent::Table { call, response };
         self.later(delay, Pending::Deliver { to: from, event });
     }
 
@@ -88,7 +88,7 @@
     fn sabotaged_table(
         &mut self,
         life: u64,
-        call: TableCall,
+        call: TableCallId,
         request: &TableRequest,
     ) -> TableResponse {
         let is_commit = matches!(request, TableRequest::Commit(_));
--- a/crates/savorywood-core/tests/whole/upstreams.rs
+++ b/crates/savorywood-core/tests/whole/upstreams.rs
@@ -8,7 +8,7 @@
 };
 use rand::Rng;
 use savorywood_core::{
-    AnswerReport, BreakCause, DaemonEvent, DispatchOrder, StoredResponse, UpstreamEvent,
+    DaemonEvent, DispatchCommand, FailureCause, ResponseReport, StoredResponse, UpstreamEvent,
 };
 use savorywood_protocol::{AttemptNumber, RequestId};
 
@@ -38,7 +38,7 @@
 }
 
 impl World {
-    pub(crate) fn dispatch(&mut self, node: usize, order: DispatchOrder) {
+    pub(crate) fn dispatch(&mut self, node: usize, order: DispatchCommand) {
         let to = self.nodes[node].at;
         self.check_leaving(node, &order);
         let request = order.request;
@@ -60,7 +60,7 @@
         self.sabotage_attempt(to, &order);
     }
 
-    fn draw_fate(&mut self, order: &DispatchOrder) -> AttemptFate {
+    fn draw_fate(&mut self, order: &DispatchCommand) -> AttemptFate {
         let down = self.windows.down.get(&order.upstream);
         if down.is_some_and(|until| *until > self.now) {
             return AttemptFate::NotSent;
@@ -74,7 +74,7 @@
         }
     }
 
-    fn play(&mut self, to: NodeLife, order: &DispatchOrder, fate: AttemptFate) {
+    fn play(&mut self, to: NodeLife, order: &DispatchCommand, fate: AttemptFate) {
         let (request, attempt) = (order.request, order.attempt);
         let mut at = self.rng.random_range(CONNECT_MICROS);
         if fate == AttemptFate::NotSent {
@@ -162,7 +162,7 @@
                     self.ledger.answer(request);
                 }
             }
-            UpstreamEvent::Broken { cause, .. } => {
+            UpstreamEvent::Failed { cause, .. } => {
                 self.nodes[to.node].running.remove(&request);
                 self.ledger.attempt_ended(request, Some(*cause));
             }
@@ -178,12 +178,12 @@
         if call.kind != CallKind::Charge {
             return;
         }
-        let answer = Box::new(StoredResponse {
+        let response = Box::new(StoredResponse {
             status: 201,
             content_type: "text/plain".to_owned(),
             body: Some(call.key.clone().into_bytes()),
         });
-        self.step(to.node, DaemonEvent::AnswerKept { request, answer });
+        self.step(to.node, DaemonEvent::ResponseCaptured { request, response });
     }
 
     pub(crate) fn cancel(&mut self, node: usize, request: RequestId, attempt: AttemptNumber) {
@@ -203,8 +203,8 @@
         // The connection may fail at the same moment; then the shell hears of that first.
         let overtaken = running.not_sent && self.rng.random_bool(0.5);
         if call.kind == CallKind::Model && !overtaken {
-            let cause = BreakCause::Cancelled;
-            let event = UpstreamEvent::Broken {
+            let cause = FailureCause::Cancelled;
+            let event = UpstreamEvent::Failed {
                 request,
                 attempt,
                 cause,
@@ -214,7 +214,7 @@
     }
 
     /// An upstream that was taken out gets nothing new once the daemons can know it.
-    fn check_leaving(&mut self, node: usize, order: &DispatchOrder) {
+    fn check_leaving(&mut self, node: usize, order: &DispatchCommand) {
         let Some(accepted) = self.operators.drained_at.get(&order.upstream) else {
             return;
         };
@@ -227,7 +227,7 @@
         }
     }
 
-    fn sabotage_attempt(&mut self, to: NodeLife, order: &DispatchOrder) {
+    fn sabotage_attempt(&mut self, to: NodeLife, order: &DispatchCommand) {
         let (request, attempt) = (order.request, order.attempt);
         match self.sabotage {
             Some(WorldSabotage::SendTwice) if self.rng.random_bool(0.1) => {
@@ -249,20 +249,20 @@
     fate: AttemptFate,
     pieces: u64,
 ) -> UpstreamEvent {
-    let broken = |cause| UpstreamEvent::Broken {
+    let broken = |cause| UpstreamEvent::Failed {
         request,
         attempt,
         cause,
     };
     match fate {
-        AttemptFate::Breaks if pieces == 0 => broken(BreakCause::Connection),
-        AttemptFate::Breaks => broken(BreakCause::Truncated),
-        AttemptFate::Stalls => broken(BreakCause::Stalled),
-        AttemptFate::ServerError => broken(BreakCause::UpstreamError),
+        AttemptFate::Breaks if pieces == 0 => broken(FailureCause::Connection),
+        AttemptFate::Breaks => broken(FailureCause::Truncated),
+        AttemptFate::Stalls => broken(FailureCause::Stalled),
+        AttemptFate::ServerError => broken(FailureCause::UpstreamError),
         AttemptFate::Whole | AttemptFate::NotSent => UpstreamEvent::Finished {
             request,
             attempt,
-            report: AnswerReport {
+            report: ResponseReport {
                 status: 200,
                 prompt_tokens: 256,
                 cached_tokens: 0,
@@ -282,7 +282,7 @@
         | UpstreamEvent::Finished {
             request, attempt, ..
         }
-        | UpstreamEvent::Broken {
+        | UpstreamEvent::Failed {
             request, attempt, ..
         } => Some((*request, *attempt)),
         UpstreamEvent::LoadReported { .. } | UpstreamEvent::CacheChanged { .. } => None,
--- a/crates/savorywood-core/tests/whole/world.rs
+++ b/crates/savorywood-core/tests/whole/world.rs
@@ -12,7 +12,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use savorywood_core::{
-    CallerEvent, DaemonEffect, DaemonEvent, EffectQueue, HostEntry, TableCall, TimerKey,
+    CallerEvent, DaemonEffect, DaemonEvent, EffectQueue, HostEntry, TableCallId, TimerKey,
 };
 use savorywood_protocol::{
     MonotonicTime, RefusalCode, RequestId, RequestRefusal, UpstreamName,
@@ -44,7 +44,7 @@
     /// A call reaches the table.
     Table {
         from: NodeLife,
-        call: TableCall,
+        call: TableCallId,
         request: TableRequest,
     },
     /// A write whose answer was given up long ago takes effect.
@@ -235,7 +235,7 @@
             Pending::Resumed { to, request } => {
                 if self.is_alive(to) {
                     self.ledger.answer(request);
-                    let event = DaemonEvent::Caller(CallerEvent::Left { request });
+                    let event = DaemonEvent::Caller(CallerEvent::Disconnected { request });
                     self.later(0, Pending::Deliver { to, event });
                 }
             }
@@ -341,19 +341,18 @@
             }
             DaemonEffect::CallTable { call, request } => self.call_table(node, call, request),
             DaemonEffect::Resume(order) => self.resume_stream(node, &order),
-            DaemonEffect::Replay { request, answer } => self.replay(request, *answer),
+            DaemonEffect::Replay { request, response } => self.replay(request, *response),
             DaemonEffect::FetchSnapshot { from, address } => {
                 self.fetch_snapshot(node, from, address);
             }
             DaemonEffect::ReplyOperator { call, reply } => self.reply_operator(call, *reply),
-            DaemonEffect::Breach(breach) => {
+            DaemonEffect::InvariantViolated(breach) => {
                 let detail = format!("{}: {}", breach.name, breach.detail);
                 self.ledger.breach(WorldRule::InProgram, detail);
             }
             DaemonEffect::Exit => self.exit(node),
-            DaemonEffect::OrderUpstream { .. }
-            | DaemonEffect::ConfigChanged
-            | DaemonEffect::Log(_) => {}
+            DaemonEffect::SendOrder { .. } | DaemonEffect::ConfigChanged | DaemonEffect::Log(_) => {
+            }
         }
     }
 
--- a/crates/savorywood-daemon/src/outbound.rs
+++ b/crates/savorywood-daemon/src/outbound.rs
@@ -9,7 +9,7 @@
     peers::{DatagramLink, SnapshotLink},
 };
 use async_channel::Receiver;
-use savorywood_core::{DaemonEffect, DaemonEvent, DutyKind, TableCall};
+use savorywood_core::{DaemonEffect, DaemonEvent, DutyKind, TableCallId};
 use savorywood_platform::{PlatformClient, PlatformDuty};
 use savorywood_protocol::{HostName, table::TableRequest};
 use std::{net::SocketAddr, sync::Arc};
@@ -46,7 +46,7 @@
             DaemonEffect::FetchSnapshot { from, address } => {
                 fetch_snapshot(&shared, &links, from, address);
             }
-            DaemonEffect::OrderUpstream {
+            DaemonEffect::SendOrder {
                 call,
                 address,
                 order,
@@ -70,15 +70,15 @@
 fn call_table(
     shared: &Arc<DaemonShared>,
     links: &Arc<OutboundLinks>,
-    call: TableCall,
+    call: TableCallId,
     request: TableRequest,
 ) {
     let driver = Arc::clone(&shared.driver);
     let links = Arc::clone(links);
     let run = async move {
         let duty = platform_duty(call.duty);
-        let answer = links.platform.execute(duty, &request).await;
-        driver.step(DaemonEvent::Table { call, answer });
+        let response = links.platform.execute(duty, &request).await;
+        driver.step(DaemonEvent::Table { call, response });
     };
     shared.executor.spawn(run).detach();
 }
--- a/crates/savorywood-daemon/src/relay/attempt.rs
+++ b/crates/savorywood-daemon/src/relay/attempt.rs
@@ -10,7 +10,7 @@
 use futures_lite::future;
 use http_types::{Body, Method, Request, Response, Url};
 use savorywood_core::{
-    AnswerReport, BreakCause, DaemonEvent, DispatchOrder, InvariantName, StoredResponse,
+    DaemonEvent, DispatchCommand, FailureCause, InvariantName, ResponseReport, StoredResponse,
     UpstreamEvent,
 };
 use savorywood_http::{
@@ -56,9 +56,9 @@
     /// No byte left this host.
     NotSent,
     /// The whole answer was relayed.
-    Finished(AnswerReport),
+    Finished(ResponseReport),
     /// Bytes may have left, and there is no whole answer.
-    Broken(BreakCause),
+    Broken(FailureCause),
     /// The core gave it up.
     Cancelled,
 }
@@ -66,14 +66,14 @@
 /// One attempt.
 pub struct RequestAttempt<'a> {
     task: &'a RequestTask,
-    order: &'a DispatchOrder,
+    order: &'a DispatchCommand,
     service: Option<ServiceName>,
     extensions: Vec<UpstreamExtension>,
 }
 
 impl<'a> RequestAttempt<'a> {
     /// Prepares an attempt.
-    pub fn new(task: &'a RequestTask, order: &'a DispatchOrder) -> Self {
+    pub fn new(task: &'a RequestTask, order: &'a DispatchCommand) -> Self {
         let config = task.shared.driver.config();
         let spec = config.upstreams.get(&order.upstream);
         Self {
@@ -119,7 +119,7 @@
         );
         match error {
             SendError::NotSent { .. } => AttemptEnd::NotSent,
-            SendError::Broken { .. } => AttemptEnd::Broken(BreakCause::Connection),
+            SendError::Broken { .. } => AttemptEnd::Broken(FailureCause::Connection),
         }
     }
 
@@ -146,7 +146,7 @@
         let relayed = self.relay_body(&mut answer, &sender, &mut observer).await;
         match relayed {
             Ok(()) if self.is_whole(&answer) => self.finish(sender, observer, status).await,
-            Ok(()) => AttemptEnd::Broken(BreakCause::Truncated),
+            Ok(()) => AttemptEnd::Broken(FailureCause::Truncated),
             Err(cause) => AttemptEnd::Broken(cause),
         }
     }
@@ -157,10 +157,10 @@
         let whole = answer.body.is_whole();
         if !whole {
             let metrics = &self.task.shared.driver.metrics;
-            metrics.count_breach(InvariantName::WholeOwnAnswer);
+            metrics.count_breach(InvariantName::ResponseMatchesRequest);
             log::error!(
                 "event=invariant-breach name={} detail=\"request={} upstream={}\"",
-                InvariantName::WholeOwnAnswer,
+                InvariantName::ResponseMatchesRequest,
                 self.task.request,
                 self.order.upstream
             );
@@ -173,7 +173,7 @@
         answer: &mut UpstreamAnswer,
         sender: &BodySender,
         observer: &mut AnswerObserver,
-    ) -> Result<(), BreakCause> {
+    ) -> Result<(), FailureCause> {
         let mut piece = vec![0; READ_BYTES];
         let hides = self.task.call.hides_usage && observer.is_token_stream();
         let mut filter = hides.then(UsageFilter::default);
@@ -198,7 +198,7 @@
             // recorded for the caller's retry.
             if sent.is_err() && self.task.call.idempotent {
                 self.caller_left();
-                return Err(BreakCause::Cancelled);
+                return Err(FailureCause::Cancelled);
             }
         }
     }
@@ -207,7 +207,7 @@
         &self,
         answer: &mut UpstreamAnswer,
         piece: &mut [u8],
-    ) -> Result<usize, BreakCause> {
+    ) -> Result<usize, FailureCause> {
         let stalled = async {
             Timer::after(self.task.shared.options.stall_time).await;
             Err(io::ErrorKind::TimedOut.into())
@@ -221,15 +221,17 @@
                 error.to_string()
             );
             match error.kind() {
-                io::ErrorKind::TimedOut => BreakCause::Stalled,
-                io::ErrorKind::UnexpectedEof | io::ErrorKind::InvalidData => BreakCause::Truncated,
-                _ => BreakCause::Connection,
+                io::ErrorKind::TimedOut => FailureCause::Stalled,
+                io::ErrorKind::UnexpectedEof | io::ErrorKind::InvalidData => {
+                    FailureCause::Truncated
+                }
+                _ => FailureCause::Connection,
             }
         })
     }
 
     fn caller_left(&self) {
-        let event = savorywood_core::CallerEvent::Left {
+        let event = savorywood_core::CallerEvent::Disconnected {
             request: self.task.request,
         };
         self.task.shared.driver.step(DaemonEvent::Caller(event));
@@ -268,7 +270,7 @@
             ObservedEnd::Whole(report) => report,
             // Without its end mark a token stream may lack its last tokens. The sender is
             // dropped, which breaks the caller's body off.
-            ObservedEnd::Truncated => return AttemptEnd::Broken(BreakCause::Truncated),
+            ObservedEnd::Truncated => return AttemptEnd::Broken(FailureCause::Truncated),
         };
         self.keep_answer(observer, status);
         if sender.finish().await.is_err() {
@@ -280,7 +282,7 @@
             driver.metrics.observe_whole_answer(service, elapsed);
         }
         if status >= 500 {
-            return AttemptEnd::Broken(BreakCause::UpstreamError);
+            return AttemptEnd::Broken(FailureCause::UpstreamError);
         }
         AttemptEnd::Finished(report)
     }
@@ -289,14 +291,14 @@
         if self.task.call.idempotent {
             return;
         }
-        let answer = StoredResponse {
+        let response = StoredResponse {
             status,
             content_type: observer.content_type().to_owned(),
             body: observer.into_kept(),
         };
-        let event = DaemonEvent::AnswerKept {
+        let event = DaemonEvent::ResponseCaptured {
             request: self.task.request,
-            answer: Box::new(answer),
+            response: Box::new(response),
         };
         self.task.shared.driver.step(event);
     }
@@ -335,7 +337,7 @@
     }
 
     /// Tells the engine to stop, so that it does not generate what nobody reads.
-    pub async fn cancel_upstream(&self, order: &DispatchOrder) {
+    pub async fn cancel_upstream(&self, order: &DispatchCommand) {
         if !self.extensions.contains(&UpstreamExtension::Cancel) {
             return;
         }
@@ -355,7 +357,7 @@
 
 fn build_request(
     call: &OutgoingCall,
-    order: &DispatchOrder,
+    order: &DispatchCommand,
     stream: &str,
 ) -> Result<Request, http_types::url::ParseError> {
     let url = Url::parse(&format!("http://{}{}", order.address, call.target))?;
--- a/crates/savorywood-experiment/src/arbiter.rs
+++ b/crates/savorywood-experiment/src/arbiter.rs
@@ -54,7 +54,8 @@
     let shares = allocate(&demands, upstream_capacity(&demands, declared));
     for (host, name) in hosts.iter_mut().zip(&names.hosts) {
         let seats = shares.get(name).copied().unwrap_or_default();
-        host.grants.insert(upstream.clone(), SlotGrant { slots: seats });
+        host.grants
+            .insert(upstream.clone(), SlotGrant { slots: seats });
     }
 }
 
