--- a/crates/savorywood-core/examples/move_figures.rs
+++ b/crates/savorywood-core/examples/move_figures.rs
@@ -93,7 +93,7 @@
     VersionKind {
         name: "good, 10 requests/s",
         scenario: |_| MoveScenario {
-            requests_per_second: 10.0,
+            request_rate: 10.0,
             ..MoveScenario::default()
         },
     },
--- a/crates/savorywood-core/tests/move_faults.rs
+++ b/crates/savorywood-core/tests/move_faults.rs
@@ -44,8 +44,8 @@
 #[test]
 fn a_good_version_completes_in_time_when_traffic_drops() {
     let scenario = MoveScenario {
-        requests_per_second: 90.0,
-        later_requests_per_second: Some(20.0),
+        request_rate: 90.0,
+        later_request_rate: Some(20.0),
         deadline_seconds: 300.0,
         thermal_slowdown: false,
         ..MoveScenario::default()
@@ -65,8 +65,8 @@
 #[test]
 fn a_good_version_completes_in_time_in_a_short_move() {
     let scenario = MoveScenario {
-        requests_per_second: 690.0,
-        later_requests_per_second: Some(250.0),
+        request_rate: 690.0,
+        later_request_rate: Some(250.0),
         deadline_seconds: 75.0,
         soak_seconds: 1,
         thermal_slowdown: false,
@@ -215,7 +215,7 @@
 #[test]
 fn an_unproven_version_is_rolled_back_by_the_deadline() {
     let scenario = MoveScenario {
-        requests_per_second: 0.2,
+        request_rate: 0.2,
         ..MoveScenario::default()
     };
     let mut simulation = MoveSimulation::new(scenario, 11);
--- a/crates/savorywood-core/tests/support/move_simulation.rs
+++ b/crates/savorywood-core/tests/support/move_simulation.rs
@@ -48,10 +48,10 @@
     /// machine room. Engines differ a little, and there are seconds in which both versions fail.
     pub thermal_slowdown: bool,
     /// Requests per second to the service.
-    pub requests_per_second: f64,
+    pub request_rate: f64,
     /// Requests per second from second 12 on, when the move has measured the rate. Absent if the
     /// rate does not change.
-    pub later_requests_per_second: Option<f64>,
+    pub later_request_rate: Option<f64>,
     /// Seconds from the start of the run to the deadline of the move.
     pub deadline_seconds: f64,
     /// Seconds with all traffic on the new version before the move completes.
@@ -67,8 +67,8 @@
             failure_rate: 0.004,
             slowdown: 1.0,
             thermal_slowdown: true,
-            requests_per_second: 60.0,
-            later_requests_per_second: None,
+            request_rate: 60.0,
+            later_request_rate: None,
             deadline_seconds: 600.0,
             soak_seconds: 60,
             dropped_percent: 10,
@@ -230,10 +230,10 @@
             }
             let later_rate = self
                 .scenario
-                .later_requests_per_second
+                .later_request_rate
                 .filter(|_| self.elapsed() >= 12.0);
             let mut due =
-                later_rate.unwrap_or(self.scenario.requests_per_second) * STEP_MICROS as f64 / 1e6;
+                later_rate.unwrap_or(self.scenario.request_rate) * STEP_MICROS as f64 / 1e6;
             while due > 0.0 {
                 if self.rng.random_bool(due.min(1.0)) {
                     self.request();
