--- a/crates/savorywood-core/src/config.rs
+++ b/crates/savorywood-core/src/config.rs
@@ -53,7 +53,7 @@
     },
     /// A call of the table service completed, failed or was lost.
     Table {
-        /// Number of the call, as in [`TableCall`].
+        /// Number of the call, as in [`TableCallId`].
         number: u64,
         /// Response of the table service, or how the call failed.
         answer: TableResponse,
--- a/crates/savorywood-core/src/moves.rs
+++ b/crates/savorywood-core/src/moves.rs
@@ -57,7 +57,7 @@
     },
     /// A table call of this duty ended.
     Table {
-        /// Number from the [`TableCall`] that the duty made.
+        /// Number from the [`TableCallId`] that the duty made.
         number: u64,
         /// Response of the table, or why there is none.
         answer: TableResponse,
--- a/crates/savorywood-core/src/scheduler/pressure.rs
+++ b/crates/savorywood-core/src/scheduler/pressure.rs
@@ -19,7 +19,7 @@
 pub struct ServicePressure {
     /// Number of waiting requests by tier, highest tier first.
     pub waiting: Vec<TierDemand>,
-    /// Highest tier of which a request was refused for load within [`SHEDDING_WINDOW`].
+    /// Highest tier of which a request was refused for load within `SHEDDING_WINDOW`.
     pub shedding: Option<TierRank>,
 }
 
